--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -37,15 +37,20 @@
 
 
 def plan(troubles: tuple[dict[str, Any], ...]) -> Plan:
-    return Plan(lasts_s=12, fleet=Fleet(halls=2, servers=8, work_ms=20, cold_s=5), load=Load(rate=300),
-                troubles=tuple(Trouble(**{"at_s": 3, "for_s": 3, **each}) for each in troubles))
+    return Plan(
+        lasts_s=12,
+        fleet=Fleet(halls=2, servers=8, work_ms=20, cold_s=5),
+        load=Load(rate=300),
+        troubles=tuple(Trouble(**{"at_s": 3, "for_s": 3, **each}) for each in troubles),
+    )
 
 
 def line(result: Result) -> str:
     told = summary(result)
     broken = [rule for rule, count in result.rules.items() if count]
-    return (f"service {told['service']:.3f}  p50 {told['p50_ms']:5.1f}  p99 {told['p99_ms']:6.1f} ms"
-            + (f"  BROKEN {broken}" if broken else ""))
+    return f"service {told['service']:.3f}  p50 {told['p50_ms']:5.1f}  p99 {told['p99_ms']:6.1f} ms" + (
+        f"  BROKEN {broken}" if broken else ""
+    )
 
 
 def main() -> int:
@@ -66,8 +71,11 @@
                 print(f"{name:<20} seed {seed}: void, {trouble}")
                 continue
             apart = max(apart, abs(virtual.service - live.service))
-            print(f"{name:<20} seed {seed}\n    virtual   {line(virtual)}\n    loopback  {line(live)}"
-                  f"   apart {live.service - virtual.service:+.3f}", flush=True)
+            print(
+                f"{name:<20} seed {seed}\n    virtual   {line(virtual)}\n    loopback  {line(live)}"
+                f"   apart {live.service - virtual.service:+.3f}",
+                flush=True,
+            )
     print(f"furthest apart {apart:.3f}")
     return 0 if apart <= AGREE else 1
 
--- a/benchmarks/calling.py
+++ b/benchmarks/calling.py
@@ -34,7 +34,7 @@
 from pumicepath.lab.loopback.servers import ANSWERS
 from pumicepath.lab.loopback.wires import asked
 
-RATE = 150.0                # calls a second
+RATE = 150.0  # calls a second
 KEYS = 1500
 WARM_S = 3.0
 PATIENCE_S = 2.0
@@ -63,7 +63,7 @@
             except OSError:
                 data = b""
             if data:
-                sock.send(answer)       # no request of this loop comes in two parts
+                sock.send(answer)  # no request of this loop comes in two parts
             else:
                 selector.unregister(sock)
                 sock.close()
@@ -89,7 +89,7 @@
                 continue
             assert isinstance(sock, socket.socket)
             if sock not in others:
-                continue                # ended with the other one, in this very turn
+                continue  # ended with the other one, in this very turn
             data = sock.recv(65_536)
             if data:
                 others[sock].send(data)
@@ -123,7 +123,7 @@
                 self.failed += len(self.began)
                 return
             for key, _ in self.selector.select(max(0.0, min(due, end + 3.0) - now) if due < end else 0.01):
-                self.read(key.fileobj)      # type: ignore[arg-type]
+                self.read(key.fileobj)  # type: ignore[arg-type]
 
     def begin(self) -> None:
         if self.idle:
@@ -133,8 +133,15 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.selector.register(sock, selectors.EVENT_READ)
         self.number += 1
-        data = asked("read", True, f"{self.number:x}-1", self.chance.randrange(1, KEYS),
-                     round(PATIENCE_S * 1000), False, 0)
+        data = asked(
+            "read",
+            True,
+            f"{self.number:x}-1",
+            self.chance.randrange(1, KEYS),
+            round(PATIENCE_S * 1000),
+            False,
+            0,
+        )
         self.began[sock] = time.perf_counter()
         sock.send(data)
 
@@ -148,7 +155,7 @@
         if data and b"onnection: close" not in data:
             self.idle.append(sock)
         else:
-            if sock in self.idle:   # ended by the other side while nothing was asked on it
+            if sock in self.idle:  # ended by the other side while nothing was asked on it
                 self.idle.remove(sock)
             self.selector.unregister(sock)
             sock.close()
@@ -160,11 +167,12 @@
     return calls
 
 
-def process(context: BaseContext, run: Callable[..., None],
-            *given: object) -> tuple[BaseProcess, tuple[str, int]]:
+def process(
+    context: BaseContext, run: Callable[..., None], *given: object
+) -> tuple[BaseProcess, tuple[str, int]]:
     """It, and where it listens."""
     pipe, theirs = context.Pipe()
-    started = context.Process(target=run, args=(theirs, *given), daemon=True)   # type: ignore[attr-defined]
+    started = context.Process(target=run, args=(theirs, *given), daemon=True)  # type: ignore[attr-defined]
     started.start()
     return started, pipe.recv()
 
@@ -197,12 +205,16 @@
 
             def at(calls: Calls, part: float) -> float:
                 return float(numpy.quantile(calls.times, part)) * 1000
-            return {"added_p50_ms": at(through, 0.5) - at(without, 0.5),
-                    "added_p99_ms": at(through, 0.99) - at(without, 0.99),
-                    "passed_p50_ms": at(passed, 0.5) - at(without, 0.5),
-                    "passed_p99_ms": at(passed, 0.99) - at(without, 0.99),
-                    "plain_p99_ms": at(without, 0.99),
-                    "call_cpu_ms": spent / count * 1000, "calling_mb": sidecar.memory_mb()}
+
+            return {
+                "added_p50_ms": at(through, 0.5) - at(without, 0.5),
+                "added_p99_ms": at(through, 0.99) - at(without, 0.99),
+                "passed_p50_ms": at(passed, 0.5) - at(without, 0.5),
+                "passed_p99_ms": at(passed, 0.99) - at(without, 0.99),
+                "plain_p99_ms": at(without, 0.99),
+                "call_cpu_ms": spent / count * 1000,
+                "calling_mb": sidecar.memory_mb(),
+            }
         finally:
             sidecar.end()
             origin.end()
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -34,10 +34,17 @@
 def plan(servers: int) -> Plan:
     """Servers that are never short of cores, and answer within a tenth of a millisecond."""
     long = {"agreed_ms": 600, "patience_ms": 2500}
-    return Plan(lasts_s=3600, fleet=Fleet(halls=1, servers=servers, cores=1000, work_ms=0.01, near_ms=0.01,
-                                          miss=1.0), sidecars=Sidecars(count=1),
-                load=Load(tariffs=(Tariff(name="read", **long),
-                                   Tariff(name="once", effect="at_most_once", gain=3.0, **long))))
+    return Plan(
+        lasts_s=3600,
+        fleet=Fleet(halls=1, servers=servers, cores=1000, work_ms=0.01, near_ms=0.01, miss=1.0),
+        sidecars=Sidecars(count=1),
+        load=Load(
+            tariffs=(
+                Tariff(name="read", **long),
+                Tariff(name="once", effect="at_most_once", gain=3.0, **long),
+            )
+        ),
+    )
 
 
 def serve(pipe, core: int, servers: int, folder: str) -> None:
@@ -47,6 +54,7 @@
         async with serving(plan(servers), 7, Path(folder)) as stand:
             pipe.send(stand.told)
             await asyncio.Event().wait()
+
     asyncio.run(run())
 
 
@@ -64,8 +72,9 @@
         self.number += 1
         once = self.number % 4 == 0
         key = hash(self.number * 2654435761) % 2000 + 1
-        self.transport.write(asked("once" if once else "read", not once, f"{self.number:x}-1", key, 2000,
-                                   False, 200))
+        self.transport.write(
+            asked("once" if once else "read", not once, f"{self.number:x}-1", key, 2000, False, 200)
+        )
 
     def data_received(self, data: bytes) -> None:
         status = int(data[9:12])
@@ -86,6 +95,7 @@
             while pipe.poll():
                 pipe.recv()
                 pipe.send(dict(tally))
+
     asyncio.run(run())
 
 
@@ -115,6 +125,7 @@
             def served() -> dict[int, int]:
                 ours.send(None)
                 return ours.recv()
+
             time.sleep(1.5)
             before, (own, system), turns = served(), sidecar.cpu(), switches(sidecar.process.pid)
             calls = ""
@@ -126,15 +137,21 @@
             after, (own_then, system_then) = served(), sidecar.cpu()
             count = after.get(200, 0) - before.get(200, 0)
             result = {
-                "submissions": count, "not_200": sum(after.values()) - after.get(200, 0),
+                "submissions": count,
+                "not_200": sum(after.values()) - after.get(200, 0),
                 "ms": (own_then + system_then - own - system) * 1e3 / count,
-                "own_ms": (own_then - own) * 1e3 / count, "system_ms": (system_then - system) * 1e3 / count,
+                "own_ms": (own_then - own) * 1e3 / count,
+                "system_ms": (system_then - system) * 1e3 / count,
                 "switches": (switches(sidecar.process.pid) - turns) / count,
-                "per_s": count / seconds, "memory_mb": sidecar.memory_mb(), "threads": sidecar.threads()}
+                "per_s": count / seconds,
+                "memory_mb": sidecar.memory_mb(),
+                "threads": sidecar.threads(),
+            }
             if trace:
                 lines = re.findall(r"^ *[\d.]+ +[\d.]+ +\d+ +(\d+) +(?:\d+ +)?(\w+)$", calls, re.M)
-                result["calls"] = {name: round(int(found) / count, 2) for found, name in lines
-                                   if int(found) > count / 50}
+                result["calls"] = {
+                    name: round(int(found) / count, 2) for found, name in lines if int(found) > count / 50
+                }
             clients.terminate()
             return result
         finally:
@@ -157,13 +174,23 @@
             for name, root in roots.items():
                 one = measure(root, places, connections, seconds, trace)
                 found.setdefault(name, []).append(one)
-                print(name, json.dumps({key: round(value, 3) if isinstance(value, float) else value
-                                        for key, value in one.items()}), flush=True)
+                print(
+                    name,
+                    json.dumps(
+                        {
+                            key: round(value, 3) if isinstance(value, float) else value
+                            for key, value in one.items()
+                        }
+                    ),
+                    flush=True,
+                )
     for name, each in found.items():
         values = sorted(one["ms"] for one in each)
-        print(f"{name}: {statistics.median(values):.3f} ms a submission in the median "
-              f"({values[0]:.3f} to {values[-1]:.3f}, {len(values)} runs), "
-              f"{statistics.median(one['switches'] for one in each):.1f} context switches")
+        print(
+            f"{name}: {statistics.median(values):.3f} ms a submission in the median "
+            f"({values[0]:.3f} to {values[-1]:.3f}, {len(values)} runs), "
+            f"{statistics.median(one['switches'] for one in each):.1f} context switches"
+        )
     if old:
         ratio = [b["ms"] / a["ms"] for a, b in zip(found["old"], found["new"])]
         print(f"new / old: {statistics.median(ratio):.2f} ({min(ratio):.2f} to {max(ratio):.2f})")
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -31,7 +31,7 @@
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble  # noqa: E402
 from pumicepath.lab.virtual.peers import Peering, address  # noqa: E402
 
-CALM_S = 20.0               # at the end of the soak
+CALM_S = 20.0  # at the end of the soak
 
 
 def soaked(count: int, seconds: float, seed: int) -> Plan:
@@ -41,26 +41,59 @@
     while at < seconds - CALM_S:
         some = tuple(by.sample(range(count), by.choice((1, 1, 2, 3, count // 2))))
         lasts = by.choice((0.3, 1.5, 4.0, 8.0))
-        kind = by.choice(("sidecars-killed", "sidecars-stopped", "sidecars-ended", "sidecars-replaced",
-                          "peers-cut", "one-way", "peers-noisy", "voters", "clock-step"))
+        kind = by.choice(
+            (
+                "sidecars-killed",
+                "sidecars-stopped",
+                "sidecars-ended",
+                "sidecars-replaced",
+                "peers-cut",
+                "one-way",
+                "peers-noisy",
+                "voters",
+                "clock-step",
+            )
+        )
         match kind:
             case "one-way":
                 troubles.append(Trouble(kind="peers-cut", at_s=at, for_s=lasts, from_=some))
             case "peers-noisy":
-                troubles.append(Trouble(kind=kind, at_s=at, for_s=lasts, value=by.uniform(0.05, 0.4),
-                                        spread_ms=by.choice((20, 500, 5000)), doubled=0.1, spoilt=0.02))
+                troubles.append(
+                    Trouble(
+                        kind=kind,
+                        at_s=at,
+                        for_s=lasts,
+                        value=by.uniform(0.05, 0.4),
+                        spread_ms=by.choice((20, 500, 5000)),
+                        doubled=0.1,
+                        spoilt=0.02,
+                    )
+                )
             case "voters":
-                troubles.append(Trouble(kind=by.choice(("sidecars-killed", "sidecars-stopped")), at_s=at,
-                                        for_s=lasts, sidecars=(0, 1, 2)))
+                troubles.append(
+                    Trouble(
+                        kind=by.choice(("sidecars-killed", "sidecars-stopped")),
+                        at_s=at,
+                        for_s=lasts,
+                        sidecars=(0, 1, 2),
+                    )
+                )
             case "clock-step":
-                troubles.append(Trouble(kind=kind, at_s=at, for_s=lasts, sidecars=some[:2],
-                                        value=by.choice((-3600.0, 3600.0))))
+                troubles.append(
+                    Trouble(
+                        kind=kind, at_s=at, for_s=lasts, sidecars=some[:2], value=by.choice((-3600.0, 3600.0))
+                    )
+                )
             case _:
                 troubles.append(Trouble(kind=kind, at_s=at, for_s=lasts, sidecars=some[:5]))
         at += by.uniform(1.0, 6.0)
-    return Plan(lasts_s=seconds, fleet=Fleet(halls=1, servers=8, work_ms=5), load=Load(rate=20 * count),
-                sidecars=Sidecars(count=count, peers=True, peers_every_s=0.5, trials=True, lease_s=2.0),
-                troubles=tuple(troubles))
+    return Plan(
+        lasts_s=seconds,
+        fleet=Fleet(halls=1, servers=8, work_ms=5),
+        load=Load(rate=20 * count),
+        sidecars=Sidecars(count=count, peers=True, peers_every_s=0.5, trials=True, lease_s=2.0),
+        troubles=tuple(troubles),
+    )
 
 
 def soak(count: int, seconds: float, seed: int) -> int:
@@ -68,8 +101,10 @@
         path = Path(folder) / "history"
         result = play(soaked(count, seconds, seed), seed, history=path)
         found = judged(path)
-    print(f"{count} real sidecars for {seconds:g} s, seed {seed}: {found.handovers} hand-overs, "
-          f"service {result.service:.4f}, {sum(result.rules.values())} rules broken")
+    print(
+        f"{count} real sidecars for {seconds:g} s, seed {seed}: {found.handovers} hand-overs, "
+        f"service {result.service:.4f}, {sum(result.rules.values())} rules broken"
+    )
     print("\n".join(found.lines()))
     return 1 if found.violations or any(result.rules.values()) else 0
 
@@ -98,8 +133,12 @@
     def holder(self, duty: str) -> int:
         for node in self.peering.nodes:
             fellow = node.fellow
-            if not node.stopped and fellow is not None and fellow.duties is not None and \
-                    fellow.duties.number(node.clock(), duty):
+            if (
+                not node.stopped
+                and fellow is not None
+                and fellow.duties is not None
+                and fellow.duties.number(node.clock(), duty)
+            ):
                 return node.number
         return -1
 
@@ -142,8 +181,12 @@
 def hand_overs(runs: int) -> None:
     print(f"| {runs} runs, virtual time; s without a holder, median (worst) | 2 s | 5 s | 10 s | 30 s |")
     print("| --- | --- | --- | --- | --- |")
-    for how, text in (("kill", "killed"), ("stop", "stopped"), ("cut", "cut off, from when it stops acting"),
-                      ("resign", "ends or gives up")):
+    for how, text in (
+        ("kill", "killed"),
+        ("stop", "stopped"),
+        ("cut", "cut off, from when it stops acting"),
+        ("resign", "ends or gives up"),
+    ):
         cells = []
         for lease_s in (2.0, 5.0, 10.0, 30.0):
             values = [hand_over(lease_s, how, seed) for seed in range(1, runs + 1)]
@@ -154,8 +197,12 @@
 def size(duties: int) -> None:
     print(f"| {duties} duties, lease 10 s, virtual time | 10 | 100 | 1,000 |\n| --- | --- | --- | --- |")
     rows: dict[str, list[str]] = {
-        "messages a second and sidecar": [], "a voter's": [], "bytes a second each": [],
-        "the most duties of one sidecar": [], "CPU us a second each": []}
+        "messages a second and sidecar": [],
+        "a voter's": [],
+        "bytes a second each": [],
+        "the most duties of one sidecar": [],
+        "CPU us a second each": [],
+    }
     for count in (10, 100, 1000):
         fleet = Wanting(count, 10.0, [], 1)
         names = [f"trial a s-{number}" for number in range(duties)]
@@ -164,15 +211,18 @@
         for name in names:
             mine.setdefault(by.randrange(count), []).append(name)
 
-        def want(fellow: Fellow, number: int, fleet: Wanting = fleet,
-                 mine: dict[int, list[str]] = mine) -> Callable[[], None]:
+        def want(
+            fellow: Fellow, number: int, fleet: Wanting = fleet, mine: dict[int, list[str]] = mine
+        ) -> Callable[[], None]:
             def call() -> None:
                 if fellow.duties is not None:
                     fellow.duties.want(fleet.peering.nodes[number].clock(), mine.get(number, []))
                     fleet.peering.nodes[number].wake()
+
             return call
+
         fleet.time.run(40 * SECOND)
-        fleet.want = lambda: None                                            # type: ignore[method-assign]
+        fleet.want = lambda: None  # type: ignore[method-assign]
         for node in fleet.peering.nodes:
             if node.fellow is not None:
                 fleet.time.at(fleet.time.now, want(node.fellow, node.number))
@@ -181,8 +231,11 @@
         fleet.links.bytes.clear()
         cpu = time.process_time()
         fleet.time.run(fleet.time.now + 20 * SECOND)
-        held = [len(node.fellow.duties.held(node.clock())) for node in fleet.peering.nodes
-                if node.fellow is not None and node.fellow.duties is not None]
+        held = [
+            len(node.fellow.duties.held(node.clock()))
+            for node in fleet.peering.nodes
+            if node.fellow is not None and node.fellow.duties is not None
+        ]
         assert sum(held) == duties, sum(held)
         rows["messages a second and sidecar"].append(f"{fleet.links.sent.total() / count / 20:.2f}")
         rows["a voter's"].append(f"{max(fleet.links.sent[each] for each in range(3)) / 20:.1f}")
@@ -194,8 +247,9 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("what", choices=("soak", "handover", "size"))
     parser.add_argument("--count", type=int, default=15)
     parser.add_argument("--minutes", type=float, default=5.0)
--- a/benchmarks/hearing.py
+++ b/benchmarks/hearing.py
@@ -41,10 +41,10 @@
         parser = self.watch.parser
         while data:
             room = parser.ring.room()
-            some = data[:len(room)]
-            room[:len(some)] = some
+            some = data[: len(room)]
+            room[: len(some)] = some
             parser.ring.wrote(len(some))
-            data = data[len(some):]
+            data = data[len(some) :]
             response = parser.next()
         assert response is not None
         update = self.watch.update(response)
@@ -71,8 +71,13 @@
     for each in data:
         hearing.hear(each)
     one = (time.process_time() - began) / changes
-    return {"first_us": start * 1e6, "whole_us": again * 1e6, "change_us": one * 1e6,
-            "list_bytes": len(first), "change_bytes": len(data[-1])}
+    return {
+        "first_us": start * 1e6,
+        "whole_us": again * 1e6,
+        "change_us": one * 1e6,
+        "list_bytes": len(first),
+        "change_bytes": len(data[-1]),
+    }
 
 
 def decided(servers: int, new: bool) -> float:
@@ -88,11 +93,12 @@
     balancer, state = hearing.balancer, [hearing.now, 0]
 
     def decide() -> None:
-        state[0] += 6_667       # microseconds: 150 calls a second
+        state[0] += 6_667  # microseconds: 150 calls a second
         state[1] += 1
         key = 10**6 + state[1] if new else 1 + state[1] % 50
         one = balancer.take(state[0], state[1], 0, key, False, state[0] + 2_000_000)
         one.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
+
     times = max(50, min(5000, 400_000 // servers))
     for _ in range(50):
         decide()
@@ -103,9 +109,15 @@
 
 
 def configuration(servers: int, where: tuple[str, int]) -> dict[str, Any]:
-    return {"name": "n0", "listen": "127.0.0.1:0", "discovery": f"{where[0]}:{where[1]}", "seed": "1f",
-            "limits": {"memory_mb": 192, "sockets": 1024}, "known": whole(servers),
-            "settings": settings_of(PLAN, 0, 0)}
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": f"{where[0]}:{where[1]}",
+        "seed": "1f",
+        "limits": {"memory_mb": 192, "sockets": 1024},
+        "known": whole(servers),
+        "settings": settings_of(PLAN, 0, 0),
+    }
 
 
 def rested(servers: int, changes_per_s: Sequence[float], seconds: float) -> list[dict[str, float]]:
@@ -114,8 +126,15 @@
     sidecars: list[Sidecar] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
-            sidecars = [Sidecar(configuration(servers, origin.where), Path(folder) / str(at), ROOT,
-                                os.sched_getaffinity(0)) for at, origin in enumerate(origins)]
+            sidecars = [
+                Sidecar(
+                    configuration(servers, origin.where),
+                    Path(folder) / str(at),
+                    ROOT,
+                    os.sched_getaffinity(0),
+                )
+                for at, origin in enumerate(origins)
+            ]
             for each in sidecars:
                 while each.address() is None:
                     time.sleep(0.02)
@@ -130,10 +149,15 @@
             time.sleep(seconds)
             after = [(sum(each.cpu()), origin.figures()) for each, origin in zip(sidecars, origins)]
             lasted = time.monotonic() - began
-            return [{"mb": mb, "cpu_ms": (then[0] - first[0]) / lasted * 1000,
-                     "bytes": (then[1]["bytes"] - first[1]["bytes"]) / lasted,
-                     "changes": (then[1]["seq"] - first[1]["seq"]) / lasted}
-                    for mb, first, then in zip(resting, before, after)]
+            return [
+                {
+                    "mb": mb,
+                    "cpu_ms": (then[0] - first[0]) / lasted * 1000,
+                    "bytes": (then[1]["bytes"] - first[1]["bytes"]) / lasted,
+                    "changes": (then[1]["seq"] - first[1]["seq"]) / lasted,
+                }
+                for mb, first, then in zip(resting, before, after)
+            ]
         finally:
             for each in sidecars:
                 each.end()
--- a/benchmarks/holding.py
+++ b/benchmarks/holding.py
@@ -23,13 +23,16 @@
 
 def timed(node: Node, spent: dict[int, float]) -> None:
     """Add up the CPU seconds of all that one sidecar's part of the fleet decides, membership with it."""
+
     def wrapped(call: Callable[..., None]) -> Callable[..., None]:
         def timing(*given: Any) -> None:
             began = time.thread_time()
             call(*given)
             spent[node.number] += time.thread_time() - began
+
         return timing
-    node.came, node.woke = wrapped(node.came), wrapped(node.woke)            # type: ignore[method-assign]
+
+    node.came, node.woke = wrapped(node.came), wrapped(node.woke)  # type: ignore[method-assign]
 
 
 def wanting(count: int, duties: int, seed: int) -> Wanting:
@@ -46,7 +49,8 @@
             if node.fellow is not None and node.fellow.duties is not None:
                 node.fellow.duties.want(node.clock(), mine.get(node.number, []))
                 node.wake()
-    fleet.want = want                                                        # type: ignore[method-assign]
+
+    fleet.want = want  # type: ignore[method-assign]
     want()
     fleet.time.run(fleet.time.now + 20 * SECOND)
     return fleet
@@ -64,13 +68,18 @@
     for each in spent:
         timed(fleet.peering.nodes[each], spent)
     fleet.time.run(fleet.time.now + 20 * SECOND)
-    sum_ = sum(len(node.fellow.duties.held(node.clock())) for node in fleet.peering.nodes
-               if node.fellow is not None and node.fellow.duties is not None)
+    sum_ = sum(
+        len(node.fellow.duties.held(node.clock()))
+        for node in fleet.peering.nodes
+        if node.fellow is not None and node.fellow.duties is not None
+    )
     if sum_ != duties:
         raise RuntimeError(f"{sum_} of {duties} duties are held")
-    return {"voter_messages": max(fleet.links.sent[each] for each in range(VOTERS)) / 20,
-            "voter_bytes": max(fleet.links.bytes[each] for each in range(VOTERS)) / 20,
-            "voter_cpu_us": max(spent.values()) / 20 * 1e6}
+    return {
+        "voter_messages": max(fleet.links.sent[each] for each in range(VOTERS)) / 20,
+        "voter_bytes": max(fleet.links.bytes[each] for each in range(VOTERS)) / 20,
+        "voter_cpu_us": max(spent.values()) / 20 * 1e6,
+    }
 
 
 def resident_kb() -> float:
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -12,7 +12,7 @@
 
 from trees import ROOT
 
-SHARE = 1900 / 20_000       # services by sidecars at the target
+SHARE = 1900 / 20_000  # services by sidecars at the target
 
 
 def relayed(sidecars: int, seed: int, seconds: float = 30.0) -> dict[str, float]:
@@ -34,15 +34,24 @@
         part = "" if told.get("played", told["sidecars"]) == told["sidecars"] else "region-of-all-"
         return {f"{part}{told['faults'][0]}_s": told["recovered_s"]} if told["form"] == "relayed" else {}
     if told["form"] == "direct":
-        return {"direct_in_force_ms": told["in_force_s"]["p99"] * 1000, "direct_mb": told["mb_each"],
-                "direct_core": told["core_share_each"] * 100, "direct_lag_ms": told["rig_lag_s"] * 1000,
-                "direct_origin_core": told["origins"]["core_share"]}
+        return {
+            "direct_in_force_ms": told["in_force_s"]["p99"] * 1000,
+            "direct_mb": told["mb_each"],
+            "direct_core": told["core_share_each"] * 100,
+            "direct_lag_ms": told["rig_lag_s"] * 1000,
+            "direct_origin_core": told["origins"]["core_share"],
+        }
     control = told["control"]
-    return {"hollow_in_force_ms": told["in_force_s"]["p99"] * 1000,
-            "hollow_bytes": told["bytes_s_each"]["mean"], "hollow_core": told["core_share_each"] * 100,
-            "hollow_mb": told["mb_each"],
-            "hollow_control_core": control["core_share"], "hollow_control_mb": control["mb"],
-            "hollow_control_bytes": control["bytes_s"], "hollow_lag_ms": told["rig_lag_s"] * 1000}
+    return {
+        "hollow_in_force_ms": told["in_force_s"]["p99"] * 1000,
+        "hollow_bytes": told["bytes_s_each"]["mean"],
+        "hollow_core": told["core_share_each"] * 100,
+        "hollow_mb": told["mb_each"],
+        "hollow_control_core": control["core_share"],
+        "hollow_control_mb": control["mb"],
+        "hollow_control_bytes": control["bytes_s"],
+        "hollow_lag_ms": told["rig_lag_s"] * 1000,
+    }
 
 
 def recorded(paths: Iterable[Path]) -> list[dict[str, Any]]:
--- a/benchmarks/hollow_against_real.py
+++ b/benchmarks/hollow_against_real.py
@@ -31,15 +31,24 @@
 from pumicepath.lab.hollow.processes import Child  # noqa: E402
 from pumicepath.lab.hollow.sidecar import told  # noqa: E402
 
-AT_ONCE = 10                # real processes that start together
+AT_ONCE = 10  # real processes that start together
 
 
 def real(plan: Plan, number: int, place: str, folder: Path) -> Child:
     """One `serve` without clients; its log is read as what a child says."""
     path = folder / f"real-{number}.json"
-    path.write_text(json.dumps({"name": f"n{number}", "listen": "127.0.0.1:0", "discovery": place,
-                                "seed": f"{number + 1:x}", "limits": {"memory_mb": 192, "sockets": 1024},
-                                "settings": told(plan, number)}))
+    path.write_text(
+        json.dumps(
+            {
+                "name": f"n{number}",
+                "listen": "127.0.0.1:0",
+                "discovery": place,
+                "seed": f"{number + 1:x}",
+                "limits": {"memory_mb": 192, "sockets": 1024},
+                "settings": told(plan, number),
+            }
+        )
+    )
     os.environ["GW_CONFIG"] = str(path)
     return Child(["-m", "pumicepath", "serve"], folder, f"real-{number}")
 
@@ -71,11 +80,15 @@
     for name, peer in (("real", "127.0.0.1"), ("hollow", "others")):
         spent = cpu_of(sides[name]) - before[name] - (judged if name == "hollow" else 0.0)
         took = sorted(bytes_now[peer]["took"])
-        found[name] = {"cpu_s": spent, "bytes": bytes_now[peer]["bytes"] - bytes_then[peer]["bytes"],
-                       "applied": len(took)}
+        found[name] = {
+            "cpu_s": spent,
+            "bytes": bytes_now[peer]["bytes"] - bytes_then[peer]["bytes"],
+            "applied": len(took),
+        }
         if took:
-            found[name] |= {f"p{part}_ms": round(took[int(len(took) * part / 100)] / 1e3, 2)
-                            for part in (50, 99)}
+            found[name] |= {
+                f"p{part}_ms": round(took[int(len(took) * part / 100)] / 1e3, 2) for part in (50, 99)
+            }
     return found
 
 
@@ -87,8 +100,9 @@
         folder = Path(at)
         (folder / "ask.json").write_text(json.dumps(ask.told()))
         try:
-            origin = Child(["-m", "pumicepath.lab.hollow.origin", at, "0", "127.0.0.1", "0"], folder,
-                           "origin")
+            origin = Child(
+                ["-m", "pumicepath.lab.hollow.origin", at, "0", "127.0.0.1", "0"], folder, "origin"
+            )
             children.append(origin)
             place = origin.event("started")["listen"]
             hollow = Child(["-m", "pumicepath.lab.hollow.host", at, "0", str(each), place], folder, "hollow")
@@ -96,8 +110,9 @@
             ready = hollow.event("ready", 300)
             reals: list[Child] = []
             for first in range(0, each, AT_ONCE):
-                some = [real(plan, number, place, folder)
-                        for number in range(first, min(each, first + AT_ONCE))]
+                some = [
+                    real(plan, number, place, folder) for number in range(first, min(each, first + AT_ONCE))
+                ]
                 children += some
                 reals += some
                 for child in some:
@@ -106,14 +121,21 @@
             time.sleep(3.0)
             sides = {"real": reals, "hollow": [hollow]}
             rest = phase(origin, sides, rest_s, False)
-            mb = {"real": statistics.mean(processes.mb(child.process.pid) for child in reals),
-                  "hollow": (processes.mb(hollow.process.pid) - ready["base_mb"]) / each}
+            mb = {
+                "real": statistics.mean(processes.mb(child.process.pid) for child in reals),
+                "hollow": (processes.mb(hollow.process.pid) - ready["base_mb"]) / each,
+            }
             changing = phase(origin, sides, changing_s, True)
         finally:
             for child in children:
                 child.kill()
-    result: dict[str, Any] = {"servers": servers, "each": each, "changes": changing["changes"],
-                              "form": compiled.FORM, "load_average": round(os.getloadavg()[0], 1)}
+    result: dict[str, Any] = {
+        "servers": servers,
+        "each": each,
+        "changes": changing["changes"],
+        "form": compiled.FORM,
+        "load_average": round(os.getloadavg()[0], 1),
+    }
     for name in sides:
         more = changing[name]["cpu_s"] - rest[name]["cpu_s"] * (changing_s + 1) / (rest_s + 1)
         result[name] = {
@@ -123,7 +145,8 @@
             "bytes_a_change": round(changing[name]["bytes"] / max(1, changing["changes"]) / each, 1),
             "bytes_s_at_rest": round(rest[name]["bytes"] / (rest_s + 1) / each, 1),
             "applied": changing[name]["applied"],
-            "applied_ms": [changing[name].get("p50_ms"), changing[name].get("p99_ms")]}
+            "applied_ms": [changing[name].get("p50_ms"), changing[name].get("p99_ms")],
+        }
     return result
 
 
@@ -131,8 +154,11 @@
     """Least squares, and the largest residual as a part of the largest value."""
     found = statistics.linear_regression([x for x, _ in points], [y for _, y in points])
     worst = max(abs(y - found.intercept - found.slope * x) for x, y in points)
-    return {"slope": found.slope, "at_0": found.intercept,
-            "worst_residual": worst / max(1e-9, max(abs(y) for _, y in points))}
+    return {
+        "slope": found.slope,
+        "at_0": found.intercept,
+        "worst_residual": worst / max(1e-9, max(abs(y) for _, y in points)),
+    }
 
 
 @click.command(help=__doc__)
@@ -150,13 +176,25 @@
         for name in ("real", "hollow"):
             for key, unit in (("mb_each", 1000.0), ("us_a_change", 1.0)):
                 found = slope([(row["servers"], row[name][key]) for row in rows])
-                print(json.dumps({"side": name, "of": key, "by": "held server" if unit == 1.0 else
-                                  "held server, in kB", "slope": round(found["slope"] * unit, 4),
-                                  "at_0": round(found["at_0"], 3),
-                                  "worst_residual": round(found["worst_residual"], 3)}), flush=True)
+                print(
+                    json.dumps(
+                        {
+                            "side": name,
+                            "of": key,
+                            "by": "held server" if unit == 1.0 else "held server, in kB",
+                            "slope": round(found["slope"] * unit, 4),
+                            "at_0": round(found["at_0"], 3),
+                            "worst_residual": round(found["worst_residual"], 3),
+                        }
+                    ),
+                    flush=True,
+                )
     commit = subprocess.run(["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, capture_output=True, text=True)
-    print(json.dumps({"python": sys.version.split()[0], "cores": os.cpu_count(),
-                      "commit": commit.stdout.strip()}))
+    print(
+        json.dumps(
+            {"python": sys.version.split()[0], "cores": os.cpu_count(), "commit": commit.stdout.strip()}
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -40,21 +40,21 @@
 
 # More cores than are ever used: the servers answer after 5 ms, give or take half of it, whatever comes.
 FLEET = Fleet(halls=1, servers=4, cores=1000, queue=1, work_ms=5, spread=0.5, miss=1.0, near_ms=0.01)
-LATE_MS = 50.0              # of the clients' own ticks, above which a run says nothing
-CLOSED = 30_000.0           # offered a second where all connections are to be busy
+LATE_MS = 50.0  # of the clients' own ticks, above which a run says nothing
+CLOSED = 30_000.0  # offered a second where all connections are to be busy
 
 
 @dataclass
 class Play:
     """What clients do; rates are submissions a second, times seconds."""
 
-    steps: list[tuple[float, float]]          # from when, at what rate
+    steps: list[tuple[float, float]]  # from when, at what rate
     lasts: float
     patience: float = 0.6
     connections: int = 300
     body: int = 200
-    retries: int = 1                          # that a client makes after a deferral
-    heeds: bool = True                        # the time it is told to come back at
+    retries: int = 1  # that a client makes after a deferral
+    heeds: bool = True  # the time it is told to come back at
     seed: int = 1
 
     def plan(self, parts: int = 1) -> Plan:
@@ -62,10 +62,23 @@
 
         def tariff(name: str, effect: str, share: float, gain: float) -> Tariff:
             return Tariff(name=name, effect=effect, share=share, gain=gain, patience_ms=self.patience * 1000)
-        return Plan(lasts_s=self.lasts, warm_s=0, fleet=FLEET, sidecars=Sidecars(count=1), load=Load(
-            rate=first / parts, steps=tuple((at, rate / first) for at, rate in self.steps), zipf=0.5,
-            retries=self.retries, back_off_ms=0.01, heeds=self.heeds, body=self.body,
-            tariffs=(tariff("read", "idempotent", 0.75, 1.0), tariff("once", "at_most_once", 0.25, 3.0))))
+
+        return Plan(
+            lasts_s=self.lasts,
+            warm_s=0,
+            fleet=FLEET,
+            sidecars=Sidecars(count=1),
+            load=Load(
+                rate=first / parts,
+                steps=tuple((at, rate / first) for at, rate in self.steps),
+                zipf=0.5,
+                retries=self.retries,
+                back_off_ms=0.01,
+                heeds=self.heeds,
+                body=self.body,
+                tariffs=(tariff("read", "idempotent", 0.75, 1.0), tariff("once", "at_most_once", 0.25, 3.0)),
+            ),
+        )
 
 
 def serve(pipe, core: int, folder: str) -> None:
@@ -82,6 +95,7 @@
                         pipe.send(sum(stand.ran()[ask] > 1 for ask in told))
                     else:
                         stand.slowed(told)
+
     asyncio.run(run())
 
 
@@ -111,7 +125,7 @@
         self.where = where
         self.most: dict[str, float] = {}
         self.once: set[int] = set()
-        self.groups = 0                      # of clients so far; each has numbers of its own
+        self.groups = 0  # of clients so far; each has numbers of its own
 
     def neighbour(self):
         process = CONTEXT.Process(target=spin, args=(self.cores[0],), daemon=True)
@@ -125,21 +139,26 @@
         for core in parts:
             here, there = CONTEXT.Pipe()
             plan, most = play.plan(len(parts)), play.connections // len(parts)
-            process = CONTEXT.Process(target=load, daemon=True, args=(
-                plan, play.seed + self.groups, self.where, self.groups, most, core, there))
+            process = CONTEXT.Process(
+                target=load,
+                daemon=True,
+                args=(plan, play.seed + self.groups, self.where, self.groups, most, core, there),
+            )
             process.start()
             pipes.append(here)
             self.groups += 1
-        began = time.monotonic() + 0.25      # about when the clients begin
+        began = time.monotonic() + 0.25  # about when the clients begin
         waiting = sorted(acts, key=lambda act: act[0])
         while not all(pipe.poll() for pipe in pipes):
             time.sleep(0.02)
             if waiting and time.monotonic() - began >= waiting[0][0]:
                 waiting.pop(0)[1]()
             if self.sidecar.process.poll() is None:
-                for name, value in (("memory_mb", self.sidecar.memory_mb()),
-                                    ("descriptors", self.sidecar.descriptors()),
-                                    ("threads", self.sidecar.threads())):
+                for name, value in (
+                    ("memory_mb", self.sidecar.memory_mb()),
+                    ("descriptors", self.sidecar.descriptors()),
+                    ("threads", self.sidecar.threads()),
+                ):
                     self.most[name] = max(self.most.get(name, 0), value)
         met = pipes[0].recv()
         for pipe in pipes[1:]:
@@ -211,34 +230,51 @@
             for name, root in roots.items():
                 for times in wanted:
                     with place(root, places(cores)) as one:
-                        met = one.play(Play([(0.0, times * capacity)], seconds, seed=run * 16 + 1,
-                                            retries=10 if at_once else 1, heeds=not at_once))
+                        met = one.play(
+                            Play(
+                                [(0.0, times * capacity)],
+                                seconds,
+                                seed=run * 16 + 1,
+                                retries=10 if at_once else 1,
+                                heeds=not at_once,
+                            )
+                        )
                         columns = met.columns
                         good = sum(columns["good"][1:seconds]) / (seconds - 1)
                         found.setdefault(name, {}).setdefault(times, []).append(good / capacity)
-                        print(f"{name} run {run} load {times:4.1f} x {capacity:5.0f}/s: good {good:6.0f}/s "
-                              f"({good / capacity:.2f}), p99 {quantile(met.times, 0.99):4.0f} ms, "
-                              f"deferred {sum(columns['deferred'])}, "
-                              f"refusal p50 {quantile(met.deferrals, 0.5):.1f} ms, "
-                              f"unanswered {sum(columns['lost'])}, "
-                              f"forfeited {sum(columns['forfeited'])}, "
-                              f"no connection {sum(columns['refused'])}, "
-                              f"doubled {one.doubled()}, {one.used()}"
-                              f"{', VOID: clients were late' if met.behind_ms > LATE_MS else ''}", flush=True)
+                        print(
+                            f"{name} run {run} load {times:4.1f} x {capacity:5.0f}/s: good {good:6.0f}/s "
+                            f"({good / capacity:.2f}), p99 {quantile(met.times, 0.99):4.0f} ms, "
+                            f"deferred {sum(columns['deferred'])}, "
+                            f"refusal p50 {quantile(met.deferrals, 0.5):.1f} ms, "
+                            f"unanswered {sum(columns['lost'])}, "
+                            f"forfeited {sum(columns['forfeited'])}, "
+                            f"no connection {sum(columns['refused'])}, "
+                            f"doubled {one.doubled()}, {one.used()}"
+                            f"{', VOID: clients were late' if met.behind_ms > LATE_MS else ''}",
+                            flush=True,
+                        )
     for name, loads_of in found.items():
         middle = {times: statistics.median(values) for times, values in loads_of.items()}
         peak = max(middle.values())
-        print(name, " ".join(f"{times:g}x {value:.2f} ({min(loads_of[times]):.2f}-{max(loads_of[times]):.2f})"
-                              for times, value in middle.items()),
-              f" at the last {middle[wanted[-1]] / peak:.2f} of the peak")
+        print(
+            name,
+            " ".join(
+                f"{times:g}x {value:.2f} ({min(loads_of[times]):.2f}-{max(loads_of[times]):.2f})"
+                for times, value in middle.items()
+            ),
+            f" at the last {middle[wanted[-1]] / peak:.2f} of the peak",
+        )
     if plot:
         draw(found, plot)
 
 
 def draw(found: dict[str, dict[float, list[float]]], path: str) -> None:
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, axes = pyplot.subplots(figsize=(7, 4))
     for name, loads_of in found.items():
         at = list(loads_of)
@@ -274,26 +310,45 @@
     def fewer_neighbours() -> None:
         for process in one.neighbours[1:]:
             process.terminate()
+
     found: dict[str, tuple[Plan, list, float, float]] = {}
     for times in (1.5, 2, 4, 10):
         for lasts in (1, 10):
             steps = plan((0, 0.5), (3, times), (3 + lasts, 0.5))
             found[f"{times} x for {lasts} s"] = (steps, [], 3, 3 + lasts)
     found["rush: 10 x for 0.2 s on 1,500 connections"] = (
-        plan((0, 0.5), (3, 10), (3.2, 0.5), connections=1500), [], 3, 4)
-    found["4 x, clients back at once"] = (
-        plan((0, 0.5), (3, 4), (8, 0.5), heeds=False, retries=20), [], 3, 8)
+        plan((0, 0.5), (3, 10), (3.2, 0.5), connections=1500),
+        [],
+        3,
+        4,
+    )
+    found["4 x, clients back at once"] = (plan((0, 0.5), (3, 4), (8, 0.5), heeds=False, retries=20), [], 3, 8)
     found["core to a third at 0.7 x"] = (
-        plan((0, 0.7), lasts=14), [(3, more_neighbours), (8, fewer_neighbours)], 3, 8)
+        plan((0, 0.7), lasts=14),
+        [(3, more_neighbours), (8, fewer_neighbours)],
+        3,
+        8,
+    )
     found["stopped for 300 ms at 0.7 x"] = (plan((0, 0.7), lasts=9), [(3, stop)], 3, 4)
     found["servers 10 times slower at 0.7 x"] = (
-        plan((0, 0.7), lasts=13), [(3, lambda: one.pipe.send(0.1)), (8, lambda: one.pipe.send(1.0))], 3, 8)
+        plan((0, 0.7), lasts=13),
+        [(3, lambda: one.pipe.send(0.1)), (8, lambda: one.pipe.send(1.0))],
+        3,
+        8,
+    )
     found["bodies of 60 KB, 4 x for 5 s"] = (plan((0, 0.2), (3, 4), (8, 0.2), body=60_000), [], 3, 8)
     found["SIGHUP five times, 4 x for 5 s"] = (
         plan((0, 0.5), (3, 4), (8, 0.5)),
-        [(3.5 + at, lambda: os.kill(pid, signal.SIGHUP)) for at in range(5)], 3, 8)
+        [(3.5 + at, lambda: os.kill(pid, signal.SIGHUP)) for at in range(5)],
+        3,
+        8,
+    )
     found["SIGTERM at 4 x"] = (
-        plan((0, 0.5), (3, 4), lasts=6), [(4, lambda: os.kill(pid, signal.SIGTERM))], 3, 6)
+        plan((0, 0.5), (3, 4), lasts=6),
+        [(4, lambda: os.kill(pid, signal.SIGTERM))],
+        3,
+        6,
+    )
     return found
 
 
@@ -318,12 +373,21 @@
                 during = range(int(begins), int(ends))
                 good = sum(columns["good"][at] for at in during) / len(during)
                 share = good * len(during) / max(1, sum(columns["offered"][at] for at in during))
-                back = next((at - int(ends) for at in range(int(ends), int(play.lasts))
-                             if columns["good"][at] >= 0.95 * columns["offered"][at]), None)
-                print(f"{name:34} good {good / capacity:.2f} of capacity, {share:.2f} of offered; back after "
-                      f"{back} s; doubled {one.doubled()}, unanswered {sum(columns['lost'])}, "
-                      f"no connection {sum(columns['refused'])}; "
-                      f"{json.dumps({key: round(value) for key, value in one.most.items()})}", flush=True)
+                back = next(
+                    (
+                        at - int(ends)
+                        for at in range(int(ends), int(play.lasts))
+                        if columns["good"][at] >= 0.95 * columns["offered"][at]
+                    ),
+                    None,
+                )
+                print(
+                    f"{name:34} good {good / capacity:.2f} of capacity, {share:.2f} of offered; back after "
+                    f"{back} s; doubled {one.doubled()}, unanswered {sum(columns['lost'])}, "
+                    f"no connection {sum(columns['refused'])}; "
+                    f"{json.dumps({key: round(value) for key, value in one.most.items()})}",
+                    flush=True,
+                )
 
 
 if __name__ == "__main__":
--- a/benchmarks/pacing.py
+++ b/benchmarks/pacing.py
@@ -33,7 +33,7 @@
 from tests.relay_rig import Origin, Relay, line, until  # noqa: E402
 
 LONGEST_MS = 3000
-EVERY_S = 0.05              # between two changes
+EVERY_S = 0.05  # between two changes
 ALONE_S = 8.0
 MOST_S = 60.0
 
@@ -65,16 +65,23 @@
                     there.add(key.data)
                     took.append(time.monotonic() - began)
                     size += len(found[1])
-                key.data.ask(draw.uniform(LONGEST_MS / 2, LONGEST_MS))     # it follows from now on
+                key.data.ask(draw.uniform(LONGEST_MS / 2, LONGEST_MS))  # it follows from now on
             else:
                 refused += 1
                 again.append((time.monotonic() + draw.uniform(0.25, 0.5), key.data))
         for at, asker in [one for one in again if one[0] <= time.monotonic()]:
             asker.ask(1)
             again.remove((at, asker))
-    pipe.send({"served": len(took), "of": len(askers), "last_s": round(max(took, default=0.0), 2),
-               "p50_s": round(float(numpy.median(took)), 2), "told_503": refused,
-               "mb": round(size / 1e6, 1)})
+    pipe.send(
+        {
+            "served": len(took),
+            "of": len(askers),
+            "last_s": round(max(took, default=0.0), 2),
+            "p50_s": round(float(numpy.median(took)), 2),
+            "told_503": refused,
+            "mb": round(size / 1e6, 1),
+        }
+    )
     time.sleep(MOST_S)
 
 
@@ -85,14 +92,15 @@
         self.draw = random.Random(told.seed)
         self.names = [plan.service_name(service) for service in plan.service_of]
         self.origin = Origin([line(plan.server_name(at), self.names[at]) for at in range(20_000)])
-        self.relay = Relay(Path(tempfile.mkdtemp()), {"eu": self.origin}, mostFollowers=100_000,
-                           wholeBytesPerS=pace)
+        self.relay = Relay(
+            Path(tempfile.mkdtemp()), {"eu": self.origin}, mostFollowers=100_000, wholeBytesPerS=pace
+        )
         until(lambda: self.relay.stats()["servers"] == 20_000, 60)
         self.selector = selectors.DefaultSelector()
         self.concerned: dict[str, set[Asker]] = {}
         for first in range(0, told.rest, 50):
             self.first(range(first, min(told.rest, first + 50)))
-        self.settle(time.monotonic() + 1.2, set())      # the region's being in touch is told
+        self.settle(time.monotonic() + 1.2, set())  # the region's being in touch is told
 
     def drawn_ms(self) -> float:
         return LONGEST_MS * (0.5 + 0.5 * self.draw.random())
@@ -150,11 +158,17 @@
             slow = max(slow, time.monotonic() - now)
         spent = time.monotonic() - began
         late = [1000 * (time.monotonic() - at_s) for at_s, waiting, _ in left.values() for _ in waiting]
-        return {"told": len(took), "p50_ms": round(float(numpy.quantile(took, 0.5)), 1),
-                "p99_ms": round(float(numpy.quantile(took, 0.99)), 1), "max_ms": round(max(took), 1),
-                "open": len(late), "open_max_ms": round(max(late, default=0.0), 1),
-                "core": round((self.cpu_s() - cpu) / spent, 3), "answers_s": round(answers / spent),
-                "rig_late_ms": round(1000 * slow, 1)}
+        return {
+            "told": len(took),
+            "p50_ms": round(float(numpy.quantile(took, 0.5)), 1),
+            "p99_ms": round(float(numpy.quantile(took, 0.99)), 1),
+            "max_ms": round(max(took), 1),
+            "open": len(late),
+            "open_max_ms": round(max(late, default=0.0), 1),
+            "core": round((self.cpu_s() - cpu) / spent, 3),
+            "answers_s": round(answers / spent),
+            "rig_late_ms": round(1000 * slow, 1),
+        }
 
     def cpu_s(self) -> float:
         with open(f"/proc/{self.relay.process.pid}/schedstat") as file:
@@ -175,8 +189,14 @@
     others.kill()
     others.join()
     bench.relay.kill()
-    return {"pace": pace, "form": FORM, "rest": told.rest, "alone": alone, "meanwhile": meanwhile,
-            "came": came}
+    return {
+        "pace": pace,
+        "form": FORM,
+        "rest": told.rest,
+        "alone": alone,
+        "meanwhile": meanwhile,
+        "came": came,
+    }
 
 
 def main() -> None:
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,7 +1,7 @@
 """CPU of the parts of a submission that need no socket, each alone in a loop.
 
-    python benchmarks/parts.py                           # compiled, if the tree is
-    PUMICEPATH_INTERPRETED=1 python benchmarks/parts.py
+python benchmarks/parts.py                           # compiled, if the tree is
+PUMICEPATH_INTERPRETED=1 python benchmarks/parts.py
 """
 
 from __future__ import annotations
@@ -33,8 +33,10 @@
 
 REQUEST = request_of("read", True, "12d687-1", 77, 2000, False, 0)
 ANSWER = ANSWERS[Outcome.OK]
-PLAN = Plan(sidecars=Sidecars(count=1), load=Load(tariffs=(
-    Tariff(name="read"), Tariff(name="once", effect="at_most_once", gain=3.0))))
+PLAN = Plan(
+    sidecars=Sidecars(count=1),
+    load=Load(tariffs=(Tariff(name="read"), Tariff(name="once", effect="at_most_once", gain=3.0))),
+)
 
 
 class Nowhere:
@@ -45,13 +47,14 @@
 
 
 def parts() -> dict[str, Callable[[], object]]:
-    told = config.config({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
-                          "settings": settings_of(PLAN, 0, 0)})
+    told = config.config(
+        {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings_of(PLAN, 0, 0)}
+    )
     request, response = RequestParser(), ResponseParser(MOST_BODY)
 
     def feed(parser, data: bytes):
         room = parser.ring.room()
-        room[:len(data)] = data
+        room[: len(data)] = data
         parser.ring.wrote(len(data))
 
     def parse(parser, data: bytes):
@@ -62,11 +65,13 @@
         feed(request, REQUEST)
         seen = request.glance()
         request.ring.drop(seen[0])
+
     whole, answer = parse(request, REQUEST), parse(response, ANSWER)
 
     def onward() -> bytes:
         headers = [(name, value) for name, value in whole.passed_on() if name.lower() != "x-expires-in-ms"]
         return writing.request(whole.method, whole.target, [*headers, ("x-expires-in-ms", "5")], whole.body)
+
     entrance = Entrance(told)
 
     def through() -> None:
@@ -74,6 +79,7 @@
         entrance.leave()
         entrance.again()
         entrance.leave(100)
+
     found: dict[str, Callable[[], object]] = {
         "read a request": lambda: parse(request, REQUEST),
         "what it asks": lambda: asked(whole, told.tariffs, told.settings.tariffs),
@@ -100,6 +106,7 @@
         state[1] += 1
         one = balancer.take(state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000)
         one.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
+
     return decide
 
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -54,9 +54,12 @@
     links.bytes.clear()
     cpu = time.process_time()
     time_.run(time_.now + 20 * SECOND)
-    found |= {"messages": links.sent.total() / count / 20, "bytes": links.bytes.total() / count / 20,
-              "busiest": max(links.sent.values()) / 20,
-              "cpu_us": (time.process_time() - cpu) / count / 20 * 1e6}
+    found |= {
+        "messages": links.sent.total() / count / 20,
+        "bytes": links.bytes.total() / count / 20,
+        "busiest": max(links.sent.values()) / 20,
+        "cpu_us": (time.process_time() - cpu) / count / 20 * 1e6,
+    }
     peering.kill(count // 2)
     found["death"] = right_after(peering, time_)
     peering.start(count // 2)
@@ -90,23 +93,35 @@
     return found
 
 
-ROWS = (("join", "all begin at once, views right after, s"), ("join_kb", "sent for that by each, kB"),
-        ("death", "one killed, all know after, s"),
-        ("restart", "seven in ten restarted, views right after, s"),
-        ("messages", "at rest, messages a second each"), ("busiest", "the busiest one's"),
-        ("bytes", "at rest, bytes a second each"), ("cpu_us", "at rest, CPU us a second each"),
-        ("suspicions_loss", "suspicions an hour of one with 20% loss"),
-        ("false_loss", "false deaths an hour of one with 20% loss"),
-        ("false_stop", "false deaths a stop of 1 s"))
+ROWS = (
+    ("join", "all begin at once, views right after, s"),
+    ("join_kb", "sent for that by each, kB"),
+    ("death", "one killed, all know after, s"),
+    ("restart", "seven in ten restarted, views right after, s"),
+    ("messages", "at rest, messages a second each"),
+    ("busiest", "the busiest one's"),
+    ("bytes", "at rest, bytes a second each"),
+    ("cpu_us", "at rest, CPU us a second each"),
+    ("suspicions_loss", "suspicions an hour of one with 20% loss"),
+    ("false_loss", "false deaths an hour of one with 20% loss"),
+    ("false_stop", "false deaths a stop of 1 s"),
+)
 
 
 def by_size(sizes: list[int], seeds: int, plot: Path | None) -> None:
     with ProcessPoolExecutor(max(1, (os.cpu_count() or 2) - 1)) as pool:
-        jobs = {(count, seed): pool.submit(virtual, count, seed)
-                for count in sorted(sizes, reverse=True) for seed in range(1, seeds + 1)}
+        jobs = {
+            (count, seed): pool.submit(virtual, count, seed)
+            for count in sorted(sizes, reverse=True)
+            for seed in range(1, seeds + 1)
+        }
         told = {key: job.result() for key, job in jobs.items()}
-    print(f"| {seeds} seeds, virtual time: middle (least to most) | "
-          + " | ".join(f"{count:,}" for count in sizes) + " |\n| --- |" + " --- |" * len(sizes))
+    print(
+        f"| {seeds} seeds, virtual time: middle (least to most) | "
+        + " | ".join(f"{count:,}" for count in sizes)
+        + " |\n| --- |"
+        + " --- |" * len(sizes)
+    )
     for key, text in ROWS:
         cells = []
         for count in sizes:
@@ -119,17 +134,26 @@
 
 def draw(sizes: list[int], seeds: int, told: dict[tuple[int, int], dict[str, float]], path: Path) -> None:
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, both = pyplot.subplots(1, 2, figsize=(9, 3.4))
-    for axes, keys, label in ((both[0], ("death", "restart", "join"), "seconds until all views are right"),
-                              (both[1], ("messages", "busiest"), "messages a second at rest")):
+    for axes, keys, label in (
+        (both[0], ("death", "restart", "join"), "seconds until all views are right"),
+        (both[1], ("messages", "busiest"), "messages a second at rest"),
+    ):
         for key in keys:
             middle = [median(told[count, seed][key] for seed in range(1, seeds + 1)) for count in sizes]
             axes.plot(sizes, middle, marker="o", label=key)
             for count in sizes:
-                axes.plot([count] * seeds, [told[count, seed][key] for seed in range(1, seeds + 1)], ".",
-                          color="grey", ms=3)
+                axes.plot(
+                    [count] * seeds,
+                    [told[count, seed][key] for seed in range(1, seeds + 1)],
+                    ".",
+                    color="grey",
+                    ms=3,
+                )
         axes.set(xscale="log", xlabel="sidecars", ylabel=label, ylim=(0, None))
         axes.legend(fontsize=7)
     figure.tight_layout()
@@ -141,8 +165,10 @@
     from pumicepath.lab.loopback.world import LiveWorld
     from pumicepath.lab.model.views import wrong
     from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
-    plan = Plan(lasts_s=3600, fleet=Fleet(servers=2), load=Load(rate=1),
-                sidecars=Sidecars(count=count, peers=True))
+
+    plan = Plan(
+        lasts_s=3600, fleet=Fleet(servers=2), load=Load(rate=1), sidecars=Sidecars(count=count, peers=True)
+    )
     world = LiveWorld(plan, 1, folder)
     names = [one.name for one in world.sidecars]
 
@@ -150,16 +176,23 @@
         began = time.monotonic()
         while True:
             told = await asyncio.gather(*(one.asked("/peers", 10.0) for one in world.sidecars if one.up))
-            views = {view["name"]: [(one["name"], one["state"]) for one in view["peers"]]
-                     for view in told if view is not None}
+            views = {
+                view["name"]: [(one["name"], one["state"]) for one in view["peers"]]
+                for view in told
+                if view is not None
+            }
             if not wrong(views, names) or time.monotonic() - began > 300:
                 return time.monotonic() - began
             await asyncio.sleep(0.1)
 
     def cpu() -> list[float]:
-        stats = [Path(f"/proc/{one.process.pid}/stat").read_text().rpartition(")")[2].split()
-                 for one in world.sidecars if one.process is not None]
+        stats = [
+            Path(f"/proc/{one.process.pid}/stat").read_text().rpartition(")")[2].split()
+            for one in world.sidecars
+            if one.process is not None
+        ]
         return [(int(stat[11]) + int(stat[12])) / os.sysconf("SC_CLK_TCK") for stat in stats]
+
     try:
         assert world.links is not None
         await world.relays.open(count)
@@ -173,19 +206,25 @@
         await asyncio.sleep(10)
         sent, size, before = world.links.sent.total(), world.links.bytes.total(), cpu()
         await asyncio.sleep(30)
-        found |= {"cpu_ms": 1000 * median((b - a) / 30 for a, b in zip(before, cpu())),
-                  "messages": (world.links.sent.total() - sent) / 30 / count,
-                  "bytes": (world.links.bytes.total() - size) / 30 / count,
-                  "mb": median(int(Path(f"/proc/{one.process.pid}/statm").read_text().split()[1])
-                               for one in world.sidecars if one.process is not None)
-                  * os.sysconf("SC_PAGE_SIZE") / 1e6}
-        for one in world.sidecars[:count * 7 // 10]:
+        found |= {
+            "cpu_ms": 1000 * median((b - a) / 30 for a, b in zip(before, cpu())),
+            "messages": (world.links.sent.total() - sent) / 30 / count,
+            "bytes": (world.links.bytes.total() - size) / 30 / count,
+            "mb": median(
+                int(Path(f"/proc/{one.process.pid}/statm").read_text().split()[1])
+                for one in world.sidecars
+                if one.process is not None
+            )
+            * os.sysconf("SC_PAGE_SIZE")
+            / 1e6,
+        }
+        for one in world.sidecars[: count * 7 // 10]:
             one.kill()
         began = time.monotonic()
-        for one in world.sidecars[:count * 7 // 10]:
+        for one in world.sidecars[: count * 7 // 10]:
             one.ready.clear()
             one.start()
-        for one in world.sidecars[:count * 7 // 10]:
+        for one in world.sidecars[: count * 7 // 10]:
             await one.ready.wait()
         found["restart_up"] = time.monotonic() - began
         await until_right()
@@ -209,18 +248,32 @@
 def starts(other: Path, runs: int) -> None:
     """Until it listens, memory then, and CPU a second at rest: this tree and the other, in turns."""
     from pumicepath.lab.loopback.process import Sidecar
+
     here = Path(__file__).parent.parent
     config: dict[str, Any] = {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1f",
-        "limits": {"memory_mb": 128, "sockets": 1024}, "settings": {
-            "membershipMode": "pushed", "dcs": ["a"], "rules": {"askEveryS": 10},
-            "policyLimits": {"mostHops": 4}, "tariffs": [{"name": "read", "effect": "idempotent", "gain": 1,
-                                                          "agreedTimeS": 0.6, "patienceS": 2.5}]}}
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:9",
+        "seed": "1f",
+        "limits": {"memory_mb": 128, "sockets": 1024},
+        "settings": {
+            "membershipMode": "pushed",
+            "dcs": ["a"],
+            "rules": {"askEveryS": 10},
+            "policyLimits": {"mostHops": 4},
+            "tariffs": [
+                {"name": "read", "effect": "idempotent", "gain": 1, "agreedTimeS": 0.6, "patienceS": 2.5}
+            ],
+        },
+    }
     peered = {**config, "peers": {"listen": "127.0.0.1:0"}}
     told: dict[str, list[tuple[float, float, float]]] = {}
     for run in range(runs):
-        for name, root, given in (("other tree", other, config), ("this tree", here, config),
-                                  ("this tree, peers", here, peered)):
+        for name, root, given in (
+            ("other tree", other, config),
+            ("this tree", here, config),
+            ("this tree, peers", here, peered),
+        ):
             with tempfile.TemporaryDirectory() as folder:
                 began = time.monotonic()
                 sidecar = Sidecar(given, Path(folder), root, {0, 1})
@@ -231,14 +284,16 @@
                     time.sleep(1)
                     memory, before = sidecar.memory_mb(), sum(sidecar.cpu())
                     time.sleep(5)
-                    if run:                 # the first warms the files
+                    if run:  # the first warms the files
                         told.setdefault(name, []).append((up, memory, 200 * (sum(sidecar.cpu()) - before)))
                 finally:
                     sidecar.end()
     for name, values in told.items():
         up, memory, cpu = (sorted(column) for column in zip(*values))
-        print(f"{name:<18} up {median(up):.3f} s ({up[0]:.3f} to {up[-1]:.3f})  {median(memory):.1f} MB  "
-              f"at rest {median(cpu):.1f} ms CPU a second ({cpu[0]:.1f} to {cpu[-1]:.1f})")
+        print(
+            f"{name:<18} up {median(up):.3f} s ({up[0]:.3f} to {up[-1]:.3f})  {median(memory):.1f} MB  "
+            f"at rest {median(cpu):.1f} ms CPU a second ({cpu[0]:.1f} to {cpu[-1]:.1f})"
+        )
 
 
 def main() -> None:
--- a/benchmarks/ranking.py
+++ b/benchmarks/ranking.py
@@ -29,8 +29,13 @@
 
 def decisions(revision: str) -> Any:
     """The balancer of a revision, as a module beside ours."""
-    text = subprocess.run(["git", "show", f"{revision}:pumicepath/logic.py"], cwd=ROOT, check=True,
-                          capture_output=True, text=True).stdout
+    text = subprocess.run(
+        ["git", "show", f"{revision}:pumicepath/logic.py"],
+        cwd=ROOT,
+        check=True,
+        capture_output=True,
+        text=True,
+    ).stdout
     spec = importlib.util.spec_from_loader(f"pumicepath.logic_{revision}", None)
     assert spec is not None
     module = importlib.util.module_from_spec(spec)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -42,8 +42,10 @@
 
     def ask(self, wait_ms: float) -> None:
         since = f"since={self.seq}&timeout_ms={int(wait_ms)}&" if self.seq >= 0 else ""
-        self.sock.sendall(b"GET /discovery/hosts?%bservices=%b HTTP/1.1\r\nHost: r\r\n\r\n"
-                          % (since.encode(), self.services.encode()))
+        self.sock.sendall(
+            b"GET /discovery/hosts?%bservices=%b HTTP/1.1\r\nHost: r\r\n\r\n"
+            % (since.encode(), self.services.encode())
+        )
 
     def hear(self) -> tuple[int, bytes] | None:
         data = self.sock.recv(1 << 20)
@@ -53,7 +55,7 @@
         head = HEAD.match(self.data)
         if head is None or len(self.data) < head.end() + int(head[2]):
             return None
-        body, self.data = self.data[head.end():], b""
+        body, self.data = self.data[head.end() :], b""
         if head[1] == b"200":
             found = SEQ.match(body)
             assert found is not None
@@ -65,8 +67,12 @@
     def __init__(self, folder: Path, followers: int, told: argparse.Namespace, rate: int) -> None:
         self.draw = random.Random(told.seed)
         names = [f"service-{at:04}" for at in range(told.services)]
-        self.origin = Origin([line(f"srv-{at:06}", names[at % told.services], port=9000 + at % 1000)
-                              for at in range(told.servers)])
+        self.origin = Origin(
+            [
+                line(f"srv-{at:06}", names[at % told.services], port=9000 + at % 1000)
+                for at in range(told.servers)
+            ]
+        )
         self.relay = Relay(folder, {"eu": self.origin}, mostFollowers=100_000, wholeBytesPerS=rate)
         until(lambda: self.relay.stats()["servers"] == told.servers)
         self.before_kb = self.memory_kb()
@@ -125,10 +131,13 @@
     bench = Bench(folder, followers, told, rate=10**9)
     answers, cpu, took = bench.all()
     found: dict[str, object] = {
-        "followers": followers, "form": FORM, "whole_us": round(1e6 * cpu / followers),
-        "whole_a_second": round(followers / took), "whole_bytes": round(sum(len(body) for _, body in answers)
-                                                                         / followers)}
-    time.sleep(1.2)     # the region's coming into touch is told
+        "followers": followers,
+        "form": FORM,
+        "whole_us": round(1e6 * cpu / followers),
+        "whole_a_second": round(followers / took),
+        "whole_bytes": round(sum(len(body) for _, body in answers) / followers),
+    }
+    time.sleep(1.2)  # the region's coming into touch is told
     bench.all()
     found["memory_kb"] = round((bench.memory_kb() - bench.before_kb) / followers, 2)
     found["memory_mb_all"] = round(bench.memory_kb() / 1024, 1)
@@ -137,8 +146,11 @@
         asker.ask(bench.drawn_ms())
     count, _, _, cpu = bench.follow(told.rest)
     rest = cpu / told.rest
-    found |= {"rest_core": round(rest, 4), "renewals_a_second": round(count / told.rest),
-              "renewal_us": round(1e6 * cpu / count)}
+    found |= {
+        "rest_core": round(rest, 4),
+        "renewals_a_second": round(count / told.rest),
+        "renewal_us": round(1e6 * cpu / count),
+    }
     for servers in (1, 100, 590):
         runs = []
         for run in range(told.runs):
@@ -147,14 +159,20 @@
             _, told_to, last, cpu = bench.follow(WINDOW_S)
             runs.append((told_to, last, 1e6 * (cpu - rest * WINDOW_S)))
         found[f"change_of_{servers}"] = {
-            "told": median(run[0] for run in runs), "last_s": round(max(run[1] for run in runs), 3),
+            "told": median(run[0] for run in runs),
+            "last_s": round(max(run[1] for run in runs), 3),
             "cpu_us": round(median(run[2] for run in runs)),
-            "cpu_us_each": round(median(run[2] / max(1, run[0]) for run in runs))}
+            "cpu_us_each": round(median(run[2] / max(1, run[0]) for run in runs)),
+        }
     bench.relay.kill()
     bench = Bench(folder, followers, told, rate=64_000_000)
     answers, cpu, took = bench.all()
-    found["paced"] = {"whole": sum(status == 200 for status, _ in answers), "in_s": round(took, 2),
-                      "told_503": sum(status == 503 for status, _ in answers), "cpu_s": round(cpu, 3)}
+    found["paced"] = {
+        "whole": sum(status == 200 for status, _ in answers),
+        "in_s": round(took, 2),
+        "told_503": sum(status == 503 for status, _ in answers),
+        "cpu_s": round(cpu, 3),
+    }
     bench.relay.kill()
     return found
 
--- a/benchmarks/relaying.py
+++ b/benchmarks/relaying.py
@@ -24,7 +24,7 @@
 from pumicepath.lab.loopback.process import Sidecar
 
 SERVERS, SERVICES, CALLED = 20_000, 1_900, 8
-WAIT_MS = 2250              # a sidecar's at a relay: 3 s, half to all
+WAIT_MS = 2250  # a sidecar's at a relay: 3 s, half to all
 CHANGES_S = 50.0
 TICKS, PAGE = os.sysconf("SC_CLK_TCK"), os.sysconf("SC_PAGE_SIZE")
 
@@ -32,9 +32,17 @@
 class Relay:
     def __init__(self, folder: Path, origin: Origin) -> None:
         path = folder / "relay.json"
-        path.write_text(json.dumps({
-            "name": "r1", "listen": "127.0.0.1:0", "admin": "127.0.0.1:0", "wholeBytesPerS": 10**9,
-            "sources": {"eu": f"{origin.where[0]}:{origin.where[1]}"}}))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "r1",
+                    "listen": "127.0.0.1:0",
+                    "admin": "127.0.0.1:0",
+                    "wholeBytesPerS": 10**9,
+                    "sources": {"eu": f"{origin.where[0]}:{origin.where[1]}"},
+                }
+            )
+        )
         self.log = folder / "relay.log"
         with self.log.open("wb") as log:
             command = [sys.executable, "-O", "-m", "pumicepath", "relay", "--config", str(path)]
@@ -84,7 +92,7 @@
     while time.monotonic() < end:
         one = Followers(where, 1, WAIT_MS, 0, chosen)
         one.ask(one.socks[0], 0)
-        one.run(lambda one=one: one.replies > 0, again=False)   # type: ignore[misc]
+        one.run(lambda one=one: one.replies > 0, again=False)  # type: ignore[misc]
         one.close()
         if one.newest or one.missing:
             return
@@ -108,7 +116,7 @@
             wholes, whole_bytes = relay.cpu() - before, followers.bytes / count
             for sock in followers.socks:
                 followers.ask(sock, followers.seq)
-            for_a_while(followers, 3.0)     # until their waits no longer end together
+            for_a_while(followers, 3.0)  # until their waits no longer end together
             before, began = relay.cpu(), time.monotonic()
             answers, size = for_a_while(followers, 6.0)
             resting = (relay.cpu() - before) / (time.monotonic() - began)
@@ -120,9 +128,14 @@
             spent = relay.cpu() - before - resting * (time.monotonic() - began)
             memory = relay.mb()
             followers.close()
-            return {"relay_mb": memory, "relay_whole_us": wholes / count * 1e6,
-                    "relay_whole_bytes": whole_bytes, "relay_renewed_us": resting * 6.0 / answers * 1e6,
-                    "relay_renewed_bytes": size / answers, "relay_change_us": spent / changes * 1e6}
+            return {
+                "relay_mb": memory,
+                "relay_whole_us": wholes / count * 1e6,
+                "relay_whole_bytes": whole_bytes,
+                "relay_renewed_us": resting * 6.0 / answers * 1e6,
+                "relay_renewed_bytes": size / answers,
+                "relay_change_us": spent / changes * 1e6,
+            }
         finally:
             relay.end()
             origin.end()
@@ -145,8 +158,11 @@
             for size, relay in zip(sizes, relays):
                 host, port = relay.started()
                 await_list((host, port))
-                told = {**configuration(size, ("127.0.0.1", 9)), "relays": [f"{host}:{port}"],
-                        "services": chosen(1).split(",")}
+                told = {
+                    **configuration(size, ("127.0.0.1", 9)),
+                    "relays": [f"{host}:{port}"],
+                    "services": chosen(1).split(","),
+                }
                 sidecars.append(Sidecar(told, Path(folder) / f"s{size}", ROOT, os.sched_getaffinity(0)))
             for each in sidecars:
                 while each.address() is None:
@@ -155,8 +171,10 @@
             before, began = [sum(each.cpu()) for each in sidecars], time.monotonic()
             time.sleep(seconds)
             lasted = time.monotonic() - began
-            return {size: (each.memory_mb(), (sum(each.cpu()) - spent) / lasted * 1000)
-                    for size, each, spent in zip(sizes, sidecars, before)}
+            return {
+                size: (each.memory_mb(), (sum(each.cpu()) - spent) / lasted * 1000)
+                for size, each, spent in zip(sizes, sidecars, before)
+            }
         finally:
             for one in [*sidecars, *relays, *origins]:
                 one.end()
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -26,13 +26,24 @@
     """One size in this process: events, submissions, CPU seconds, MB."""
     from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble
     from pumicepath.lab.virtual.run import VirtualWorld
-    plan = Plan(lasts_s=lasts, fleet=Fleet(halls=2, servers=servers), sidecars=Sidecars(count=sidecars),
-                load=Load(rate=1000), troubles=(Trouble(kind="die", at_s=lasts / 3, for_s=5, count=2),))
+
+    plan = Plan(
+        lasts_s=lasts,
+        fleet=Fleet(halls=2, servers=servers),
+        sidecars=Sidecars(count=sidecars),
+        load=Load(rate=1000),
+        troubles=(Trouble(kind="die", at_s=lasts / 3, for_s=5, count=2),),
+    )
     began = time.process_time()
     result = VirtualWorld(plan, 1, policy).run()
     spent = time.process_time() - began
-    print(result.events, sum(result.columns["offered"]), spent,
-          resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, int(any(result.rules.values())))
+    print(
+        result.events,
+        sum(result.columns["offered"]),
+        spent,
+        resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
+        int(any(result.rules.values())),
+    )
 
 
 def main() -> None:
@@ -46,15 +57,37 @@
     print("sidecars servers  policy       events/s   us/event  us/submission  times real time     MB")
     for sidecars, servers, lasts in SIZES:
         for policy in ("pumicepath", "random"):
-            ended = [list(map(float, subprocess.run(
-                [sys.executable, __file__, "--play", str(sidecars), str(servers), str(lasts), policy],
-                check=True, capture_output=True, text=True).stdout.split())) for _ in range(told.runs)]
+            ended = [
+                list(
+                    map(
+                        float,
+                        subprocess.run(
+                            [
+                                sys.executable,
+                                __file__,
+                                "--play",
+                                str(sidecars),
+                                str(servers),
+                                str(lasts),
+                                policy,
+                            ],
+                            check=True,
+                            capture_output=True,
+                            text=True,
+                        ).stdout.split(),
+                    )
+                )
+                for _ in range(told.runs)
+            ]
             events, offered, cpu = ended[0][0], ended[0][1], median(each[2] for each in ended)
             times = sorted(lasts / each[2] for each in ended)
-            print(f"{sidecars:8d} {servers:7d}  {policy:<11} {events / cpu:9.0f} {1e6 * cpu / events:10.1f} "
-                  f"{1e6 * cpu / offered:14.1f}  {lasts / cpu:5.1f} ({times[0]:.1f} to {times[-1]:.1f})  "
-                  f"{max(each[3] for each in ended):6.0f}"
-                  + ("  a rule was broken" if any(each[4] for each in ended) else ""), flush=True)
+            print(
+                f"{sidecars:8d} {servers:7d}  {policy:<11} {events / cpu:9.0f} {1e6 * cpu / events:10.1f} "
+                f"{1e6 * cpu / offered:14.1f}  {lasts / cpu:5.1f} ({times[0]:.1f} to {times[-1]:.1f})  "
+                f"{max(each[3] for each in ended):6.0f}"
+                + ("  a rule was broken" if any(each[4] for each in ended) else ""),
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -24,17 +24,25 @@
 
 ASKED = re.compile(rb"GET /discovery/hosts(?:\?since=(\d+)&timeout_ms=(\d+))?")
 PLACES = 34
-MACHINES = 590              # a zone at the target: 20,000 servers in 34
+MACHINES = 590  # a zone at the target: 20,000 servers in 34
 
 
-def line(number: int, born: int = 0, health: str = "active", dial: str = "", services: int = 0
-         ) -> dict[str, Any]:
+def line(
+    number: int, born: int = 0, health: str = "active", dial: str = "", services: int = 0
+) -> dict[str, Any]:
     """One server of a list, names as long as those in the protocol's page; of a service if there are any."""
     told = {"service": f"service-{number % services:04d}"} if services else {}
-    return {**told, "host": f"s-{number * 2654435761 % 2**32:08x}",
-            "dial": dial or f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:9000",
-            "site": f"zone-{number // MACHINES % PLACES:02d}", "class": "m2", "block": number % 97,
-            "health": health, "share": 1.0, "born_ms": born}
+    return {
+        **told,
+        "host": f"s-{number * 2654435761 % 2**32:08x}",
+        "dial": dial or f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:9000",
+        "site": f"zone-{number // MACHINES % PLACES:02d}",
+        "class": "m2",
+        "block": number % 97,
+        "health": health,
+        "share": 1.0,
+        "born_ms": born,
+    }
 
 
 def whole(servers: int, seq: int = 1, dial: str = "", services: int = 0) -> dict[str, Any]:
@@ -44,8 +52,11 @@
 
 def change(seq: int, number: int, dial: str = "", services: int = 0) -> dict[str, Any]:
     """One server's new start, which takes its place in the list."""
-    return {"seq": seq, "whole": False,
-            "hosts": [line(number, 1_700_000_000_000 + seq * 1000, "active", dial, services)]}
+    return {
+        "seq": seq,
+        "whole": False,
+        "hosts": [line(number, 1_700_000_000_000 + seq * 1000, "active", dial, services)],
+    }
 
 
 def answer(told: dict[str, Any]) -> bytes:
@@ -75,7 +86,7 @@
         self.selector.register(pipe, selectors.EVENT_READ, pipe)
         self.open: set[Waiting] = set()
         self.seq = 1
-        self.lines: list[dict[str, Any]] = []       # of each change
+        self.lines: list[dict[str, Any]] = []  # of each change
         self.all = answer(whole(servers, 1, dial, services))
         self.figures = {"told": 0, "renewed": 0, "wholes": 0, "bytes": 0}
         self.pending = 0
@@ -98,7 +109,7 @@
             if self.pending and now >= self.next:
                 self.change()
                 self.next = now + self.pause
-            if now - self.swept >= 0.05:    # a real one has a wheel of timers; a sweep this seldom costs less
+            if now - self.swept >= 0.05:  # a real one has a wheel of timers; a sweep this seldom costs less
                 self.swept = now
                 self.renew(now)
 
@@ -119,9 +130,16 @@
             self.pending, self.pause, self.next = told[1], told[2], 0.0
         elif told[0] == "figures":
             pages = int(Path("/proc/self/statm").read_text().split()[1])
-            self.pipe.send({**self.figures, "cpu": time.process_time(), "seq": self.seq,
-                            "waiting": sum(one.due > 0 for one in self.open), "pending": self.pending,
-                            "kb": pages * os.sysconf("SC_PAGE_SIZE") / 1000})
+            self.pipe.send(
+                {
+                    **self.figures,
+                    "cpu": time.process_time(),
+                    "seq": self.seq,
+                    "waiting": sum(one.due > 0 for one in self.open),
+                    "pending": self.pending,
+                    "kb": pages * os.sysconf("SC_PAGE_SIZE") / 1000,
+                }
+            )
         return told[0] != "end"
 
     def ready(self, one: Waiting, mask: int) -> None:
@@ -142,7 +160,7 @@
                 self.write(one, self.all)
             elif int(found[1]) < self.seq:
                 self.figures["told"] += 1
-                missed = self.lines[int(found[1]) - 1:]
+                missed = self.lines[int(found[1]) - 1 :]
                 self.write(one, answer({"seq": self.seq, "whole": False, "hosts": missed}))
             else:
                 one.due = time.monotonic() + int(found[2]) / 1000
@@ -210,15 +228,21 @@
 class Followers:
     """Connections that hold a watch each, read in this process by one selector loop."""
 
-    def __init__(self, where: tuple[str, int], count: int, wait_ms: int = 60_000, seq: int = 1,
-                 services: Callable[[int], str] | None = None) -> None:
+    def __init__(
+        self,
+        where: tuple[str, int],
+        count: int,
+        wait_ms: int = 60_000,
+        seq: int = 1,
+        services: Callable[[int], str] | None = None,
+    ) -> None:
         self.selector = selectors.EpollSelector()
         self.wait_ms = wait_ms
-        self.answers = self.replies = self.bytes = 0    # replies: refused ones, too
-        self.newest: Counter[int] = Counter()       # answers by their version
+        self.answers = self.replies = self.bytes = 0  # replies: refused ones, too
+        self.newest: Counter[int] = Counter()  # answers by their version
         self.socks: list[socket.socket] = []
-        self.missing: dict[socket.socket, int] = {}     # bytes of an answer that are still to come
-        self.services: dict[Any, bytes] = {}            # what each asks for
+        self.missing: dict[socket.socket, int] = {}  # bytes of an answer that are still to come
+        self.services: dict[Any, bytes] = {}  # what each asks for
         for number in range(count):
             sock = socket.create_connection(where)
             sock.setblocking(False)
@@ -261,7 +285,7 @@
             if not head.startswith(b"HTTP/1.1 200"):
                 return
             self.missing[sock] = int(length[1]) - len(body)
-            self.seq = int(re.match(rb'\{"seq":(\d+)', body)[1])    # type: ignore[index]
+            self.seq = int(re.match(rb'\{"seq":(\d+)', body)[1])  # type: ignore[index]
         if self.missing[sock] <= 0:
             del self.missing[sock]
             self.answers += 1
@@ -310,8 +334,12 @@
         followers.close()
         cpu = after["cpu"] - before["cpu"] - (before["cpu"] - first["cpu"]) * lasted
         answers = after["told"] - before["told"]
-        return {"told_us": cpu / answers * 1e6, "told_bytes": (after["bytes"] - before["bytes"]) / answers,
-                "last_s": alone, "follower_kb": (before["kb"] - empty) / count}
+        return {
+            "told_us": cpu / answers * 1e6,
+            "told_bytes": (after["bytes"] - before["bytes"]) / answers,
+            "last_s": alone,
+            "follower_kb": (before["kb"] - empty) / count,
+        }
     finally:
         origin.end()
 
@@ -342,12 +370,13 @@
             for sock in followers.socks:
                 followers.ask(sock, 0)
             wanted = followers.answers + count
-            followers.run(lambda wanted=wanted: followers.answers >= wanted,
-            again=False)   # type: ignore[misc]
+            followers.run(lambda wanted=wanted: followers.answers >= wanted, again=False)  # type: ignore[misc]
         after = origin.figures()
         followers.close()
         many = after["wholes"] - before["wholes"]
-        return {"whole_us": (after["cpu"] - before["cpu"]) / many * 1e6,
-                "whole_bytes": (after["bytes"] - before["bytes"]) / many}
+        return {
+            "whole_us": (after["cpu"] - before["cpu"]) / many * 1e6,
+            "whole_bytes": (after["bytes"] - before["bytes"]) / many,
+        }
     finally:
         origin.end()
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -30,22 +30,31 @@
 
 BEGINS, LASTS, ENDS = 15, 45, 100
 SICK = 3
-BACK = 0.05                 # of the open breakers, below which servers count as in use again
+BACK = 0.05  # of the open breakers, below which servers count as in use again
 
 
 def plan(count: int, together: bool, restart: bool, servers: int, load: Load) -> Plan:
     troubles = [Trouble(kind="fail-quickly", at_s=BEGINS, for_s=LASTS, count=SICK, value=1.0)]
     if restart:
         troubles.append(Trouble(kind="sidecars-killed", at_s=BEGINS + LASTS / 2, for_s=1, value=0.7))
-    return Plan(lasts_s=ENDS, fleet=Fleet(halls=2, servers=servers, work_ms=20), load=load,
-                sidecars=Sidecars(count=count, peers=True, trials=together), troubles=tuple(troubles))
+    return Plan(
+        lasts_s=ENDS,
+        fleet=Fleet(halls=2, servers=servers, work_ms=20),
+        load=load,
+        sidecars=Sidecars(count=count, peers=True, trials=together),
+        troubles=tuple(troubles),
+    )
 
 
 def back(result: Result) -> float:
     """Seconds from the end of the trouble until nearly nobody refuses the servers; what is left if never."""
     rows = [sum(row) / SICK for row in result.breakers]
-    return float(next((second - BEGINS - LASTS for second in range(BEGINS + LASTS, len(rows))
-                       if rows[second] < BACK), ENDS - BEGINS - LASTS))
+    return float(
+        next(
+            (second - BEGINS - LASTS for second in range(BEGINS + LASTS, len(rows)) if rows[second] < BACK),
+            ENDS - BEGINS - LASTS,
+        )
+    )
 
 
 def virtual(count: int, seed: int, together: bool, restart: bool) -> dict[str, float]:
@@ -53,10 +62,15 @@
     world = VirtualWorld(plan(count, together, restart, servers, Load(part=0.4)), seed, trace=10_000_000)
     result = world.run()
     assert world.links is not None
-    return {"service": result.service, "wasted": result.wasted, "back": back(result),
-            "failed": sum("trial failed" in line for line in world.log),
-            "messages": world.links.sent.total() / count / ENDS,
-            "busiest": max(world.links.sent.values()) / ENDS, "broken": sum(result.rules.values())}
+    return {
+        "service": result.service,
+        "wasted": result.wasted,
+        "back": back(result),
+        "failed": sum("trial failed" in line for line in world.log),
+        "messages": world.links.sent.total() / count / ENDS,
+        "busiest": max(world.links.sent.values()) / ENDS,
+        "broken": sum(result.rules.values()),
+    }
 
 
 def real(count: int, seed: int, together: bool, restart: bool) -> dict[str, float]:
@@ -66,17 +80,26 @@
         result = play(made, seed, history=history)
         lines = read(history)
     carried = [line for line in lines if line["what"] == "carried"][-1]
-    return {"service": result.service, "wasted": result.wasted, "back": back(result),
-            "failed": sum("trial failed" in line.get("text", "") for line in lines if line["what"] == "log"),
-            "messages": carried["messages"] / count / ENDS,
-            "busiest": max(by[0] for by in carried["by"].values()) / ENDS,
-            "broken": sum(result.rules.values())}
-
-
-ROWS = (("failed", "trials that failed"), ("wasted", "hops that servers failed"),
-        ("back", "servers in use again after, s"), ("service", "service"),
-        ("messages", "messages a second and sidecar"), ("busiest", "the busiest one's"),
-        ("broken", "rules broken"))
+    return {
+        "service": result.service,
+        "wasted": result.wasted,
+        "back": back(result),
+        "failed": sum("trial failed" in line.get("text", "") for line in lines if line["what"] == "log"),
+        "messages": carried["messages"] / count / ENDS,
+        "busiest": max(by[0] for by in carried["by"].values()) / ENDS,
+        "broken": sum(result.rules.values()),
+    }
+
+
+ROWS = (
+    ("failed", "trials that failed"),
+    ("wasted", "hops that servers failed"),
+    ("back", "servers in use again after, s"),
+    ("service", "service"),
+    ("messages", "messages a second and sidecar"),
+    ("busiest", "the busiest one's"),
+    ("broken", "rules broken"),
+)
 
 
 def told(name: str, found: dict[tuple[int, bool], dict[str, float]], seeds: list[int]) -> None:
@@ -86,15 +109,17 @@
         for together in (False, True):
             values = sorted(found[seed, together][key] for seed in seeds)
             cells.append(f"{median(values):.4g} ({values[0]:.4g} to {values[-1]:.4g})")
-        pair = difference({seed: found[seed, True][key] for seed in seeds},
-                          {seed: found[seed, False][key] for seed in seeds})
-        print(f"| {text} | {cells[0]} | {cells[1]} | "
-              f"{pair.mean:.4g} ({pair.low:.4g} to {pair.high:.4g}) |")
+        pair = difference(
+            {seed: found[seed, True][key] for seed in seeds},
+            {seed: found[seed, False][key] for seed in seeds},
+        )
+        print(f"| {text} | {cells[0]} | {cells[1]} | {pair.mean:.4g} ({pair.low:.4g} to {pair.high:.4g}) |")
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("what", choices=("virtual", "real"))
     parser.add_argument("--sizes", type=int, nargs="+", default=[10, 100, 1000])
     parser.add_argument("--seeds", type=int, default=10)
@@ -105,19 +130,34 @@
     given = parser.parse_args()
     if given.what == "real":
         seeds = list(range(1, given.runs + 1))
-        told(f"{given.count} real sidecars", {
-            (seed, together): real(given.count, seed, together, given.restart)
-            for seed in seeds for together in (False, True)}, seeds)
+        told(
+            f"{given.count} real sidecars",
+            {
+                (seed, together): real(given.count, seed, together, given.restart)
+                for seed in seeds
+                for together in (False, True)
+            },
+            seeds,
+        )
         return
     seeds = list(range(1, given.seeds + 1))
     with ProcessPoolExecutor(given.jobs) as pool:
-        jobs = {(count, seed, together): pool.submit(virtual, count, seed, together, given.restart)
-                for count in sorted(given.sizes, reverse=True) for seed in seeds
-                for together in (False, True)}
+        jobs = {
+            (count, seed, together): pool.submit(virtual, count, seed, together, given.restart)
+            for count in sorted(given.sizes, reverse=True)
+            for seed in seeds
+            for together in (False, True)
+        }
         for count in given.sizes:
-            told(f"{count:,} sidecars, virtual time", {
-                (seed, together): jobs[count, seed, together].result()
-                for seed in seeds for together in (False, True)}, seeds)
+            told(
+                f"{count:,} sidecars, virtual time",
+                {
+                    (seed, together): jobs[count, seed, together].result()
+                    for seed in seeds
+                    for together in (False, True)
+                },
+                seeds,
+            )
 
 
 if __name__ == "__main__":
--- a/pumicepath/admin/calls.py
+++ b/pumicepath/admin/calls.py
@@ -22,12 +22,15 @@
 
 class Asked(NamedTuple):
     call: Call
-    server: str = ""        # or duty
+    server: str = ""  # or duty
 
 
 # By path; what stands there is changed by PUT, and read by GET or HEAD.
-READ: dict[tuple[str, ...], Call] = {("healthcheck",): Call.CHECK, ("stats",): Call.STATS,
-                                     ("peers",): Call.PEERS}
+READ: dict[tuple[str, ...], Call] = {
+    ("healthcheck",): Call.CHECK,
+    ("stats",): Call.STATS,
+    ("peers",): Call.PEERS,
+}
 CHANGE: dict[tuple[str, ...], Call] = {("healthcheck", "fail"): Call.FAIL, ("healthcheck", "ok"): Call.OK}
 SERVER = {"maint": Call.OUT, "ready": Call.IN}
 
--- a/pumicepath/admin/figures.py
+++ b/pumicepath/admin/figures.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 PREFIX = "edge_gw"
-MOST_NAMES = 1000           # of figures kept, those of classes that are gone among them
+MOST_NAMES = 1000  # of figures kept, those of classes that are gone among them
 OUTCOMES = ("answered", "deferred", "errored")
 UNFIT = re.compile(r"[^!-<>-~]")  # what would break a line of the form
 
--- a/pumicepath/command.py
+++ b/pumicepath/command.py
@@ -9,8 +9,14 @@
 from . import __version__
 
 # Command by command the module of `commands` that has it, in the order in which help shows them.
-WHERE = {"serve": "sidecar", "check": "sidecar", "relay": "relay", "peers": "peers", "lab": "lab",
-         "demo": "demo"}
+WHERE = {
+    "serve": "sidecar",
+    "check": "sidecar",
+    "relay": "relay",
+    "peers": "peers",
+    "lab": "lab",
+    "demo": "demo",
+}
 
 
 class Commands(click.Group):
--- a/pumicepath/commands/demo.py
+++ b/pumicepath/commands/demo.py
@@ -8,10 +8,22 @@
 
 
 @click.command()
-@click.option("--for", "seconds", type=click.FloatRange(2.0, 3600.0), default=20.0, show_default=True,
-              metavar="SECONDS", help="How long the clients go on.")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True,
-              help="Of the load, the servers and what goes wrong.")
+@click.option(
+    "--for",
+    "seconds",
+    type=click.FloatRange(2.0, 3600.0),
+    default=20.0,
+    show_default=True,
+    metavar="SECONDS",
+    help="How long the clients go on.",
+)
+@click.option(
+    "--seed",
+    type=click.IntRange(0),
+    default=1,
+    show_default=True,
+    help="Of the load, the servers and what goes wrong.",
+)
 @click.option("--json", "as_json", is_flag=True, help="Only one object at the end.")
 def demo(seconds: float, seed: int, as_json: bool) -> None:
     """Run a fleet on loopback in which something goes wrong every few seconds.
--- a/pumicepath/commands/lab.py
+++ b/pumicepath/commands/lab.py
@@ -37,23 +37,46 @@
 
 @lab.command()
 @FILE
-@click.option("--report", "folder", type=click.Path(path_type=Path), metavar="DIR",
-              help="Where results and the page go; by default found/<name>.")
+@click.option(
+    "--report",
+    "folder",
+    type=click.Path(path_type=Path),
+    metavar="DIR",
+    help="Where results and the page go; by default found/<name>.",
+)
 @click.option("--seeds", type=click.IntRange(1), help="Instead of the file's number of seeds.")
-@click.option("--workers", type=click.IntRange(1), default=os.cpu_count() or 1, show_default=True,
-              help="Processes that play runs.")
-@click.option("--on", "host", type=click.Choice(["virtual", "loopback"]), default="virtual",
-              show_default=True,
-              help="Whether sidecars are simulated or real processes; on loopback the plan is played once.")
+@click.option(
+    "--workers",
+    type=click.IntRange(1),
+    default=os.cpu_count() or 1,
+    show_default=True,
+    help="Processes that play runs.",
+)
+@click.option(
+    "--on",
+    "host",
+    type=click.Choice(["virtual", "loopback"]),
+    default="virtual",
+    show_default=True,
+    help="Whether sidecars are simulated or real processes; on loopback the plan is played once.",
+)
 @click.option("--seed", type=click.IntRange(0), help="On loopback: of the load and what goes wrong.")
 @click.option("--json", "as_json", is_flag=True, help="On loopback: end with one object.")
-def run(file: Path, folder: Path | None, seeds: int | None, workers: int, host: str, seed: int | None,
-        as_json: bool) -> None:
+def run(
+    file: Path,
+    folder: Path | None,
+    seeds: int | None,
+    workers: int,
+    host: str,
+    seed: int | None,
+    as_json: bool,
+) -> None:
     """Play an experiment, and write its report.  Ends with 1 if a rule was broken by our decisions."""
     made = read(file, seeds or 0, host)
     if host != "loopback" and (seed is not None or as_json):
         fail("--seed and --json go with --on loopback")
     from ..lab.experiments.folders import Taken, owned
+
     where = folder or Path("found") / made.name
     with ExitStack() as until_it_ends:
         try:
@@ -75,6 +98,7 @@
 
     from ..lab.experiments import comparing, report, running
     from ..lab.virtual.run import OURS
+
     console = Console(stderr=True)
     with Progress(console=console, disable=not console.is_terminal) as progress:
         task = progress.add_task(made.name, total=len(made.runs))
@@ -100,10 +124,12 @@
 
     from ..lab.experiments import fleet
     from ..lab.loopback import demo, world
+
     history = folder / fleet.HISTORY
     try:
-        result = world.play(made.plan, seed, None if as_json else lambda each: click.echo(demo.line(each)),
-                            history)
+        result = world.play(
+            made.plan, seed, None if as_json else lambda each: click.echo(demo.line(each)), history
+        )
     except world.Void as trouble:
         fail(f"void: {trouble}", 3)
     except OSError as trouble:
@@ -115,8 +141,9 @@
     if as_json:
         click.echo(orjson.dumps({**demo.totals(result), **found.figures()}).decode())
     else:
-        click.echo("\n".join([*demo.verdict(result), *found.lines(), f"history: {history}",
-                              f"report: {page}"]))
+        click.echo(
+            "\n".join([*demo.verdict(result), *found.lines(), f"history: {history}", f"report: {page}"])
+        )
     if found.violations:
         raise SystemExit(1)
 
@@ -161,8 +188,10 @@
     made = read(file)
     plan, own = made.plan, made.experiment
     click.echo(f"{own.title}\n{own.why}".rstrip())
-    click.echo(f"  {plan.fleet.servers} servers in {plan.fleet.halls} halls, {plan.sidecars.count} sidecars, "
-               f"{plan.rate():.0f} submissions/s, {plan.lasts_s:g} s")
+    click.echo(
+        f"  {plan.fleet.servers} servers in {plan.fleet.halls} halls, {plan.sidecars.count} sidecars, "
+        f"{plan.rate():.0f} submissions/s, {plan.lasts_s:g} s"
+    )
     for trouble in plan.troubles:
         click.echo(f"  {trouble.at_s:g} s: {trouble.kind} for {trouble.for_s:g} s")
     click.echo(f"  arms: {'; '.join(made.arms)}")
--- a/pumicepath/commands/peers.py
+++ b/pumicepath/commands/peers.py
@@ -11,6 +11,7 @@
 
 def called(address: str, method: str, path: str) -> bytes:
     import http.client
+
     connection = http.client.HTTPConnection(address, timeout=LONGEST_S)
     try:
         connection.request(method, path)
@@ -33,6 +34,7 @@
     from urllib.parse import quote
 
     import orjson
+
     try:
         if resign is not None:
             called(address, "PUT", f"/peers/duties/{quote(resign, safe='')}/resign")
@@ -44,20 +46,25 @@
         click.echo(body.decode().rstrip())
         return
     figures = told["figures"]
-    click.echo(f"{told['name']} at {told['address']}, incarnation {told['incarnation']}: "
-               f"{figures['peers_alive']} alive, {figures['peers_suspected']} suspected; the fleet counts "
-               f"{figures.get('fleet_least', 1)} heard of late, {figures.get('fleet_likely', 1)} likely, "
-               f"{figures.get('fleet_most', 1)} with those that may be cut off")
+    click.echo(
+        f"{told['name']} at {told['address']}, incarnation {told['incarnation']}: "
+        f"{figures['peers_alive']} alive, {figures['peers_suspected']} suspected; the fleet counts "
+        f"{figures.get('fleet_least', 1)} heard of late, {figures.get('fleet_likely', 1)} likely, "
+        f"{figures.get('fleet_most', 1)} with those that may be cut off"
+    )
     for one in told.get("holds", []):
         click.echo(f"  holds {one['duty']}, number {one['number']}, {one['left_s']:.1f} s left")
     if "granted" in told:
         silent = f", silent for {told['silent_s']:.1f} s more" if told["silent_s"] else ""
         click.echo(f"  votes{silent}")
         for one in told["granted"]:
-            click.echo(f"    {one['duty']}: {one['holder']}, number {one['number']}, "
-                       f"{one['left_s']:.1f} s left")
+            click.echo(
+                f"    {one['duty']}: {one['holder']}, number {one['number']}, {one['left_s']:.1f} s left"
+            )
     for one in sorted(told["peers"], key=lambda one: (one["name"], one["born"])):
         heard = "never heard" if one["heard_s"] is None else f"heard {one['heard_s']:.1f} s ago"
         by = f", told by {one['by']}" if one["by"] else ""
-        click.echo(f"  {one['name']:<20} {one['address']:<21} {one['zone']:<10} {one['state']:<9} "
-                   f"for {one['since_s']:.1f} s, {heard}{by}")
+        click.echo(
+            f"  {one['name']:<20} {one['address']:<21} {one['zone']:<10} {one['state']:<9} "
+            f"for {one['since_s']:.1f} s, {heard}{by}"
+        )
--- a/pumicepath/commands/relay.py
+++ b/pumicepath/commands/relay.py
@@ -8,11 +8,18 @@
 
 
 @click.command()
-@click.option("--config", "path", envvar="GW_RELAY_CONFIG", default="", metavar="FILE",
-              help="The relay's configuration, JSON; $GW_RELAY_CONFIG names it too.")
+@click.option(
+    "--config",
+    "path",
+    envvar="GW_RELAY_CONFIG",
+    default="",
+    metavar="FILE",
+    help="The relay's configuration, JSON; $GW_RELAY_CONFIG names it too.",
+)
 def relay(path: str) -> None:
     """Hand the lists of each region's discovery on to many sidecars, until SIGTERM."""
     from ..relay import config, running
+
     if not path:
         fail("no configuration: name it by --config or $GW_RELAY_CONFIG")
     try:
--- a/pumicepath/commands/scale.py
+++ b/pumicepath/commands/scale.py
@@ -18,28 +18,72 @@
 @click.option("--regions", type=int, default=1, show_default=True)
 @click.option("--zones", type=int, help="At least one a region, which is the default.")
 @click.option("--changes-per-s", type=float, default=1.0, show_default=True, help="Of the whole fleet.")
-@click.option("--for", "seconds", type=float, default=30.0, show_default=True, metavar="SECONDS",
-              help="How long changes are made.")
+@click.option(
+    "--for",
+    "seconds",
+    type=float,
+    default=30.0,
+    show_default=True,
+    metavar="SECONDS",
+    help="How long changes are made.",
+)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--form", type=click.Choice(["direct", "relayed"]), default="direct", show_default=True,
-              help="Whether sidecars ask the one discovery, or relays.")
+@click.option(
+    "--form",
+    type=click.Choice(["direct", "relayed"]),
+    default="direct",
+    show_default=True,
+    help="Whether sidecars ask the one discovery, or relays.",
+)
 @click.option("--relays-per-region", type=int, default=2, show_default=True)
 @click.option("--calls", type=int, default=5, show_default=True, help="Services that a sidecar calls.")
-@click.option("--popular", type=float, default=0.0, show_default=True,
-              help="A service of size n is called as often as n to this power; 0: all alike.")
-@click.option("--play-regions", "played", type=int, default=0, metavar="N",
-              help="Start the sidecars and relays of the first N regions only, beside all origins.")
+@click.option(
+    "--popular",
+    type=float,
+    default=0.0,
+    show_default=True,
+    help="A service of size n is called as often as n to this power; 0: all alike.",
+)
+@click.option(
+    "--play-regions",
+    "played",
+    type=int,
+    default=0,
+    metavar="N",
+    help="Start the sidecars and relays of the first N regions only, beside all origins.",
+)
 @click.option("--whole-bytes-per-s", type=int, default=0, metavar="N", help="A relay's pace of whole lists.")
 @click.option("--fault", "faults", multiple=True, metavar="NAME", help="May be given again; see docs/lab.md.")
 @click.option("--fault-for", "fault_s", type=float, default=6.0, show_default=True, metavar="SECONDS")
 @click.option("--processes", type=int, default=0, help="Of sidecars; by default half of the cores.")
-@click.option("--report", "folder", type=click.Path(path_type=Path), metavar="DIR",
-              help="Where the truth and what was seen go; by default found/scale.")
+@click.option(
+    "--report",
+    "folder",
+    type=click.Path(path_type=Path),
+    metavar="DIR",
+    help="Where the truth and what was seen go; by default found/scale.",
+)
 @click.option("--json", "as_json", is_flag=True, help="Only the last line, no progress.")
-def scale(sidecars: int, services: int, regions: int, zones: int | None, changes_per_s: float, seconds: float,
-          seed: int, form: str, relays_per_region: int, calls: int, popular: float, played: int,
-          whole_bytes_per_s: int, faults: tuple[str, ...], fault_s: float, processes: int,
-          folder: Path | None, as_json: bool) -> None:
+def scale(
+    sidecars: int,
+    services: int,
+    regions: int,
+    zones: int | None,
+    changes_per_s: float,
+    seconds: float,
+    seed: int,
+    form: str,
+    relays_per_region: int,
+    calls: int,
+    popular: float,
+    played: int,
+    whole_bytes_per_s: int,
+    faults: tuple[str, ...],
+    fault_s: float,
+    processes: int,
+    folder: Path | None,
+    as_json: bool,
+) -> None:
     """Run many hollow sidecars in few processes, and judge what their balancers go by.
 
     Ends with one line of JSON, and with 1 if something was violated, 2 if it can't be run as asked, 3 if the
@@ -53,8 +97,25 @@
     from ..lab.hollow.plan import Ask, BadAsk, Plan, checked
     from ..lab.hollow.processes import Void
     from ..lab.hollow.run import Run
-    ask = Ask(sidecars, services, regions, regions if zones is None else zones, changes_per_s, seconds, seed,
-              form, relays_per_region, calls, popular, played, whole_bytes_per_s, processes, fault_s, faults)
+
+    ask = Ask(
+        sidecars,
+        services,
+        regions,
+        regions if zones is None else zones,
+        changes_per_s,
+        seconds,
+        seed,
+        form,
+        relays_per_region,
+        calls,
+        popular,
+        played,
+        whole_bytes_per_s,
+        processes,
+        fault_s,
+        faults,
+    )
     where = folder or Path("found") / "scale"
 
     def progress(line: str) -> None:
--- a/pumicepath/commands/sidecar.py
+++ b/pumicepath/commands/sidecar.py
@@ -11,12 +11,19 @@
 if TYPE_CHECKING:
     from ..sidecar.config import Config
 
-CONFIG = click.option("--config", "path", envvar="GW_CONFIG", default="", metavar="FILE",
-                      help="The sidecar's configuration, JSON; $GW_CONFIG names it too.")
+CONFIG = click.option(
+    "--config",
+    "path",
+    envvar="GW_CONFIG",
+    default="",
+    metavar="FILE",
+    help="The sidecar's configuration, JSON; $GW_CONFIG names it too.",
+)
 
 
 def load(path: str) -> Config:
     from ..sidecar import config
+
     try:
         if not path:
             raise config.BadConfig("no configuration: name it by --config or $GW_CONFIG")
@@ -30,6 +37,7 @@
 def serve(path: str) -> None:
     """Run one sidecar until SIGTERM."""
     from ..sidecar import config, running
+
     try:
         running.serve(load(path), path)
     except config.BadConfig as trouble:
@@ -41,10 +49,13 @@
 def check(path: str) -> None:
     """Read the configuration as `serve` would, and say what would be run."""
     from ..sidecar import running
+
     config = load(path)
-    click.echo(f"{config.name}: listens on {config.listen.host}:{config.listen.port}, "
-               f"{len(config.known['hosts'])} servers known, {len(config.tariffs)} tariffs, "
-               f"{config.from_clients} connections of clients and {config.to_servers} to servers at most")
+    click.echo(
+        f"{config.name}: listens on {config.listen.host}:{config.listen.port}, "
+        f"{len(config.known['hosts'])} servers known, {len(config.tariffs)} tariffs, "
+        f"{config.from_clients} connections of clients and {config.to_servers} to servers at most"
+    )
     click.echo(f"fixed while it runs: {', '.join(running.FIXED)}")
     if config.peers is not None:
         seeds = ", ".join(config.peers.seeds) or "none"
--- a/pumicepath/compiled.py
+++ b/pumicepath/compiled.py
@@ -26,8 +26,9 @@
     def __init__(self, files: dict[str, Path]) -> None:
         self.files = files
 
-    def find_spec(self, name: str, path: Sequence[str] | None = None,
-                  target: ModuleType | None = None) -> ModuleSpec | None:
+    def find_spec(
+        self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
+    ) -> ModuleSpec | None:
         file = self.files.get(name)
         if file is None:
             return None
@@ -46,7 +47,8 @@
     except (OSError, ValueError, KeyError, TypeError):
         all_files = [file for file in (root / "pumicepath").rglob("*.py") if file.stem != "__init__"]
         return f"interpreted: {RECORD} can't be read", {
-            ".".join(file.relative_to(root).with_suffix("").parts): file for file in all_files}
+            ".".join(file.relative_to(root).with_suffix("").parts): file for file in all_files
+        }
     files = {name[:-3].replace("/", "."): root / name for name in hashes}
     if asked:
         return "interpreted: asked for", files
--- a/pumicepath/discovery/roster.py
+++ b/pumicepath/discovery/roster.py
@@ -10,7 +10,7 @@
 
 from ..interface import Entry, Phase
 
-MOST_KINDS = 1024           # kinds of machine that are told apart: bounds what odd lists can fill
+MOST_KINDS = 1024  # kinds of machine that are told apart: bounds what odd lists can fill
 PHASES = {"active": Phase.READY, "leaving": Phase.DRAINING, "left": Phase.GONE}
 
 
@@ -53,8 +53,9 @@
 class Roster:
     """What the list has said so far of the servers on it: their starts by the sidecar's own clock."""
 
-    def __init__(self, zones: Sequence[str], since_unix_ms: Callable[[int], int],
-                 kinds: Sequence[str] = ()) -> None:
+    def __init__(
+        self, zones: Sequence[str], since_unix_ms: Callable[[int], int], kinds: Sequence[str] = ()
+    ) -> None:
         self.numbers = count()
         self.zones = {name: next(self.numbers) for name in zones}
         self.kinds = {name: at for at, name in enumerate(kinds)}
@@ -70,8 +71,10 @@
                 raise ValueError("a server twice")
             starts = {name: self.start(name, line) for name, line in lines.items()}
             entries = [self.entry(name, line, starts[name][1]) for name, line in lines.items()]
-            addresses = [address(str(line["dial"])) if entry.phase != Phase.GONE else NOWHERE
-                         for entry, line in zip(entries, lines.values())]
+            addresses = [
+                address(str(line["dial"])) if entry.phase != Phase.GONE else NOWHERE
+                for entry, line in zip(entries, lines.values())
+            ]
             update = Update(int(data["seq"]), bool(data["whole"]), entries, addresses)
         except (KeyError, TypeError, ValueError, ArithmeticError, AttributeError) as trouble:
             raise BadList(f"{type(trouble).__name__}: {trouble}") from trouble
@@ -116,5 +119,13 @@
         if not math.isfinite(float(line.get("share", 1.0))):
             raise ValueError(f"share of {name} is no number")
         cell, share = int(line.get("block", 0)), float(line.get("share", 1.0))
-        return Entry(stable(name), zone, cell, PHASES[line["health"]], share, came_up, name,
-                     self.kind(str(line.get("class", ""))))
+        return Entry(
+            stable(name),
+            zone,
+            cell,
+            PHASES[line["health"]],
+            share,
+            came_up,
+            name,
+            self.kind(str(line.get("class", ""))),
+        )
--- a/pumicepath/discovery/watch.py
+++ b/pumicepath/discovery/watch.py
@@ -26,13 +26,13 @@
 
 MOST_LIST = 4 * 1024 * 1024
 LONGEST_WAIT_MS = 20_000
-RELAYED_WAIT_MS = 3_000     # with `services`: of the 6 s in which what a silent relay misses has to be had
-DOUBTED_WAIT_MS = 1_000     # the same, while it is open whether an origin has begun anew
-SHORTEST_PART = 0.5         # of the wait: guards discovery against all sidecars' waits ending together
+RELAYED_WAIT_MS = 3_000  # with `services`: of the 6 s in which what a silent relay misses has to be had
+DOUBTED_WAIT_MS = 1_000  # the same, while it is open whether an origin has begun anew
+SHORTEST_PART = 0.5  # of the wait: guards discovery against all sidecars' waits ending together
 AT_ONCE_MS = 1
-SLACK_S = 0.4               # past a wait, of the 2 s in which the call after it has to be answered too
-ANSWER_S = 3.0              # for a call that does not wait, of the 6 s: a second one has time as well
-MOST_BACK = 3               # answers in a row that are older than the list in force, until one is believed
+SLACK_S = 0.4  # past a wait, of the 2 s in which the call after it has to be answered too
+ANSWER_S = 3.0  # for a call that does not wait, of the 6 s: a second one has time as well
+MOST_BACK = 3  # answers in a row that are older than the list in force, until one is believed
 
 
 class Overtaxed(BadList):
@@ -46,9 +46,16 @@
     None where the list comes straight from discovery.  `clock` gives microseconds.
     """
 
-    def __init__(self, roster: Roster, host: str, version: int, wait_us: int,
-                 share: Callable[[], float] = lambda: 1.0, services: Sequence[str] | None = None,
-                 clock: Callable[[], int] = lambda: monotonic_ns() // 1000) -> None:
+    def __init__(
+        self,
+        roster: Roster,
+        host: str,
+        version: int,
+        wait_us: int,
+        share: Callable[[], float] = lambda: 1.0,
+        services: Sequence[str] | None = None,
+        clock: Callable[[], int] = lambda: monotonic_ns() // 1000,
+    ) -> None:
         self.roster = roster
         self.host = host
         self.version = version
@@ -57,11 +64,11 @@
         self.services: str | None = None
         self.merging: Regions | None = None
         self.merged: Callable[[Watch, Regions, dict[str, Any]], Update]
-        self.empty = 0              # whole lists in a row that would leave nothing
-        self.doubted = True         # whether the next call is not to wait
+        self.empty = 0  # whole lists in a row that would leave nothing
+        self.doubted = True  # whether the next call is not to wait
         self.back = 0
-        self.wait_ms = 0            # of the call that is out
-        self.asked = 0              # when, by `clock`
+        self.wait_ms = 0  # of the call that is out
+        self.asked = 0  # when, by `clock`
         self.waits(wait_us)
         self.wants(services)
         self.restart()
@@ -78,6 +85,7 @@
             # Here, not at the first answer: guards that against a module that can't be opened any more.
             from ..distribution.regions import Regions
             from .relayed import merged
+
             self.merging, self.merged = Regions(), merged
 
     @property
@@ -96,8 +104,9 @@
         if self.merging is None:
             return {}
         told, kept = self.merging.told, self.merging.kept
-        return {region: kept.get(region, -1) for region in {**kept, **told}
-                if not told.get(region, (0, False))[1]}
+        return {
+            region: kept.get(region, -1) for region in {**kept, **told} if not told.get(region, (0, False))[1]
+        }
 
     def known(self) -> dict[str, Any]:
         """All that is known, for `inherit` at the process that comes after this one."""
--- a/pumicepath/distribution/held.py
+++ b/pumicepath/distribution/held.py
@@ -22,7 +22,7 @@
 
 from .interests import Interest
 
-MOST_CACHED = 2 << 20       # bytes of answers that are kept for the next that asks the same, or one answer
+MOST_CACHED = 2 << 20  # bytes of answers that are kept for the next that asks the same, or one answer
 
 
 class Line:
@@ -91,13 +91,13 @@
 class Held:
     def __init__(self, version: int, regions: Iterable[str], most_changes: int) -> None:
         self.version = version
-        self.floor = version            # versions below can't be continued from
-        self.turn = version             # of the last change of a region's being in touch
+        self.floor = version  # versions below can't be continued from
+        self.turn = version  # of the last change of a region's being in touch
         self.most_changes = most_changes
         self.regions = {name: Region() for name in regions}
         self.shown: dict[str, Line] = {}
         self.services: dict[str, Service] = {}
-        self.log: deque[tuple[int, str]] = deque()      # version and service of each entry of their logs
+        self.log: deque[tuple[int, str]] = deque()  # version and service of each entry of their logs
         self.cache: dict[tuple[str, int], tuple[bytes, bool]] = {}
         self.cached = 0
 
@@ -141,8 +141,9 @@
         before = self.shown.get(host)
         after = None if before is None else self.regions[before.region].lines.get(host)
         if after is None:
-            after = next((region.lines[host] for region in self.regions.values() if host in region.lines),
-                         None)
+            after = next(
+                (region.lines[host] for region in self.regions.values() if host in region.lines), None
+            )
         if after is before:
             return False
         for service in dict.fromkeys(line.service for line in (before, after) if line is not None):
@@ -215,8 +216,11 @@
         whole = not self.continues(since)
         if whole:
             plain = interest.plain
-            lines = [line.plain() if plain else line.text
-                     for kept in self.of(interest) for line in kept.lines.values()]
+            lines = [
+                line.plain() if plain else line.text
+                for kept in self.of(interest)
+                for line in kept.lines.values()
+            ]
         else:
             lines = self.changes(interest, since)
         told = self.written(interest, whole, lines), whole
@@ -253,8 +257,16 @@
     def written(self, interest: Interest, whole: bool, lines: list[bytes]) -> bytes:
         regions = b""
         if not interest.plain:
-            regions = b',"regions":' + orjson.dumps({
-                name: {"seq": region.seq, "live": region.live}
-                for name, region in self.regions.items() if region.seq >= 0})
+            regions = b',"regions":' + orjson.dumps(
+                {
+                    name: {"seq": region.seq, "live": region.live}
+                    for name, region in self.regions.items()
+                    if region.seq >= 0
+                }
+            )
         return b'{"seq":%d,"whole":%b%b,"hosts":[%b]}' % (
-            self.version, b"true" if whole else b"false", regions, b",".join(lines))
+            self.version,
+            b"true" if whole else b"false",
+            regions,
+            b",".join(lines),
+        )
--- a/pumicepath/distribution/homes.py
+++ b/pumicepath/distribution/homes.py
@@ -14,15 +14,15 @@
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
 
-FIRST_US = 500_000          # within which followers of a relay that has failed go elsewhere
+FIRST_US = 500_000  # within which followers of a relay that has failed go elsewhere
 # Between two failures in a row.  Guards the 6 s after which a change counts as told, once a relay can be
 # reached again: this wait, a dial and an answer have to fit.
 LONGEST_US = 4_000_000
-HOME_US = 60_000_000        # away from the first, until it is tried again; drawn, from half to 1.5 times
-LOOK_US = 10_000_000        # with a region out of touch, until the next is looked at; drawn from half to all
-SOONER = 20                 # where none is in touch: the relay itself may be what is cut off
-RARELY_US = 300_000_000     # what both are doubled to where that was in vain
-WELL_US = 60_000_000        # with all regions in touch, until looking begins anew with the shortest wait
+HOME_US = 60_000_000  # away from the first, until it is tried again; drawn, from half to 1.5 times
+LOOK_US = 10_000_000  # with a region out of touch, until the next is looked at; drawn from half to all
+SOONER = 20  # where none is in touch: the relay itself may be what is cut off
+RARELY_US = 300_000_000  # what both are doubled to where that was in vain
+WELL_US = 60_000_000  # with all regions in touch, until looking begins anew with the shortest wait
 
 
 def weight(relay: str, name: str) -> int:
@@ -40,15 +40,15 @@
         self.order = sorted(set(relays), key=lambda relay: (-weight(relay, name), relay))
         self.share = share
         self.place = 0
-        self.failures = 0           # in a row, by relays that are there
-        self.absent = 0             # in a row, by such as can't be dialled
-        self.why = ""               # of the last change of `at`
+        self.failures = 0  # in a row, by relays that are there
+        self.absent = 0  # in a row, by such as can't be dialled
+        self.why = ""  # of the last change of `at`
         self.before: tuple[int, int] | None = None  # while another is tried: the place left, its live regions
-        self.home_at = 0            # when the first is tried again; 0: it is the one followed
+        self.home_at = 0  # when the first is tried again; 0: it is the one followed
         self.home_span = HOME_US
-        self.look_at = 0            # when another is looked at; 0: all regions are in touch here
+        self.look_at = 0  # when another is looked at; 0: all regions are in touch here
         self.look_span = LOOK_US
-        self.looked = 0             # the place that was looked at last
+        self.looked = 0  # the place that was looked at last
         self.well_since = -1
 
     @property
--- a/pumicepath/distribution/interests.py
+++ b/pumicepath/distribution/interests.py
@@ -1,7 +1,7 @@
 """Which services a follower asks for, as the parameter `services` of a call names them.
 
-    interest = interest_of("cart,stock")        # raises ValueError for what names none
-    interest_of(None)                           # a call without the parameter: all, in the form without it
+interest = interest_of("cart,stock")        # raises ValueError for what names none
+interest_of(None)                           # a call without the parameter: all, in the form without it
 """
 
 from __future__ import annotations
--- a/pumicepath/distribution/origins.py
+++ b/pumicepath/distribution/origins.py
@@ -15,15 +15,15 @@
 from collections.abc import Callable
 
 LONGEST_WAIT_MS = 2000
-SHORTEST_PART = 0.5         # of the wait: guards an origin against all relays' waits ending together
+SHORTEST_PART = 0.5  # of the wait: guards an origin against all relays' waits ending together
 AT_ONCE_MS = 1
-SLACK = 400_000             # past a wait
-ANSWER = 3_000_000          # for a call that does not wait
-LIVE = LONGEST_WAIT_MS * 1000 + SLACK   # after its last answer, until a region is out of touch
-STEP = 100_000              # before the second further dial; doubled up to
+SLACK = 400_000  # past a wait
+ANSWER = 3_000_000  # for a call that does not wait
+LIVE = LONGEST_WAIT_MS * 1000 + SLACK  # after its last answer, until a region is out of touch
+STEP = 100_000  # before the second further dial; doubled up to
 LONGEST_STEP = 1_000_000
-MOST_BACK = 3               # whole lists in a row older than the one in force, until one is believed
-FAILURES = 2                # in a row, from which on a region is out of touch; silence alone is enough
+MOST_BACK = 3  # whole lists in a row older than the one in force, until one is believed
+FAILURES = 2  # in a row, from which on a region is out of touch; silence alone is enough
 HALF = 0.5
 
 
@@ -38,11 +38,11 @@
         self.region = region
         self.share = share
         self.seq = -1
-        self.doubted = True         # whether the next call is not to wait
-        self.afresh = False         # whether it asks for the whole list
+        self.doubted = True  # whether the next call is not to wait
+        self.afresh = False  # whether it asks for the whole list
         self.back = 0
         self.wait_ms = 0
-        self.failures = 0           # in a row
+        self.failures = 0  # in a row
         self.live = False
 
     def target(self) -> str:
--- a/pumicepath/distribution/pace.py
+++ b/pumicepath/distribution/pace.py
@@ -11,8 +11,8 @@
 
 from __future__ import annotations
 
-LONGEST = 2_000_000         # microseconds in the queue: the caller takes 3 s of silence for a failure
-BURST = 0.25                # seconds of the rate that may go out at once after a rest
+LONGEST = 2_000_000  # microseconds in the queue: the caller takes 3 s of silence for a failure
+BURST = 0.25  # seconds of the rate that may go out at once after a rest
 NEVER = 1 << 62
 
 
@@ -22,7 +22,7 @@
         self.burst = bytes_per_s * BURST
         self.tokens = self.burst
         self.then = 0
-        self.queue: dict[int, tuple[int, int]] = {}     # number: size, and when it came; in turn
+        self.queue: dict[int, tuple[int, int]] = {}  # number: size, and when it came; in turn
         self.queued = 0
 
     def refill(self, now: int) -> None:
--- a/pumicepath/distribution/regions.py
+++ b/pumicepath/distribution/regions.py
@@ -16,9 +16,9 @@
 # of its origin that is 2.4 s old at most (`origins.LIVE`) and a turn of its loop; what was asked later than
 # that after a newer version was held is word of an origin that has begun anew.
 BELIEVED_US = 3_000_000
-GAP_US = 4_000_000          # between two answers, past which the relay has not said so all the time
-FEWEST = 3                  # answers that say so: one may be of a relay that was stopped amid a turn
-MOST_REGIONS = 64           # bounds what odd answers can fill
+GAP_US = 4_000_000  # between two answers, past which the relay has not said so all the time
+FEWEST = 3  # answers that say so: one may be of a relay that was stopped amid a turn
+MOST_REGIONS = 64  # bounds what odd answers can fill
 
 Told = dict[str, tuple[int, bool]]  # by region: its origin's version, whether the relay is in touch with that
 
@@ -27,8 +27,8 @@
     """What is to be made of an answer."""
 
     taken: dict[str, None]  # the regions whose part counts
-    restarted: list[str]    # of these or others, those whose origin has begun anew with its versions
-    again: bool             # whether a whole list is needed for what this answer can't tell
+    restarted: list[str]  # of these or others, those whose origin has begun anew with its versions
+    again: bool  # whether a whole list is needed for what this answer can't tell
 
 
 class Older(NamedTuple):
@@ -56,12 +56,12 @@
     """What is known of each region's versions, at one sidecar."""
 
     def __init__(self) -> None:
-        self.kept: dict[str, int] = {}      # the highest version taken
-        self.told: Told = {}                # by the relay followed, in its last answer
+        self.kept: dict[str, int] = {}  # the highest version taken
+        self.told: Told = {}  # by the relay followed, in its last answer
         # Of which what is held is what the relay followed has told: changes can be put to it.
         self.joined: set[str] = set()
-        self.former: dict[str, int] = {}    # the highest version kept when the origin began anew
-        self.vouched: set[str] = set()      # taken from the relay followed while it was in touch
+        self.former: dict[str, int] = {}  # the highest version kept when the origin began anew
+        self.vouched: set[str] = set()  # taken from the relay followed while it was in touch
         self.older: dict[str, Older] = {}
 
     def moved(self) -> None:
@@ -72,8 +72,9 @@
 
     def out(self) -> int:
         """How many regions the relay followed is not in touch with, or has not heard of."""
-        return (sum(not live for _, live in self.told.values())
-                + sum(region not in self.told for region in self.kept))
+        return sum(not live for _, live in self.told.values()) + sum(
+            region not in self.told for region in self.kept
+        )
 
     def in_doubt(self) -> int | None:
         """When the next answer can tell whether an origin has begun anew; None where none is in doubt."""
@@ -134,8 +135,14 @@
         self.joined.update(judged.taken)
         self.told = told
 
-    def merge(self, judged: Judged, told: Told, whole: bool, lines: Iterable[dict[str, Any]],
-              held: Mapping[str, dict[str, Any]]) -> list[dict[str, Any]]:
+    def merge(
+        self,
+        judged: Judged,
+        told: Told,
+        whole: bool,
+        lines: Iterable[dict[str, Any]],
+        held: Mapping[str, dict[str, Any]],
+    ) -> list[dict[str, Any]]:
         """The lines that count: all that there are where `whole`, else those that have changed.
 
         Raises ValueError for lines that can't be meant, KeyError for those that lack something.
@@ -157,13 +164,16 @@
             elif line["health"] == "left" and held.get(name, line).get("region", region) != region:
                 continue
             line["region"] = intern(region)
-            line.pop("service", None)       # not needed any more: guards the memory with many servers
+            line.pop("service", None)  # not needed any more: guards the memory with many servers
             fresh[name] = line
         if not whole:
             return list(fresh.values())
         # What a whole list does not speak of stays.  Lines of no region are of the list of the start.
-        stays = {name: line for name, line in held.items()
-                 if line.get("region") and line["region"] not in judged.taken}
+        stays = {
+            name: line
+            for name, line in held.items()
+            if line.get("region") and line["region"] not in judged.taken
+        }
         return list({**stays, **fresh}.values())
 
 
--- a/pumicepath/distribution/subscriptions.py
+++ b/pumicepath/distribution/subscriptions.py
@@ -18,7 +18,7 @@
 
 from .interests import Interest
 
-SPREAD = 1_000_000          # over which all are told what concerns all: guards against one burst of answers
+SPREAD = 1_000_000  # over which all are told what concerns all: guards against one burst of answers
 NEVER = 1 << 62
 
 
@@ -41,9 +41,9 @@
         self.by_service: dict[str, dict[str, Group]] = {}
         self.every: dict[str, Group] = {}
         self.of: dict[int, Group] = {}
-        self.until: dict[int, int] = {}                 # ends of waits of those that wait
-        self.ends: list[tuple[int, int]] = []           # a heap; those that no longer hold are passed over
-        self.marked: dict[int, int] = {}                # due with the batch, and the version each has
+        self.until: dict[int, int] = {}  # ends of waits of those that wait
+        self.ends: list[tuple[int, int]] = []  # a heap; those that no longer hold are passed over
+        self.marked: dict[int, int] = {}  # due with the batch, and the version each has
         self.flush_at = NEVER
         self.ready: deque[tuple[int, int]] = deque()
 
@@ -146,7 +146,7 @@
             return 0
         at = self.flush_at if self.marked else NEVER
         while self.ends and self.until.get(self.ends[0][1]) != self.ends[0][0]:
-            heapq.heappop(self.ends)    # it was told before
+            heapq.heappop(self.ends)  # it was told before
         return min(at, self.ends[0][0]) if self.ends else at
 
     def waiting(self) -> int:
--- a/pumicepath/fleet/duties.py
+++ b/pumicepath/fleet/duties.py
@@ -20,10 +20,10 @@
 from .leases import Answer, Verdict, held_for, named
 from .messages import batches
 
-RENEW_AT = 3                # of a lease's time: renewed after a third, so that two renewals may be lost
-OF_GRANT = 30               # bytes of an answer besides the name; a claim takes fewer
-OWN_BITS = 16               # of a number, by which lives differ
-WALL = (1 << 45) - 1        # milliseconds that fit above them, for a thousand years
+RENEW_AT = 3  # of a lease's time: renewed after a third, so that two renewals may be lost
+OF_GRANT = 30  # bytes of an answer besides the name; a claim takes fewer
+OWN_BITS = 16  # of a number, by which lives differ
+WALL = (1 << 45) - 1  # milliseconds that fit above them, for a thousand years
 
 
 class Claim(NamedTuple):
@@ -59,19 +59,29 @@
 class Duty:
     """One duty as this sidecar stands to it."""
 
-    __slots__ = ("name", "number", "until", "asked_at", "round", "granted", "refused", "next", "highest",
-                 "wanted")
+    __slots__ = (
+        "name",
+        "number",
+        "until",
+        "asked_at",
+        "round",
+        "granted",
+        "refused",
+        "next",
+        "highest",
+        "wanted",
+    )
 
     def __init__(self, name: str, now: int) -> None:
         self.name = name
-        self.number = 0             # that this sidecar claims or holds it under
-        self.until = 0              # held until then, as far as this sidecar may count on it
+        self.number = 0  # that this sidecar claims or holds it under
+        self.until = 0  # held until then, as far as this sidecar may count on it
         self.asked_at = 0
         self.round = 0
         self.granted: set[str] = set()
         self.refused: set[str] = set()
-        self.next = now             # when to claim or renew next
-        self.highest = 0            # number heard of
+        self.next = now  # when to claim or renew next
+        self.highest = 0  # number heard of
         self.wanted = True
 
 
@@ -159,10 +169,10 @@
         one.highest = max(one.highest, answer.highest)
         if answer.verdict == Verdict.FREE:
             if not one.until and not one.round:
-                one.next = now      # given up: no need to wait for what was the end of its lease
+                one.next = now  # given up: no need to wait for what was the end of its lease
             return
         if one.round != round_ or not round_ or one.number != number or voter not in self.given.voters():
-            return              # of an earlier round, whose grants count for nothing
+            return  # of an earlier round, whose grants count for nothing
         if answer.verdict == Verdict.GRANTED:
             one.granted.add(voter)
             if self.won(one):
--- a/pumicepath/fleet/fellow.py
+++ b/pumicepath/fleet/fellow.py
@@ -18,8 +18,8 @@
 from .settings import PeerSettings, Voting
 from .trials import Trials
 
-LATE_PART = 4               # of a lease: who wakes so late is not fit to hold anything
-OF_VERDICT = 24             # bytes of one besides the name
+LATE_PART = 4  # of a lease: who wakes so late is not fit to hold anything
+OF_VERDICT = 24  # bytes of one besides the name
 LEFT_BY = "taken away by hand"
 
 
@@ -40,7 +40,7 @@
         self.trials: Trials | None = None
         # Of each duty granted here, who was refused it and has the highest rank: told when it is free.
         self.waiting: dict[str, tuple[bytes, str]] = {}
-        self.own: list[Claims] = []     # what this sidecar says to the voter that it is itself
+        self.own: list[Claims] = []  # what this sidecar says to the voter that it is itself
         self.ending = False
         self.late_at = 0
         self.expected = 0
@@ -48,8 +48,12 @@
 
     def adopt(self, now: int, voting: Voting | None) -> None:
         """What the file says of duties, at the start or later."""
-        if self.voting is not None and voting != self.voting and self.duties is not None and (
-                voting is None or not voting.trials):
+        if (
+            self.voting is not None
+            and voting != self.voting
+            and self.duties is not None
+            and (voting is None or not voting.trials)
+        ):
             self.duties.resign_all(now, list(self.duties.duties.values()), "the file says so")
             self.trials = None
             self.duties.want(now, [])
@@ -114,8 +118,11 @@
         verdicts = list(own.told_on(now))
         if not verdicts:
             return
-        zone = [one.record.address for one in self.membership.roll
-                if one.record.state == ALIVE and one.record.zone == self.me.zone]
+        zone = [
+            one.record.address
+            for one in self.membership.roll
+            if one.record.state == ALIVE and one.record.zone == self.me.zone
+        ]
         count = min(len(zone), trials.audience(len(zone)))
         some = own.chance.sample(zone, count)
         for batch in messages.batches(verdicts, lambda one: one.server, OF_VERDICT):
@@ -148,8 +155,9 @@
                 if voter.released(one.duty, message.sender.born, one.number):
                     self.free(now, one.duty, voter.highest.get(one.duty, 0))
                 continue
-            told = voter.asked(now, one.duty, message.sender.born, one.number, message.lease,
-                               frozenset(message.sets))
+            told = voter.asked(
+                now, one.duty, message.sender.born, one.number, message.lease, frozenset(message.sets)
+            )
             if told.verdict == Verdict.GRANTED:
                 if self.waiting.get(one.duty, (b"", ""))[1] == message.sender.address:
                     del self.waiting[one.duty]
@@ -166,8 +174,9 @@
     def free(self, now: int, duty: str, highest: int) -> None:
         """Tell the first of those that were refused: guards a duty that was given up against lying idle."""
         _, address = self.waiting.pop(duty, (b"", ""))
-        told = Grants(self.membership.me, self.membership.digest(), 0, [
-            Granted(duty, 0, Verdict.FREE, 0, highest)])
+        told = Grants(
+            self.membership.me, self.membership.digest(), 0, [Granted(duty, 0, Verdict.FREE, 0, highest)]
+        )
         if address == self.me.address:
             self.granted(now, told)
         elif address:
@@ -176,8 +185,14 @@
     def granted(self, now: int, message: Grants) -> None:
         if self.duties is not None:
             for each in message.grants:
-                self.duties.answered(now, message.sender.address, message.round, each.duty, each.number,
-                                     Answer(Verdict(each.verdict), each.wait, each.highest))
+                self.duties.answered(
+                    now,
+                    message.sender.address,
+                    message.round,
+                    each.duty,
+                    each.number,
+                    Answer(Verdict(each.verdict), each.wait, each.highest),
+                )
 
     def hear_itself(self, now: int) -> None:
         """What was said to the voter that this sidecar is itself, without the socket."""
@@ -191,8 +206,14 @@
     def claim(self, voter: str, round_: int, claims: Sequence[Claim]) -> None:
         assert self.voting is not None and self.duties is not None
         told = [Claimed(one.duty, one.number, one.release) for one in claims]
-        message = Claims(self.membership.me, self.membership.digest(), round_, self.voting.lease,
-                         sorted(self.duties.given.names()), told)
+        message = Claims(
+            self.membership.me,
+            self.membership.digest(),
+            round_,
+            self.voting.lease,
+            sorted(self.duties.given.names()),
+            told,
+        )
         if voter == self.me.address:
             self.own.append(message)
         else:
--- a/pumicepath/fleet/leases.py
+++ b/pumicepath/fleet/leases.py
@@ -19,11 +19,11 @@
 
 class Verdict(IntEnum):
     GRANTED = 0
-    TAKEN = 1           # by another life, for a while
-    LOW = 2             # a number as high has been granted before
-    SILENT = 3          # this voter may have granted what it no longer knows
-    UNFIT = 4           # other voters are meant, a lease too long, or no room
-    FREE = 5            # no answer to a claim: it was given up just now, so claim it
+    TAKEN = 1  # by another life, for a while
+    LOW = 2  # a number as high has been granted before
+    SILENT = 3  # this voter may have granted what it no longer knows
+    UNFIT = 4  # other voters are meant, a lease too long, or no room
+    FREE = 5  # no answer to a claim: it was given up just now, so claim it
 
 
 class Answer(NamedTuple):
@@ -75,14 +75,15 @@
         self.most = most
         self.grants: dict[str, Grant] = {}
         self.highest: dict[str, int] = {}
-        self.floor = 0                      # the highest number of duties that were forgotten for room
+        self.floor = 0  # the highest number of duties that were forgotten for room
 
     def adopt(self, sets: Sequence[int]) -> None:
         """Another file; grants stand as they are."""
         self.sets = frozenset(sets)
 
-    def asked(self, now: int, duty: str, holder: int, number: int, lease: int,
-              sets: frozenset[int]) -> Answer:
+    def asked(
+        self, now: int, duty: str, holder: int, number: int, lease: int, sets: frozenset[int]
+    ) -> Answer:
         """A claim, or a renewal under the number that the holder has."""
         if now < self.silent_until:
             return Answer(Verdict.SILENT, self.silent_until - now, 0)
@@ -100,7 +101,7 @@
             return Answer(Verdict.LOW, 0, highest)
         until = now + lease
         if same and grant is not None:
-            until = max(until, grant.until)     # an old claim that comes late shortens nothing
+            until = max(until, grant.until)  # an old claim that comes late shortens nothing
         self.grants[duty] = Grant(holder, number, until)
         self.highest[duty] = number
         return Answer(Verdict.GRANTED, 0, number)
@@ -115,8 +116,11 @@
 
     def granted(self, now: int) -> list[tuple[str, int, int, int]]:
         """Duty, holder, number and microseconds left of what is granted."""
-        return [(duty, one.holder, one.number, one.until - now) for duty, one in self.grants.items()
-                if now < one.until]
+        return [
+            (duty, one.holder, one.number, one.until - now)
+            for duty, one in self.grants.items()
+            if now < one.until
+        ]
 
     def forget(self, now: int) -> bool:
         """Room for another duty: that of one whose grant has ended; its number then holds for all."""
--- a/pumicepath/fleet/membership.py
+++ b/pumicepath/fleet/membership.py
@@ -20,21 +20,21 @@
 from .roll import Member, Roll, mark
 from .settings import PeerSettings
 
-HELPERS = 3                 # asked to try a peer that did not answer (SWIM's k)
-CONFIRMED = 3               # suspicions of others after which a suspicion is at its shortest (Lifeguard's K)
-SHORTEST, STRETCH = 4, 6    # of a suspicion: periods times the fleet's magnitude, and how much longer alone
-SICKEST = 8                 # how slow a sidecar may take itself to be
-TELLINGS = 5                # times a period that news goes out by itself, to
-TOLD_AT_ONCE = 2            # others
-DEAF = 3                    # periods without a word of anybody, who probes and is probed in each
-RETRY_DEAD = 5              # periods between two tries of one that is thought dead
-RETRY_SEED = 10             # periods between two tries of a seed that is not among those known
-COMPARE = 5                 # periods between two comparisons of whole views
-KEEP_DEAD = 600             # periods that a dead one's record is kept
-ASKED_AT_ONCE = 64          # pings on behalf of others
-PAGES = 100                 # pages given out a period, so that a restart of all is no flood
-TIMES_LEFT = 8              # others that a goodbye goes to
-RECENT = 30                 # periods within which somebody heard counts as seen
+HELPERS = 3  # asked to try a peer that did not answer (SWIM's k)
+CONFIRMED = 3  # suspicions of others after which a suspicion is at its shortest (Lifeguard's K)
+SHORTEST, STRETCH = 4, 6  # of a suspicion: periods times the fleet's magnitude, and how much longer alone
+SICKEST = 8  # how slow a sidecar may take itself to be
+TELLINGS = 5  # times a period that news goes out by itself, to
+TOLD_AT_ONCE = 2  # others
+DEAF = 3  # periods without a word of anybody, who probes and is probed in each
+RETRY_DEAD = 5  # periods between two tries of one that is thought dead
+RETRY_SEED = 10  # periods between two tries of a seed that is not among those known
+COMPARE = 5  # periods between two comparisons of whole views
+KEEP_DEAD = 600  # periods that a dead one's record is kept
+ASKED_AT_ONCE = 64  # pings on behalf of others
+PAGES = 100  # pages given out a period, so that a restart of all is no flood
+TIMES_LEFT = 8  # others that a goodbye goes to
+RECENT = 30  # periods within which somebody heard counts as seen
 MOST_INCARNATIONS = 1 << 31  # past which a life that was lied about begins anew
 
 
@@ -98,38 +98,50 @@
         self.roll = Roll(settings.most, self.chance)
         self.news = NewsList(self.roll)
         self.mark = mark(me)
-        self.sick = 0                   # how slow this sidecar takes itself to be
+        self.sick = 0  # how slow this sidecar takes itself to be
         self.numbers = 0
         self.probe: Probe | None = None
         self.next_probe = now + self.jitter(settings.every)
         self.probe_step = self.next_probe
-        self.next_telling = 0           # 0: there is nothing to tell
+        self.next_telling = 0  # 0: there is nothing to tell
         self.next_dead = self.next_seed = now
         self.compared = now - COMPARE * settings.every
-        self.doubts: list[tuple[int, int, int]] = []    # until when, of whom, which suspicion
-        self.asked: dict[int, tuple[str, int, int]] = {}    # for others: to whom, its number, until when
-        self.others: dict[int, int] = {}                # other lives of this one's name, since when
-        self.last_heard = now                           # when anything at all came last
-        self.reborn = 0                                 # when a life was begun anew that was lied about
+        self.doubts: list[tuple[int, int, int]] = []  # until when, of whom, which suspicion
+        self.asked: dict[int, tuple[str, int, int]] = {}  # for others: to whom, its number, until when
+        self.others: dict[int, int] = {}  # other lives of this one's name, since when
+        self.last_heard = now  # when anything at all came last
+        self.reborn = 0  # when a life was begun anew that was lied about
         self.paged_from = now
         self.pages = 0
         self.began = now
-        self.joining = True             # until its view is that of another
+        self.joining = True  # until its view is that of another
         self.gone = self.silent = False
         self.expected = now
 
     # -- what others ask of it
 
     def members(self, now: int) -> list[Seen]:
-        return [Seen(one.record.name, one.record.born, one.record.address, one.record.zone, one.record.state,
-                     one.record.incarnation, now - one.since, now - one.heard if one.heard else -1, one.by)
-                for one in self.roll]
+        return [
+            Seen(
+                one.record.name,
+                one.record.born,
+                one.record.address,
+                one.record.zone,
+                one.record.state,
+                one.record.incarnation,
+                now - one.since,
+                now - one.heard if one.heard else -1,
+                one.by,
+            )
+            for one in self.roll
+        ]
 
     def bounds(self, now: int) -> Bounds:
         counts, since = self.roll.counts, now - RECENT * self.settings.every
         likely = 1 + counts[ALIVE] + counts[SUSPECTED]
-        least = 1 + sum(one.heard > max(0, since) and one.record.state in (ALIVE, SUSPECTED)
-                        for one in self.roll)
+        least = 1 + sum(
+            one.heard > max(0, since) and one.record.state in (ALIVE, SUSPECTED) for one in self.roll
+        )
         return Bounds(least, likely, likely + counts[DEAD])
 
     def digest(self) -> int:
@@ -191,8 +203,10 @@
             self.probe_step = probe.until
             whom = probe.member.record
             for helper in self.roll.pick(HELPERS, (whom.born,)):
-                self.post(helper, Reach(self.me, self.digest(), probe.number, whom.born, whom.address,
-                                        self.take_news()))
+                self.post(
+                    helper,
+                    Reach(self.me, self.digest(), probe.number, whom.born, whom.address, self.take_news()),
+                )
             if now < probe.until:
                 return
         if probe is not None:
@@ -219,9 +233,10 @@
         self.ping(member.record, self.numbers)
 
     def ping(self, record: Record, number: int) -> None:
-        doubted = (record.born,) if record.state in (SUSPECTED, DEAD) else ()   # it hears of that first
-        self.outlet.post(record.address, Ping(self.me, self.digest(), number, record.born,
-                                              self.take_news(doubted)))
+        doubted = (record.born,) if record.state in (SUSPECTED, DEAD) else ()  # it hears of that first
+        self.outlet.post(
+            record.address, Ping(self.me, self.digest(), number, record.born, self.take_news(doubted))
+        )
 
     def unanswered(self, now: int, probe: Probe) -> None:
         """Nobody had an answer of it in a whole period; if nobody had a word for us, we may be the sick one.
@@ -269,8 +284,11 @@
         """Until somebody is known all seeds in turn and soon, then now and then one that is not known."""
         known = bool(self.roll.ring)
         unknown = [seed for seed in self.settings.seeds if seed != self.me.address and not self.present(seed)]
-        self.next_seed = now + (RETRY_SEED * self.settings.every if known else
-                                self.settings.every // 2 + self.jitter(self.settings.every // 2))
+        self.next_seed = now + (
+            RETRY_SEED * self.settings.every
+            if known
+            else self.settings.every // 2 + self.jitter(self.settings.every // 2)
+        )
         for seed in self.chance.sample(unknown, min(len(unknown), 1 if known else HELPERS)):
             self.numbers += 1
             self.outlet.post(seed, Ping(self.me, self.digest(), self.numbers, 0, self.take_news()))
@@ -338,8 +356,9 @@
         doubted = (sender.born,) if member is not None and member.record.state in (SUSPECTED, DEAD) else ()
         match message:
             case Ping():
-                self.outlet.post(address, Ack(self.me, self.digest(), message.number,
-                                              self.take_news(doubted)))
+                self.outlet.post(
+                    address, Ack(self.me, self.digest(), message.number, self.take_news(doubted))
+                )
             case Reach():
                 self.ask_for(now, address, message)
             case Ack():
@@ -368,7 +387,7 @@
             if address == sender.address:
                 before = self.roll.members.get(self.roll.places.get(address, 0))
                 if member.record.state in (DEAD, LEFT):
-                    return member       # a late word of a life that is over proves nothing of who is there
+                    return member  # a late word of a life that is over proves nothing of who is there
                 if before is not None and before is not member:
                     self.replaced(now, before, sender)
                 self.roll.places[address] = sender.born
@@ -381,7 +400,7 @@
         member = self.roll.members.get(record.born)
         if member is None:
             if record.state in (DEAD, LEFT):
-                return      # a dead one that is new here would be remembered, and told of, without end
+                return  # a dead one that is new here would be remembered, and told of, without end
             member = self.roll.add(record, now, by)
             if member is not None:
                 self.tell(now, record.born)
@@ -390,8 +409,10 @@
                     self.doubt(now, member, record.by)
         elif self.roll.newer(member, record):
             self.accept(now, member, record, by)
-        elif record.state == SUSPECTED == member.record.state \
-                and record.incarnation == member.record.incarnation:
+        elif (
+            record.state == SUSPECTED == member.record.state
+            and record.incarnation == member.record.incarnation
+        ):
             self.doubt(now, member, record.by)
 
     def accept(self, now: int, member: Member, record: Record, by: str) -> None:
@@ -435,7 +456,7 @@
         """Guards whoever reads logs: two processes with one name, for longer than a restart takes."""
         for born, since in self.others.items():
             if since and now - since > RECENT * self.settings.every:
-                self.others[born] = 0           # said once
+                self.others[born] = 0  # said once
                 self.outlet.twice(self.roll.members[born].record)
 
     # -- for others
@@ -464,7 +485,7 @@
     def compare(self, now: int, address: str) -> None:
         """Views differ though there is nothing new: ask for the whole of theirs, a page at a time."""
         if now - self.began > RECENT * self.settings.every:
-            self.joining = False        # in a fleet that always changes no two views may be the same
+            self.joining = False  # in a fleet that always changes no two views may be the same
         wait = 1 if self.joining else COMPARE if not len(self.news) else 2 * COMPARE
         if now - self.compared >= wait * self.settings.every:
             self.compared = now
--- a/pumicepath/fleet/messages.py
+++ b/pumicepath/fleet/messages.py
@@ -17,9 +17,9 @@
 from .settings import LONGEST_NAME
 
 VERSION = 1
-LONGEST = 1400              # bytes of a datagram: whole on a way with an MTU of 1,500
+LONGEST = 1400  # bytes of a datagram: whole on a way with an MTU of 1,500
 HEAD = 5
-ROOM = 1150                 # bytes of a datagram behind the sender's own record, with the longest names
+ROOM = 1150  # bytes of a datagram behind the sender's own record, with the longest names
 OF_BATCH = 24
 ALIVE, SUSPECTED, DEAD, LEFT = range(4)
 STATES = ("alive", "suspected", "dead", "left")
@@ -117,7 +117,7 @@
 class Granted(msgspec.Struct, array_like=True, frozen=True):
     duty: Name
     number: Id
-    verdict: Annotated[int, Meta(ge=0, le=5)]       # of `leases.Verdict`
+    verdict: Annotated[int, Meta(ge=0, le=5)]  # of `leases.Verdict`
     wait: Count
     highest: Id
 
--- a/pumicepath/fleet/news.py
+++ b/pumicepath/fleet/news.py
@@ -14,13 +14,13 @@
 from .roll import Roll
 
 TIMES = 4
-OF_NEWS = 900               # bytes of a message beside what it is for
+OF_NEWS = 900  # bytes of a message beside what it is for
 
 
 class NewsList:
     def __init__(self, roll: Roll) -> None:
         self.roll = roll
-        self.told: list[deque[tuple[int, int]]] = []    # by how often: the life, and which of its changes
+        self.told: list[deque[tuple[int, int]]] = []  # by how often: the life, and which of its changes
         self.latest: dict[int, int] = {}
         self.changes = 0
 
@@ -48,12 +48,12 @@
             while waiting and room > 0:
                 born, change = waiting.popleft()
                 if self.latest.get(born) != change:
-                    continue                    # a later change of it is on the list
+                    continue  # a later change of it is on the list
                 member = self.roll.members.get(born)
                 if member is None and born != mine:
                     del self.latest[born]
                     continue
-                if member is not None and born not in first:    # one's own record is on each message
+                if member is not None and born not in first:  # one's own record is on each message
                     room -= member.size
                     if room < 0:
                         waiting.appendleft((born, change))
--- a/pumicepath/fleet/roll.py
+++ b/pumicepath/fleet/roll.py
@@ -13,7 +13,7 @@
 from .messages import ALIVE, DEAD, LEFT, SUSPECTED, Record, size
 
 MASK = (1 << 63) - 1
-OF_PAGE = 1100              # bytes of records in a message
+OF_PAGE = 1100  # bytes of records in a message
 
 
 class Member:
@@ -24,10 +24,10 @@
     def __init__(self, record: Record, now: int, by: str) -> None:
         self.record = record
         self.size = size(record)
-        self.since = now            # in its present state
-        self.heard = 0              # when something of its own came from it last
-        self.by = by                # who told of it last; "" if itself
-        self.doubted = 0            # which suspicion of it this is
+        self.since = now  # in its present state
+        self.heard = 0  # when something of its own came from it last
+        self.by = by  # who told of it last; "" if itself
+        self.doubted = 0  # which suspicion of it this is
         self.accusers: tuple[int, ...] = ()
 
 
@@ -43,11 +43,11 @@
         self.most = most
         self.chance = chance
         self.members: dict[int, Member] = {}
-        self.order: list[int] = []          # all lives by number, for pages
-        self.ring: list[int] = []           # those thought to be there, in the order in which they are probed
+        self.order: list[int] = []  # all lives by number, for pages
+        self.ring: list[int] = []  # those thought to be there, in the order in which they are probed
         self.at = 0
-        self.dead: list[int] = []           # those thought dead, the longest first
-        self.places: dict[str, int] = {}    # the life that answered at an address last
+        self.dead: list[int] = []  # those thought dead, the longest first
+        self.places: dict[str, int] = {}  # the life that answered at an address last
         self.counts = [0, 0, 0, 0]
         self.digest = 0
         self.refused = 0
@@ -118,7 +118,7 @@
         """Whether a record goes before what is held (Das et al. 2002, section 4.2; as memberlist has it)."""
         held = member.record
         if held.state == LEFT or record.state == LEFT:
-            return held.state != LEFT           # its own last word, for good
+            return held.state != LEFT  # its own last word, for good
         if record.state == ALIVE:
             return record.incarnation > held.incarnation
         if record.state == SUSPECTED and held.state != ALIVE:
--- a/pumicepath/fleet/settings.py
+++ b/pumicepath/fleet/settings.py
@@ -9,14 +9,20 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-LONGEST_NAME = 64           # bytes of names in messages
+LONGEST_NAME = 64  # bytes of names in messages
 MOST_SEEDS = 16
-TIMEOUT_PART = 0.3          # of the period, where the file has no time-out
+TIMEOUT_PART = 0.3  # of the period, where the file has no time-out
 KEYS = ("listen", "seeds", "advertise", "fleet", "everyS", "timeoutS", "most")
 OF_DUTIES = ("voters", "votersBefore", "leaseS", "longestS", "drift", "trials")
 ENVIRONMENT = {"listen": "GW_PEERS_LISTEN", "seeds": "GW_PEERS_SEEDS", "advertise": "GW_PEERS_ADVERTISE"}
-RANGES = {"everyS": (0.05, 60.0), "timeoutS": (0.01, 30.0), "most": (1, 20_000), "leaseS": (0.5, 60.0),
-          "longestS": (0.5, 300.0), "drift": (0.0, 0.1)}
+RANGES = {
+    "everyS": (0.05, 60.0),
+    "timeoutS": (0.01, 30.0),
+    "most": (1, 20_000),
+    "leaseS": (0.5, 60.0),
+    "longestS": (0.5, 300.0),
+    "drift": (0.0, 0.1),
+}
 VOTERS = (1, 3, 5)
 
 
@@ -85,15 +91,26 @@
         raise ValueError(f"peers.fleet: {fleet!r} is no name of at most {LONGEST_NAME} bytes")
     for key, (least, most) in RANGES.items():
         value = given.get(key, least)
-        if isinstance(value, bool) or not isinstance(value, type(least) if key == "most" else (int, float)) \
-                or not least <= value <= most:
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, type(least) if key == "most" else (int, float))
+            or not least <= value <= most
+        ):
             raise ValueError(f"peers.{key}: {value!r} is not from {least} to {most}")
     every = float(given.get("everyS", 1.0))
     timeout = float(given.get("timeoutS", every * TIMEOUT_PART))
     if 2 * timeout > every:
         raise ValueError(f"peers.timeoutS: {timeout:g} is over half of everyS: no time is left to ask others")
-    return PeerSettings(listen, tuple(seeds), advertise, fleet, round(every * 1e6), round(timeout * 1e6),
-                        given.get("most", PeerSettings.most), voting(given))
+    return PeerSettings(
+        listen,
+        tuple(seeds),
+        advertise,
+        fleet,
+        round(every * 1e6),
+        round(timeout * 1e6),
+        given.get("most", PeerSettings.most),
+        voting(given),
+    )
 
 
 def voting(given: Mapping[str, Any]) -> Voting | None:
@@ -126,8 +143,11 @@
     """An address by numbers: names are not looked up, as that may take longer than a probe."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     parts = host.split(".")
-    if len(parts) != 4 or not all(part.isascii() and part.isdigit() and int(part) < 256 for part in parts) \
-            or not (port.isascii() and port.isdigit() and int(port) < 65536):
+    if (
+        len(parts) != 4
+        or not all(part.isascii() and part.isdigit() and int(part) < 256 for part in parts)
+        or not (port.isascii() and port.isdigit() and int(port) < 65536)
+    ):
         raise ValueError(f"{key}: {text!r} is no IPv4 address with a port")
     return str(text)
 
--- a/pumicepath/fleet/trials.py
+++ b/pumicepath/fleet/trials.py
@@ -20,15 +20,15 @@
 from .messages import Verdict
 
 PREFIX = "trial"
-LONGEST_DUTY = 64           # bytes of a duty's name; servers with longer ones are tried by each sidecar
-LONGEST_WAIT = 30_000_000   # that others may ask for at once
-OWN_EYES = 60_000_000       # after its own last verdict, that a sidecar lets itself be put off,
-DOUBLED = 4                 # twice as long each time that its own trial has failed, as often as this
-KEPT = 120_000_000          # a breaker that nothing is heard of any more, nor any word of it
-NEWEST = 4096               # servers whose last word is known
-HIGHEST = (1 << 63) - 1     # version,
-OWN = (1 << OWN_BITS) - 1   # of which these tell whose life's word it is
-APART = 100_000             # between two tellings: what comes within goes out together
+LONGEST_DUTY = 64  # bytes of a duty's name; servers with longer ones are tried by each sidecar
+LONGEST_WAIT = 30_000_000  # that others may ask for at once
+OWN_EYES = 60_000_000  # after its own last verdict, that a sidecar lets itself be put off,
+DOUBLED = 4  # twice as long each time that its own trial has failed, as often as this
+KEPT = 120_000_000  # a breaker that nothing is heard of any more, nor any word of it
+NEWEST = 4096  # servers whose last word is known
+HIGHEST = (1 << 63) - 1  # version,
+OWN = (1 << OWN_BITS) - 1  # of which these tell whose life's word it is
+APART = 100_000  # between two tellings: what comes within goes out together
 
 
 class Outlet(Protocol):
@@ -39,21 +39,32 @@
 class Open:
     """A server whose breaker is open here."""
 
-    __slots__ = ("cooldown", "until", "claim_at", "opened", "failed", "claims", "said", "since", "last",
-                 "by", "free")
+    __slots__ = (
+        "cooldown",
+        "until",
+        "claim_at",
+        "opened",
+        "failed",
+        "claims",
+        "said",
+        "since",
+        "last",
+        "by",
+        "free",
+    )
 
     def __init__(self, now: int) -> None:
         self.cooldown = 0
-        self.until = 0          # when the own trial may begin
+        self.until = 0  # when the own trial may begin
         self.claim_at = 0
-        self.opened = now       # by this sidecar's own eyes
-        self.failed = -1        # trials of its own, one after the other
-        self.claims = False     # whether it sends there often enough to find out for others
-        self.said = 0           # the number of the duty that others have been told of
-        self.since = 0          # when the duty came
+        self.opened = now  # by this sidecar's own eyes
+        self.failed = -1  # trials of its own, one after the other
+        self.claims = False  # whether it sends there often enough to find out for others
+        self.said = 0  # the number of the duty that others have been told of
+        self.since = 0  # when the duty came
         self.last = now
-        self.by = -1            # which life's word put the trial off last
-        self.free = False       # another was served: this sidecar's own trial is next, whatever is said since
+        self.by = -1  # which life's word put the trial off last
+        self.free = False  # another was served: this sidecar's own trial is next, whatever is said since
 
 
 class Trials:
@@ -63,11 +74,11 @@
         self.chance = Random(seed)
         self.outlet = outlet
         self.open: dict[str, Open] = {}
-        self.newest: dict[str, tuple[int, int]] = {}        # version, and when it was heard
-        self.fresh: dict[str, Verdict] = {}                 # to be told on
+        self.newest: dict[str, tuple[int, int]] = {}  # version, and when it was heard
+        self.fresh: dict[str, Verdict] = {}  # to be told on
         self.tell_at = 0
         self.looked_at = 0
-        self.wall = (0, 0)                  # the wall clock's milliseconds, and when it was read
+        self.wall = (0, 0)  # the wall clock's milliseconds, and when it was read
 
     def duty(self, server: str) -> str:
         return f"{PREFIX} {self.zone} {server}"
@@ -120,7 +131,7 @@
         server = verdict.server
         newest = self.newest.get(server)
         if newest is not None and now - newest[1] < KEPT and verdict.version <= newest[0]:
-            return              # older than what is known, or the same once more
+            return  # older than what is known, or the same once more
         self.note(now, verdict)
         one = self.open.get(server)
         if one is None:
@@ -175,14 +186,20 @@
                 self.duties.resign(now, self.duty(server), "no verdict in time")
 
     def wanted(self, now: int) -> list[str]:
-        return [self.duty(server) for server, one in self.open.items()
-                if one.claims and now >= one.claim_at and self.shared(server)]
+        return [
+            self.duty(server)
+            for server, one in self.open.items()
+            if one.claims and now >= one.claim_at and self.shared(server)
+        ]
 
     def turns(self, now: int) -> dict[str, int]:
         """The servers that are this sidecar's to try, and until when."""
         held = {duty: left for duty, _, left in self.duties.held(now)}
-        return {server: now + held.get(self.duty(server), KEPT) for server in self.open
-                if self.duty(server) in held or not self.shared(server)}
+        return {
+            server: now + held.get(self.duty(server), KEPT)
+            for server in self.open
+            if self.duty(server) in held or not self.shared(server)
+        }
 
     def told_on(self, now: int) -> Iterator[Verdict]:
         """What goes to some others of the zone now: each word once from each sidecar."""
--- a/pumicepath/http1/messages.py
+++ b/pumicepath/http1/messages.py
@@ -5,10 +5,21 @@
 from dataclasses import dataclass, field
 
 # What concerns one connection only and must not be passed on (RFC 9110, 7.6.1).
-HOP_BY_HOP = frozenset((
-    "connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te",
-    "trailer", "transfer-encoding", "upgrade", "content-length", "expect",
-))
+HOP_BY_HOP = frozenset(
+    (
+        "connection",
+        "keep-alive",
+        "proxy-connection",
+        "proxy-authenticate",
+        "proxy-authorization",
+        "te",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+        "content-length",
+        "expect",
+    )
+)
 
 
 class Malformed(Exception):
--- a/pumicepath/http1/parsing.py
+++ b/pumicepath/http1/parsing.py
@@ -242,8 +242,9 @@
     def start(self, line: str) -> Message:
         raise NotImplementedError
 
-    def begin(self, head: re.Match[bytes], headers: list[tuple[str, str]],
-              index: dict[str, list[str]]) -> Message:
+    def begin(
+        self, head: re.Match[bytes], headers: list[tuple[str, str]], index: dict[str, list[str]]
+    ) -> Message:
         raise NotImplementedError
 
     def bodiless(self) -> bool:
@@ -267,8 +268,9 @@
             raise Malformed(400, "malformed request line")
         return Request(minor=self.minor(words[2]), method=words[0], target=words[1])
 
-    def begin(self, head: re.Match[bytes], headers: list[tuple[str, str]],
-              index: dict[str, list[str]]) -> Message:
+    def begin(
+        self, head: re.Match[bytes], headers: list[tuple[str, str]], index: dict[str, list[str]]
+    ) -> Message:
         return Request(int(head[3]), headers, b"", index, head[1].decode(), head[2].decode())
 
     def next(self) -> Request | None:
@@ -312,21 +314,29 @@
         if size != len(ring) or found is None:
             return None
         expires = EXPIRES.search(ring.store, ring.head, end)
-        return (size, found[1].decode(), expires[1].decode() if expires else "",
-                ring.store.find(AGAIN, ring.head, end) >= 0)
+        return (
+            size,
+            found[1].decode(),
+            expires[1].decode() if expires else "",
+            ring.store.find(AGAIN, ring.head, end) >= 0,
+        )
 
     def awaited(self) -> bool:
         """Whether the client holds its body back until it is told to go on."""
-        return (self.step in (LENGTH, CHUNK_SIZE) and not self.parts
-                and "100-continue" in self.message.tokens("expect"))
+        return (
+            self.step in (LENGTH, CHUNK_SIZE)
+            and not self.parts
+            and "100-continue" in self.message.tokens("expect")
+        )
 
 
 class ResponseParser(Parser):
     method = "GET"
     head_form = RESPONSE
 
-    def begin(self, head: re.Match[bytes], headers: list[tuple[str, str]],
-              index: dict[str, list[str]]) -> Message:
+    def begin(
+        self, head: re.Match[bytes], headers: list[tuple[str, str]], index: dict[str, list[str]]
+    ) -> Message:
         return Response(int(head[1]), headers, b"", index, int(head[2]))
 
     def start(self, line: str) -> Message:
--- a/pumicepath/http1/ring.py
+++ b/pumicepath/http1/ring.py
@@ -22,7 +22,7 @@
     def resize(self, capacity: int) -> None:
         kept = self.peek(self.size) if self.size else b""
         self.store = bytearray(capacity)
-        self.store[:len(kept)] = kept
+        self.store[: len(kept)] = kept
         self.view = memoryview(self.store)
         self.head = 0
 
@@ -37,7 +37,7 @@
         tail = (self.head + self.size) % len(self.store)
         if self.size == len(self.store):
             return self.view[:0]
-        return self.view[tail:self.head] if tail < self.head else self.view[tail:]
+        return self.view[tail : self.head] if tail < self.head else self.view[tail:]
 
     def wrote(self, count: int) -> None:
         must(0 <= count <= len(self.store) - self.size, "ring overrun")
@@ -51,21 +51,21 @@
             count = min(len(room), len(data) - done)
             if not count:
                 break
-            room[:count] = data[done:done + count]
+            room[:count] = data[done : done + count]
             self.wrote(count)
             done += count
         return done
 
     def data(self) -> memoryview:
         """The oldest bytes held, in one piece."""
-        return self.view[self.head:min(self.head + self.size, len(self.store))]
+        return self.view[self.head : min(self.head + self.size, len(self.store))]
 
     def peek(self, count: int) -> bytes:
         count = min(count, self.size)
         end = self.head + count
         if end <= len(self.store):
-            return bytes(self.view[self.head:end])
-        return bytes(self.view[self.head:]) + bytes(self.view[:end - len(self.store)])
+            return bytes(self.view[self.head : end])
+        return bytes(self.view[self.head :]) + bytes(self.view[: end - len(self.store)])
 
     def take(self, count: int) -> bytes:
         taken = self.peek(count)
--- a/pumicepath/http1/writing.py
+++ b/pumicepath/http1/writing.py
@@ -7,9 +7,17 @@
 NO_LENGTH, WHOLE, CHUNKED = -3, -2, -1  # in place of a length
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 413: "Content Too Large",
-    431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
-    502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported",
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+    505: "HTTP Version Not Supported",
 }
 
 
@@ -18,8 +26,9 @@
     return "\r\n".join(head).encode("latin-1") + body
 
 
-def request(method: str, target: str, headers: list[tuple[str, str]], body: bytes = b"",
-            length: int = WHOLE) -> bytes:
+def request(
+    method: str, target: str, headers: list[tuple[str, str]], body: bytes = b"", length: int = WHOLE
+) -> bytes:
     """A whole request, or the head of one whose body follows, with its length or in chunks."""
     if length == CHUNKED:
         headers = [*headers, ("Transfer-Encoding", "chunked")]
@@ -30,8 +39,9 @@
     return lines(f"{method} {target} HTTP/1.1", headers, body)
 
 
-def response(status: int, headers: list[tuple[str, str]], body: bytes, keep: bool,
-             length: int = WHOLE) -> bytes:
+def response(
+    status: int, headers: list[tuple[str, str]], body: bytes, keep: bool, length: int = WHOLE
+) -> bytes:
     """A whole answer, or the head of one whose body follows, with its length or in chunks."""
     framing = []
     if length == CHUNKED:
--- a/pumicepath/intake/queue.py
+++ b/pumicepath/intake/queue.py
@@ -17,17 +17,17 @@
 
 Whom = TypeVar("Whom")
 
-PLACES = 4                  # that may be taken up at once: more would wait for the interpreter in no order
-SPARE_PART = 0.1            # of the agreed time kept for what is not foreseen
-FLOOR_PART = 0.25           # of the agreed time that may be waited where servers leave less
-CHEAP_PART = 0.8            # of that time for what gains nothing beside the dearest
-RETRY_PART = 0.5            # of it at least for a client's retry
-MOST_BACK = 4.0             # agreed times, at the most, after which clients are asked to come back
-PAUSE = 4_000               # the first, before a connection is read again on which one was turned away
-PAUSE_PART = 0.1            # of the shortest patience, the longest
-REFUSED_PART = 1.0          # of what is taken up, how much may be turned away before the pause grows
-CALM = 1_000_000            # without a request turned away, until the mode is over
-STEP = 1 / 16               # of a sample in the means
+PLACES = 4  # that may be taken up at once: more would wait for the interpreter in no order
+SPARE_PART = 0.1  # of the agreed time kept for what is not foreseen
+FLOOR_PART = 0.25  # of the agreed time that may be waited where servers leave less
+CHEAP_PART = 0.8  # of that time for what gains nothing beside the dearest
+RETRY_PART = 0.5  # of it at least for a client's retry
+MOST_BACK = 4.0  # agreed times, at the most, after which clients are asked to come back
+PAUSE = 4_000  # the first, before a connection is read again on which one was turned away
+PAUSE_PART = 0.1  # of the shortest patience, the longest
+REFUSED_PART = 1.0  # of what is taken up, how much may be turned away before the pause grows
+CALM = 1_000_000  # without a request turned away, until the mode is over
+STEP = 1 / 16  # of a sample in the means
 
 
 class Verdict(IntEnum):
@@ -49,12 +49,12 @@
         self.waiting: deque[tuple[int, Whom]] = deque()
         self.returning: deque[Whom] = deque()
         self.active = 0
-        self.interval = 300.0       # between two that are taken up while others wait
-        self.last = 0               # when one was, if others waited then
-        self.wait = 0.0             # that requests have had before they were read
-        self.out = 0.0              # that answers have had before they were passed on
+        self.interval = 300.0  # between two that are taken up while others wait
+        self.last = 0  # when one was, if others waited then
+        self.wait = 0.0  # that requests have had before they were read
+        self.out = 0.0  # that answers have had before they were passed on
         self.turned = 0
-        self.pause = 0              # before a connection is read again on which one was turned away
+        self.pause = 0  # before a connection is read again on which one was turned away
         self.taken = 0
         self.beaten = (0, 0)
         self.told = False
@@ -66,8 +66,9 @@
         self.tariffs = tariffs
         self.most_back = most_back
         dearest = max(one.gain for one in tariffs)
-        self.part = [CHEAP_PART + (1.0 - CHEAP_PART) * (one.gain / dearest if dearest > 0 else 1.0)
-                     for one in tariffs]
+        self.part = [
+            CHEAP_PART + (1.0 - CHEAP_PART) * (one.gain / dearest if dearest > 0 else 1.0) for one in tariffs
+        ]
         self.late_part = [min(1.0, one.late_gain / one.gain) if one.gain > 0 else 0.0 for one in tariffs]
         self.longest_pause = int(PAUSE_PART * min(one.patience for one in tariffs))
 
@@ -87,8 +88,9 @@
         span = agreed * part + late * max(0.0, one.patience - one.agreed - rest)
         return min(arrived + int(span), until - int(rest))
 
-    def came(self, now: int, arrived: int, until: int, tariff: int, retry: bool, usual: float,
-             whom: Whom) -> Verdict:
+    def came(
+        self, now: int, arrived: int, until: int, tariff: int, retry: bool, usual: float, whom: Whom
+    ) -> Verdict:
         """A request was read that came at `arrived`; one that is to go or wait is followed by `left`.
 
         Guards the core against work for clients that will have gone, and against more threads that run at
@@ -167,8 +169,10 @@
             self.pause = self.pause * 3 // 4 if self.pause > PAUSE else 0
         if not self.told and self.turned > self.told_turned:
             self.told = True
-            return (f"intake on: requests waited {self.wait / 1e3:.1f} ms to be read, {len(self.waiting)} "
-                    f"wait to be taken up, one each {self.interval / 1e3:.2f} ms")
+            return (
+                f"intake on: requests waited {self.wait / 1e3:.1f} ms to be read, {len(self.waiting)} "
+                f"wait to be taken up, one each {self.interval / 1e3:.2f} ms"
+            )
         if self.told and now - self.turned_at > CALM:
             turned, self.told_turned, self.told = self.turned - self.told_turned, self.turned, False
             return f"intake off: {turned} were turned away, requests wait {self.wait / 1e3:.1f} ms to be read"
--- a/pumicepath/interface.py
+++ b/pumicepath/interface.py
@@ -84,7 +84,7 @@
     window: int
     stream: bool = False
     name: str = ""
-    zones: tuple[int, ...] | None = None    # the only ones whose servers may have it; None: any
+    zones: tuple[int, ...] | None = None  # the only ones whose servers may have it; None: any
     kinds: tuple[int, ...] | None = None
 
 
@@ -103,14 +103,14 @@
     cold_for: int
     fall_multiple: float
     fall_window: int
-    live: bool = False                  # whether a listed scale falls with what the server holds
-    connection_price: float = 0.0       # for each open connection of a server, over 100
-    marked: bool = False                # whether clients mark what they send again
-    copies: bool = False                # whether a second copy may go out beside the first
-    full_unproven: bool = False         # whether a server that says it is full may have begun the work
-    drain_alone: bool = False           # whether only draining binds, and not being gone from the list
-    may_tell: bool = False              # whether sidecars may send each other messages
-    quotas: tuple[float, ...] = ()      # submissions a second of each tenant, at all sidecars together
+    live: bool = False  # whether a listed scale falls with what the server holds
+    connection_price: float = 0.0  # for each open connection of a server, over 100
+    marked: bool = False  # whether clients mark what they send again
+    copies: bool = False  # whether a second copy may go out beside the first
+    full_unproven: bool = False  # whether a server that says it is full may have begun the work
+    drain_alone: bool = False  # whether only draining binds, and not being gone from the list
+    may_tell: bool = False  # whether sidecars may send each other messages
+    quotas: tuple[float, ...] = ()  # submissions a second of each tenant, at all sidecars together
 
 
 class Wakeable(Protocol):
--- a/pumicepath/lab/capacity/doubled.py
+++ b/pumicepath/lab/capacity/doubled.py
@@ -48,8 +48,14 @@
         if row.value is None or old.value is None or not row.budget:
             continue
         if abs(row.value.value - old.value.value) > 0.005 * abs(old.value.value):
-            found.append((row.factor, key, f"{where(key)}{row.what}: {short(old.value.value)} to "
-                          f"{short(row.value.value)} of {short(row.budget)} {row.unit}"))
+            found.append(
+                (
+                    row.factor,
+                    key,
+                    f"{where(key)}{row.what}: {short(old.value.value)} to "
+                    f"{short(row.value.value)} of {short(row.budget)} {row.unit}",
+                )
+            )
     return sorted(found, reverse=True)
 
 
@@ -62,8 +68,8 @@
     for name, text in TAKEN.items():
         found = changed(capacity, target, assumed, name)
         told = "; ".join(line for _, _, line in found[:SHOWN])
-        lines.append([text, short(getattr(assumed, name)),
-                      told or "no row with a budget by half a percent"])
-    return table(["open", "taken",
-            "if twice that, the rows that it changes and that come nearest to their budgets"],
-                 lines)
+        lines.append([text, short(getattr(assumed, name)), told or "no row with a budget by half a percent"])
+    return table(
+        ["open", "taken", "if twice that, the rows that it changes and that come nearest to their budgets"],
+        lines,
+    )
--- a/pumicepath/lab/capacity/page.py
+++ b/pumicepath/lab/capacity/page.py
@@ -32,34 +32,70 @@
 
 def of_days(capacity: Capacity) -> str:
     lines = [line for day in days.days(capacity, TARGET, ASSUMED) for line in days.cells(day, capacity)]
-    return table(["day", "peak", "budget", "over budget", "how known", "formula [slopes]",
-                  "until all is in force", "what is stale meanwhile, and why that breaks no rule"], lines)
+    return table(
+        [
+            "day",
+            "peak",
+            "budget",
+            "over budget",
+            "how known",
+            "formula [slopes]",
+            "until all is in force",
+            "what is stale meanwhile, and why that breaks no rule",
+        ],
+        lines,
+    )
 
 
 def slopes(capacity: Capacity) -> str:
     lines = []
     for one in capacity.series.values():
         line, middles = one.line, one.middles
-        lines.append([
-            f"`{one.name}`", f"{one.what}, {one.unit}, by {one.by}",
-            ", ".join(f"{size:,g}: {short(value)}" for size, value in middles),
-            f"{short(line.base)} + {short(line.slope)} n" if line.linear else "not linear",
-            f"{100 * line.residual:.0f}%", f"{100 * one.spread:.0f}%", str(len(one.points[0][1])), one.form,
-            f"{one.run['date']}, {one.run['commit']}, load {one.run['load']:g}"])
-    return table(["slope", "what, unit, by what", "size: middle of the repeats", "line", "residual", "spread",
-                  "repeats", "form", "run"], lines)
+        lines.append(
+            [
+                f"`{one.name}`",
+                f"{one.what}, {one.unit}, by {one.by}",
+                ", ".join(f"{size:,g}: {short(value)}" for size, value in middles),
+                f"{short(line.base)} + {short(line.slope)} n" if line.linear else "not linear",
+                f"{100 * line.residual:.0f}%",
+                f"{100 * one.spread:.0f}%",
+                str(len(one.points[0][1])),
+                one.form,
+                f"{one.run['date']}, {one.run['commit']}, load {one.run['load']:g}",
+            ]
+        )
+    return table(
+        [
+            "slope",
+            "what, unit, by what",
+            "size: middle of the repeats",
+            "line",
+            "residual",
+            "spread",
+            "repeats",
+            "form",
+            "run",
+        ],
+        lines,
+    )
 
 
 def machine(capacity: Capacity) -> str:
     told = capacity.machine
-    return (f"{told['processor']}, {told['cores']} cores, {told['memory_gb']:g} GB, {told['system']}; Python "
-            f"{told['python']}, numpy {told['numpy']}, orjson {told['orjson']}.")
+    return (
+        f"{told['processor']}, {told['cores']} cores, {told['memory_gb']:g} GB, {told['system']}; Python "
+        f"{told['python']}, numpy {told['numpy']}, orjson {told['orjson']}."
+    )
 
 
 TABLES: dict[str, Callable[[Capacity], str]] = {
-    "ranking": ranking, "slopes": slopes, "machine": machine, "days": of_days,
+    "ranking": ranking,
+    "slopes": slopes,
+    "machine": machine,
+    "days": of_days,
     "assumptions": lambda capacity: assumptions(capacity, TARGET, ASSUMED),
-    **{name: partial(role, name) for name in roles.ROLES}}
+    **{name: partial(role, name) for name in roles.ROLES},
+}
 
 
 def written(text: str, capacity: Capacity) -> str:
@@ -70,5 +106,6 @@
     for name in re.findall(r"<!-- begin (.*?) -->", text):
         if name not in TABLES:
             raise ValueError(f"the page has a table {name} that nothing writes")
-    return MARKED.sub(lambda each: (
-        f"<!-- begin {each[1]} -->\n{TABLES[each[1]](capacity)}\n<!-- end {each[1]} -->\n"), text)
+    return MARKED.sub(
+        lambda each: f"<!-- begin {each[1]} -->\n{TABLES[each[1]](capacity)}\n<!-- end {each[1]} -->\n", text
+    )
--- a/pumicepath/lab/capacity/rows.py
+++ b/pumicepath/lab/capacity/rows.py
@@ -38,7 +38,7 @@
         return "0"
     if abs(value) >= 1000:
         digits = len(str(int(abs(value)))) - 3
-        return f"{round(value / 10 ** digits) * 10 ** digits:,}"
+        return f"{round(value / 10**digits) * 10**digits:,}"
     return f"{float(f'{value:.3g}'):g}"
 
 
@@ -48,7 +48,8 @@
     if figure.beyond <= 1:
         return told
     return f"{told}, extrapolated x {short(figure.beyond)}".replace("extrapolated, ", "", 1) + (
-        f" (**more than {FAR:g} times the largest measured size**)" if figure.beyond > FAR else "")
+        f" (**more than {FAR:g} times the largest measured size**)" if figure.beyond > FAR else ""
+    )
 
 
 def forms(row: Row, capacity: Capacity) -> str:
@@ -71,8 +72,15 @@
     else:
         figure, form = f"{short(row.value.value)} {row.unit}".strip(), forms(row, capacity)
         how = known(row.value, row.series) + (f", {form}" if form else "")
-    return [row.what, figure, f"{short(row.budget)} {row.unit}" if row.budget else "none", against(row), how,
-            row.formula + (f" [{', '.join(row.series)}]" if row.series else ""), row.mechanism]
+    return [
+        row.what,
+        figure,
+        f"{short(row.budget)} {row.unit}" if row.budget else "none",
+        against(row),
+        how,
+        row.formula + (f" [{', '.join(row.series)}]" if row.series else ""),
+        row.mechanism,
+    ]
 
 
 def table(head: list[str], lines: list[list[str]]) -> str:
--- a/pumicepath/lab/capacity/slopes.py
+++ b/pumicepath/lab/capacity/slopes.py
@@ -15,9 +15,9 @@
 
 import numpy
 
-FEWEST = 4                  # sizes that a slope needs
-LINEAR = 0.25               # of a middle: the farthest that one may lie off the line of a linear series
-FAR = 20.0                  # times the largest measured size, beyond which the page says so at the figure
+FEWEST = 4  # sizes that a slope needs
+LINEAR = 0.25  # of a middle: the farthest that one may lie off the line of a linear series
+FAR = 20.0  # times the largest measured size, beyond which the page says so at the figure
 FORMS = ("compiled", "interpreted", "neither")
 KINDS = ("measured", "extrapolated", "reckoned")
 MACHINE = ("processor", "cores", "memory_gb", "system", "python", "numpy", "orjson")
--- a/pumicepath/lab/experiments/comparing.py
+++ b/pumicepath/lab/experiments/comparing.py
@@ -19,10 +19,10 @@
     arm: str
     service: Interval
     latency: dict[str, float]
-    losses: dict[str, float]        # by cause, as shares of what was offered
+    losses: dict[str, float]  # by cause, as shares of what was offered
     broken: dict[str, int]
     first: dict[str, str]
-    against: Interval | None        # the first arm at this point
+    against: Interval | None  # the first arm at this point
 
 
 def rows(head: dict[str, Any], runs: Sequence[dict[str, Any]]) -> list[Row]:
@@ -41,12 +41,18 @@
             for run in mine:
                 for rule, text in run["first"].items():
                     first.setdefault(rule, f"seed {run['seed']}, {text}")
-            made.append(Row(
-                point, arm, interval(list(service.values())),
-                percentiles(merged([run["latency"] for run in mine])),
-                {cause: sum(run[cause] for run in mine) / offered for cause in LOSSES},
-                {rule: count for rule, count in broken.items() if count}, first,
-                None if service is reference else difference(service, reference)))
+            made.append(
+                Row(
+                    point,
+                    arm,
+                    interval(list(service.values())),
+                    percentiles(merged([run["latency"] for run in mine])),
+                    {cause: sum(run[cause] for run in mine) / offered for cause in LOSSES},
+                    {rule: count for rule, count in broken.items() if count},
+                    first,
+                    None if service is reference else difference(service, reference),
+                )
+            )
     return made
 
 
@@ -63,29 +69,36 @@
     lines = [f"{head['title']} ({head['experiment']}; servers simulated)"]
     for row in made:
         name = f"{row.point}: {row.arm}" if row.point else row.arm
-        lines.append(f"  {name:<34} service {row.service!s:<26} p50 {row.latency['p50']:7.1f} ms  "
-                     f"p99 {row.latency['p99']:7.1f} ms  rules "
-                     + (", ".join(f"{rule} {count}" for rule, count in row.broken.items()) or "kept"))
+        lines.append(
+            f"  {name:<34} service {row.service!s:<26} p50 {row.latency['p50']:7.1f} ms  "
+            f"p99 {row.latency['p99']:7.1f} ms  rules "
+            + (", ".join(f"{rule} {count}" for rule, count in row.broken.items()) or "kept")
+        )
         if row.against is not None:
             lines.append(f"  {'':<34} against {head['arms'][0]}: {row.against}, {verdict(row.against)}")
     return lines
 
 
-def compared(one: tuple[dict[str, Any], list[dict[str, Any]]],
-             other: tuple[dict[str, Any], list[dict[str, Any]]]) -> list[str]:
+def compared(
+    one: tuple[dict[str, Any], list[dict[str, Any]]], other: tuple[dict[str, Any], list[dict[str, Any]]]
+) -> list[str]:
     """Arms that two reports share, the second against the first, in pairs with the same seed."""
     lines = []
     if one[0]["plan"] != other[0]["plan"]:
         lines.append("the plans differ: what follows compares plans, too")
     for point in one[0]["points"]:
         for arm in one[0]["arms"]:
-            service = [{run["seed"]: run["service"] for run in runs
-                        if run["point"] == point and run["arm"] == arm} for _, runs in (one, other)]
+            service = [
+                {run["seed"]: run["service"] for run in runs if run["point"] == point and run["arm"] == arm}
+                for _, runs in (one, other)
+            ]
             if not service[0].keys() & service[1].keys():
                 continue
             change = difference(service[1], service[0])
             name = f"{point}: {arm}" if point else arm
-            lines.append(f"{name}: {interval(list(service[0].values()))} to "
-                         f"{interval(list(service[1].values()))}, {change.mean:+.3f} [{change.low:+.3f}, "
-                         f"{change.high:+.3f}] in {change.count} pairs: {verdict(change)}")
+            lines.append(
+                f"{name}: {interval(list(service[0].values()))} to "
+                f"{interval(list(service[1].values()))}, {change.mean:+.3f} [{change.low:+.3f}, "
+                f"{change.high:+.3f}] in {change.count} pairs: {verdict(change)}"
+            )
     return lines or ["they share no arm, point and seed"]
--- a/pumicepath/lab/experiments/figures.py
+++ b/pumicepath/lab/experiments/figures.py
@@ -9,7 +9,7 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-LONGEST = 120_000_000       # microseconds that a histogram holds
+LONGEST = 120_000_000  # microseconds that a histogram holds
 DIGITS = 3
 RESAMPLES = 4000
 PERCENTILES = (50.0, 75.0, 90.0, 95.0, 99.0, 99.9)
--- a/pumicepath/lab/experiments/files.py
+++ b/pumicepath/lab/experiments/files.py
@@ -112,8 +112,11 @@
             continue
         kind = KINDS[trouble.kind]
         if host == "virtual" and (kind.real or kind.bends and trouble.sidecars or trouble.state != "old"):
-            yield number, "kind", (f"{trouble.kind} needs real processes here: play it by "
-                                   "`lab run FILE --on loopback`")
+            yield (
+                number,
+                "kind",
+                (f"{trouble.kind} needs real processes here: play it by `lab run FILE --on loopback`"),
+            )
         if kind.needs_peers and not plan.sidecars.peers:
             yield number, "kind", f"{trouble.kind} needs peers = true under [sidecars]"
         for key in ("sidecars", "from_", "to"):
@@ -145,9 +148,11 @@
         yield dict(zip(sweep, values))
 
 
-def replaced(told: dict[str, Any], changes: dict[str, Scalar], path: Path, text: str,
-             within: tuple[str, ...]) -> dict[str, Any]:
+def replaced(
+    told: dict[str, Any], changes: dict[str, Scalar], path: Path, text: str, within: tuple[str, ...]
+) -> dict[str, Any]:
     """A copy in which dotted keys, such as `load.part` or `troubles.0.for_s`, have other values."""
+
     def copy(value: Any) -> Any:
         if isinstance(value, dict):
             return {key: copy(each) for key, each in value.items()}
@@ -162,8 +167,10 @@
                 at = at[int(step)] if isinstance(at, list) else at.setdefault(step, {})
             at[int(last) if isinstance(at, list) else last] = value
         except (IndexError, ValueError, TypeError, AttributeError) as trouble:
-            raise BadExperiment(f"{place(path, text, (*within, dotted))}: no value {dotted!r} to change; "
-                                "name one as in load.part or troubles.0.for_s") from trouble
+            raise BadExperiment(
+                f"{place(path, text, (*within, dotted))}: no value {dotted!r} to change; "
+                "name one as in load.part or troubles.0.for_s"
+            ) from trouble
     return made
 
 
