--- a/pumicepath/lab/experiments/fleet.py
+++ b/pumicepath/lab/experiments/fleet.py
@@ -21,7 +21,7 @@
 
 HISTORY = "history.jsonl"
 WEIGHTS = {"alive": 1.0, "suspected": 0.5}
-SHOWN = 5                   # breaches of one check on the page and in a terminal
+SHOWN = 5  # breaches of one check on the page and in a terminal
 
 PAGE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}: the fleet</title><style>
@@ -58,16 +58,27 @@
 
     def figures(self) -> dict[str, Any]:
         broken = {name: len(each) for name, each in self.violations.items()}
-        return {"faults": self.faults, "violations": broken, "views_right_s": self.views_right_s,
-                "full_service_s": self.full_service_s, "handovers": self.handovers}
+        return {
+            "faults": self.faults,
+            "violations": broken,
+            "views_right_s": self.views_right_s,
+            "full_service_s": self.full_service_s,
+            "handovers": self.handovers,
+        }
 
     def lines(self) -> list[str]:
         """For people."""
-        found = [f"BROKEN {name}: {each}" for name, breaches in self.violations.items()
-                 for each in breaches[:SHOWN]]
+        found = [
+            f"BROKEN {name}: {each}"
+            for name, breaches in self.violations.items()
+            for each in breaches[:SHOWN]
+        ]
         done = ", ".join(f"{kind} {count}" for kind, count in self.faults.items()) or "none"
-        return [f"faults: {done}", f"views right: {spoken(self.views_right_s)}; full service: "
-                f"{spoken(self.full_service_s)}", *(found or [f"checked, and kept: {', '.join(PROPERTIES)}"])]
+        return [
+            f"faults: {done}",
+            f"views right: {spoken(self.views_right_s)}; full service: {spoken(self.full_service_s)}",
+            *(found or [f"checked, and kept: {', '.join(PROPERTIES)}"]),
+        ]
 
 
 def spoken(seconds: float | None) -> str:
@@ -77,8 +88,14 @@
 def judged(path: Path) -> Judged:
     """Raises BadHistory."""
     lines = history.read(path)
-    return Judged(lines, violations(lines), dict(times.faults(lines)), times.views_right(lines),
-                  times.full_service(lines), times.hand_overs(lines))
+    return Judged(
+        lines,
+        violations(lines),
+        dict(times.faults(lines)),
+        times.views_right(lines),
+        times.full_service(lines),
+        times.hand_overs(lines),
+    )
 
 
 def seen(lines: Sequence[Line]) -> tuple[list[str], list[float], list[list[float]]]:
@@ -118,16 +135,30 @@
     shown = []
     names, at, rows = seen(lines)
     if rows:
-        shown = [("Who is seen as alive, by how many of the others",
-                  pictures.matrix(names, at, rows, faults, folder / "seen.png")),
-                 ("Messages and bytes a second among sidecars",
-                  pictures.carried(*carried(lines), faults, folder / "messages.png"))]
+        shown = [
+            (
+                "Who is seen as alive, by how many of the others",
+                pictures.matrix(names, at, rows, faults, folder / "seen.png"),
+            ),
+            (
+                "Messages and bytes a second among sidecars",
+                pictures.carried(*carried(lines), faults, folder / "messages.png"),
+            ),
+        ]
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     page = environment.from_string(PAGE).render(
-        title=title, sidecars=lines[0]["plan"]["sidecars"]["count"], seed=lines[0]["seed"],
-        lasts=lines[-1]["at"] / 1e6, views=spoken(found.views_right_s), full=spoken(found.full_service_s),
-        properties=PROPERTIES, broken=found.violations, shown=SHOWN, faults=faults,
-        pictures=[(name, base64.b64encode(path.read_bytes()).decode()) for name, path in shown])
+        title=title,
+        sidecars=lines[0]["plan"]["sidecars"]["count"],
+        seed=lines[0]["seed"],
+        lasts=lines[-1]["at"] / 1e6,
+        views=spoken(found.views_right_s),
+        full=spoken(found.full_service_s),
+        properties=PROPERTIES,
+        broken=found.violations,
+        shown=SHOWN,
+        faults=faults,
+        pictures=[(name, base64.b64encode(path.read_bytes()).decode()) for name, path in shown],
+    )
     path = folder / "fleet.html"
     path.write_text(page)
     return path
--- a/pumicepath/lab/experiments/pictures.py
+++ b/pumicepath/lab/experiments/pictures.py
@@ -28,24 +28,45 @@
 def mark(axes: Axes, marks: Sequence[Sequence[Any]]) -> None:
     for at, until, text in marks:
         axes.axvspan(at / 1e6, max(until, at + 100_000) / 1e6, color="tab:red", alpha=0.10, lw=0)
-        axes.text(at / 1e6, 0.02, f" {text[:44]}", rotation=90, fontsize=6, va="bottom", alpha=0.7,
-                  transform=axes.get_xaxis_transform())
+        axes.text(
+            at / 1e6,
+            0.02,
+            f" {text[:44]}",
+            rotation=90,
+            fontsize=6,
+            va="bottom",
+            alpha=0.7,
+            transform=axes.get_xaxis_transform(),
+        )
 
 
 def over_time(runs: Sequence[dict[str, Any]], arms: Sequence[str], path: Path) -> Path:
     """The share of each second's submissions served in time: middle of the seeds, and from least to most."""
     figure, axes = pyplot.subplots(figsize=(9, 3.6))
     for arm in arms:
-        shares = numpy.array([
-            [good / offered if offered else numpy.nan for good, offered in
-             zip(run["columns"]["good"], run["columns"]["offered"])] for run in runs if run["arm"] == arm])
+        shares = numpy.array(
+            [
+                [
+                    good / offered if offered else numpy.nan
+                    for good, offered in zip(run["columns"]["good"], run["columns"]["offered"])
+                ]
+                for run in runs
+                if run["arm"] == arm
+            ]
+        )
         if not shares.size:
             continue
         shares = shares[:, ~numpy.all(numpy.isnan(shares), axis=0)]
         seconds = numpy.arange(shares.shape[1]) + 0.5
-        line, = axes.plot(seconds, numpy.nanmedian(shares, axis=0), label=arm, lw=1.4)
-        axes.fill_between(seconds, numpy.nanmin(shares, axis=0), numpy.nanmax(shares, axis=0),
-                          color=line.get_color(), alpha=0.12, lw=0)
+        (line,) = axes.plot(seconds, numpy.nanmedian(shares, axis=0), label=arm, lw=1.4)
+        axes.fill_between(
+            seconds,
+            numpy.nanmin(shares, axis=0),
+            numpy.nanmax(shares, axis=0),
+            color=line.get_color(),
+            alpha=0.12,
+            lw=0,
+        )
     mark(axes, runs[0]["marks"])
     axes.set(xlabel="seconds", ylabel="served in time", ylim=(-0.02, 1.05))
     axes.legend(fontsize=7, loc="lower right")
@@ -55,12 +76,21 @@
 def by_server(run: dict[str, Any], path: Path) -> Path:
     """Hops at each server, and the share of sidecars whose breaker refuses it, second by second."""
     figure, both = pyplot.subplots(2, 1, figsize=(9, 5), sharex=True)
-    for axes, name, title, colours in ((both[0], "at_servers", "hops at each server", "viridis"),
-                                       (both[1], "breakers", "sidecars that refuse it", "magma")):
+    for axes, name, title, colours in (
+        (both[0], "at_servers", "hops at each server", "viridis"),
+        (both[1], "breakers", "sidecars that refuse it", "magma"),
+    ):
         values = numpy.array(run[name], dtype=float).T
-        shown = axes.imshow(values, aspect="auto", origin="lower", cmap=colours, interpolation="nearest",
-                            extent=(0, values.shape[1], -0.5, values.shape[0] - 0.5),
-                            vmin=0, vmax=1 if name == "breakers" else max(1.0, values.max()))
+        shown = axes.imshow(
+            values,
+            aspect="auto",
+            origin="lower",
+            cmap=colours,
+            interpolation="nearest",
+            extent=(0, values.shape[1], -0.5, values.shape[0] - 0.5),
+            vmin=0,
+            vmax=1 if name == "breakers" else max(1.0, values.max()),
+        )
         figure.colorbar(shown, ax=axes)
         axes.set(ylabel="server's place", title=f"{title} ({run['arm']}, seed {run['seed']})")
     both[1].set(xlabel="seconds")
@@ -74,8 +104,9 @@
     for arm in arms:
         held = merged([run["latency"] for run in runs if run["arm"] == arm])
         if held.get_total_count():
-            axes.plot(nines, [held.get_value_at_percentile(100 * (1 - 10 ** -n)) / 1000 for n in nines],
-                      label=arm)
+            axes.plot(
+                nines, [held.get_value_at_percentile(100 * (1 - 10**-n)) / 1000 for n in nines], label=arm
+            )
     axes.set_xticks([1, 2, 3, 4], ["90%", "99%", "99.9%", "99.99%"])
     axes.set(ylabel="ms from when it should go out", yscale="log")
     axes.legend(fontsize=7)
@@ -97,13 +128,19 @@
     return saved(figure, path)
 
 
-def matrix(names: Sequence[str], at: Sequence[float], rows: Sequence[Sequence[float]],
-           marks: Sequence[Sequence[Any]], path: Path) -> Path:
+def matrix(
+    names: Sequence[str],
+    at: Sequence[float],
+    rows: Sequence[Sequence[float]],
+    marks: Sequence[Sequence[Any]],
+    path: Path,
+) -> Path:
     """A row a sidecar, a column a look: the share of the others that see it as alive."""
     figure, axes = pyplot.subplots(figsize=(9, min(9.0, 1.8 + 0.16 * len(names))))
     edges = [*at, at[-1] + (at[-1] - at[0]) / max(1, len(at) - 1)]
-    shown = axes.pcolormesh(edges, numpy.arange(len(names) + 1), numpy.array(rows, dtype=float).T, vmin=0,
-                            vmax=1, cmap="RdYlGn")
+    shown = axes.pcolormesh(
+        edges, numpy.arange(len(names) + 1), numpy.array(rows, dtype=float).T, vmin=0, vmax=1, cmap="RdYlGn"
+    )
     step = max(1, len(names) // 25)
     axes.set_yticks(numpy.arange(0, len(names), step) + 0.5, names[::step], fontsize=6)
     axes.invert_yaxis()
@@ -113,8 +150,13 @@
     return saved(figure, path)
 
 
-def carried(at: Sequence[float], messages: Sequence[float], sizes: Sequence[float],
-            marks: Sequence[Sequence[Any]], path: Path) -> Path:
+def carried(
+    at: Sequence[float],
+    messages: Sequence[float],
+    sizes: Sequence[float],
+    marks: Sequence[Sequence[Any]],
+    path: Path,
+) -> Path:
     """Messages and kilobytes a second, all sidecars together."""
     figure, axes = pyplot.subplots(figsize=(9, 3))
     axes.plot(at, messages, lw=1.4, label="messages a second")
--- a/pumicepath/lab/experiments/report.py
+++ b/pumicepath/lab/experiments/report.py
@@ -46,18 +46,22 @@
 """
 
 
-def drawn(head: dict[str, Any], runs: Sequence[dict[str, Any]], made: Sequence[Row],
-          folder: Path) -> list[tuple[str, Path]]:
+def drawn(
+    head: dict[str, Any], runs: Sequence[dict[str, Any]], made: Sequence[Row], folder: Path
+) -> list[tuple[str, Path]]:
     """Pictures of the first point, and of its first arm's first run; losses of all."""
     point = made[0].point
     shown = [run for run in runs if run["point"] == point]
     at = f" at {point}" if point else ""
     return [
-        (f"Service over time{at}, troubles marked",
-         pictures.over_time(shown, head["arms"], folder / "time.png")),
+        (
+            f"Service over time{at}, troubles marked",
+            pictures.over_time(shown, head["arms"], folder / "time.png"),
+        ),
         (f"By server{at}", pictures.by_server(shown[0], folder / "servers.png")),
         (f"Latency{at}", pictures.latency(shown, head["arms"], folder / "latency.png")),
-        ("Not served in time, by cause", pictures.losses(made, folder / "losses.png"))]
+        ("Not served in time, by cause", pictures.losses(made, folder / "losses.png")),
+    ]
 
 
 def write(folder: Path, head: dict[str, Any], runs: Sequence[dict[str, Any]]) -> Path:
@@ -65,12 +69,20 @@
     made = rows(head, runs)
     if not made:
         raise ValueError("no run has ended")
-    inlined = [(title, base64.b64encode(path.read_bytes()).decode())
-               for title, path in drawn(head, runs, made, folder)]
+    inlined = [
+        (title, base64.b64encode(path.read_bytes()).decode())
+        for title, path in drawn(head, runs, made, folder)
+    ]
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     page = environment.from_string(PAGE).render(
-        head=head, runs=runs, rows=made, verdict=verdict, pictures=inlined, marks=runs[0]["marks"],
-        whole=len(runs) == head["runs"])
+        head=head,
+        runs=runs,
+        rows=made,
+        verdict=verdict,
+        pictures=inlined,
+        marks=runs[0]["marks"],
+        whole=len(runs) == head["runs"],
+    )
     path = folder / "report.html"
     path.write_text(page)
     return path
--- a/pumicepath/lab/experiments/running.py
+++ b/pumicepath/lab/experiments/running.py
@@ -28,11 +28,19 @@
     result = VirtualWorld(run.plan, run.seed, run.policy).run()
     told = summary(result)
     held = histogram([spent for times in result.times for spent in times])
-    return {"arm": run.arm, "point": run.point, **told, "cpu_s": round(time.process_time() - began, 3),
-            "first": result.first, "columns": result.columns, "marks": result.marks,
-            "at_servers": result.at_servers, "breakers": [[round(share, 2) for share in row]
-                                                          for row in result.breakers],
-            "views_wrong": result.views_wrong, "latency": held.encode().decode()}
+    return {
+        "arm": run.arm,
+        "point": run.point,
+        **told,
+        "cpu_s": round(time.process_time() - began, 3),
+        "first": result.first,
+        "columns": result.columns,
+        "marks": result.marks,
+        "at_servers": result.at_servers,
+        "breakers": [[round(share, 2) for share in row] for row in result.breakers],
+        "views_wrong": result.views_wrong,
+        "latency": held.encode().decode(),
+    }
 
 
 def quietly() -> None:
@@ -63,10 +71,20 @@
 
 def head(read: Read, runs: int) -> dict[str, Any]:
     """The first line of results: what was run, where."""
-    return {"experiment": read.name, "title": read.experiment.title, "why": read.experiment.why,
-            "arms": read.arms, "points": read.points, "runs": runs, "servers": "simulated",
-            "cores": os.cpu_count(), "python": platform.python_version(), "form": FORM,
-            "machine": platform.machine(), "plan": read.plan.model_dump()}
+    return {
+        "experiment": read.name,
+        "title": read.experiment.title,
+        "why": read.experiment.why,
+        "arms": read.arms,
+        "points": read.points,
+        "runs": runs,
+        "servers": "simulated",
+        "cores": os.cpu_count(),
+        "python": platform.python_version(),
+        "form": FORM,
+        "machine": platform.machine(),
+        "plan": read.plan.model_dump(),
+    }
 
 
 def run(read: Read, folder: Path, workers: int, told: Callable[[int, int], None]) -> bool:
@@ -96,5 +114,3 @@
     if "experiment" not in first:
         raise ValueError("not results of an experiment")
     return first, sorted(rest, key=lambda one: (one["point"], first["arms"].index(one["arm"]), one["seed"]))
-
-
--- a/pumicepath/lab/faults/checks/budgets.py
+++ b/pumicepath/lab/faults/checks/budgets.py
@@ -32,6 +32,9 @@
                 total[name] -= recent.popleft()[1]
             if total[name] > sum_ + 1e-9 and total[name] > worst.get(name, (0.0, 0))[0]:
                 worst[name] = total[name], at
-    return [f"{name}: {much:g} of {sums[name][0]:g} within {sums[name][1] / 1e6:g} s, at {at / 1e6:.3f} s"
-            if name in sums else f"{name}: spent at {at / 1e6:.3f} s, and no sum is known of it"
-            for name, (much, at) in sorted(worst.items())]
+    return [
+        f"{name}: {much:g} of {sums[name][0]:g} within {sums[name][1] / 1e6:g} s, at {at / 1e6:.3f} s"
+        if name in sums
+        else f"{name}: spent at {at / 1e6:.3f} s, and no sum is known of it"
+        for name, (much, at) in sorted(worst.items())
+    ]
--- a/pumicepath/lab/faults/checks/fencing.py
+++ b/pumicepath/lab/faults/checks/fencing.py
@@ -14,11 +14,13 @@
     found = []
     for line in lines:
         if line["what"] != "acted" or not line["accepted"] or "asked" in line:
-            continue        # an answer to a question may be late on its way: it is no act
+            continue  # an answer to a question may be late on its way: it is no act
         at = (line["who"], line["duty"])
         before = highest.get(at, line["fence"])
         if line["fence"] < before:
-            found.append(f"{line['duty']} at {line['who']}: number {line['fence']} of {line['holder']} "
-                         f"accepted at {line['at'] / 1e6:.3f} s, after {before}")
+            found.append(
+                f"{line['duty']} at {line['who']}: number {line['fence']} of {line['holder']} "
+                f"accepted at {line['at'] / 1e6:.3f} s, after {before}"
+            )
         highest[at] = max(before, line["fence"])
     return found
--- a/pumicepath/lab/faults/checks/four_rules.py
+++ b/pumicepath/lab/faults/checks/four_rules.py
@@ -7,9 +7,11 @@
 from ..history import Line
 from ..recording import replayed
 
-PROPERTY = ("Each submission gets one final answer in time and nothing goes out afterwards; no effect comes "
-            "twice; no hop goes to a server past the grace after the sidecar was told; no cold server is "
-            "pushed over.")
+PROPERTY = (
+    "Each submission gets one final answer in time and nothing goes out afterwards; no effect comes "
+    "twice; no hop goes to a server past the grace after the sidecar was told; no cold server is "
+    "pushed over."
+)
 
 
 def check(lines: Sequence[Line]) -> list[str]:
--- a/pumicepath/lab/faults/checks/one_holder.py
+++ b/pumicepath/lab/faults/checks/one_holder.py
@@ -6,8 +6,10 @@
 
 from ..history import Line
 
-PROPERTY = ("Between the first and the last act that was accepted of a holder in one term, no other holder's "
-            "act for the same duty is accepted; a number belongs to one holder.")
+PROPERTY = (
+    "Between the first and the last act that was accepted of a holder in one term, no other holder's "
+    "act for the same duty is accepted; a number belongs to one holder."
+)
 
 
 def check(lines: Sequence[Line]) -> list[str]:
@@ -20,19 +22,23 @@
     for line in lines:
         if line["what"] == "acted" and line["accepted"]:
             until = int(line["asked"] if "asked" in line else line["at"])
-            span = terms.setdefault(line["duty"], {}).setdefault((line["fence"], line["holder"]),
-                                                                 [line["at"], until])
+            span = terms.setdefault(line["duty"], {}).setdefault(
+                (line["fence"], line["holder"]), [line["at"], until]
+            )
             span[1] = max(span[1], until)
     found = []
     for duty, spans in sorted(terms.items()):
-        ordered = sorted((since, end, fence, holder) for (fence, holder), (since, end) in spans.items()
-                         if since <= end)
+        ordered = sorted(
+            (since, end, fence, holder) for (fence, holder), (since, end) in spans.items() if since <= end
+        )
         if not ordered:
             continue
         latest = ordered[0]
         for each in ordered[1:]:
             if each[3] != latest[3] and (each[0] <= latest[1] or each[2] == latest[2]):
-                found.append(f"{duty}: {latest[3]} (number {latest[2]}) until {latest[1] / 1e6:.3f} s, and "
-                             f"{each[3]} (number {each[2]}) from {each[0] / 1e6:.3f} s")
+                found.append(
+                    f"{duty}: {latest[3]} (number {latest[2]}) until {latest[1] / 1e6:.3f} s, and "
+                    f"{each[3]} (number {each[2]}) from {each[0] / 1e6:.3f} s"
+                )
             latest = max(latest, each, key=lambda one: one[1])
     return found
--- a/pumicepath/lab/faults/clocks.py
+++ b/pumicepath/lab/faults/clocks.py
@@ -11,9 +11,9 @@
 import time
 from pathlib import Path
 
-SLOT = struct.Struct("qqdq")        # real and own nanoseconds from when it holds, rate, wall's offset
+SLOT = struct.Struct("qqdq")  # real and own nanoseconds from when it holds, rate, wall's offset
 SIZE = 8 + 2 * SLOT.size
-READ_ONLY, SLOW = 1, 2              # bytes beside the number of the slot: a flag, and tens of milliseconds
+READ_ONLY, SLOW = 1, 2  # bytes beside the number of the slot: a flag, and tens of milliseconds
 VARIABLE = "PUMICEPATH_LAB_CLOCK"
 
 
@@ -38,8 +38,14 @@
         since, own, old, wall = self.slot()
         now = self.real()
         other = 1 - self.map[0]
-        SLOT.pack_into(self.map, 8 + other * SLOT.size, now, own + int((now - since) * old),
-                       old if rate is None else rate, wall + step_ns)
+        SLOT.pack_into(
+            self.map,
+            8 + other * SLOT.size,
+            now,
+            own + int((now - since) * old),
+            old if rate is None else rate,
+            wall + step_ns,
+        )
         self.map[0] = other
 
     def disk(self, read_only: bool, slow_ms: float) -> None:
--- a/pumicepath/lab/faults/disks.py
+++ b/pumicepath/lab/faults/disks.py
@@ -39,7 +39,7 @@
             if chance.random() < 0.5 or at >= len(data):
                 path.write_bytes(data[:at])
             else:
-                path.write_bytes(data[:at] + bytes((data[at] ^ (1 << chance.randrange(8)),)) + data[at + 1:])
+                path.write_bytes(data[:at] + bytes((data[at] ^ (1 << chance.randrange(8)),)) + data[at + 1 :])
         return len(files)
 
     def lose(self) -> int:
--- a/pumicepath/lab/faults/recording.py
+++ b/pumicepath/lab/faults/recording.py
@@ -20,8 +20,15 @@
 
 
 class Recorded(Judge):
-    def __init__(self, timeline: Timeline, tariffs: tuple[Tariff, ...], registry: Registry, grace: int,
-                 slack: int, history: History) -> None:
+    def __init__(
+        self,
+        timeline: Timeline,
+        tariffs: tuple[Tariff, ...],
+        registry: Registry,
+        grace: int,
+        slack: int,
+        history: History,
+    ) -> None:
         super().__init__(timeline, tariffs, registry, grace, slack)
         self.history = history
 
@@ -46,8 +53,14 @@
         super().closed(ask)
 
     def sent(self, sidecar: int, server: int, ask: int, answered: bool = False) -> None:
-        self.history.write(f"server-{server}", "sent", ask=ask, sidecar=sidecar, server=server,
-                           told=self.registry.knows_since(sidecar, server))
+        self.history.write(
+            f"server-{server}",
+            "sent",
+            ask=ask,
+            sidecar=sidecar,
+            server=server,
+            told=self.registry.knows_since(sidecar, server),
+        )
         super().sent(sidecar, server, ask, answered)
 
     def returned(self, ask: int) -> None:
@@ -55,14 +68,25 @@
         super().returned(ask)
 
     def ran(self, now: int, job: Job, server: Server) -> bool:
-        self.history.write(f"server-{server.number}", "ran", ask=job.ask, server=server.number,
-                           hall=server.hall, cell=server.cell)
+        self.history.write(
+            f"server-{server.number}",
+            "ran",
+            ask=job.ask,
+            server=server.number,
+            hall=server.hall,
+            cell=server.cell,
+        )
         return super().ran(now, job, server)
 
     def pushed_over(self, now: int, server: Server, senders: dict[int, int]) -> None:
-        self.history.write(f"server-{server.number}", "pushed_over", server=server.number,
-                           knowing=sum(senders.values()), sidecars=len(senders),
-                           work=sum(job[1] for job in server.arrivals))
+        self.history.write(
+            f"server-{server.number}",
+            "pushed_over",
+            server=server.number,
+            knowing=sum(senders.values()),
+            sidecars=len(senders),
+            work=sum(job[1] for job in server.arrivals),
+        )
         super().pushed_over(now, server, senders)
 
     def stop(self, sidecar: int, stopped: bool) -> None:
@@ -116,7 +140,8 @@
         judge.ran(line["at"], work, at)
     elif what == "pushed_over":
         fallen: Any = SimpleNamespace(number=line["server"], arrivals=[(0, line["work"])])
-        judge.pushed_over(line["at"], fallen, {each: 0 for each in range(1, line["sidecars"])}
-                          | {0: line["knowing"]})
+        judge.pushed_over(
+            line["at"], fallen, {each: 0 for each in range(1, line["sidecars"])} | {0: line["knowing"]}
+        )
     elif what in ("stopped", "going_on"):
         judge.stop(line["sidecar"], what == "stopped")
--- a/pumicepath/lab/faults/starter.py
+++ b/pumicepath/lab/faults/starter.py
@@ -25,8 +25,9 @@
 
 def bend(page: Page) -> SimpleNamespace:
     """Give this process the page's clock; what was there before comes back."""
-    before = SimpleNamespace(time_ns=time.time_ns, time=time.time, monotonic_ns=time.monotonic_ns,
-                             monotonic=time.monotonic)
+    before = SimpleNamespace(
+        time_ns=time.time_ns, time=time.time, monotonic_ns=time.monotonic_ns, monotonic=time.monotonic
+    )
     time.monotonic_ns = page.monotonic_ns
     time.monotonic = lambda: page.monotonic_ns() / 1e9
     time.time_ns = lambda: page.wall_ns(before.time_ns())
@@ -36,6 +37,7 @@
 
 def burden(page: Page, folder: str) -> None:
     """Give this process the page's disk: what it opens, renames or syncs there may fail or be slow."""
+
     def through(call: Callable[..., Any], changes: Callable[..., bool]) -> Callable[..., Any]:
         def burdened(*given: Any, **named: Any) -> Any:
             path = given[0] if given else ""
@@ -44,6 +46,7 @@
                 if page.map[READ_ONLY] and changes(*given, **named):
                     raise OSError(errno.EROFS, os.strerror(errno.EROFS), str(path))
             return call(*given, **named)
+
         return burdened
 
     def writes(path: Any, mode: Any = "r", *_: Any, **named: Any) -> bool:
@@ -63,6 +66,7 @@
     true = bend(page)
     burden(page, os.environ.get("TMPDIR") or "\0")
     from ...sidecar import arrival
+
     setattr(arrival, "time", true)  # noqa: B010
     sys.argv = ["pumicepath", "serve"]
     runpy.run_module("pumicepath", run_name="__main__")
--- a/pumicepath/lab/faults/times.py
+++ b/pumicepath/lab/faults/times.py
@@ -8,8 +8,8 @@
 from ..model.views import wrong
 from .history import Line
 
-FULL = 0.99                 # of the share that was served in time in the second before the first fault,
-LASTS = 3                   # for so many seconds
+FULL = 0.99  # of the share that was served in time in the second before the first fault,
+LASTS = 3  # for so many seconds
 SECOND = 1_000_000
 
 
@@ -54,13 +54,17 @@
     met = span(lines)
     if met is None:
         return None
-    shares = {line["second"]: line["earned"] / line["wanted"] for line in lines
-              if line["what"] == "second" and line["wanted"] > 0}
+    shares = {
+        line["second"]: line["earned"] / line["wanted"]
+        for line in lines
+        if line["what"] == "second" and line["wanted"] > 0
+    }
     before = shares.get(met[0] // SECOND - 1)
     if before is None:
         return None
     for second in sorted(map(int, shares)):
         if second * SECOND >= met[1] and all(
-                shares.get(each, 0.0) >= FULL * before for each in range(second, second + LASTS)):
+            shares.get(each, 0.0) >= FULL * before for each in range(second, second + LASTS)
+        ):
             return round(float(second) - met[1] / 1e6, 3)
     return None
--- a/pumicepath/lab/hollow/faults.py
+++ b/pumicepath/lab/hollow/faults.py
@@ -19,7 +19,7 @@
 
 
 class Fault:
-    lasts = True                # until `fault_s` have passed; else over once it has begun
+    lasts = True  # until `fault_s` have passed; else over once it has begun
 
     def __init__(self, run: Run) -> None:
         self.run = run
@@ -110,8 +110,13 @@
 
 
 FAULTS: dict[str, type[Fault]] = {
-    "control-killed": ControlKilled, "control-stopped": ControlStopped, "control-restarted": ControlRestarted,
-    "zone-lost": ZoneLost, "region-cut": RegionCut, "release": Release}
+    "control-killed": ControlKilled,
+    "control-stopped": ControlStopped,
+    "control-restarted": ControlRestarted,
+    "zone-lost": ZoneLost,
+    "region-cut": RegionCut,
+    "release": Release,
+}
 
 
 def check(ask: Ask) -> None:
--- a/pumicepath/lab/hollow/forward.py
+++ b/pumicepath/lab/hollow/forward.py
@@ -15,7 +15,7 @@
 
 from . import processes
 
-MOST_HELD = 1 << 20         # bytes on their way in one direction, from which that side is not read
+MOST_HELD = 1 << 20  # bytes on their way in one direction, from which that side is not read
 
 
 class Side:
@@ -26,7 +26,7 @@
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.other: Side
-        self.out = bytearray()      # for this end, not yet written
+        self.out = bytearray()  # for this end, not yet written
 
 
 class Forwarder:
@@ -91,7 +91,7 @@
     def write(self, side: Side) -> None:
         with suppress(BlockingIOError):
             while side.out:
-                del side.out[:side.sock.send(side.out)]
+                del side.out[: side.sock.send(side.out)]
 
     def run(self) -> None:
         orders = processes.Orders()
--- a/pumicepath/lab/hollow/host.py
+++ b/pumicepath/lab/hollow/host.py
@@ -28,8 +28,8 @@
 from .witness import Witness
 
 TICK_US = 50_000
-AT_ONCE = 32                # first lists that are out together: guards the start against all asking at once
-FREE = 10_000               # collections of the garbage collector, as `serve` sets them
+AT_ONCE = 32  # first lists that are out together: guards the start against all asking at once
+FREE = 10_000  # collections of the garbage collector, as `serve` sets them
 
 
 class Host:
@@ -45,9 +45,9 @@
         self.waiting = list(reversed(self.sidecars))
         self.starting: set[int] = set()
         self.ready = False
-        self.judged = 0.0           # CPU seconds of the witness's
+        self.judged = 0.0  # CPU seconds of the witness's
         self.failed = 0
-        self.lag = 0                # the longest that a tick came late, in microseconds
+        self.lag = 0  # the longest that a tick came late, in microseconds
         self.began: tuple[float, float, float, list[int]] = (0.0, 0.0, 0.0, [])
         self.plant()
 
@@ -57,7 +57,7 @@
             return places
         each = self.plan.ask.relays_per_region
         first = self.plan.region_of(number) * each
-        return places[first:first + each]
+        return places[first : first + each]
 
     # -- what a sidecar needs
 
@@ -107,11 +107,19 @@
             self.began = (processes.cpu(), self.judged, time.monotonic(), before)
         elif do == "measured":
             cpu, judged, at, before = self.began
-            processes.say({
-                "event": "measured", "cpu_s": processes.cpu() - cpu, "judged_s": self.judged - judged,
-                "seconds": time.monotonic() - at, "mb": processes.mb(), "base_mb": self.base_mb,
-                "bytes": [one.bytes - then for one, then in zip(self.sidecars, before)], "lag_us": self.lag,
-                "failed": sum(one.failed_calls for one in self.sidecars) - self.failed})
+            processes.say(
+                {
+                    "event": "measured",
+                    "cpu_s": processes.cpu() - cpu,
+                    "judged_s": self.judged - judged,
+                    "seconds": time.monotonic() - at,
+                    "mb": processes.mb(),
+                    "base_mb": self.base_mb,
+                    "bytes": [one.bytes - then for one, then in zip(self.sidecars, before)],
+                    "lag_us": self.lag,
+                    "failed": sum(one.failed_calls for one in self.sidecars) - self.failed,
+                }
+            )
         elif do == "waiting":
             self.witness.tick(truth.now())
             processes.say({"event": "waiting", "pairs": self.witness.waiting()})
@@ -132,9 +140,15 @@
             gc.collect()
             gc.freeze()
             gc.set_threshold(FREE)
-            processes.say({"event": "ready", "mb": processes.mb(), "base_mb": self.base_mb,
-                           "form": compiled.FORM,
-                           "held": sum(len(one.roster.lines) for one in self.sidecars)})
+            processes.say(
+                {
+                    "event": "ready",
+                    "mb": processes.mb(),
+                    "base_mb": self.base_mb,
+                    "form": compiled.FORM,
+                    "held": sum(len(one.roster.lines) for one in self.sidecars),
+                }
+            )
 
     def run(self) -> None:
         orders = processes.Orders()
@@ -166,8 +180,9 @@
 def ignores_drain(update: Update) -> Update:
     """What drains stays as it was: a fault planted for a test."""
     kept = [at for at, entry in enumerate(update.entries) if entry.phase != Phase.DRAINING]
-    return update._replace(entries=[update.entries[at] for at in kept],
-                           addresses=[update.addresses[at] for at in kept])
+    return update._replace(
+        entries=[update.entries[at] for at in kept], addresses=[update.addresses[at] for at in kept]
+    )
 
 
 class GoesBack:
@@ -178,20 +193,23 @@
 
     def __call__(self, update: Update) -> Update:
         if update.whole:
-            self.before = {entry.server: (entry, where)
-                           for entry, where in zip(update.entries, update.addresses)}
+            self.before = {
+                entry.server: (entry, where) for entry, where in zip(update.entries, update.addresses)
+            }
             return update
         here = {entry.server for entry in update.entries}
         back = [self.before[server] for server in sorted(self.before) if server not in here][:AT_ONCE]
-        return update._replace(entries=[*update.entries, *(entry for entry, _ in back)],
-                               addresses=[*update.addresses, *(where for _, where in back)])
+        return update._replace(
+            entries=[*update.entries, *(entry for entry, _ in back)],
+            addresses=[*update.addresses, *(where for _, where in back)],
+        )
 
 
 def main() -> None:
     folder, first, count = Path(sys.argv[1]), int(sys.argv[2]), int(sys.argv[3])
     processes.most_descriptors()
     plan = Plan(Ask.from_told(orjson.loads((folder / "ask.json").read_bytes())))
-    Host(plan, folder, plan.played()[first:first + count], sys.argv[4].split(",")).run()
+    Host(plan, folder, plan.played()[first : first + count], sys.argv[4].split(",")).run()
 
 
 if __name__ == "__main__":
--- a/pumicepath/lab/hollow/needs.py
+++ b/pumicepath/lab/hollow/needs.py
@@ -1,6 +1,6 @@
 """What a run will take, said before it begins: processes, and MB by a formula of measured slopes.
 
-    needed = needs(plan, processes); refuse(needed)
+needed = needs(plan, processes); refuse(needed)
 """
 
 from __future__ import annotations
@@ -28,12 +28,14 @@
 class Needs:
     processes: int
     mb: float
-    held: int                   # servers that all sidecars hold, together
-    most_connections: int       # of one process
+    held: int  # servers that all sidecars hold, together
+    most_connections: int  # of one process
 
     def line(self) -> str:
-        return (f"{self.processes} processes, about {self.mb:.0f} MB, {self.held} held servers, up to "
-                f"{self.most_connections} connections a process")
+        return (
+            f"{self.processes} processes, about {self.mb:.0f} MB, {self.held} held servers, up to "
+            f"{self.most_connections} connections a process"
+        )
 
 
 def hosts_of(plan: Plan, cores: int) -> int:
@@ -47,13 +49,14 @@
     ask = plan.ask
     direct = ask.form == "direct"
     played = plan.played()
-    held = ask.sidecars ** 2 if direct else sum(map(plan.held, played))
+    held = ask.sidecars**2 if direct else sum(map(plan.held, played))
     relays = 0 if direct else plan.regions_played() * ask.relays_per_region
     origins = 1 if direct else ask.regions
     forwarders = int("region-cut" in ask.faults)
-    control = (relays * (CONTROL_MB + ask.sidecars * LISTED_KB / 1000)
-               + origins * (CONTROL_MB + ask.sidecars * (LISTED_KB / origins + PLANNED_KB) / 1000))
-    mb = (RUN_MB + hosts * HOST_MB + len(played) * SIDECAR_KB / 1000 + held * SERVER_KB / 1000 + control)
+    control = relays * (CONTROL_MB + ask.sidecars * LISTED_KB / 1000) + origins * (
+        CONTROL_MB + ask.sidecars * (LISTED_KB / origins + PLANNED_KB) / 1000
+    )
+    mb = RUN_MB + hosts * HOST_MB + len(played) * SIDECAR_KB / 1000 + held * SERVER_KB / 1000 + control
     # All of a region's sidecars may come to one of its relays, while the others are down.
     most = ask.sidecars if direct else -(-ask.sidecars // ask.regions)
     return Needs(1 + hosts + origins + relays + forwarders, mb, held, max(most, -(-len(played) // hosts)))
@@ -64,8 +67,12 @@
     if found.processes > MOST_PROCESSES:
         raise BadAsk(f"--relays-per-region: takes {found.processes} processes, more than {MOST_PROCESSES}")
     if found.mb > MOST_MB:
-        raise BadAsk(f"--sidecars: takes about {found.mb:.0f} MB, more than {MOST_MB} "
-                     f"({found.held} held servers of {SERVER_KB:g} kB)")
+        raise BadAsk(
+            f"--sidecars: takes about {found.mb:.0f} MB, more than {MOST_MB} "
+            f"({found.held} held servers of {SERVER_KB:g} kB)"
+        )
     if found.most_connections + 100 > MOST_DESCRIPTORS:
-        raise BadAsk(f"--sidecars: {found.most_connections} connections in one process, more than "
-                     f"{MOST_DESCRIPTORS - 100}")
+        raise BadAsk(
+            f"--sidecars: {found.most_connections} connections in one process, more than "
+            f"{MOST_DESCRIPTORS - 100}"
+        )
--- a/pumicepath/lab/hollow/origin.py
+++ b/pumicepath/lab/hollow/origin.py
@@ -29,10 +29,10 @@
 TARGET = re.compile(rb"GET (/discovery/hosts(?:\?(\S*))?) HTTP/1\.[01]\r\n")
 LONGEST_MS = 60_000
 MOST_HEAD = 16_384
-MOST_KEPT = 20_000          # times of one address
-SOME = 20                   # servers that change at a word of the run
-MOST_CACHED = 64            # answers that are kept, until the next change
-BEHIND_US = 1_000_000       # changes that were due longer ago are let go: the process stood still
+MOST_KEPT = 20_000  # times of one address
+SOME = 20  # servers that change at a word of the run
+MOST_CACHED = 64  # answers that are kept, until the next change
+BEHIND_US = 1_000_000  # changes that were due longer ago are let go: the process stood still
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 
 
@@ -55,10 +55,10 @@
     def __init__(self, sock: socket.socket, peer: Peer) -> None:
         self.sock = sock
         self.peer = peer
-        self.told = -1              # the version that it was answered last
+        self.told = -1  # the version that it was answered last
         self.head = b""
         self.out: memoryview | None = None
-        self.since = -1             # of the watch that waits here, -1: none
+        self.since = -1  # of the watch that waits here, -1: none
         self.wanted: str | None = None
         self.token = 0
 
@@ -66,15 +66,18 @@
 class Origin:
     def __init__(self, plan: Plan, folder: Path, region: int, where: str, port: int) -> None:
         self.plan, self.region = plan, region
-        servers = range(plan.ask.sidecars) if plan.ask.form == "direct" else [
-            server for server in range(plan.ask.sidecars) if plan.region_of(server) == region]
+        servers = (
+            range(plan.ask.sidecars)
+            if plan.ask.form == "direct"
+            else [server for server in range(plan.ask.sidecars) if plan.region_of(server) == region]
+        )
         self.truth = truth.Truth(plan, servers, f"changes {plan.ask.seed} {region}")
         self.rate = plan.ask.changes_per_s * len(self.truth.servers) / plan.ask.sidecars
         self.lines: dict[int, bytes] = {}
         self.seq = 1
-        self.versions: list[int] = []       # of the changes, rising
-        self.changed: list[int] = []        # the servers
-        for change in truth.Tail(truth.path_of(folder, region)).read():     # of a life before this one
+        self.versions: list[int] = []  # of the changes, rising
+        self.changed: list[int] = []  # the servers
+        for change in truth.Tail(truth.path_of(folder, region)).read():  # of a life before this one
             self.seq += 1
             self.truth.take(change)
             self.versions.append(self.seq)
@@ -90,9 +93,9 @@
         self.bytes_out = self.bytes_in = self.calls = self.wholes = 0
         self.callers = 0
         self.peers: dict[str, Peer] = {}
-        self.made_at = 0                    # the last change
-        self.next_change = 0                # when, 0: never
-        self.steps: list[tuple[int, list[tuple[int, str]]]] = []     # (when, changes): faults on their way
+        self.made_at = 0  # the last change
+        self.next_change = 0  # when, 0: never
+        self.steps: list[tuple[int, list[tuple[int, str]]]] = []  # (when, changes): faults on their way
         self.selector = selectors.DefaultSelector()
         self.listener = socket.create_server((where, port), backlog=4096)
         self.listener.setblocking(False)
@@ -102,11 +105,19 @@
 
     def line(self, change: Change) -> bytes:
         plan, server = self.plan, change.server
-        return orjson.dumps({
-            "host": plan.server_name(server), "dial": plan.dial(server),
-            "site": plan.zone_name(plan.zone_of[server]), "class": "m2", "block": server % 8,
-            "health": change.health, "share": 1.0 + change.state / STEP, "born_ms": change.born,
-            "service": plan.service_name(plan.service_of[server])})
+        return orjson.dumps(
+            {
+                "host": plan.server_name(server),
+                "dial": plan.dial(server),
+                "site": plan.zone_name(plan.zone_of[server]),
+                "class": "m2",
+                "block": server % 8,
+                "health": change.health,
+                "share": 1.0 + change.state / STEP,
+                "born_ms": change.born,
+                "service": plan.service_name(plan.service_of[server]),
+            }
+        )
 
     def answer(self, since: int, wanted: str | None) -> bytes:
         """Changes since a version where that can be told, else the whole list."""
@@ -116,16 +127,25 @@
             names = None if wanted is None or wanted == "*" else set(wanted.split(","))
             whole = since < 0 or since > self.seq or since < self.seq - len(self.versions)
             if whole:
-                servers = [server for server in self.truth.servers
-                           if self.truth.states[server].health != LEFT and server != self.lost]
+                servers = [
+                    server
+                    for server in self.truth.servers
+                    if self.truth.states[server].health != LEFT and server != self.lost
+                ]
             else:
                 at = bisect_right(self.versions, since)
                 servers = [one for one in dict.fromkeys(self.changed[at:]) if one != self.lost]
             if names is not None:
-                servers = [server for server in servers
-                           if self.plan.service_name(self.plan.service_of[server]) in names]
+                servers = [
+                    server
+                    for server in servers
+                    if self.plan.service_name(self.plan.service_of[server]) in names
+                ]
             body = b'{"seq":%d,"whole":%s,"hosts":[%s]}' % (
-                self.seq, b"true" if whole else b"false", b",".join(self.lines[one] for one in servers))
+                self.seq,
+                b"true" if whole else b"false",
+                b",".join(self.lines[one] for one in servers),
+            )
             found = HEAD % len(body) + body
             if len(self.cache) >= MOST_CACHED:
                 self.cache.clear()
@@ -186,7 +206,7 @@
         end = caller.head.find(b"\r\n\r\n")
         if end < 0 or caller.out is not None:
             return
-        head, caller.head = caller.head[:end + 4], caller.head[end + 4:]
+        head, caller.head = caller.head[: end + 4], caller.head[end + 4 :]
         found = TARGET.match(head)
         if not found:
             self.close(caller)
@@ -242,31 +262,58 @@
         elif do == "rest":
             self.next_change = 0
         elif do == "figures":
-            processes.say({"event": "figures", "cpu_s": processes.cpu(), "mb": processes.mb(),
-                           "bytes": self.bytes_in + self.bytes_out, "bytes_out": self.bytes_out,
-                           "connections": self.callers, "calls": self.calls, "wholes": self.wholes,
-                           "seq": self.seq})
+            processes.say(
+                {
+                    "event": "figures",
+                    "cpu_s": processes.cpu(),
+                    "mb": processes.mb(),
+                    "bytes": self.bytes_in + self.bytes_out,
+                    "bytes_out": self.bytes_out,
+                    "connections": self.callers,
+                    "calls": self.calls,
+                    "wholes": self.wholes,
+                    "seq": self.seq,
+                }
+            )
         elif do == "peers":
-            processes.say({"event": "peers", **{name: {"bytes": peer.bytes, "took": list(peer.took)}
-                                                for name, peer in self.peers.items()}})
+            processes.say(
+                {
+                    "event": "peers",
+                    **{
+                        name: {"bytes": peer.bytes, "took": list(peer.took)}
+                        for name, peer in self.peers.items()
+                    },
+                }
+            )
             for peer in self.peers.values():
                 peer.took.clear()
         elif do in ("lose", "back"):
             zone, want = order["zone"], LEFT if do == "lose" else ACTIVE
-            here = [one for one in self.truth.servers if self.plan.zone_of[one] == zone
-                    and (self.truth.states[one].health == LEFT) != (want == LEFT)]
+            here = [
+                one
+                for one in self.truth.servers
+                if self.plan.zone_of[one] == zone
+                and (self.truth.states[one].health == LEFT) != (want == LEFT)
+            ]
             self.steps.append((now, [(one, want) for one in here]))
         elif do == "release":
             # Server by server: it drains, is gone, and comes back as a new process.
             every = int(1e6 * order["seconds"] / max(1, len(self.truth.servers)))
             for at, server in enumerate(self.truth.servers):
                 begin = now + at * every
-                self.steps += [(begin, [(server, LEAVING)]), (begin + 1_000_000, [(server, LEFT)]),
-                               (begin + 1_500_000, [(server, ACTIVE)])]
+                self.steps += [
+                    (begin, [(server, LEAVING)]),
+                    (begin + 1_000_000, [(server, LEFT)]),
+                    (begin + 1_500_000, [(server, ACTIVE)]),
+                ]
         elif do == "poke":
             here = [one for one in self.truth.servers if self.truth.states[one].health != LEFT]
-            self.make([self.truth.next(now, one, self.truth.states[one].health, 0)
-                       for one in self.truth.chance.sample(here, min(SOME, len(here)))])
+            self.make(
+                [
+                    self.truth.next(now, one, self.truth.states[one].health, 0)
+                    for one in self.truth.chance.sample(here, min(SOME, len(here)))
+                ]
+            )
             processes.say({"event": "poked", "at": now})
         self.steps.sort(key=lambda step: step[0])
 
--- a/pumicepath/lab/hollow/plan.py
+++ b/pumicepath/lab/hollow/plan.py
@@ -13,11 +13,11 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-TAIL = 0.9                  # size of the r-th service ~ r ** -TAIL: 1,000 to 2,500 in the largest of 20,000
-SPREAD = (0.75, 1.3)        # and a part drawn for each
+TAIL = 0.9  # size of the r-th service ~ r ** -TAIL: 1,000 to 2,500 in the largest of 20,000
+SPREAD = (0.75, 1.3)  # and a part drawn for each
 MOST_SIDECARS = 100_000
-LEAST_PACE, MOST_PACE = 10_000, 10**10      # as `relay/config.py` has them
-STEP = 1024                 # a server's share is 1 + k / STEP: k tells which of its states is held somewhere
+LEAST_PACE, MOST_PACE = 10_000, 10**10  # as `relay/config.py` has them
+STEP = 1024  # a server's share is 1 + k / STEP: k tells which of its states is held somewhere
 
 
 class BadAsk(Exception):
@@ -39,12 +39,12 @@
     relays_per_region: int = 2
     calls: int = 5
     popular: float = 0.0
-    played: int = 0             # regions whose sidecars and relays are started; 0: all
+    played: int = 0  # regions whose sidecars and relays are started; 0: all
     whole_bytes_per_s: int = 0  # of each relay, as its file would say; 0: its default
     processes: int = 0
     fault_s: float = 6.0
     faults: tuple[str, ...] = ()
-    planted: tuple[str, ...] = field(default=())   # faults in the rig itself, by which its judge is tested
+    planted: tuple[str, ...] = field(default=())  # faults in the rig itself, by which its judge is tested
 
     def told(self) -> dict[str, Any]:
         return asdict(self)
@@ -57,13 +57,19 @@
 def checked(ask: Ask) -> Ask:
     """Raises BadAsk for what can't be meant, naming the option."""
     for option, value, least, most in (
-            ("--sidecars", ask.sidecars, 1, MOST_SIDECARS), ("--services", ask.services, 1, ask.sidecars),
-            ("--regions", ask.regions, 1, 64), ("--zones", ask.zones, ask.regions, 1024),
-            ("--changes-per-s", ask.changes_per_s, 0.0, 10_000.0), ("--for", ask.seconds, 1.0, 86_400.0),
-            ("--relays-per-region", ask.relays_per_region, 1, 16), ("--calls", ask.calls, 1, 256),
-            ("--popular", ask.popular, 0.0, 2.0),
-            ("--play-regions", ask.played, 0, ask.regions), ("--processes", ask.processes, 0, 64),
-            ("--fault-for", ask.fault_s, 0.5, 3600.0)):
+        ("--sidecars", ask.sidecars, 1, MOST_SIDECARS),
+        ("--services", ask.services, 1, ask.sidecars),
+        ("--regions", ask.regions, 1, 64),
+        ("--zones", ask.zones, ask.regions, 1024),
+        ("--changes-per-s", ask.changes_per_s, 0.0, 10_000.0),
+        ("--for", ask.seconds, 1.0, 86_400.0),
+        ("--relays-per-region", ask.relays_per_region, 1, 16),
+        ("--calls", ask.calls, 1, 256),
+        ("--popular", ask.popular, 0.0, 2.0),
+        ("--play-regions", ask.played, 0, ask.regions),
+        ("--processes", ask.processes, 0, 64),
+        ("--fault-for", ask.fault_s, 0.5, 3600.0),
+    ):
         if not least <= value <= most:
             raise BadAsk(f"{option}: {value} is not from {least} to {most}")
     if ask.form == "direct" and (ask.played or ask.whole_bytes_per_s):
@@ -89,7 +95,7 @@
         self.servers_of: list[list[int]] = [[] for _ in self.sizes]
         for server, service in enumerate(self.service_of):
             self.servers_of[service].append(server)
-        weights = [size ** ask.popular for size in self.sizes]
+        weights = [size**ask.popular for size in self.sizes]
         even = min(weights) == max(weights)
         self.calls = [drawn(weights, even, min(ask.calls, ask.services), chance) for _ in range(ask.sidecars)]
 
@@ -104,8 +110,9 @@
 
     def played(self) -> list[int]:
         """The sidecars that are started: all of some regions, as many for a relay as it will have."""
-        return [number for number in range(self.ask.sidecars)
-                if self.region_of(number) < self.regions_played()]
+        return [
+            number for number in range(self.ask.sidecars) if self.region_of(number) < self.regions_played()
+        ]
 
     def zone_name(self, zone: int) -> str:
         return f"{self.region_name(zone % self.ask.regions)}-z{zone}"
@@ -136,7 +143,7 @@
     exact = [rest * weight / total for weight in weights]
     found = [1 + int(part) for part in exact]
     most_left = sorted(range(services), key=lambda at: (int(exact[at]) - exact[at], at))
-    for at in most_left[:servers - sum(found)]:
+    for at in most_left[: servers - sum(found)]:
         found[at] += 1
     return found
 
--- a/pumicepath/lab/hollow/processes.py
+++ b/pumicepath/lab/hollow/processes.py
@@ -25,7 +25,7 @@
 TICKS = os.sysconf("SC_CLK_TCK")
 PAGE = os.sysconf("SC_PAGE_SIZE")
 ROOT = Path(__file__).resolve().parents[3]
-DIES_WITH_STARTER = 1       # PR_SET_PDEATHSIG (linux/prctl.h)
+DIES_WITH_STARTER = 1  # PR_SET_PDEATHSIG (linux/prctl.h)
 
 
 class Void(Exception):
@@ -84,8 +84,13 @@
         self.said: queue.SimpleQueue[dict[str, Any]] = queue.SimpleQueue()
         with (self.folder / f"{self.name}.err").open("ab") as errors:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", *self.arguments], cwd=ROOT, stdin=subprocess.PIPE,
-                stdout=subprocess.PIPE, stderr=errors, preexec_fn=dies_with_starter)
+                [sys.executable, "-O", *self.arguments],
+                cwd=ROOT,
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=errors,
+                preexec_fn=dies_with_starter,
+            )
         threading.Thread(target=self.hear, args=(self.process, self.said), daemon=True).start()
 
     def hear(self, process: subprocess.Popen[bytes], said: queue.SimpleQueue[dict[str, Any]]) -> None:
@@ -97,7 +102,7 @@
 
     def tell(self, order: dict[str, Any]) -> None:
         assert self.process.stdin is not None
-        with suppress(OSError):     # it has ended, which whoever waits for its answer is told
+        with suppress(OSError):  # it has ended, which whoever waits for its answer is told
             self.process.stdin.write(orjson.dumps(order) + b"\n")
             self.process.stdin.flush()
 
--- a/pumicepath/lab/hollow/run.py
+++ b/pumicepath/lab/hollow/run.py
@@ -23,28 +23,34 @@
 from .processes import Child, Void
 from .verdict import TOLD_US, Verdict, Window, quantile
 
-START_S = 60.0              # for a start, and so much more for each
-START_EACH_S = 0.05         # sidecar's first list
+START_S = 60.0  # for a start, and so much more for each
+START_EACH_S = 0.05  # sidecar's first list
 SETTLE_S = TOLD_US / 1e6 + 4.0
-Figures = dict[int, dict[str, float]]       # by process id
+Figures = dict[int, dict[str, float]]  # by process id
 FILES = ("truth-*.jsonl", "found-*.json", "*.err", "relay-*.json", "ask.json")
 
 
 class Run:
-    def __init__(self, plan: Plan, folder: Path, hosts: int, progress: Callable[[str], None],
-                 settle_s: float = SETTLE_S) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        folder: Path,
+        hosts: int,
+        progress: Callable[[str], None],
+        settle_s: float = SETTLE_S,
+    ) -> None:
         self.plan, self.folder, self.progress = plan, folder, progress
         self.hosts_wanted, self.settle_s = hosts, settle_s
-        self.count = len(plan.played())     # of sidecars that are started
+        self.count = len(plan.played())  # of sidecars that are started
         self.origins: list[Child] = []
         self.relays: list[Child] = []
         self.hosts: list[Child] = []
-        self.control: list[Child] = []      # the relays, or the origin where there are none
+        self.control: list[Child] = []  # the relays, or the origin where there are none
         self.forwarder: Child | None = None
-        self.places: list[str] = []         # of origins
+        self.places: list[str] = []  # of origins
         self.relay_places: list[str] = []
         self.windows: list[Window] = []
-        self.ends: list[tuple[int, int]] = []   # of faults, and when changes were made after each
+        self.ends: list[tuple[int, int]] = []  # of faults, and when changes were made after each
 
     # -- what it starts
 
@@ -52,7 +58,7 @@
         ask = self.plan.ask
         self.folder.mkdir(parents=True, exist_ok=True)
         for pattern in FILES:
-            for file in self.folder.glob(pattern):      # of an earlier run
+            for file in self.folder.glob(pattern):  # of an earlier run
                 file.unlink()
         (self.folder / "ask.json").write_bytes(orjson.dumps(ask.told()))
         for region in range(1 if ask.form == "direct" else ask.regions):
@@ -77,8 +83,9 @@
         ask = self.plan.ask
         cut = ""
         if "region-cut" in ask.faults:
-            self.forwarder = Child(["-m", "pumicepath.lab.hollow.forward", self.places[0]], self.folder,
-                                   "forwarder")
+            self.forwarder = Child(
+                ["-m", "pumicepath.lab.hollow.forward", self.places[0]], self.folder, "forwarder"
+            )
             cut = self.forwarder.event("started")["listen"]
         for relay in range(self.plan.regions_played() * ask.relays_per_region):
             region = self.region_of_relay(relay)
@@ -86,9 +93,12 @@
             if cut and region != 0:
                 sources[self.plan.region_name(0)] = cut
             path = self.folder / f"relay-{relay}.json"
-            told = {"name": f"relay-{relay}", "sources": sources,
-                    "listen": f"127.{8 + (region >> 8)}.{region & 255}.{relay % ask.relays_per_region + 1}:0",
-                    "mostFollowers": max(4096, ask.sidecars)}
+            told = {
+                "name": f"relay-{relay}",
+                "sources": sources,
+                "listen": f"127.{8 + (region >> 8)}.{region & 255}.{relay % ask.relays_per_region + 1}:0",
+                "mostFollowers": max(4096, ask.sidecars),
+            }
             if ask.whole_bytes_per_s:
                 told["wholeBytesPerS"] = ask.whole_bytes_per_s
             path.write_text(json.dumps(told))
@@ -117,13 +127,27 @@
         place = ",".join(self.relay_places) or self.places[0]
         for at in range(self.hosts_wanted):
             first, last = (count * each // self.hosts_wanted for each in (at, at + 1))
-            self.hosts.append(Child(["-m", "pumicepath.lab.hollow.host", str(self.folder), str(first),
-                                     str(last - first), place], self.folder, f"host-{at}"))
+            self.hosts.append(
+                Child(
+                    [
+                        "-m",
+                        "pumicepath.lab.hollow.host",
+                        str(self.folder),
+                        str(first),
+                        str(last - first),
+                        place,
+                    ],
+                    self.folder,
+                    f"host-{at}",
+                )
+            )
         within = START_S + START_EACH_S * count
         self.told = [host.event("ready", within) for host in self.hosts]
         self.start_s = time.monotonic() - began
-        self.progress(f"{count} sidecars have their first list after {self.start_s:.1f} s, "
-                      f"{sum(one['held'] for one in self.told)} held servers")
+        self.progress(
+            f"{count} sidecars have their first list after {self.start_s:.1f} s, "
+            f"{sum(one['held'] for one in self.told)} held servers"
+        )
 
     def end(self) -> None:
         for child in [*self.hosts, *self.relays, *self.origins]:
@@ -199,8 +223,11 @@
             found[origin.process.pid] = {key: told[key] for key in told if key != "event"}
         for relay in self.relays:
             pid = relay.process.pid
-            found[pid] = {"cpu_s": processes.cpu(pid), "mb": processes.mb(pid),
-                          "connections": len(os.listdir(f"/proc/{pid}/fd"))}
+            found[pid] = {
+                "cpu_s": processes.cpu(pid),
+                "mb": processes.mb(pid),
+                "connections": len(os.listdir(f"/proc/{pid}/fd")),
+            }
         return found
 
     def used(self, before: Figures, after: Figures, of: list[Child], key: str) -> float:
@@ -211,11 +238,15 @@
     def now_of(self, after: Figures, of: list[Child], key: str) -> float:
         return sum(after[child.process.pid][key] for child in of)
 
-    def judged(self, told: list[dict[str, Any]], before: Figures, after: Figures,
-               seconds: float) -> dict[str, Any]:
+    def judged(
+        self, told: list[dict[str, Any]], before: Figures, after: Figures, seconds: float
+    ) -> dict[str, Any]:
         ask = self.plan.ask
-        changes = [change for region in range(len(self.origins))
-                   for change in truth.Tail(truth.path_of(self.folder, region)).read()]
+        changes = [
+            change
+            for region in range(len(self.origins))
+            for change in truth.Tail(truth.path_of(self.folder, region)).read()
+        ]
         lag = max(each["lag_us"] for each in told)
         verdict = Verdict(self.plan, changes, self.windows, lag)
         for host in self.hosts:
@@ -230,11 +261,20 @@
         control_cpu = self.used(before, after, self.control, "cpu_s") / window
         figures = verdict.figures()
         return {
-            "sidecars": ask.sidecars, "played": self.count, "processes": 1 + len(self.hosts)
-            + len(self.origins) + len(self.relays) + (self.forwarder is not None),
-            "services": ask.services, **figures,
-            "bytes_s_each": {"mean": round(sum(each_bytes) / len(each_bytes), 1),
-                             "p99": round(quantile(each_bytes, 0.99), 1), "max": round(each_bytes[-1], 1)},
+            "sidecars": ask.sidecars,
+            "played": self.count,
+            "processes": 1
+            + len(self.hosts)
+            + len(self.origins)
+            + len(self.relays)
+            + (self.forwarder is not None),
+            "services": ask.services,
+            **figures,
+            "bytes_s_each": {
+                "mean": round(sum(each_bytes) / len(each_bytes), 1),
+                "p99": round(quantile(each_bytes, 0.99), 1),
+                "max": round(each_bytes[-1], 1),
+            },
             "core_share_each": round(cpu / self.count, 7),
             "mb_each": round(sum(one["mb"] - one["base_mb"] for one in self.told) / self.count, 4),
             "control": {
@@ -242,23 +282,37 @@
                 "core_share": round(control_cpu, 4),
                 "mb": round(self.now_of(after, self.control, "mb"), 1),
                 "bytes_s": round(origin_bytes + (0.0 if direct else sum(each_bytes)), 1),
-                "connections": int(self.now_of(after, self.control, "connections"))},
-            "recovered_s": self.recovered(verdict), "named": verdict.named[:20],
-            "origins": {"processes": len(self.origins), "core_share": round(origin["cpu_s"] / window, 4),
-                        "mb": round(self.now_of(after, self.origins, "mb"), 1),
-                        "bytes_s": round(origin_bytes, 1),
-                        "connections": int(self.now_of(after, self.origins, "connections")),
-                        "wholes": int(origin["wholes"])},
+                "connections": int(self.now_of(after, self.control, "connections")),
+            },
+            "recovered_s": self.recovered(verdict),
+            "named": verdict.named[:20],
+            "origins": {
+                "processes": len(self.origins),
+                "core_share": round(origin["cpu_s"] / window, 4),
+                "mb": round(self.now_of(after, self.origins, "mb"), 1),
+                "bytes_s": round(origin_bytes, 1),
+                "connections": int(self.now_of(after, self.origins, "connections")),
+                "wholes": int(origin["wholes"]),
+            },
             "held_each": round(sum(one["held"] for one in self.told) / self.count, 1),
-            "start_s": round(self.start_s, 1), "rig_lag_s": round(lag / 1e6, 3),
+            "start_s": round(self.start_s, 1),
+            "rig_lag_s": round(lag / 1e6, 3),
             "failed_calls": sum(one["failed"] for one in told),
             "judge_core_share": round(sum(one["judged_s"] / one["seconds"] for one in told), 3),
-            "seconds": round(seconds, 1), "regions": ask.regions, "zones": ask.zones, "calls": ask.calls,
-            "changes_per_s": ask.changes_per_s, "popular": ask.popular, "whole_bytes_per_s":
-            ask.whole_bytes_per_s, "form": ask.form, "relays_per_region":
-            0 if direct else ask.relays_per_region, "faults": list(ask.faults), "seed": ask.seed,
+            "seconds": round(seconds, 1),
+            "regions": ask.regions,
+            "zones": ask.zones,
+            "calls": ask.calls,
+            "changes_per_s": ask.changes_per_s,
+            "popular": ask.popular,
+            "whole_bytes_per_s": ask.whole_bytes_per_s,
+            "form": ask.form,
+            "relays_per_region": 0 if direct else ask.relays_per_region,
+            "faults": list(ask.faults),
+            "seed": ask.seed,
             "python": f"{sys.version.split()[0]} {self.told[0]['form']}",
-            "load_average": round(os.getloadavg()[0], 2)}
+            "load_average": round(os.getloadavg()[0], 2),
+        }
 
     def recovered(self, verdict: Verdict) -> float | None:
         """The longest of all faults; 0 where there was none, none where something never came into force."""
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -26,14 +26,23 @@
 from ...sidecar.watching import DIAL_S, LONGEST_DIAL_S, STEP_S, WHOLE_S
 from .plan import Plan
 
-IP_BIND_ADDRESS_NO_PORT = 24    # linux/in.h: the port is chosen at connect, so that each pair can use all
+IP_BIND_ADDRESS_NO_PORT = 24  # linux/in.h: the port is chosen at connect, so that each pair can use all
 RESTING, DIALLING, CALLING, CHANGING = range(4)
 SETTINGS: dict[str, Any] = {
-    "membershipMode": "pushed", "rules": {"askEveryS": 10.0, "coldFrom": 0.5, "coldS": 10.0},
-    "policyLimits": {"mostHops": 4, "connIdleS": 30.0, "dialTimeoutS": 0.25, "retryAfter": True,
-                     "maxRetryAfterS": 2.0},
-    "tariffs": [{"name": name, "effect": effect, "gain": 1.0, "agreedTimeS": 0.6, "patienceS": 2.5}
-                for name, effect in (("read", "idempotent"), ("once", "at_most_once"))]}
+    "membershipMode": "pushed",
+    "rules": {"askEveryS": 10.0, "coldFrom": 0.5, "coldS": 10.0},
+    "policyLimits": {
+        "mostHops": 4,
+        "connIdleS": 30.0,
+        "dialTimeoutS": 0.25,
+        "retryAfter": True,
+        "maxRetryAfterS": 2.0,
+    },
+    "tariffs": [
+        {"name": name, "effect": effect, "gain": 1.0, "agreedTimeS": 0.6, "patienceS": 2.5}
+        for name, effect in (("read", "idempotent"), ("once", "at_most_once"))
+    ],
+}
 
 
 class Loop(Protocol):
@@ -78,8 +87,13 @@
 def told(plan: Plan, number: int) -> dict[str, Any]:
     """The settings that sidecar `number` is told, as a real one would find them in its file."""
     zones = [plan.zone_name(zone) for zone in range(plan.ask.zones)]
-    return {**SETTINGS, "dcs": zones, "me": number, "fleetSize": plan.ask.sidecars,
-            "zone": plan.zone_of[number]}
+    return {
+        **SETTINGS,
+        "dcs": zones,
+        "me": number,
+        "fleetSize": plan.ask.sidecars,
+        "zone": plan.zone_of[number],
+    }
 
 
 def come(sock: socket.socket, writable: bool) -> bool:
@@ -90,9 +104,30 @@
 
 
 class Hollow:
-    __slots__ = ("number", "name", "loop", "roster", "balancer", "watch", "chance", "addresses", "sock",
-                 "step", "due", "where", "begun", "dial", "failures", "bytes", "updated_at", "listed",
-                 "plant", "homes", "before", "failed_calls")
+    __slots__ = (
+        "number",
+        "name",
+        "loop",
+        "roster",
+        "balancer",
+        "watch",
+        "chance",
+        "addresses",
+        "sock",
+        "step",
+        "due",
+        "where",
+        "begun",
+        "dial",
+        "failures",
+        "bytes",
+        "updated_at",
+        "listed",
+        "plant",
+        "homes",
+        "before",
+        "failed_calls",
+    )
 
     def __init__(self, plan: Plan, number: int, places: Sequence[str], loop: Loop) -> None:
         """`places` are its relays, or the one discovery."""
@@ -104,19 +139,19 @@
         self.addresses: dict[int, Address] = {}
         self.sock: socket.socket | None = None
         self.step = RESTING
-        self.due = 0                # what happens next if nothing comes: see `woke`
+        self.due = 0  # what happens next if nothing comes: see `woke`
         self.homes: Homes | None = None
-        self.before: socket.socket | None = None    # to the relay that is left once another is dialled
+        self.before: socket.socket | None = None  # to the relay that is left once another is dialled
         if plan.ask.form == "relayed":
             self.homes = Homes(self.name, places, Chance(self.chance.bits()).share)
         self.where = self.homes.at if self.homes else places[0]
         self.begun = False
         self.dial = DIAL_S
-        self.failures = 0           # in a row
-        self.failed_calls = 0       # in all
-        self.bytes = 0              # both ways, payload alone
+        self.failures = 0  # in a row
+        self.failed_calls = 0  # in all
+        self.bytes = 0  # both ways, payload alone
         self.updated_at = 0
-        self.listed = False         # whether it has had a list
+        self.listed = False  # whether it has had a list
         self.plant: Callable[[Update], Update] | None = None
         self.watch = self.watching(plan)
 
@@ -226,8 +261,9 @@
         if not response.keeps():
             self.close()
             self.begin(now)
-        elif self.homes is not None and self.homes.answered(clock.since_monotonic(now),
-                                                            *self.watch.standing()):
+        elif self.homes is not None and self.homes.answered(
+            clock.since_monotonic(now), *self.watch.standing()
+        ):
             self.change(now)
         else:
             self.call(now)
@@ -267,8 +303,9 @@
                     self.addresses.pop(entry.server, None)
                 else:
                     self.addresses[entry.server] = where
-            self.balancer.listed(clock.since_monotonic(now),
-                                 Listing.FULL if update.whole else Listing.CHANGES, update.entries)
+            self.balancer.listed(
+                clock.since_monotonic(now), Listing.FULL if update.whole else Listing.CHANGES, update.entries
+            )
             self.updated_at = now
             self.loop.updated(self, update.whole)
 
--- a/pumicepath/lab/hollow/truth.py
+++ b/pumicepath/lab/hollow/truth.py
@@ -22,7 +22,7 @@
 from .plan import Plan
 
 ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
-SOON = 0.25                 # chance that a change goes on with a server that leaves, or one that has left
+SOON = 0.25  # chance that a change goes on with a server that leaves, or one that has left
 
 
 def now() -> int:
@@ -40,7 +40,7 @@
     server: int
     state: int
     health: str
-    born: int               # unix ms, 0: long ago
+    born: int  # unix ms, 0: long ago
 
 
 def path_of(folder: Path, region: int) -> Path:
@@ -82,7 +82,7 @@
         if health == LEFT:
             return self.next(at, server, ACTIVE, unix_ms())
         if health == LEAVING:
-            return self.next(at, server, LEAVING, 0)    # another share of one that drains
+            return self.next(at, server, LEAVING, 0)  # another share of one that drains
         drains = self.chance.random() < 0.5 and len(self.leaving) < max(1, len(self.servers) // 10)
         return self.next(at, server, LEAVING if drains else ACTIVE, 0)
 
--- a/pumicepath/lab/hollow/verdict.py
+++ b/pumicepath/lab/hollow/verdict.py
@@ -14,8 +14,8 @@
 from .plan import Plan
 from .truth import LEAVING, LEFT, Change
 
-TOLD_US = 6_000_000         # the operators' rule
-SLACK_US = 500_000          # of the rig: its tick, and the processes' turns at the cores
+TOLD_US = 6_000_000  # the operators' rule
+SLACK_US = 500_000  # of the rig: its tick, and the processes' turns at the cores
 
 
 class Window(NamedTuple):
@@ -51,8 +51,8 @@
         self.changes = {(change.server, change.state): change for change in changes}
         self.most = TOLD_US + SLACK_US + lag
         self.took: list[int] = []
-        self.moments: list[tuple[int, int]] = []    # (change had at, in force at)
-        self.never: list[int] = []                  # when the changes were made that some sidecar has not
+        self.moments: list[tuple[int, int]] = []  # (change had at, in force at)
+        self.never: list[int] = []  # when the changes were made that some sidecar has not
         self.late: set[tuple[int, int]] = set()
         self.bad: dict[str, int] = {}
         self.named: list[str] = []
@@ -98,8 +98,14 @@
 
     def figures(self) -> dict[str, Any]:
         ordered = sorted(took / 1e6 for took in self.took)
-        return {"changes": len(self.changes), "observed": len(ordered),
-                "in_force_s": {"p50": round(quantile(ordered, 0.5), 3),
-                               "p99": round(quantile(ordered, 0.99), 3),
-                               "max": round(ordered[-1], 3) if ordered else 0.0},
-                "not_in_force": len(self.late), "violations": dict(sorted(self.bad.items()))}
+        return {
+            "changes": len(self.changes),
+            "observed": len(ordered),
+            "in_force_s": {
+                "p50": round(quantile(ordered, 0.5), 3),
+                "p99": round(quantile(ordered, 0.99), 3),
+                "max": round(ordered[-1], 3) if ordered else 0.0,
+            },
+            "not_in_force": len(self.late),
+            "violations": dict(sorted(self.bad.items())),
+        }
--- a/pumicepath/lab/hollow/witness.py
+++ b/pumicepath/lab/hollow/witness.py
@@ -20,14 +20,15 @@
 from .truth import ACTIVE, LEFT, Change, now
 
 PHASES = {"active": Phase.READY, "leaving": Phase.DRAINING}
-AT_ONCE = 64                # settled servers of a sidecar that are looked at after each of its updates
-A_TICK = 2000               # and in each tick, of all sidecars in turn
-MOST_NAMED = 20             # violations that are told one by one
+AT_ONCE = 64  # settled servers of a sidecar that are looked at after each of its updates
+A_TICK = 2000  # and in each tick, of all sidecars in turn
+MOST_NAMED = 20  # violations that are told one by one
 
 
 class Sidecar(Protocol):
     number: int
     updated_at: int
+
     @property
     def balancer(self) -> Balancer: ...
 
@@ -58,8 +59,9 @@
 
 
 class Witness:
-    def __init__(self, plan: Plan, sidecars: Sequence[Sidecar],
-                 truth: Callable[[], Iterable[Change]]) -> None:
+    def __init__(
+        self, plan: Plan, sidecars: Sequence[Sidecar], truth: Callable[[], Iterable[Change]]
+    ) -> None:
         self.plan, self.sidecars, self.truth = plan, sidecars, truth
         self.ids = [stable(plan.server_name(server)) for server in range(plan.ask.sidecars)]
         self.callers: dict[int, list[Sidecar]] = {}
@@ -68,8 +70,8 @@
                 self.callers.setdefault(service, []).append(sidecar)
         self.latest: dict[int, Change] = {}
         self.pending: dict[int, list[Change]] = {sidecar.number: [] for sidecar in sidecars}
-        self.behind: dict[int, Sidecar] = {}        # those with something pending
-        self.settled: list[Sidecar] = []            # those with something held
+        self.behind: dict[int, Sidecar] = {}  # those with something pending
+        self.settled: list[Sidecar] = []  # those with something held
         self.held: dict[int, dict[int, int]] = {sidecar.number: {} for sidecar in sidecars}  # highest state
         # By change and the sidecar's region: how long each took, in microseconds.
         self.took: dict[tuple[int, int], dict[int, list[int]]] = {}
@@ -135,10 +137,10 @@
             if seen is None:
                 if state < 0 or self.latest[server].health != ACTIVE or self.latest[server].state > state:
                     continue
-                self.learn()            # it may be ahead of what has been read of the truth
+                self.learn()  # it may be ahead of what has been read of the truth
                 if self.latest[server].state == state:
                     self.violation("lost", sidecar, server)
-                    held[server] = -1   # told once
+                    held[server] = -1  # told once
             elif seen.state < state:
                 self.violation("back", sidecar, server)
                 held[server] = seen.state
@@ -177,8 +179,17 @@
                 region = self.plan.region_of(sidecar.number)
                 regions[region] = regions.get(region, 0) + 1
         return {
-            "took": [[server, state, region, times] for (server, state), regions in self.took.items()
-                     for region, times in regions.items()],
-            "missing": [[server, state, region, count] for (server, state), regions in missing.items()
-                        for region, count in regions.items()],
-            "bad": self.bad, "named": self.named, "at": now()}
+            "took": [
+                [server, state, region, times]
+                for (server, state), regions in self.took.items()
+                for region, times in regions.items()
+            ],
+            "missing": [
+                [server, state, region, count]
+                for (server, state), regions in missing.items()
+                for region, count in regions.items()
+            ],
+            "bad": self.bad,
+            "named": self.named,
+            "at": now(),
+        }
--- a/pumicepath/lab/loopback/apart.py
+++ b/pumicepath/lab/loopback/apart.py
@@ -65,6 +65,7 @@
     def counting(*given: Any) -> Counting:
         made.append(Counting(*given))
         return made[0]
+
     world = LiveWorld(plan, seed, folder, judging=counting)
     try:
         sidecar = world.sidecars[0]
@@ -83,8 +84,8 @@
     columns: dict[str, list[int]]
     times: list[int]
     deferrals: list[int]
-    behind_ms: float                                    # by which one of a hundred ticks was late
-    once: set[int] = field(default_factory=set)         # submissions that may not be repeated
+    behind_ms: float  # by which one of a hundred ticks was late
+    once: set[int] = field(default_factory=set)  # submissions that may not be repeated
     broken: dict[str, int] = field(default_factory=dict)
 
     def merge(self, other: Met) -> None:
@@ -118,8 +119,9 @@
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.once: set[int] = set()
-        super().__init__(plan, seed, Live(self.loop), slack=SLACK,
-                         judging=lambda *given: Noting(self.once, *given))
+        super().__init__(
+            plan, seed, Live(self.loop), slack=SLACK, judging=lambda *given: Noting(self.once, *given)
+        )
 
     def keep(self, work: Coroutine[Any, Any, Any]) -> None:
         task = self.loop.create_task(work)
@@ -146,16 +148,21 @@
     sidecar = Sidecar(crowd, number, where, most)
     crowd.timeline.began = crowd.loop.time()
     crowd.keep(crowd.timeline.tick())
-    crowd.clients(sidecar, sidecar).begin()     # type: ignore[arg-type]
+    crowd.clients(sidecar, sidecar).begin()  # type: ignore[arg-type]
     patience = max(tariff.patience for tariff in crowd.tariffs) / 1e6
     await asyncio.sleep(plan.lasts_s + patience + 0.3)
     for task in list(crowd.tasks):
         task.cancel()
     await asyncio.gather(*crowd.tasks, return_exceptions=True)
     tally = crowd.tally
-    return Met({name: list(getattr(tally, name)) for name in COLUMNS},
-               [spent for each in tally.times for spent in each], list(sidecar.deferrals),
-               crowd.timeline.behind(), crowd.once, dict(crowd.judge.broken))
+    return Met(
+        {name: list(getattr(tally, name)) for name in COLUMNS},
+        [spent for each in tally.times for spent in each],
+        list(sidecar.deferrals),
+        crowd.timeline.behind(),
+        crowd.once,
+        dict(crowd.judge.broken),
+    )
 
 
 def clients(plan: Plan, seed: int, where: tuple[str, int], number: int, most: int) -> Met:
--- a/pumicepath/lab/loopback/clock.py
+++ b/pumicepath/lab/loopback/clock.py
@@ -16,7 +16,7 @@
         self.loop = loop
         self.began = loop.time()
         self.events = 0
-        self.late: list[int] = []       # microseconds by which each tick came too late
+        self.late: list[int] = []  # microseconds by which each tick came too late
 
     @property
     def now(self) -> int:
--- a/pumicepath/lab/loopback/demo.py
+++ b/pumicepath/lab/loopback/demo.py
@@ -16,7 +16,7 @@
 from .world import LiveWorld
 
 HALLS, SERVERS, SIDECARS, RATE = 2, 8, 3, 240.0
-SHOWN = 6                   # lines of the sidecars' own log
+SHOWN = 6  # lines of the sidecars' own log
 BAR = 30
 # What goes wrong in turn, and for how great a part of its turn.
 TURNS: Sequence[tuple[str, float, dict[str, Any]]] = (
@@ -42,14 +42,29 @@
         kind, part, more = TURNS[number % len(TURNS)]
         troubles.append(Trouble(kind=kind, at_s=round(at, 3), for_s=round(part * turn, 3), **more))
         at, number = at + turn, number + 1
-    tariffs = (Tariff(name="read", share=0.7, agreed_ms=250, patience_ms=1000),
-               Tariff(name="once", effect="at_most_once", share=0.2, gain=3.0, agreed_ms=250,
-                      patience_ms=1000),
-               Tariff(name="marked", effect="deduplicated", group="all", window_s=2.0, share=0.1, gain=2.0,
-                      agreed_ms=250, patience_ms=1000))
+    tariffs = (
+        Tariff(name="read", share=0.7, agreed_ms=250, patience_ms=1000),
+        Tariff(name="once", effect="at_most_once", share=0.2, gain=3.0, agreed_ms=250, patience_ms=1000),
+        Tariff(
+            name="marked",
+            effect="deduplicated",
+            group="all",
+            window_s=2.0,
+            share=0.1,
+            gain=2.0,
+            agreed_ms=250,
+            patience_ms=1000,
+        ),
+    )
     fleet = Fleet(halls=HALLS, servers=SERVERS, work_ms=20.0, cold_s=4.0)
-    return Plan(lasts_s=seconds, warm_s=0, fleet=fleet, sidecars=Sidecars(count=SIDECARS), 
-                load=Load(rate=RATE, tariffs=tariffs), troubles=tuple(troubles))
+    return Plan(
+        lasts_s=seconds,
+        warm_s=0,
+        fleet=fleet,
+        sidecars=Sidecars(count=SIDECARS),
+        load=Load(rate=RATE, tariffs=tariffs),
+        troubles=tuple(troubles),
+    )
 
 
 def settled(world: LiveWorld) -> int:
@@ -72,8 +87,12 @@
         server = world.servers[number]
         refusing = [sidecar.number for sidecar in world.sidecars if f"s-{number}" in sidecar.refused]
         state = "silent" if server.silent else "" if server.up else "down"
-        table.add_row(f"s-{number}", str(server.hall), f"{server.at_it} {state}",
-                      ", ".join(f"sidecar {one}" for one in refusing) or "-")
+        table.add_row(
+            f"s-{number}",
+            str(server.hall),
+            f"{server.at_it} {state}",
+            ", ".join(f"sidecar {one}" for one in refusing) or "-",
+        )
     log = Text("\n".join(list(world.log)[-SHOWN:]), "dim")
     return Group(head, trouble, table, log)
 
@@ -83,8 +102,9 @@
     at = settled(world)
     from_, until = at * SECOND, (at + 1) * SECOND
     going = [mark.text for mark in world.marks if mark.at < until and max(mark.until, mark.at + 1) > from_]
-    return (f"{at:3d} s  offered {world.tally.offered[at]:4d}  in time {world.tally.good[at]:4d}  "
-            + ("; ".join(going) or "calm"))
+    return f"{at:3d} s  offered {world.tally.offered[at]:4d}  in time {world.tally.good[at]:4d}  " + (
+        "; ".join(going) or "calm"
+    )
 
 
 def totals(result: Result) -> dict[str, Any]:
@@ -92,25 +112,44 @@
     finals, rules = result.finals, result.rules
     times = [spent for each in result.times for spent in each]
     return {
-        "taken": sum(finals.values()) + rules["unanswered"], "succeeded": finals["succeeded"],
-        "deferred": finals["deferred"], "forfeited": finals["forfeited"], "left": finals["left"],
-        "cut": finals["cut"], "lost": rules["unanswered"],
+        "taken": sum(finals.values()) + rules["unanswered"],
+        "succeeded": finals["succeeded"],
+        "deferred": finals["deferred"],
+        "forfeited": finals["forfeited"],
+        "left": finals["left"],
+        "cut": finals["cut"],
+        "lost": rules["unanswered"],
         "duplicated": rules["ran_twice"] + rules["deferred_may_run"],
         "answered_wrongly": rules["answered_twice"] + rules["answered_late"] + rules["sent_after_answer"],
-        "late_sends": rules["late_sends"], "pushed_over": rules["pushed_over"],
-        "p50_ms": percentile(times, 0.5), "p99_ms": percentile(times, 0.99),
-        "service": round(result.service, 4), "whole": not any(rules.values())}
+        "late_sends": rules["late_sends"],
+        "pushed_over": rules["pushed_over"],
+        "p50_ms": percentile(times, 0.5),
+        "p99_ms": percentile(times, 0.99),
+        "service": round(result.service, 4),
+        "whole": not any(rules.values()),
+    }
 
 
 def verdict(result: Result) -> list[str]:
     """For people."""
     told = totals(result)
-    lines = [f"{told['taken']} tries taken: {told['succeeded']} succeeded, {told['deferred']} deferred, "
-             f"{told['forfeited']} forfeited, {told['cut']} cut off with a sidecar that was killed; "
-             f"service {told['service']:.3f}",
-             f"from when each should have gone out: p50 {told['p50_ms']:.0f} ms, p99 {told['p99_ms']:.0f} ms"]
+    lines = [
+        f"{told['taken']} tries taken: {told['succeeded']} succeeded, {told['deferred']} deferred, "
+        f"{told['forfeited']} forfeited, {told['cut']} cut off with a sidecar that was killed; "
+        f"service {told['service']:.3f}",
+        f"from when each should have gone out: p50 {told['p50_ms']:.0f} ms, p99 {told['p99_ms']:.0f} ms",
+    ]
     if told["whole"]:
-        return [*lines, "the judge found nothing broken: none lost, none run twice, no late send, "
-                        "no cold server pushed over"]
-    return [*lines, *(f"BROKEN {rule}: {count}, first {result.first.get(rule, '')}"
-                      for rule, count in result.rules.items() if count)]
+        return [
+            *lines,
+            "the judge found nothing broken: none lost, none run twice, no late send, "
+            "no cold server pushed over",
+        ]
+    return [
+        *lines,
+        *(
+            f"BROKEN {rule}: {count}, first {result.first.get(rule, '')}"
+            for rule, count in result.rules.items()
+            if count
+        ),
+    ]
--- a/pumicepath/lab/loopback/discovery.py
+++ b/pumicepath/lab/loopback/discovery.py
@@ -24,7 +24,7 @@
         self.world = world
         self.number = number
         self.version = 0
-        self.answers: list[tuple[bool, list[Entry]]] = []   # whole or changes, not yet fetched
+        self.answers: list[tuple[bool, list[Entry]]] = []  # whole or changes, not yet fetched
         self.failed = False
         self.some = asyncio.Event()
         self.base_ms = time.time() * 1000 - world.timeline.now / 1000
@@ -38,7 +38,7 @@
 
     def listed(self, kind: Listing, entries: list[Entry]) -> None:
         if kind == Listing.CACHED:
-            return                          # stands in the configuration
+            return  # stands in the configuration
         if kind == Listing.FAILED:
             self.failed = True
         elif kind == Listing.FULL:
@@ -64,8 +64,12 @@
                     wait = max(wait, 5.0)
                 writer.write(await self.next(wait))
                 await writer.drain()
-        except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError,
-                asyncio.CancelledError):    # the last at the end of the world
+        except (
+            asyncio.IncompleteReadError,
+            asyncio.LimitOverrunError,
+            ConnectionError,
+            asyncio.CancelledError,
+        ):  # the last at the end of the world
             pass
         finally:
             writer.close()
@@ -91,12 +95,23 @@
         return writing.response(200, [("Content-Type", "application/json")], body, True)
 
     def listing(self, whole: bool, entries: list[Entry]) -> dict[str, Any]:
-        return {"seq": self.version, "whole": whole, "hosts": [
-            {"host": f"s-{entry.server}", "dial": self.world.address_of(entry.server),
-             "site": f"hall-{entry.zone}", "class": "m", "block": entry.cell, "health": HEALTH[entry.phase],
-             "share": entry.scale,
-             "born_ms": int(self.base_ms + entry.came_up / 1000) if entry.came_up else 0}
-            for entry in entries]}
+        return {
+            "seq": self.version,
+            "whole": whole,
+            "hosts": [
+                {
+                    "host": f"s-{entry.server}",
+                    "dial": self.world.address_of(entry.server),
+                    "site": f"hall-{entry.zone}",
+                    "class": "m",
+                    "block": entry.cell,
+                    "health": HEALTH[entry.phase],
+                    "share": entry.scale,
+                    "born_ms": int(self.base_ms + entry.came_up / 1000) if entry.came_up else 0,
+                }
+                for entry in entries
+            ],
+        }
 
     def close(self) -> None:
         self.listener.close()
--- a/pumicepath/lab/loopback/process.py
+++ b/pumicepath/lab/loopback/process.py
@@ -23,9 +23,12 @@
         self.log = folder / "log"
         with self.log.open("wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-O", "-m", "pumicepath", "serve"], cwd=root, stdout=log,
+                [sys.executable, "-O", "-m", "pumicepath", "serve"],
+                cwd=root,
+                stdout=log,
                 env={**os.environ, "GW_CONFIG": str(path)},
-                preexec_fn=lambda: os.sched_setaffinity(0, cores))
+                preexec_fn=lambda: os.sched_setaffinity(0, cores),
+            )
 
     def address(self) -> tuple[str, int] | None:
         """Where it listens, once it does; raises RuntimeError if it has ended instead."""
--- a/pumicepath/lab/loopback/relays.py
+++ b/pumicepath/lab/loopback/relays.py
@@ -34,15 +34,17 @@
         self.links = links
         self.fronts: list[Front] = []
         self.addresses: list[str] = []
-        self.own: dict[int, Place] = {}     # where each sidecar listens itself,
-        self.whose: dict[Place, int] = {}   # and whose socket that is
-        self.strays = 0                     # from sockets of nobody: processes that have just been killed
+        self.own: dict[int, Place] = {}  # where each sidecar listens itself,
+        self.whose: dict[Place, int] = {}  # and whose socket that is
+        self.strays = 0  # from sockets of nobody: processes that have just been killed
 
     async def open(self, count: int) -> None:
         loop = asyncio.get_running_loop()
         for number in range(count):
             _, front = await loop.create_datagram_endpoint(
-                lambda number=number: Front(self, number), ("127.0.0.1", 0))   # type: ignore[misc]
+                lambda number=number: Front(self, number),  # type: ignore[misc]
+                ("127.0.0.1", 0),
+            )
             self.fronts.append(front)
             host, port = front.transport.get_extra_info("sockname")[:2]
             self.addresses.append(f"{host}:{port}")
--- a/pumicepath/lab/loopback/scripted.py
+++ b/pumicepath/lab/loopback/scripted.py
@@ -20,7 +20,7 @@
 from ...http1.messages import Response
 from ...http1.parsing import RequestParser, ResponseParser
 
-EVENT_S = 60.0              # that a sidecar may take to log what it must, however slow the machine is
+EVENT_S = 60.0  # that a sidecar may take to log what it must, however slow the machine is
 
 
 def answer(status: int, body: str = "", *headers: tuple[str, str]) -> bytes:
@@ -87,7 +87,7 @@
 
     def __init__(self, process: subprocess.Popen) -> None:
         self.process = process
-        self.seen: list[dict[str, Any]] = []    # all of them so far, whoever asked for which
+        self.seen: list[dict[str, Any]] = []  # all of them so far, whoever asked for which
         self.events: queue.SimpleQueue[dict[str, Any] | None] = queue.SimpleQueue()
         self.reader = threading.Thread(target=self.read, daemon=True)
         self.reader.start()
@@ -122,16 +122,36 @@
         self.lists: queue.SimpleQueue = queue.SimpleQueue()
         self.discovery = Peer("discovery", self.lists, [])
         self.servers = [Peer(f"s-{at}", self.script, self.lines) for at in range(servers)]
-        tariffs = [{"name": name, "effect": effect, "gain": 1.0, "agreedTimeS": 0.6, "patienceS": 2.5}
-                   for name, effect in (("read", "idempotent"), ("once", "at_most_once"))]
-        limits = {"mostHops": 4, "connIdleS": 30.0, "dialTimeoutS": 0.25, "retryAfter": True,
-                  "maxRetryAfterS": 2.0}
+        tariffs = [
+            {"name": name, "effect": effect, "gain": 1.0, "agreedTimeS": 0.6, "patienceS": 2.5}
+            for name, effect in (("read", "idempotent"), ("once", "at_most_once"))
+        ]
+        limits = {
+            "mostHops": 4,
+            "connIdleS": 30.0,
+            "dialTimeoutS": 0.25,
+            "retryAfter": True,
+            "maxRetryAfterS": 2.0,
+        }
         self.told = {
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.address, "seed": "1f",
-            "limits": {"memory_mb": 192, "sockets": 1024}, "known": self.listing(1, True, "active"),
-            "settings": {"membershipMode": "on_request", "dcs": ["a"], "me": 0, "fleetSize": 1, "zone": 0,
-                         "rules": {"askEveryS": 10.0, "coldFrom": 1.0, "coldS": 0.0},
-                         "policyLimits": limits, "tariffs": tariffs}, **changed}
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": self.discovery.address,
+            "seed": "1f",
+            "limits": {"memory_mb": 192, "sockets": 1024},
+            "known": self.listing(1, True, "active"),
+            "settings": {
+                "membershipMode": "on_request",
+                "dcs": ["a"],
+                "me": 0,
+                "fleetSize": 1,
+                "zone": 0,
+                "rules": {"askEveryS": 10.0, "coldFrom": 1.0, "coldS": 0.0},
+                "policyLimits": limits,
+                "tariffs": tariffs,
+            },
+            **changed,
+        }
         self.config = folder / "config.json"
         self.config.write_text(json.dumps(self.told))
         self.number = 0
@@ -139,9 +159,23 @@
         self.logs: dict[subprocess.Popen, Log] = {}
 
     def listing(self, seq: int, whole: bool, health: str) -> dict:
-        return {"seq": seq, "whole": whole, "hosts": [
-            {"host": peer.name, "dial": peer.address, "site": "a", "class": "m", "block": 0, "health": health,
-             "share": 1.0, "born_ms": 0} for peer in self.servers]}
+        return {
+            "seq": seq,
+            "whole": whole,
+            "hosts": [
+                {
+                    "host": peer.name,
+                    "dial": peer.address,
+                    "site": "a",
+                    "class": "m",
+                    "block": 0,
+                    "health": health,
+                    "share": 1.0,
+                    "born_ms": 0,
+                }
+                for peer in self.servers
+            ],
+        }
 
     @contextmanager
     def running(self) -> Iterator[Deployment]:
@@ -166,19 +200,34 @@
         self.logs[process] = Log(process)
         return process
 
-    def send(self, tariff: str, expires: int = 2000, method: str = "POST", body: str = "",
-             sock: socket.socket | None = None) -> None:
+    def send(
+        self,
+        tariff: str,
+        expires: int = 2000,
+        method: str = "POST",
+        body: str = "",
+        sock: socket.socket | None = None,
+    ) -> None:
         self.number += 1
-        headers = [("Host", "api"), ("X-Trace-Id", f"t{self.number}"), ("X-Qos", tariff),
-                   ("X-Expires-In-Ms", str(expires)), ("X-Object", "lot")]
+        headers = [
+            ("Host", "api"),
+            ("X-Trace-Id", f"t{self.number}"),
+            ("X-Qos", tariff),
+            ("X-Expires-In-Ms", str(expires)),
+            ("X-Object", "lot"),
+        ]
         (sock or self.client).sendall(writing.request(method, "/api?x=1", headers, body.encode()))
 
-    def hear(self, sock: socket.socket | None = None,
-             parser: ResponseParser | None = None) -> Response | None:
+    def hear(
+        self, sock: socket.socket | None = None, parser: ResponseParser | None = None
+    ) -> Response | None:
         response: Response | None = next_of(sock or self.client, parser or self.parser)
-        self.lines.append("client: nothing" if response is None else
-                          f"client: {response.status} {response.body.decode().strip()}"
-                          f"{'' if response.keeps() else ', closed'}")
+        self.lines.append(
+            "client: nothing"
+            if response is None
+            else f"client: {response.status} {response.body.decode().strip()}"
+            f"{'' if response.keeps() else ', closed'}"
+        )
         return response
 
     def ask(self, tariff: str, *steps: object, expires: int = 2000, body: str = "") -> Response | None:
--- a/pumicepath/lab/loopback/servers.py
+++ b/pumicepath/lab/loopback/servers.py
@@ -21,7 +21,7 @@
     Outcome.ERROR: writing.response(500, [], b"failed", True),
     Outcome.FULL: writing.response(503, [(NEVER_RAN, "1")], b"full", True),
 }
-FILLED = 2              # connections that fill the queue of a listener with no backlog
+FILLED = 2  # connections that fill the queue of a listener with no backlog
 AT_ONCE = struct.pack("ii", 1, 0)
 
 
@@ -85,8 +85,9 @@
             while True:
                 sock, _ = self.sock.accept()
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self.world.keep(self.world.loop.connect_accepted_socket(
-                    lambda: Connection(self.world, self.behind), sock))
+                self.world.keep(
+                    self.world.loop.connect_accepted_socket(lambda: Connection(self.world, self.behind), sock)
+                )
 
 
 class LiveServer(Server):
@@ -140,7 +141,7 @@
         ask, self.ask = self.ask, -1
         if ask < 0:
             return
-        if self.job is None:                # on its way, or lost where nothing answers
+        if self.job is None:  # on its way, or lost where nothing answers
             self.world.judge.returned(ask)
         elif not self.job.gone:
             self.server.cancelled(self.job)
@@ -162,7 +163,7 @@
     def arrive(self, ask: int, sidecar: int, key: str) -> None:
         world, server = self.world, self.server
         if self.ask != ask or server is None:
-            return                          # given up on the way
+            return  # given up on the way
 
         def reply(outcome: Outcome) -> None:
             world.judge.returned(ask)
@@ -172,8 +173,14 @@
                 if not server.silent:
                     world.network.carry(server.hall, world.hall_of(sidecar), self.answer, outcome)
 
-        job = Job(ask, int(key or "0", 16), sidecar, world.work(ask), reply,
-                  world.registry.knows_start(sidecar, server.number, server.came_up))
+        job = Job(
+            ask,
+            int(key or "0", 16),
+            sidecar,
+            world.work(ask),
+            reply,
+            world.registry.knows_start(sidecar, server.number, server.came_up),
+        )
         if server.came(job) and not job.gone:
             self.job = job
 
@@ -183,7 +190,7 @@
         if outcome not in ANSWERS:
             self.reset()
         elif outcome == Outcome.OK and self.server is not None and self.server.stalls():
-            self.transport.write(ANSWERS[outcome][:-len(BODY) // 2])    # and no more
+            self.transport.write(ANSWERS[outcome][: -len(BODY) // 2])  # and no more
         else:
             self.transport.write(ANSWERS[outcome])
 
--- a/pumicepath/lab/loopback/sidecars.py
+++ b/pumicepath/lab/loopback/sidecars.py
@@ -51,12 +51,12 @@
         self.process: asyncio.subprocess.Process | None = None
         self.desk = Desk(world, number)
         self.ready = asyncio.Event()
-        self.refused: set[str] = set()      # servers whose breakers are open here, by its own log
+        self.refused: set[str] = set()  # servers whose breakers are open here, by its own log
         self.name = f"sidecar-{number}"
         self.stopped = False
-        self.halted: list[asyncio.subprocess.Process | None] = []   # its processes that are stopped
+        self.halted: list[asyncio.subprocess.Process | None] = []  # its processes that are stopped
         self.operators = ("", 0)
-        self.speaks_at = ("", 0)            # its own socket for peers
+        self.speaks_at = ("", 0)  # its own socket for peers
         self.state = Disk(folder / f"state-{number}", folder / f"copy-{number}")
         bent = any(KINDS[one.kind].bends for one in world.plan.troubles if one.kind in KINDS)
         self.page = Page(folder / f"clock-{number}") if bent else None
@@ -86,7 +86,7 @@
         try:
             await asyncio.wait_for(self.ready.wait(), READY_S)
             while await self.asked("/peers") is None:
-                await asyncio.sleep(0.01)       # its operators' address says yes once it has taken over
+                await asyncio.sleep(0.01)  # its operators' address says yes once it has taken over
         except TimeoutError:
             self.world.note(f"sidecar {self.number}: the new process did not come up")
             return
@@ -101,7 +101,7 @@
 
     async def launch(self) -> None:
         if self.process is not None and self.process.returncode is None:
-            self.kill()                     # it was asked to end, and has not yet
+            self.kill()  # it was asked to end, and has not yet
             await self.process.wait()
         await self.begin()
 
@@ -117,10 +117,17 @@
         environment = {**os.environ, "GW_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
         command = ["-m", "pumicepath", "serve"]
         if plan.sidecars.peers:
-            config["peers"] = {"listen": "127.0.0.1:0", "advertise": world.front(self.number),
-                               "seeds": world.peers_of(self.number), "everyS": plan.sidecars.peers_every_s,
-                               **({"voters": world.voters(), "leaseS": plan.sidecars.lease_s, "trials": True}
-                                  if plan.sidecars.trials else {})}
+            config["peers"] = {
+                "listen": "127.0.0.1:0",
+                "advertise": world.front(self.number),
+                "seeds": world.peers_of(self.number),
+                "everyS": plan.sidecars.peers_every_s,
+                **(
+                    {"voters": world.voters(), "leaseS": plan.sidecars.lease_s, "trials": True}
+                    if plan.sidecars.trials
+                    else {}
+                ),
+            }
             config["admin_addr"] = "127.0.0.1:0"
             environment["TMPDIR"] = str(self.state.folder)
         if self.page is not None:
@@ -130,8 +137,13 @@
         world.registry.join(self.desk.number, self.desk)
         world.history.write("rig", "started", sidecar=self.number, starts=self.starts)
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-O", *command, stdout=asyncio.subprocess.PIPE,
-            stdin=asyncio.subprocess.DEVNULL, env=environment)
+            sys.executable,
+            "-O",
+            *command,
+            stdout=asyncio.subprocess.PIPE,
+            stdin=asyncio.subprocess.DEVNULL,
+            env=environment,
+        )
         world.processes.append(self.process)
         world.keep(self.read(self.process))
 
@@ -140,11 +152,14 @@
         world = self.world
         self.desk.version += 1
         return {
-            "name": f"sidecar-{self.number}", "listen": self.listen, "discovery": self.desk.address,
+            "name": f"sidecar-{self.number}",
+            "listen": self.listen,
+            "discovery": self.desk.address,
             "seed": f"{world.seed * 1_000_003 + self.number * 97 + self.starts:x}",
             "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024},
             "known": self.desk.listing(True, world.registry.whole()),
-            "settings": told(world.plan, self.number, self.hall)}
+            "settings": told(world.plan, self.number, self.hall),
+        }
 
     async def read(self, process: asyncio.subprocess.Process) -> None:
         """Its log, line by line; it is up once it says where it listens."""
@@ -226,8 +241,11 @@
             self.crowd_process.kill()
         if on:
             self.crowd_process = await asyncio.create_subprocess_exec(
-                sys.executable, "-c", BUSY.format(cores[self.number % len(cores)]),
-                stdin=asyncio.subprocess.DEVNULL)
+                sys.executable,
+                "-c",
+                BUSY.format(cores[self.number % len(cores)]),
+                stdin=asyncio.subprocess.DEVNULL,
+            )
             self.world.processes.append(self.crowd_process)
 
     def bend(self, rate: float | None, step: int) -> None:
@@ -270,6 +288,7 @@
                 return await reader.read()
             finally:
                 writer.close()
+
         try:
             return await asyncio.wait_for(ask(), longest_s)
         except (TimeoutError, OSError):
--- a/pumicepath/lab/loopback/wires.py
+++ b/pumicepath/lab/loopback/wires.py
@@ -44,12 +44,12 @@
         self.most = most
         self.up = False
         self.starts = 0
-        self.ending = False                 # asked to end, and not begun again
+        self.ending = False  # asked to end, and not begun again
         self.where = ("127.0.0.1", 0)
         self.open = 0
         self.idle: list[Wire] = []
-        self.wires: dict[int, Wire] = {}    # by the number of the submission on it
-        self.deferrals: deque[int] = deque(maxlen=KEPT_TIMES)   # microseconds from a try to its deferral
+        self.wires: dict[int, Wire] = {}  # by the number of the submission on it
+        self.deferrals: deque[int] = deque(maxlen=KEPT_TIMES)  # microseconds from a try to its deferral
 
     def take(self, ask: Ask) -> bool:
         if not self.up:
@@ -88,8 +88,13 @@
 
 def asked(tariff: str, safe: bool, trace: str, key: int, left_ms: int, again: bool, body: int) -> bytes:
     """A client's request; `body` bytes go with what may not be repeated at will."""
-    headers = [("Host", "api"), ("X-Trace-Id", trace), ("X-Qos", tariff),
-               ("X-Expires-In-Ms", str(left_ms)), ("X-Object", f"{key:x}")]
+    headers = [
+        ("Host", "api"),
+        ("X-Trace-Id", trace),
+        ("X-Qos", tariff),
+        ("X-Expires-In-Ms", str(left_ms)),
+        ("X-Object", f"{key:x}"),
+    ]
     if again:
         headers.append(("X-Second-Try", "1"))
     return writing.request("GET" if safe else "POST", "/lab", headers, b"" if safe else b"b" * body)
@@ -113,8 +118,17 @@
         tariff = around.plan.load.tariffs[ask.tariff]
         left = max(1, (ask.until - self.sent) // 1000)
         around.judge.tried(ask.number, ask.tariff, ask.until)
-        self.transport.write(asked(tariff.name, tariff.effect == "idempotent", f"{ask.number:x}-{ask.tries}",
-                                   ask.key, left, ask.tries > 1, around.plan.load.body))
+        self.transport.write(
+            asked(
+                tariff.name,
+                tariff.effect == "idempotent",
+                f"{ask.number:x}-{ask.tries}",
+                ask.key,
+                left,
+                ask.tries > 1,
+                around.plan.load.body,
+            )
+        )
 
     def malformed(self, trouble: Malformed) -> None:
         self.among.around.note(f"client got {trouble}")
--- a/pumicepath/lab/loopback/world.py
+++ b/pumicepath/lab/loopback/world.py
@@ -25,12 +25,12 @@
 from .servers import Door, LiveServer
 from .sidecars import READY_S, LiveSidecar
 
-SLACK = 60_000              # microseconds that the loop and the kernel may take between an act and its sight
-MOST_BEHIND_MS = 25.0       # ticks later than this mean that the stand-ins, not the sidecars, were too slow
+SLACK = 60_000  # microseconds that the loop and the kernel may take between an act and its sight
+MOST_BEHIND_MS = 25.0  # ticks later than this mean that the stand-ins, not the sidecars, were too slow
 KEPT_LINES = 2000
-LOOK_S = 0.5                # between two looks at what sidecars see of each other,
-LOOK_AT_DUTIES_S = 0.1      # and at what each of them holds, where there are few of them,
-MOST_LOOKS = 100.0          # a second, of all: the rig must not be what is slow
+LOOK_S = 0.5  # between two looks at what sidecars see of each other,
+LOOK_AT_DUTIES_S = 0.1  # and at what each of them holds, where there are few of them,
+MOST_LOOKS = 100.0  # a second, of all: the rig must not be what is slow
 SEEDS = VOTERS = 3
 
 
@@ -43,8 +43,14 @@
 
     timeline: Live
 
-    def __init__(self, plan: Plan, seed: int, folder: Path, history: Path | None = None,
-                 judging: Callable[..., Judge] | None = None) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        seed: int,
+        folder: Path,
+        history: Path | None = None,
+        judging: Callable[..., Judge] | None = None,
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         timeline = Live(self.loop)
         self.playing = False
@@ -55,18 +61,25 @@
         self.doors: dict[int, Door] = {}
         self.log: deque[str] = deque(maxlen=KEPT_LINES)
         self.over = False
-        self.faults: list[str] = []     # of the stand-ins themselves
+        self.faults: list[str] = []  # of the stand-ins themselves
         self.loop.set_exception_handler(self.fault)
         self.at_servers: list[list[int]] = []
         self.breakers: list[list[float]] = []
-        super().__init__(plan, seed, timeline, LiveServer, SLACK,
-                         judging or functools.partial(Recorded, history=self.history))
+        super().__init__(
+            plan,
+            seed,
+            timeline,
+            LiveServer,
+            SLACK,
+            judging or functools.partial(Recorded, history=self.history),
+        )
         if plan.sidecars.peers:
             self.links = Links(timeline, seed)
             self.links.witness = self.carried
             self.relays = Relays(self.links)
-        self.sidecars = [LiveSidecar(self, number, self.hall_of(number), folder)
-                         for number in range(plan.sidecars.count)]
+        self.sidecars = [
+            LiveSidecar(self, number, self.hall_of(number), folder) for number in range(plan.sidecars.count)
+        ]
         self.instances.extend(self.sidecars)
 
     def begin(self, place: int, cold: bool = False) -> LiveServer:
@@ -82,7 +95,7 @@
         return sidecar % self.plan.fleet.halls
 
     def address_of(self, server: int) -> str:
-        door = self.servers[server].door        # type: ignore[attr-defined]
+        door = self.servers[server].door  # type: ignore[attr-defined]
         return str(door.address)
 
     def keep(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -107,13 +120,20 @@
     def carried(self, one: int, other: int, size: int, copies: int, why: str) -> None:
         """What the relays saw of each datagram, once the run counts."""
         if self.playing:
-            self.history.write("links", "datagram", sender=one, to=other, bytes=size,
-                               **({"copies": copies} if copies else {"dropped": why}))
+            self.history.write(
+                "links",
+                "datagram",
+                sender=one,
+                to=other,
+                bytes=size,
+                **({"copies": copies} if copies else {"dropped": why}),
+            )
 
     def mark(self, text: str, lasts: int = 0) -> None:
         super().mark(text, lasts)
-        self.history.write("rig", "fault", kind=text.partition(":")[0], text=text,
-                           until=self.timeline.now + lasts)
+        self.history.write(
+            "rig", "fault", kind=text.partition(":")[0], text=text, until=self.timeline.now + lasts
+        )
 
     def note(self, text: str) -> None:
         self.log.append(f"{self.timeline.now / SECOND:8.3f}  {text}")
@@ -140,7 +160,7 @@
             await self.end()
 
     async def play(self, told: Callable[[LiveWorld], None] | None) -> Result:
-        self.timeline.began = self.loop.time()      # from here on seconds count
+        self.timeline.began = self.loop.time()  # from here on seconds count
         self.playing = True
         self.history.write("rig", "begun")
         if self.links is not None:
@@ -168,42 +188,61 @@
 
     async def look_at_views(self) -> None:
         """What each sidecar sees of the others, again and again; those that are stopped are not asked."""
-        while not self.over:    # wait_for may swallow that this task is cancelled
+        while not self.over:  # wait_for may swallow that this task is cancelled
             asked = [sidecar for sidecar in self.sidecars if sidecar.up and not sidecar.stopped]
             told = await asyncio.gather(*(sidecar.asked("/peers") for sidecar in asked))
-            self.views = {sidecar.name: [(one["name"], one["state"]) for one in view["peers"]]
-                          for sidecar, view in zip(asked, told) if view is not None}
-            self.history.write("rig", "views", sees=self.views,
-                               running=[one.name for one in self.sidecars if one.up])
+            self.views = {
+                sidecar.name: [(one["name"], one["state"]) for one in view["peers"]]
+                for sidecar, view in zip(asked, told)
+                if view is not None
+            }
+            self.history.write(
+                "rig", "views", sees=self.views, running=[one.name for one in self.sidecars if one.up]
+            )
             links = self.links
             assert links is not None
-            self.history.write("links", "carried", messages=links.sent.total(), bytes=links.bytes.total(),
-                               dropped=links.dropped, by={one.name: [links.sent[one.number],
-                                                                      links.bytes[one.number]]
-                                                           for one in self.sidecars})
+            self.history.write(
+                "links",
+                "carried",
+                messages=links.sent.total(),
+                bytes=links.bytes.total(),
+                dropped=links.dropped,
+                by={one.name: [links.sent[one.number], links.bytes[one.number]] for one in self.sidecars},
+            )
             await asyncio.sleep(LOOK_S)
 
     async def look_at_duties(self, sidecar: LiveSidecar) -> None:
         """What one sidecar says that it holds, again and again: it might act on each under that number."""
-        while not self.over:    # wait_for may swallow that this task is cancelled
+        while not self.over:  # wait_for may swallow that this task is cancelled
             asked = self.timeline.now
             view = await sidecar.asked("/peers") if sidecar.up else None
             for held in view.get("holds", []) if view is not None else []:
-                self.history.write("rig", "acted", duty=held["duty"], holder=view["born"] if view else "",
-                                   fence=int(held["number"], 16), accepted=True, asked=asked)
+                self.history.write(
+                    "rig",
+                    "acted",
+                    duty=held["duty"],
+                    holder=view["born"] if view else "",
+                    fence=int(held["number"], 16),
+                    accepted=True,
+                    asked=asked,
+                )
             await asyncio.sleep(max(LOOK_AT_DUTIES_S, len(self.sidecars) / MOST_LOOKS))
 
     def look(self) -> None:
         self.at_servers.append([self.servers[number].at_it for number in self.places])
-        self.breakers.append([
-            sum(f"s-{number}" in sidecar.refused for sidecar in self.sidecars) / len(self.sidecars)
-            for number in self.places])
+        self.breakers.append(
+            [
+                sum(f"s-{number}" in sidecar.refused for sidecar in self.sidecars) / len(self.sidecars)
+                for number in self.places
+            ]
+        )
 
     def result(self) -> Result:
         for second, (wanted, earned) in enumerate(zip(self.tally.wanted, self.tally.earned)):
             self.history.write("clients", "second", second=second, wanted=wanted, earned=earned)
-        return result(self, "pumicepath", self.timeline.events, self.at_servers, self.breakers,
-                      list(self.log))
+        return result(
+            self, "pumicepath", self.timeline.events, self.at_servers, self.breakers, list(self.log)
+        )
 
     def check(self) -> None:
         """Raises Void if what was measured is the stand-ins' own slowness."""
@@ -233,13 +272,16 @@
         self.history.close()
 
 
-def play(plan: Plan, seed: int, told: Callable[[LiveWorld], None] | None = None,
-         history: Path | None = None) -> Result:
+def play(
+    plan: Plan, seed: int, told: Callable[[LiveWorld], None] | None = None, history: Path | None = None
+) -> Result:
     """Play a plan on loopback, its history into a file.  Raises Void, and OSError without ports or files."""
+
     async def playing() -> Result:
         with tempfile.TemporaryDirectory(prefix="pumicepath-lab-") as folder:
             world = LiveWorld(plan, seed, Path(folder), history)
             found = await world.run(told)
             world.check()
             return found
+
     return asyncio.run(playing())
--- a/pumicepath/lab/model/clients.py
+++ b/pumicepath/lab/model/clients.py
@@ -20,25 +20,25 @@
     """What clients do; rates are submissions a second for each sidecar, times microseconds."""
 
     rate: float
-    pattern: str                            # poisson, bursty, even
-    steps: tuple[tuple[int, float], ...]    # from when, times the rate
-    trace: tuple[int, ...]                  # due times, instead of a rate
-    shares: tuple[float, ...]               # of the tariffs
+    pattern: str  # poisson, bursty, even
+    steps: tuple[tuple[int, float], ...]  # from when, times the rate
+    trace: tuple[int, ...]  # due times, instead of a rate
+    shares: tuple[float, ...]  # of the tariffs
     keys: int
     zipf: float
-    drift: int                              # after so long the ranks have moved on by a tenth of all keys
-    leaves: float                           # share of clients that leave before patience is over
+    drift: int  # after so long the ranks have moved on by a tenth of all keys
+    leaves: float  # share of clients that leave before patience is over
     retries: int
     back_off: int
-    heeds: bool                             # the advice when to come back
+    heeds: bool  # the advice when to come back
 
 
 @dataclass
 class Moods:
     """What troubles change while a run goes on."""
 
-    times: float = 1.0                      # the rate
-    hot: float = 0.0                        # share of submissions with one and the same key
+    times: float = 1.0  # the rate
+    hot: float = 0.0  # share of submissions with one and the same key
     hot_key: int = 0
 
 
@@ -64,7 +64,7 @@
         self.due = due
         self.until = until
         self.tries = 0
-        self.turn = 0               # counts tries; older answers do not count
+        self.turn = 0  # counts tries; older answers do not count
         self.over = False
 
 
@@ -72,12 +72,12 @@
     """Ends of submissions by the second in which each should have gone out."""
 
     def __init__(self, seconds: int, tariffs: int, warm: int) -> None:
-        self.warm = warm            # microseconds at the start whose gains do not count
+        self.warm = warm  # microseconds at the start whose gains do not count
         self.offered, self.good, self.late, self.deferred = ([0] * seconds for _ in range(4))
         self.forfeited, self.left, self.lost, self.refused = ([0] * seconds for _ in range(4))
         self.times: list[list[int]] = [[] for _ in range(tariffs)]
         self.gained = self.could = 0.0
-        self.wanted, self.earned = [0.0] * seconds, [0.0] * seconds     # gain offered, and served in time
+        self.wanted, self.earned = [0.0] * seconds, [0.0] * seconds  # gain offered, and served in time
         self.retries = 0
 
 
--- a/pumicepath/lab/model/judge.py
+++ b/pumicepath/lab/model/judge.py
@@ -11,47 +11,71 @@
 from .servers import Job, Server
 from .timeline import Timeline
 
-SLACK = 20_000      # microseconds after patience within which a final answer is still taken
-CAUSES = ("unanswered", "answered_twice", "answered_late", "sent_after_answer", "ran_twice",
-          "deferred_may_run", "late_sends", "pushed_over")
+SLACK = 20_000  # microseconds after patience within which a final answer is still taken
+CAUSES = (
+    "unanswered",
+    "answered_twice",
+    "answered_late",
+    "sent_after_answer",
+    "ran_twice",
+    "deferred_may_run",
+    "late_sends",
+    "pushed_over",
+)
 
 
 class Case:
     """What is known of one submission of a client while any part of it is still out."""
 
-    __slots__ = ("tariff", "until", "ended_at", "tries", "open", "jobs", "effects", "may_run", "over",
-                 "began")
+    __slots__ = (
+        "tariff",
+        "until",
+        "ended_at",
+        "tries",
+        "open",
+        "jobs",
+        "effects",
+        "may_run",
+        "over",
+        "began",
+    )
 
     def __init__(self, tariff: Tariff) -> None:
         self.tariff = tariff
         self.until = 0
-        self.ended_at = 0           # when the present try had its final answer
+        self.ended_at = 0  # when the present try had its final answer
         self.tries = 0
-        self.open = False           # a try is with a sidecar, and no final answer has come
-        self.jobs = 0               # hops on the way to a server or there
-        self.effects: list[tuple[int, int, int]] = []       # when, hall, cell
-        self.may_run = False        # whether a hop of the present or an earlier try may have run
+        self.open = False  # a try is with a sidecar, and no final answer has come
+        self.jobs = 0  # hops on the way to a server or there
+        self.effects: list[tuple[int, int, int]] = []  # when, hall, cell
+        self.may_run = False  # whether a hop of the present or an earlier try may have run
         self.over = False
-        self.began = 0              # when the present try went to its sidecar
+        self.began = 0  # when the present try went to its sidecar
 
 
 class Judge:
     """Keeps a case as long as its client or a server has to do with it: memory grows with what is out."""
 
-    def __init__(self, timeline: Timeline, tariffs: tuple[Tariff, ...], registry: Registry,
-                 grace: int, slack: int = SLACK) -> None:
+    def __init__(
+        self,
+        timeline: Timeline,
+        tariffs: tuple[Tariff, ...],
+        registry: Registry,
+        grace: int,
+        slack: int = SLACK,
+    ) -> None:
         self.timeline = timeline
         self.tariffs = tariffs
         self.registry = registry
         self.grace = grace
-        self.slack = slack          # what the host's own clocks and queues may be late by
+        self.slack = slack  # what the host's own clocks and queues may be late by
         self.cases: dict[int, Case] = {}
         self.prompt = slack <= SLACK
         self.broken = dict.fromkeys(CAUSES, 0)
         self.first: dict[str, str] = {}
         self.taken = 0
         self.finals = dict.fromkeys(("succeeded", "deferred", "forfeited", "left", "cut"), 0)
-        self.halted: dict[int, tuple[int, int | None]] = {}     # sidecars that were stopped last, until when
+        self.halted: dict[int, tuple[int, int | None]] = {}  # sidecars that were stopped last, until when
 
     def breach(self, cause: str, text: str) -> None:
         self.broken[cause] += 1
@@ -84,9 +108,15 @@
         if self.timeline.now > case.until + self.slack and not self.stood_still(ask, case):
             self.breach("answered_late", f"submission {ask} {what} after its patience")
         # A hop that is still on its way or in a queue may run yet.
-        if what == "deferred" and (case.may_run or case.jobs > 0) and (
+        if (
+            what == "deferred"
+            and (case.may_run or case.jobs > 0)
+            and (
                 case.tariff.effect == Effect.UNREPEATABLE
-                or case.tariff.effect == Effect.DEDUPLICATED and case.tariff.group != Group.ALL):
+                or case.tariff.effect == Effect.DEDUPLICATED
+                and case.tariff.group != Group.ALL
+            )
+        ):
             self.breach("deferred_may_run", f"submission {ask} deferred, and may have run")
 
     def gone(self, ask: int, why: str = "left") -> None:
@@ -151,8 +181,10 @@
             case.jobs += 1
         told = self.registry.knows_since(sidecar, server)
         if told is not None and now > told + self.grace + (0 if self.prompt else self.slack):
-            self.breach("late_sends", f"sidecar {sidecar} to server {server}, "
-                                      f"{(now - told) / 1e6:.3f} s after it was told")
+            self.breach(
+                "late_sends",
+                f"sidecar {sidecar} to server {server}, {(now - told) / 1e6:.3f} s after it was told",
+            )
 
     def returned(self, ask: int) -> None:
         """The hop has ended at its server, or can't reach one any more."""
@@ -173,9 +205,17 @@
         if tariff.effect == Effect.IDEMPOTENT:
             return True
         for at, hall, cell in case.effects:
-            if tariff.effect == Effect.DEDUPLICATED and now <= at + tariff.window and (
-                    tariff.group == Group.ALL or tariff.group == Group.ZONE and hall == server.hall
-                    or tariff.group == Group.CELL and cell == server.cell):
+            if (
+                tariff.effect == Effect.DEDUPLICATED
+                and now <= at + tariff.window
+                and (
+                    tariff.group == Group.ALL
+                    or tariff.group == Group.ZONE
+                    and hall == server.hall
+                    or tariff.group == Group.CELL
+                    and cell == server.cell
+                )
+            ):
                 return False
         if case.effects:
             self.breach("ran_twice", f"submission {job.ask} at server {server.number} again")
--- a/pumicepath/lab/model/links.py
+++ b/pumicepath/lab/model/links.py
@@ -12,7 +12,7 @@
 
 from .timeline import SECOND, Timeline, chance
 
-LONGEST_QUEUE = SECOND      # before a slow link; what would wait longer is dropped
+LONGEST_QUEUE = SECOND  # before a slow link; what would wait longer is dropped
 
 
 @dataclass(frozen=True)
@@ -23,7 +23,7 @@
     doubled: float = 0.0
     spoilt: float = 0.0
     delay: int = 0
-    spread: int = 0             # a delay up to so much longer: what is sent later may come first
+    spread: int = 0  # a delay up to so much longer: what is sent later may come first
     rate: int = 0
 
 
@@ -39,9 +39,9 @@
         self.chance = chance(seed, "links")
         self.cuts: list[tuple[Group, Group]] = []
         self.noises: list[tuple[Group, Noise]] = []
-        self.free: dict[tuple[int, int], int] = {}          # when a slow link has sent what waits
-        self.sent: Counter[int] = Counter()                 # messages by who sent them,
-        self.bytes: Counter[int] = Counter()                # and their bytes
+        self.free: dict[tuple[int, int], int] = {}  # when a slow link has sent what waits
+        self.sent: Counter[int] = Counter()  # messages by who sent them,
+        self.bytes: Counter[int] = Counter()  # and their bytes
         self.dropped = 0
         # Told of each datagram: from whom, to whom, its bytes, how many copies of it go on, or why none.
         self.witness: Callable[[int, int, int, int, str], None] | None = None
@@ -54,6 +54,7 @@
         def undo() -> None:
             for each in made:
                 self.cuts.remove(each)
+
         return undo
 
     def disturb(self, who: Collection[int], noise: Noise) -> Callable[[], None]:
@@ -76,7 +77,7 @@
             copies += draw() < noise.doubled
             if draw() < noise.spoilt and data:
                 at = int(draw() * len(data))
-                data = data[:at] + bytes((data[at] ^ (1 << int(draw() * 8)),)) + data[at + 1:]
+                data = data[:at] + bytes((data[at] ^ (1 << int(draw() * 8)),)) + data[at + 1 :]
             if noise.rate:
                 now = self.timeline.now
                 free = max(now, self.free.get((one, other), 0)) + len(data) * SECOND // noise.rate
--- a/pumicepath/lab/model/listing.py
+++ b/pumicepath/lab/model/listing.py
@@ -9,7 +9,7 @@
 from ...interface import Entry, Listing, Phase
 from .timeline import Timeline, chance
 
-TWIN = 1 << 20              # added to the number of a sidecar whose process is being replaced: the new one's
+TWIN = 1 << 20  # added to the number of a sidecar whose process is being replaced: the new one's
 
 
 class Reader(Protocol):
@@ -24,8 +24,8 @@
 
     lag_from: int
     lag_to: int
-    ask_every: int              # for as long may who does not follow it go without asking
-    grace: int                  # sends may still go out so long after one was told of a drain
+    ask_every: int  # for as long may who does not follow it go without asking
+    grace: int  # sends may still go out so long after one was told of a drain
 
 
 class Following:
@@ -39,8 +39,8 @@
         self.follows = False
         self.asked_at = 0
         self.failed = False
-        self.told: dict[int, int] = {}      # servers that drain or are gone: since when it knows
-        self.started: dict[int, int] = {}   # starts that it knows of, by server
+        self.told: dict[int, int] = {}  # servers that drain or are gone: since when it knows
+        self.started: dict[int, int] = {}  # starts that it knows of, by server
 
 
 class Registry:
@@ -52,10 +52,10 @@
         self.chance = chance(seed, "list")
         self.seq = 0
         self.truth: dict[int, Entry] = {}
-        self.since: dict[int, int] = {}         # when each came to drain or to be gone
-        self.lies: dict[int, Phase] = {}        # phases shown instead of the true ones
+        self.since: dict[int, int] = {}  # when each came to drain or to be gone
+        self.lies: dict[int, Phase] = {}  # phases shown instead of the true ones
         self.down = False
-        self.cut_off: set[int] = set()          # sidecars that can't reach it
+        self.cut_off: set[int] = set()  # sidecars that can't reach it
         self.followers: dict[int, Following] = {}
 
     # -- the truth
@@ -96,8 +96,15 @@
         if not self.down:
             for number, following in self.followers.items():
                 if following.follows:
-                    self.timeline.at(self.timeline.now + self.lag(), self.tell, number, following, self.seq,
-                                     Listing.CHANGES, changes)
+                    self.timeline.at(
+                        self.timeline.now + self.lag(),
+                        self.tell,
+                        number,
+                        following,
+                        self.seq,
+                        Listing.CHANGES,
+                        changes,
+                    )
 
     def lag(self) -> int:
         return self.chance.randint(self.manner.lag_from, self.manner.lag_to)
--- a/pumicepath/lab/model/network.py
+++ b/pumicepath/lab/model/network.py
@@ -17,7 +17,7 @@
         self.near = near
         self.far = far
         self.chance = chance(seed, "network")
-        self.cut: set[int] = set()          # halls that nothing enters or leaves
+        self.cut: set[int] = set()  # halls that nothing enters or leaves
         self.slower = 1.0
         self.dropped = 0
 
--- a/pumicepath/lab/model/servers.py
+++ b/pumicepath/lab/model/servers.py
@@ -16,16 +16,16 @@
     """What servers are made of; times in microseconds."""
 
     cores: int
-    queue: int                  # hops that may wait
-    cache: int                  # keys that a server remembers
-    miss: float                 # how much longer a key takes that it does not
-    cold_from: float            # share of the speed at the start, which grows to the whole
-    cold_for: int               # over this time
-    fall_multiple: float        # work sent above this multiple of what it can do while cold
-    fall_window: int            # over this window pushes it over
-    jam_at: float               # hops at the server, for each core, from which it jams
-    jam_speed: float            # its speed until it is nearly idle
-    stops: bool                 # whether work ends when nobody waits for it any more
+    queue: int  # hops that may wait
+    cache: int  # keys that a server remembers
+    miss: float  # how much longer a key takes that it does not
+    cold_from: float  # share of the speed at the start, which grows to the whole
+    cold_for: int  # over this time
+    fall_multiple: float  # work sent above this multiple of what it can do while cold
+    fall_window: int  # over this window pushes it over
+    jam_at: float  # hops at the server, for each core, from which it jams
+    jam_speed: float  # its speed until it is nearly idle
+    stops: bool  # whether work ends when nobody waits for it any more
 
 
 class Witness(Protocol):
@@ -40,20 +40,34 @@
 class Job:
     """A hop as its server sees it; `reply` is called once with how it ended there."""
 
-    __slots__ = ("ask", "key", "sender", "told", "work", "rest", "since", "rate", "turn", "reply", "gone",
-                 "begun", "effect")
-
-    def __init__(self, ask: int, key: int, sender: int, work: int, reply: Callable[[Outcome], None],
-                 told: bool = True) -> None:
+    __slots__ = (
+        "ask",
+        "key",
+        "sender",
+        "told",
+        "work",
+        "rest",
+        "since",
+        "rate",
+        "turn",
+        "reply",
+        "gone",
+        "begun",
+        "effect",
+    )
+
+    def __init__(
+        self, ask: int, key: int, sender: int, work: int, reply: Callable[[Outcome], None], told: bool = True
+    ) -> None:
         self.ask = ask
         self.key = key
         self.sender = sender
-        self.told = told            # whether the sender could know of the server's start
-        self.work = work            # core-microseconds on a warm server that knows the key
+        self.told = told  # whether the sender could know of the server's start
+        self.work = work  # core-microseconds on a warm server that knows the key
         self.rest = float(work)
         self.since = 0
         self.rate = 0.0
-        self.turn = 0               # counts changes of speed; older ends do not count
+        self.turn = 0  # counts changes of speed; older ends do not count
         self.reply = reply
         self.gone = False
         self.begun = False
@@ -76,9 +90,18 @@
 class Server:
     """One server process after another under an id; `kill` and `start` change the process."""
 
-    def __init__(self, timeline: Timeline, witness: Witness, build: Build, number: int, hall: int, cell: int,
-                 speed: float = 1.0, limit: Limit | None = None,
-                 fails: Callable[[], float] | None = None) -> None:
+    def __init__(
+        self,
+        timeline: Timeline,
+        witness: Witness,
+        build: Build,
+        number: int,
+        hall: int,
+        cell: int,
+        speed: float = 1.0,
+        limit: Limit | None = None,
+        fails: Callable[[], float] | None = None,
+    ) -> None:
         self.timeline = timeline
         self.witness = witness
         self.build = build
@@ -88,22 +111,22 @@
         self.speed = speed
         self.limit = limit
         self.chance = fails or (lambda: 1.0)
-        self.process = 1            # counts processes; connections end with theirs
+        self.process = 1  # counts processes; connections end with theirs
         self.up = True
-        self.silent = False         # half open: takes nothing in, says nothing, closes nothing
-        self.factor = 1.0           # of its speed, while slowed from outside
-        self.failing = 0.0          # share of hops that it fails at once
-        self.stalling = 0.0         # share of answers that stop half way, where there are bytes
-        self.came_up = 0            # 0: long ago
+        self.silent = False  # half open: takes nothing in, says nothing, closes nothing
+        self.factor = 1.0  # of its speed, while slowed from outside
+        self.failing = 0.0  # share of hops that it fails at once
+        self.stalling = 0.0  # share of answers that stop half way, where there are bytes
+        self.came_up = 0  # 0: long ago
         self.fallen = False
         self.jammed = False
         self.running: dict[Job, None] = {}
         self.queue: deque[Job] = deque()
         self.cache: OrderedDict[int, None] = OrderedDict()
         self.arrivals: deque[tuple[int, int, int, bool]] = deque()
-        self.arrived = 0            # work among them
+        self.arrived = 0  # work among them
         self.done = 0
-        self.failed = 0             # hops that ended otherwise, but for those that nobody waited for any more
+        self.failed = 0  # hops that ended otherwise, but for those that nobody waited for any more
 
     # -- its process
 
@@ -292,5 +315,6 @@
         before = 0.0
         if len(self.running) >= self.build.cores:
             before = sum(job.rest for job in self.running) + sum(
-                self.takes(job.work, job.key) for job in self.queue)
+                self.takes(job.work, job.key) for job in self.queue
+            )
         return (before / self.build.cores + self.takes(work, key)) / self.rate()
--- a/pumicepath/lab/model/world.py
+++ b/pumicepath/lab/model/world.py
@@ -85,9 +85,15 @@
 class World:
     """What hosts add: the sidecars.  `make` may give servers of another host's."""
 
-    def __init__(self, plan: Plan, seed: int, timeline: Timeline,
-                 make: Callable[..., Server] = Server, slack: int = SLACK,
-                 judging: Callable[..., Judge] = Judge) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        seed: int,
+        timeline: Timeline,
+        make: Callable[..., Server] = Server,
+        slack: int = SLACK,
+        judging: Callable[..., Judge] = Judge,
+    ) -> None:
         fleet = plan.fleet
         self.plan = plan
         self.seed = seed
@@ -96,15 +102,31 @@
         self.lasts = micros(plan.lasts_s)
         self.chance = chance(seed, "world")
         self.build = Build(
-            cores=fleet.cores, queue=fleet.queue, cache=fleet.cache, miss=fleet.miss,
-            cold_from=fleet.cold_from, cold_for=micros(fleet.cold_s), fall_multiple=fleet.fall_multiple,
-            fall_window=micros(fleet.fall_s), jam_at=fleet.jam_at, jam_speed=fleet.jam_speed,
-            stops=fleet.stops)
-        self.registry = Registry(timeline, Manner(
-            micros(plan.list.lag_from_ms / 1e3), micros(plan.list.lag_to_ms / 1e3),
-            micros(plan.list.ask_every_s), micros(plan.list.grace_s)), seed)
-        self.network = Network(timeline, fleet.halls, micros(fleet.near_ms / 1e3), micros(fleet.far_ms / 1e3),
-                               seed)
+            cores=fleet.cores,
+            queue=fleet.queue,
+            cache=fleet.cache,
+            miss=fleet.miss,
+            cold_from=fleet.cold_from,
+            cold_for=micros(fleet.cold_s),
+            fall_multiple=fleet.fall_multiple,
+            fall_window=micros(fleet.fall_s),
+            jam_at=fleet.jam_at,
+            jam_speed=fleet.jam_speed,
+            stops=fleet.stops,
+        )
+        self.registry = Registry(
+            timeline,
+            Manner(
+                micros(plan.list.lag_from_ms / 1e3),
+                micros(plan.list.lag_to_ms / 1e3),
+                micros(plan.list.ask_every_s),
+                micros(plan.list.grace_s),
+            ),
+            seed,
+        )
+        self.network = Network(
+            timeline, fleet.halls, micros(fleet.near_ms / 1e3), micros(fleet.far_ms / 1e3), seed
+        )
         self.settings: list[Settings] = [decode(told(plan, 0, hall)) for hall in range(fleet.halls)]
         self.tariffs = self.settings[0].tariffs
         self.judge = judging(timeline, self.tariffs, self.registry, micros(plan.list.grace_s), slack)
@@ -112,9 +134,9 @@
         self.tally = Tally(self.lasts // SECOND + 1, len(self.tariffs), micros(plan.warm_s))
         self.limits = [Limit(fleet.limit) if fleet.limit else None for _ in range(fleet.halls)]
         self.servers: dict[int, Server] = {}
-        self.places: list[int] = []             # the id of the server at each place; a new one takes one over
+        self.places: list[int] = []  # the id of the server at each place; a new one takes one over
         self.marks: list[Mark] = []
-        self.links: Links | None = None         # between sidecars, where they speak with each other
+        self.links: Links | None = None  # between sidecars, where they speak with each other
         self.peering: Fellows | None = None
         self.instances: list[Instance] = []
         for place in range(fleet.servers):
@@ -125,9 +147,17 @@
         """A new server with an id of its own at a place, listed as ready."""
         fleet, number = self.plan.fleet, len(self.servers)
         hall = place * fleet.halls // fleet.servers
-        server = self.make(self.timeline, self.judge, self.build, number, hall,
-                           hall * fleet.cells + place % fleet.cells, 1.0, self.limits[hall],
-                           chance(self.seed, "server", number).random)
+        server = self.make(
+            self.timeline,
+            self.judge,
+            self.build,
+            number,
+            hall,
+            hall * fleet.cells + place % fleet.cells,
+            1.0,
+            self.limits[hall],
+            chance(self.seed, "server", number).random,
+        )
         if cold:
             server.start()
         self.servers[number] = server
@@ -154,14 +184,31 @@
         """The clients of one sidecar; they begin when told."""
         load, plan = self.plan.load, self.plan
         habits = Habits(
-            rate=plan.rate() / plan.sidecars.count, pattern=load.pattern,
+            rate=plan.rate() / plan.sidecars.count,
+            pattern=load.pattern,
             steps=tuple((micros(at), times) for at, times in load.steps),
-            trace=tuple(micros(at) for at in load.trace_s[instance.number::plan.sidecars.count]),
-            shares=tuple(tariff.share for tariff in load.tariffs), keys=load.keys, zipf=load.zipf,
-            drift=micros(load.drift_s), leaves=load.leaves, retries=load.retries,
-            back_off=micros(load.back_off_ms / 1e3), heeds=load.heeds)
+            trace=tuple(micros(at) for at in load.trace_s[instance.number :: plan.sidecars.count]),
+            shares=tuple(tariff.share for tariff in load.tariffs),
+            keys=load.keys,
+            zipf=load.zipf,
+            drift=micros(load.drift_s),
+            leaves=load.leaves,
+            retries=load.retries,
+            back_off=micros(load.back_off_ms / 1e3),
+            heeds=load.heeds,
+        )
         if not hasattr(self, "keys"):
             self.keys = Keys(load.keys, load.zipf, habits.drift)
-        return Clients(self.timeline, habits, self.tariffs, self.keys, self.moods, self.judge, self.tally,
-                       taker, instance.number, self.seed, self.lasts)  # type: ignore[arg-type]
-
+        return Clients(
+            self.timeline,
+            habits,
+            self.tariffs,
+            self.keys,
+            self.moods,
+            self.judge,
+            self.tally,
+            taker,  # type: ignore[arg-type]
+            instance.number,
+            self.seed,
+            self.lasts,
+        )
--- a/pumicepath/lab/spec.py
+++ b/pumicepath/lab/spec.py
@@ -21,11 +21,11 @@
 
     halls: Count = 1
     servers: Count = 12
-    cells: Count = 1                # in each hall
+    cells: Count = 1  # in each hall
     cores: Count = 2
     queue: Count = 64
     work_ms: Positive = 10.0
-    spread: Share = 0.4             # of the work around its mean
+    spread: Share = 0.4  # of the work around its mean
     cache: Count = 4000
     miss: Positive = 1.5
     cold_from: Annotated[float, Field(gt=0.0, le=1.0)] = 0.2
@@ -45,11 +45,11 @@
     dial_ms: Positive = 250.0
     most_hops: Count = 4
     crossing_price: Time = 0.0
-    advice_s: Time = 2.0            # the longest advice when to come back; 0: none is given
-    peers: bool = False             # whether they speak with each other
-    peers_every_s: Positive = 1.0   # between two probes of each
-    trials: bool = False            # whether one sidecar of a hall tries a sick server for all of them
-    lease_s: Annotated[float, Field(ge=0.5, le=60.0)] = 10.0    # of duties
+    advice_s: Time = 2.0  # the longest advice when to come back; 0: none is given
+    peers: bool = False  # whether they speak with each other
+    peers_every_s: Positive = 1.0  # between two probes of each
+    trials: bool = False  # whether one sidecar of a hall tries a sick server for all of them
+    lease_s: Annotated[float, Field(ge=0.5, le=60.0)] = 10.0  # of duties
 
     @model_validator(mode="after")
     def agreeing(self) -> Sidecars:
@@ -87,7 +87,9 @@
     back_off_ms: Positive = 50.0
     heeds: bool = True
     tariffs: tuple[Tariff, ...] = (
-        Tariff(name="read", share=0.75), Tariff(name="once", effect="at_most_once", share=0.25, gain=3.0))
+        Tariff(name="read", share=0.75),
+        Tariff(name="once", effect="at_most_once", share=0.25, gain=3.0),
+    )
 
     @model_validator(mode="after")
     def ordered(self) -> Load:
@@ -119,26 +121,26 @@
     kind: str
     at_s: Time
     for_s: Time = 5.0
-    servers: tuple[int, ...] = ()   # numbers; none: `count` of them by chance
+    servers: tuple[int, ...] = ()  # numbers; none: `count` of them by chance
     count: Count = 1
     hall: int = 0
-    value: float = 0.0              # 0: the kind's own
+    value: float = 0.0  # 0: the kind's own
     sidecars: tuple[int, ...] = ()  # numbers; none: a share of them by chance, or all, as the kind says
-    from_: tuple[int, ...] = ()     # of a cut one way: sidecars whose messages are lost,
-    to: tuple[int, ...] = ()        # on their way to these
-    state: Literal["old", "none", "other"] = "old"      # what killed ones find on their disk when they return
-    delay_ms: Time = 0.0            # of messages among peers, and how much longer by chance,
+    from_: tuple[int, ...] = ()  # of a cut one way: sidecars whose messages are lost,
+    to: tuple[int, ...] = ()  # on their way to these
+    state: Literal["old", "none", "other"] = "old"  # what killed ones find on their disk when they return
+    delay_ms: Time = 0.0  # of messages among peers, and how much longer by chance,
     spread_ms: Time = 0.0
-    doubled: Share = 0.0            # shares of them that come twice,
-    spoilt: Share = 0.0             # or with a bit flipped
-    rate_kb: Time = 0.0             # a second on each way; 0: without a bound
+    doubled: Share = 0.0  # shares of them that come twice,
+    spoilt: Share = 0.0  # or with a bit flipped
+    rate_kb: Time = 0.0  # a second on each way; 0: without a bound
 
 
 class Plan(Part):
     """One run but for its seed and its decisions."""
 
     lasts_s: Positive = 30.0
-    warm_s: Time = 2.0              # at the start, which does not count
+    warm_s: Time = 2.0  # at the start, which does not count
     fleet: Fleet = Fleet()
     sidecars: Sidecars = Sidecars()
     load: Load = Load()
@@ -166,16 +168,38 @@
     """The settings of a sidecar in this plan, as it is told them at its start (see `settings.decode`)."""
     fleet, sidecars = plan.fleet, plan.sidecars
     return {
-        "me": me, "fleetSize": sidecars.count, "zone": zone,
+        "me": me,
+        "fleetSize": sidecars.count,
+        "zone": zone,
         "dcs": [f"hall-{hall}" for hall in range(fleet.halls)],
         "membershipMode": "on_request" if plan.list.on_request else "pushed",
         "prices": {"crossZone": sidecars.crossing_price},
-        "rules": {"askEveryS": plan.list.ask_every_s, "coldFrom": fleet.cold_from, "coldS": fleet.cold_s,
-                  "fallMultiple": fleet.fall_multiple, "overloadForS": fleet.fall_s,
-                  "stopSendingWithinS": plan.list.grace_s},
+        "rules": {
+            "askEveryS": plan.list.ask_every_s,
+            "coldFrom": fleet.cold_from,
+            "coldS": fleet.cold_s,
+            "fallMultiple": fleet.fall_multiple,
+            "overloadForS": fleet.fall_s,
+            "stopSendingWithinS": plan.list.grace_s,
+        },
         "policyLimits": {
-            "mostHops": sidecars.most_hops, "connIdleS": 30.0, "dialTimeoutS": sidecars.dial_ms / 1000,
-            "retryAfter": sidecars.advice_s > 0, "maxRetryAfterS": sidecars.advice_s},
-        "tariffs": [{"name": one.name, "effect": one.effect, "group": one.group, "windowS": one.window_s,
-                     "gain": one.gain, "lateGain": one.late_gain, "agreedTimeS": one.agreed_ms / 1000,
-                     "patienceS": one.patience_ms / 1000} for one in plan.load.tariffs]}
+            "mostHops": sidecars.most_hops,
+            "connIdleS": 30.0,
+            "dialTimeoutS": sidecars.dial_ms / 1000,
+            "retryAfter": sidecars.advice_s > 0,
+            "maxRetryAfterS": sidecars.advice_s,
+        },
+        "tariffs": [
+            {
+                "name": one.name,
+                "effect": one.effect,
+                "group": one.group,
+                "windowS": one.window_s,
+                "gain": one.gain,
+                "lateGain": one.late_gain,
+                "agreedTimeS": one.agreed_ms / 1000,
+                "patienceS": one.patience_ms / 1000,
+            }
+            for one in plan.load.tariffs
+        ],
+    }
--- a/pumicepath/lab/troubles/__init__.py
+++ b/pumicepath/lab/troubles/__init__.py
@@ -12,5 +12,7 @@
     if _found != "trouble":
         _module = importlib.import_module(f"{__name__}.{_found}")
         KINDS[_found.replace("_", "-")] = next(
-            one for one in vars(_module).values()
-            if isinstance(one, type) and issubclass(one, Trouble) and one.__module__ == _module.__name__)
+            one
+            for one in vars(_module).values()
+            if isinstance(one, type) and issubclass(one, Trouble) and one.__module__ == _module.__name__
+        )
--- a/pumicepath/lab/troubles/peers_noisy.py
+++ b/pumicepath/lab/troubles/peers_noisy.py
@@ -16,8 +16,14 @@
         hit = sorted(spec.sidecars) or [one.number for one in self.world.instances]
         other = spec.delay_ms or spec.spread_ms or spec.doubled or spec.spoilt or spec.rate_kb
         loss = spec.value if spec.value or other else self.usual
-        noise = Noise(loss, spec.doubled, spec.spoilt, round(spec.delay_ms * 1000),
-                      round(spec.spread_ms * 1000), round(spec.rate_kb * 1000))
+        noise = Noise(
+            loss,
+            spec.doubled,
+            spec.spoilt,
+            round(spec.delay_ms * 1000),
+            round(spec.spread_ms * 1000),
+            round(spec.rate_kb * 1000),
+        )
         self.undo = self.world.links.disturb(hit, noise)
         return f"{numbered(hit)}: {loss:.0%} lost, {spec.delay_ms:g} to {spec.delay_ms + spec.spread_ms:g} ms"
 
--- a/pumicepath/lab/troubles/rolling_release.py
+++ b/pumicepath/lab/troubles/rolling_release.py
@@ -14,7 +14,7 @@
     def begin(self) -> str:
         places = range(len(self.world.places))
         together = max(1, int(self.value))
-        turns = [places[at:at + together] for at in range(0, len(places), together)]
+        turns = [places[at : at + together] for at in range(0, len(places), together)]
         for at, turn in enumerate(turns):
             when = self.world.timeline.now + at * self.lasts // len(turns)
             for place in turn:
--- a/pumicepath/lab/troubles/sidecars_replaced.py
+++ b/pumicepath/lab/troubles/sidecars_replaced.py
@@ -9,7 +9,7 @@
 
     usual = 0.3
     real = True
-    needs_peers = True          # only then do they have the operators' address that a replacement needs
+    needs_peers = True  # only then do they have the operators' address that a replacement needs
     lasting = False
 
     def befall(self, one: Instance) -> None:
--- a/pumicepath/lab/troubles/trouble.py
+++ b/pumicepath/lab/troubles/trouble.py
@@ -16,10 +16,10 @@
     """Begins and ends once.  `usual` is its value where the plan gives none."""
 
     usual = 0.0
-    lasting = True          # whether it has an end of its own to be told
-    real = False            # whether only real processes can have it
-    bends = False           # whether clocks of sidecars are bent by it
-    needs_peers = False     # whether sidecars must speak with each other for it
+    lasting = True  # whether it has an end of its own to be told
+    real = False  # whether only real processes can have it
+    bends = False  # whether clocks of sidecars are bent by it
+    needs_peers = False  # whether sidecars must speak with each other for it
 
     def __init__(self, world: World, spec: Spec, number: int) -> None:
         self.world = world
@@ -66,7 +66,7 @@
 class OfSidecars(Trouble):
     """Something that befalls each sidecar that it meets, and is taken back at the end."""
 
-    everyone = False        # who is met where none is named: all, or the share that is the value
+    everyone = False  # who is met where none is named: all, or the share that is the value
 
     def begin(self) -> str:
         self.hit = self.sidecars()
--- a/pumicepath/lab/virtual/baselines.py
+++ b/pumicepath/lab/virtual/baselines.py
@@ -18,7 +18,7 @@
 class Plain:
     """What all of them share: the list, hops out by server, and repeats.  Needs O(servers) a choice."""
 
-    kind: type[Handle]          # of its submissions
+    kind: type[Handle]  # of its submissions
 
     def __init__(self, settings: Settings, seed: int, outlet: Outlet) -> None:
         self.settings = settings
@@ -145,13 +145,19 @@
 
     It turns away what no server could answer within the agreed time.
     """
+
     class Oracle(Plain):
         def choose(self, one: Handle, among: list[int]) -> int:
             times = [(expected(server, one.key, self), server) for server in among]
             least, server = min(times)
             return server if least <= self.settings.tariffs[one.tariff].agreed or one.tried else -1
+
     return Oracle
 
 
-TEXTBOOK = {"random": Random, "round-robin": RoundRobin, "least-in-flight": LeastInFlight,
-            "two-choices": TwoChoices}
+TEXTBOOK = {
+    "random": Random,
+    "round-robin": RoundRobin,
+    "least-in-flight": LeastInFlight,
+    "two-choices": TwoChoices,
+}
--- a/pumicepath/lab/virtual/holders.py
+++ b/pumicepath/lab/virtual/holders.py
@@ -20,22 +20,22 @@
 from .peers import address
 
 ACT_EVERY = 50_000
-TICK = 40_000               # of each member's thread
+TICK = 40_000  # of each member's thread
 DRIFT = 0.01
 LEASE = 2 * SECOND
-CALM = 12 * SECOND          # at the end, without faults: within it somebody must hold each duty
+CALM = 12 * SECOND  # at the end, without faults: within it somebody must hold each duty
 
 
 @dataclass
 class Planted:
     """Faults put into the program, each of which the checks must catch; none by default."""
 
-    held_for: Callable[[int], int] | None = None    # how long a holder counts on a lease
-    silent: bool = True                             # whether a voter that begins anew waits
-    remembers: bool = True                          # whether a voter knows what it granted
-    fenced: bool = True                             # whether the place looks at numbers
-    checked_late: bool = True                       # whether the check comes with the act, not before it
-    both: bool = True                               # whether a change of voters goes by a file with both sets
+    held_for: Callable[[int], int] | None = None  # how long a holder counts on a lease
+    silent: bool = True  # whether a voter that begins anew waits
+    remembers: bool = True  # whether a voter knows what it granted
+    fenced: bool = True  # whether the place looks at numbers
+    checked_late: bool = True  # whether the check comes with the act, not before it
+    both: bool = True  # whether a change of voters goes by a file with both sets
 
 
 @dataclass
@@ -59,7 +59,7 @@
         self.rate = rate
         self.origin = (number + 1) * 1_000 * SECOND
         self.off_ms = number * 37 % 100
-        self.file = self.given_file = 0     # what its process goes by, and what the file on its disk says
+        self.file = self.given_file = 0  # what its process goes by, and what the file on its disk says
         self.starts = 0
         self.up = self.stopped = False
         self.queue: list[tuple[int, bytes]] = []
@@ -79,8 +79,9 @@
         self.up, self.stopped, self.queue = True, False, []
         self.life = Record(f"n{self.number}", (self.number + 1) * 1_000_000 + self.starts, self.address, "")
         self.file = self.given_file
-        self.duties = Duties(self.life.born, self.given(), holders.seed * 1000 + self.number * 10
-                             + self.starts, self, now)
+        self.duties = Duties(
+            self.life.born, self.given(), holders.seed * 1000 + self.number * 10 + self.starts, self, now
+        )
         self.duties.want(now, holders.names)
         self.voter = None
         self.vote(now)
@@ -160,20 +161,28 @@
                         continue
                     if not self.holders.planted.remembers:
                         self.voter.grants.pop(one.duty, None)
-                    told = self.voter.asked(now, one.duty, sender.born, one.number, message.lease,
-                                            frozenset(message.sets))
+                    told = self.voter.asked(
+                        now, one.duty, sender.born, one.number, message.lease, frozenset(message.sets)
+                    )
                     answers.append(Granted(one.duty, one.number, told.verdict, told.wait, told.highest))
                 if answers:
                     self.holders.send(self, address(source), Grants(self.life, 0, message.round, answers))
             case Grants():
                 for each in message.grants:
-                    self.duties.answered(now, sender.address, message.round, each.duty, each.number,
-                                         Answer(Verdict(each.verdict), each.wait, each.highest))
+                    self.duties.answered(
+                        now,
+                        sender.address,
+                        message.round,
+                        each.duty,
+                        each.number,
+                        Answer(Verdict(each.verdict), each.wait, each.highest),
+                    )
 
 
 class Holders:
-    def __init__(self, seed: int, count: int, voters: int, names: Sequence[str], planted: Planted,
-                 worst: float = DRIFT) -> None:
+    def __init__(
+        self, seed: int, count: int, voters: int, names: Sequence[str], planted: Planted, worst: float = DRIFT
+    ) -> None:
         self.seed = seed
         self.time = Virtual()
         self.links = Links(self.time, seed, 300)
@@ -185,12 +194,13 @@
         after = tuple(address(number) for number in range(count - voters, count))
         both = (before, after) if planted.both else (after,)
         self.files = [Given(sets, LEASE, DRIFT) for sets in ((before,), both, (after,))]
-        self.members = [Member(self, number, 1.0 + self.chance.choice((-worst, 0.0, worst)))
-                        for number in range(count)]
+        self.members = [
+            Member(self, number, 1.0 + self.chance.choice((-worst, 0.0, worst))) for number in range(count)
+        ]
         self.by_address = {one.address: one for one in self.members}
         self.fences = [Fence() for _ in range(2)]
         self.found = Found()
-        self.since: dict[str, int] = {}     # since when nobody has held each duty
+        self.since: dict[str, int] = {}  # since when nobody has held each duty
         self.latest: dict[str, int] = {}
         for one in self.members:
             one.start()
@@ -199,8 +209,9 @@
     def send(self, one: Member, to: str, message: messages.Any) -> None:
         other = self.by_address[to]
         self.found.messages += 1
-        self.links.carry(one.number, other.number, messages.packed(message, 0),
-                         lambda data: other.came(one.number, data))
+        self.links.carry(
+            one.number, other.number, messages.packed(message, 0), lambda data: other.came(one.number, data)
+        )
 
     def changed(self, one: Member, duty: str, number: int) -> None:
         if number:
@@ -231,8 +242,14 @@
                 acting += 1
                 self.note(one.life.born, "place", duty, number, True)
                 if self.chance.random() < 0.05:
-                    self.time.at(now + round(3 * SECOND * self.chance.random()), self.late, one, duty, number,
-                                 one.life.born)
+                    self.time.at(
+                        now + round(3 * SECOND * self.chance.random()),
+                        self.late,
+                        one,
+                        duty,
+                        number,
+                        one.life.born,
+                    )
             if acting and duty in self.since:
                 self.found.gaps.append(now - self.since.pop(duty))
             elif not acting:
@@ -250,8 +267,17 @@
         self.note(holder, f"fence-{at}", f"{duty} at fence {at}", number, accepted)
 
     def note(self, holder: int, who: str, duty: str, number: int, accepted: bool) -> None:
-        self.found.history.append({"at": self.time.now, "who": who, "what": "acted", "duty": duty,
-                                   "holder": f"{holder}", "fence": number, "accepted": accepted})
+        self.found.history.append(
+            {
+                "at": self.time.now,
+                "who": who,
+                "what": "acted",
+                "duty": duty,
+                "holder": f"{holder}",
+                "fence": number,
+                "accepted": accepted,
+            }
+        )
 
 
 def schedule(seed: int, planted: Planted | None = None, lasts_s: float = 25.0, worst: float = DRIFT) -> Found:
@@ -277,6 +303,7 @@
         lasts = by.choice((0.01, 0.5, 2.0, 5.0))
         match by.randrange(6):
             case 0:
+
                 def kill(some: list[int] = some) -> None:
                     for number in some:
                         made.members[number].kill()
@@ -285,8 +312,10 @@
                     for number in some:
                         if not made.members[number].up:
                             made.members[number].start()
+
                 at_some_time(kill, lasts, start)
             case 1:
+
                 def stop(some: list[int] = some) -> None:
                     for number in some:
                         made.members[number].stopped = True
@@ -295,21 +324,37 @@
                     for number in some:
                         if made.members[number].up and made.members[number].stopped:
                             made.members[number].go_on()
+
                 at_some_time(stop, lasts, go_on)
             case 2:
-                with_undo(lambda some=some, others=others:          # type: ignore[misc]
-                          made.links.cut(some, others), lasts)
+                with_undo(
+                    lambda some=some, others=others: (  # type: ignore[misc]
+                        made.links.cut(some, others)
+                    ),
+                    lasts,
+                )
             case 3:
-                with_undo(lambda some=some, others=others:          # type: ignore[misc]
-                          made.links.cut(some, others, both=False), lasts)
+                with_undo(
+                    lambda some=some, others=others: (  # type: ignore[misc]
+                        made.links.cut(some, others, both=False)
+                    ),
+                    lasts,
+                )
             case 4:
+
                 def set_clock(some: list[int] = some, step: int = by.choice((-3_600_000, 3_600_000))) -> None:
                     for number in some:
                         made.members[number].off_ms += step
+
                 at_some_time(set_clock, lasts)
             case _:
-                noise = Noise(by.uniform(0, 0.5), by.uniform(0, 0.3), by.uniform(0, 0.1), 0,
-                              by.choice((1_000, 300_000, 20 * SECOND)))
+                noise = Noise(
+                    by.uniform(0, 0.5),
+                    by.uniform(0, 0.3),
+                    by.uniform(0, 0.1),
+                    0,
+                    by.choice((1_000, 300_000, 20 * SECOND)),
+                )
                 with_undo(lambda noise=noise: made.links.disturb(every, noise), lasts)  # type: ignore[misc]
     if by.random() < 0.5:
         # The voters change: the file with both sets comes to all in any order, then that with the new ones.
@@ -325,9 +370,10 @@
 
         def go_on_to() -> None:
             if any(one.up and one.file < 1 for one in made.members):
-                made.time.at(made.time.now + SECOND, go_on_to)      # one that is stopped goes by the old file
+                made.time.at(made.time.now + SECOND, go_on_to)  # one that is stopped goes by the old file
             else:
                 change(2)
+
         at_some_time(lambda: change(1), 0)
     made.time.run(round(lasts_s * SECOND))
     for one in made.members:
--- a/pumicepath/lab/virtual/peers.py
+++ b/pumicepath/lab/virtual/peers.py
@@ -20,8 +20,8 @@
 from ..model.views import right
 
 SEEDS = 3
-ORIGIN = 86_400_000_000     # of the sidecars' clocks
-QUEUE = 200                 # datagrams that a stopped one's socket holds
+ORIGIN = 86_400_000_000  # of the sidecars' clocks
+QUEUE = 200  # datagrams that a stopped one's socket holds
 
 
 def address(number: int) -> str:
@@ -52,8 +52,14 @@
         self.starts += 1
         own = chance(peering.seed, "peer", self.number, self.starts)
         seeds = tuple(address(each) for each in peering.seeds if each != self.number)
-        settings = PeerSettings(self.address, seeds, every=peering.every, timeout=peering.timeout,
-                                most=peering.most, voting=peering.voting)
+        settings = PeerSettings(
+            self.address,
+            seeds,
+            every=peering.every,
+            timeout=peering.timeout,
+            most=peering.most,
+            voting=peering.voting,
+        )
         me = Record(self.name, own.getrandbits(62) | 1, self.address, peering.zone(self.number))
         self.fellow = Fellow(me, settings, own.getrandbits(63), self, self.clock())
         self.wake()
@@ -124,8 +130,12 @@
 
     def turn(self, name: str) -> bool:
         fellow = self.fellow
-        return fellow is not None and fellow.trials is not None and fellow.duties is not None and bool(
-            fellow.duties.number(self.clock(), fellow.trials.duty(name)))
+        return (
+            fellow is not None
+            and fellow.trials is not None
+            and fellow.duties is not None
+            and bool(fellow.duties.number(self.clock(), fellow.trials.duty(name)))
+        )
 
     def opened(self, name: str, cooldown: int, often: bool) -> None:
         if self.fellow is not None and self.fellow.trials is not None:
@@ -140,9 +150,18 @@
 
 
 class Peering:
-    def __init__(self, timeline: Timeline, links: Links, seed: int, count: int, every: int = 1_000_000,
-                 timeout: int = 300_000, most: int = 4096, voting: Voting | None = None,
-                 zones: int = 1) -> None:
+    def __init__(
+        self,
+        timeline: Timeline,
+        links: Links,
+        seed: int,
+        count: int,
+        every: int = 1_000_000,
+        timeout: int = 300_000,
+        most: int = 4096,
+        voting: Voting | None = None,
+        zones: int = 1,
+    ) -> None:
         self.timeline = timeline
         self.links = links
         self.seed = seed
@@ -194,7 +213,10 @@
         """Names of those whose view is not what is so, of all that run or of some evenly among them."""
         running = [node for node in self.nodes if node.membership is not None]
         names = [node.name for node in running]
-        looked = running[::max(1, len(running) // most)] if most else running
-        views = {node.name: [(seen.name, STATES[seen.state]) for seen in node.membership.members(0)]
-                 for node in looked if node.membership is not None}
+        looked = running[:: max(1, len(running) // most)] if most else running
+        views = {
+            node.name: [(seen.name, STATES[seen.state]) for seen in node.membership.members(0)]
+            for node in looked
+            if node.membership is not None
+        }
         return [name for name, view in views.items() if not right(name, view, names)]
--- a/pumicepath/lab/virtual/run.py
+++ b/pumicepath/lab/virtual/run.py
@@ -22,9 +22,9 @@
 OURS = "pumicepath"
 ORACLE = "oracle"
 POLICIES = (OURS, ORACLE, *TEXTBOOK)
-LAST_WORDS = 2 * SECOND         # after the longest patience: what is still out then ends
+LAST_WORDS = 2 * SECOND  # after the longest patience: what is still out then ends
 VOTERS = 3
-LOOKED_AT = 50                  # sidecars whose breakers are sampled for the picture
+LOOKED_AT = 50  # sidecars whose breakers are sampled for the picture
 
 
 class VirtualWorld(World):
@@ -43,14 +43,29 @@
         if plan.sidecars.peers:
             self.links = Links(self.timeline, seed, self.network.near)
             every = micros(plan.sidecars.peers_every_s)
-            self.peering = Peering(self.timeline, self.links, seed, plan.sidecars.count, every,
-                                   round(every * TIMEOUT_PART), voting=self.voting(),
-                                   zones=plan.fleet.halls)
+            self.peering = Peering(
+                self.timeline,
+                self.links,
+                seed,
+                plan.sidecars.count,
+                every,
+                round(every * TIMEOUT_PART),
+                voting=self.voting(),
+                zones=plan.fleet.halls,
+            )
         halls = plan.fleet.halls
         for number in range(plan.sidecars.count):
             hall = number % halls
-            sidecar = Sidecar(self, number, hall, self.settings_of(number, hall), seed * 1_000_003 + number,
-                              self.maker, micros(plan.sidecars.dial_ms / 1e3), self.note)
+            sidecar = Sidecar(
+                self,
+                number,
+                hall,
+                self.settings_of(number, hall),
+                seed * 1_000_003 + number,
+                self.maker,
+                micros(plan.sidecars.dial_ms / 1e3),
+                self.note,
+            )
             self.instances.append(sidecar)  # type: ignore[arg-type]
             self.clients(sidecar, sidecar).begin()  # type: ignore[arg-type]
         for number, trouble in enumerate(plan.troubles):
@@ -65,8 +80,12 @@
         if not asked.trials:
             return None
         lease = micros(asked.lease_s)
-        return Voting((tuple(address(each) for each in range(VOTERS if asked.count >= VOTERS else 1)),),
-                      lease, lease, trials=True)
+        return Voting(
+            (tuple(address(each) for each in range(VOTERS if asked.count >= VOTERS else 1)),),
+            lease,
+            lease,
+            trials=True,
+        )
 
     def decisions(self, policy: str) -> Maker:
         if policy == OURS:
@@ -110,5 +129,12 @@
                 told(second / self.lasts)
             second += SECOND
         self.timeline.run(self.lasts + max(tariff.patience for tariff in self.tariffs) + LAST_WORDS)
-        return result(self, self.policy if isinstance(self.policy, str) else "other", self.timeline.events,
-                      self.at_servers, self.breakers, list(self.log), self.views_wrong)
+        return result(
+            self,
+            self.policy if isinstance(self.policy, str) else "other",
+            self.timeline.events,
+            self.at_servers,
+            self.breakers,
+            list(self.log),
+            self.views_wrong,
+        )
--- a/pumicepath/lab/virtual/sidecar.py
+++ b/pumicepath/lab/virtual/sidecar.py
@@ -14,8 +14,8 @@
 from ..model.timeline import Timeline
 from ..model.world import Fellows
 
-MARGIN = 5_000          # microseconds before patience ends in which the last word is said
-LONGEST_IDLE = 8        # idle connections kept to a server
+MARGIN = 5_000  # microseconds before patience ends in which the last word is said
+LONGEST_IDLE = 8  # idle connections kept to a server
 
 
 class Handle(Protocol):
@@ -88,8 +88,17 @@
 class Sidecar:
     """Work for a submission grows with its hops; what is kept ends with the submission or its server."""
 
-    def __init__(self, world: World, number: int, hall: int, settings: Settings, seed: int, maker: Maker,
-                 dial: int, note: Callable[[int, str], None]) -> None:
+    def __init__(
+        self,
+        world: World,
+        number: int,
+        hall: int,
+        settings: Settings,
+        seed: int,
+        maker: Maker,
+        dial: int,
+        note: Callable[[int, str], None],
+    ) -> None:
         self.world = world
         self.number = number
         self.hall = hall
@@ -109,8 +118,8 @@
         self.up = True
         self.starts += 1
         self.opens: dict[int, Open] = {}
-        self.names: dict[int, int] = {}                 # of the latest try of each ask that is open
-        self.idle: dict[int, tuple[int, int]] = {}      # by server: its process, and connections to it
+        self.names: dict[int, int] = {}  # of the latest try of each ask that is open
+        self.idle: dict[int, tuple[int, int]] = {}  # by server: its process, and connections to it
         self.taken = 0
         life = self.starts
         self.decisions: Decisions = self.maker(self.settings, self.seed + life - 1, Alive(self, life))
@@ -255,8 +264,9 @@
             world.judge.returned(ask.number)
             if not server.silent:
                 stalls = outcome == Outcome.OK and server.stalls()
-                world.network.carry(server.hall, self.hall, self.begun if stalls else self.finish, name, hop,
-                                    outcome)
+                world.network.carry(
+                    server.hall, self.hall, self.begun if stalls else self.finish, name, hop, outcome
+                )
 
         job = Job(ask.number, ask.key, self.number, world.work(ask.number), reply, told)
         if server.came(job):
--- a/pumicepath/logic.py
+++ b/pumicepath/logic.py
@@ -21,55 +21,55 @@
 FAILURE_THRESHOLD = 3
 COOLDOWN = 5_000_000
 LONGEST_COOLDOWN = 20_000_000
-TRIAL_PART = 0.25           # trials as a part of the hops that a server would get in calm
+TRIAL_PART = 0.25  # trials as a part of the hops that a server would get in calm
 HALF_OPEN_TRIALS = 1
-PASS_OVER_MARGIN = 1.25     # times a server's fair part of all that is out
-QUEUED = 3.0                # usual times from which a hop has met a queue, and
-QUEUED_PART = 0.3           # the part of its agreed time that it must have taken too
-BROKEN_OFF = 0.25           # part of the agreed time within which an answer that has begun must be whole
-STALL = 1.0                 # usual times from which a hop still out marks its server as stalled, and
-STALL_PART = 0.1            # the part of its agreed time that it must be out too
-DOUBT = 3.0                 # usual times from which an answer may be lost, and
-DOUBT_PART = 0.25           # the part of its agreed time that it must have taken too
-LOST = 0.3                  # the part of them that never came from which copies go out
-TARDY = 0.7                 # part of the agreed time from which a hop is tardy
-RETRY_PART = 0.2            # of its value that counts of a submission that its client sends again
-JAM = 0.4                   # share of tardy or queued hops that cuts what may be out
-SOME = 0.05                 # share of tardy hops from which the middle server's queue counts
-GROWTH = 0.12               # how fast the limit rises, as a part of it for each usual time
-ILL = 0.25                  # share of failures that opens a breaker, and
-ILL_ABOVE = 2.0             # so many times the middle server's on top of that
-UNLIKELY = 0.00002          # chance of failures in a row that are still the middle server's share by accident
-COLD_PART = 0.55             # of what the rules let all sidecars together send to a cold server
-ANSWERED_SLACK = 1.1        # times what is answered here that counts of what is taken, for cold servers,
-SOME_TAKEN = 10             # once so many are known
+PASS_OVER_MARGIN = 1.25  # times a server's fair part of all that is out
+QUEUED = 3.0  # usual times from which a hop has met a queue, and
+QUEUED_PART = 0.3  # the part of its agreed time that it must have taken too
+BROKEN_OFF = 0.25  # part of the agreed time within which an answer that has begun must be whole
+STALL = 1.0  # usual times from which a hop still out marks its server as stalled, and
+STALL_PART = 0.1  # the part of its agreed time that it must be out too
+DOUBT = 3.0  # usual times from which an answer may be lost, and
+DOUBT_PART = 0.25  # the part of its agreed time that it must have taken too
+LOST = 0.3  # the part of them that never came from which copies go out
+TARDY = 0.7  # part of the agreed time from which a hop is tardy
+RETRY_PART = 0.2  # of its value that counts of a submission that its client sends again
+JAM = 0.4  # share of tardy or queued hops that cuts what may be out
+SOME = 0.05  # share of tardy hops from which the middle server's queue counts
+GROWTH = 0.12  # how fast the limit rises, as a part of it for each usual time
+ILL = 0.25  # share of failures that opens a breaker, and
+ILL_ABOVE = 2.0  # so many times the middle server's on top of that
+UNLIKELY = 0.00002  # chance of failures in a row that are still the middle server's share by accident
+COLD_PART = 0.55  # of what the rules let all sidecars together send to a cold server
+ANSWERED_SLACK = 1.1  # times what is answered here that counts of what is taken, for cold servers,
+SOME_TAKEN = 10  # once so many are known
 GOLDEN = 0.6180339887498949  # its multiples fill the unit interval evenly, however many are taken
 SILVER = 0.41421356237309515  # so do these; no sum of multiples of both comes twice
-FULL_PART = 0.05            # share of hops that find servers full above which less is taken on, and
-FULL_STEP = 0.25            # what each hop counts in that share, and
-FULL_MEMORY = 1.5e6         # how fast it is forgotten
-HASTY_PART = 0.3            # of its value that counts of one whose client will hardly wait for the answer
-FULL_GAIN = 3.0             # how much less, for each time of that share
-SPREAD = 0.025              # worth of choice against the price of connections, for how many servers one uses
-FEWEST = 4                  # servers that a sidecar uses at least, where connections cost
-NEAR_ENOUGH = 0.08          # crossing price from which other zones count least
-RECENT = 64                 # submissions among which a key is judged popular
-HOT = 2.0                   # times a server's fair part from which a key is spread
-MEMORY = 3_000_000          # how fast a server's lag is forgotten without new samples
-SHORT = 17                  # rests under 2 to the power of this, in microseconds, are one length
-RESTS = 8                   # lengths of rests that are told apart, each twice the one before
-REST_LOST = 0.55            # part of them in vain, above the usual, that tells of dropped connections, and
-REST_LOSSES = 3.0           # how many in vain at least
-REST_MEMORY = 2e6           # how fast it is forgotten what rests did, and
-REST_HELD = 15_000_000      # how long connections are freed for it, until that is tried anew
-PEERS = 6                   # other sidecars that are told of it, and
-TELL_EVERY = 1_000_000      # how often at most
-HELD_STEP = 1_000_000        # between two steps of a server that the list has dropped, or has again, and
-HELD_LEAST = 1 / 16          # the part of its weight at which they end
-HELD_LONGEST = 30_000_000    # without an answer, until a dropped server is gone
-MOST_DRAINED = 4096          # servers of which it is kept that they have drained
-MOST_BY_HAND = 1000          # servers out by hand at once
-VERSION = 1                 # of the messages: this, then how often each length was used, how often in vain
+FULL_PART = 0.05  # share of hops that find servers full above which less is taken on, and
+FULL_STEP = 0.25  # what each hop counts in that share, and
+FULL_MEMORY = 1.5e6  # how fast it is forgotten
+HASTY_PART = 0.3  # of its value that counts of one whose client will hardly wait for the answer
+FULL_GAIN = 3.0  # how much less, for each time of that share
+SPREAD = 0.025  # worth of choice against the price of connections, for how many servers one uses
+FEWEST = 4  # servers that a sidecar uses at least, where connections cost
+NEAR_ENOUGH = 0.08  # crossing price from which other zones count least
+RECENT = 64  # submissions among which a key is judged popular
+HOT = 2.0  # times a server's fair part from which a key is spread
+MEMORY = 3_000_000  # how fast a server's lag is forgotten without new samples
+SHORT = 17  # rests under 2 to the power of this, in microseconds, are one length
+RESTS = 8  # lengths of rests that are told apart, each twice the one before
+REST_LOST = 0.55  # part of them in vain, above the usual, that tells of dropped connections, and
+REST_LOSSES = 3.0  # how many in vain at least
+REST_MEMORY = 2e6  # how fast it is forgotten what rests did, and
+REST_HELD = 15_000_000  # how long connections are freed for it, until that is tried anew
+PEERS = 6  # other sidecars that are told of it, and
+TELL_EVERY = 1_000_000  # how often at most
+HELD_STEP = 1_000_000  # between two steps of a server that the list has dropped, or has again, and
+HELD_LEAST = 1 / 16  # the part of its weight at which they end
+HELD_LONGEST = 30_000_000  # without an answer, until a dropped server is gone
+MOST_DRAINED = 4096  # servers of which it is kept that they have drained
+MOST_BY_HAND = 1000  # servers out by hand at once
+VERSION = 1  # of the messages: this, then how often each length was used, how often in vain
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 NEUTRAL = (Outcome.FULL, Outcome.CANCELLED, Outcome.MOOT)
 Place = tuple[tuple[int, ...] | None, tuple[int, ...] | None]  # zones and kinds of servers; None: any
@@ -112,7 +112,7 @@
 
     def note(self, now: int, rest: int, lost: bool) -> None:
         length = min(RESTS - 1, max(0, rest.bit_length() - SHORT))
-        for at in (length, length + RESTS)[:1 + lost]:
+        for at in (length, length + RESTS)[: 1 + lost]:
             self.seen[at] = min(255, self.seen[at] + 1)
         self.count(now, length, 1, int(lost))
 
@@ -125,8 +125,14 @@
         self.used[length] += used
         self.lost[length] += lost
         usual = REST_LOST + self.lost[0] / (1.0 + self.used[0])
-        limit = next((1 << SHORT + each - 1 for each in range(1, RESTS)
-                      if self.lost[each] > max(REST_LOSSES, usual * self.used[each])), MASK)
+        limit = next(
+            (
+                1 << SHORT + each - 1
+                for each in range(1, RESTS)
+                if self.lost[each] > max(REST_LOSSES, usual * self.used[each])
+            ),
+            MASK,
+        )
         if limit < self.limit or now > self.until:
             self.limit = limit
             self.until = now + REST_HELD
@@ -145,11 +151,26 @@
 class Hop:
     """A hop; `server` means something while it is out, its zone and cell stay those that it was sent to."""
 
-    __slots__ = ("at", "due", "server", "zone", "cell", "generation", "trial", "level", "out", "may_have_run",
-                 "judged", "begun", "rest", "doubted")
-
-    def __init__(self, at: int, due: int, server: int, zone: int, cell: int, generation: int, trial: bool,
-                 level: float) -> None:
+    __slots__ = (
+        "at",
+        "due",
+        "server",
+        "zone",
+        "cell",
+        "generation",
+        "trial",
+        "level",
+        "out",
+        "may_have_run",
+        "judged",
+        "begun",
+        "rest",
+        "doubted",
+    )
+
+    def __init__(
+        self, at: int, due: int, server: int, zone: int, cell: int, generation: int, trial: bool, level: float
+    ) -> None:
         self.at, self.due = at, due
         self.server, self.zone, self.cell = server, zone, cell
         self.generation = generation
@@ -187,11 +208,23 @@
 class Submission:
     """One submission from its taking to its final answer, and its hops until the last has ended."""
 
-    __slots__ = ("balancer", "name", "terms", "key", "until", "retry", "hops", "out", "done", "coming",
-                 "spent")
-
-    def __init__(self, balancer: Balancer, name: int, terms: Terms, key: int, retry: bool,
-                 until: int) -> None:
+    __slots__ = (
+        "balancer",
+        "name",
+        "terms",
+        "key",
+        "until",
+        "retry",
+        "hops",
+        "out",
+        "done",
+        "coming",
+        "spent",
+    )
+
+    def __init__(
+        self, balancer: Balancer, name: int, terms: Terms, key: int, retry: bool, until: int
+    ) -> None:
         self.balancer = balancer
         self.name = name
         self.terms = terms
@@ -201,8 +234,8 @@
         self.hops: list[Hop] = []
         self.out = 0
         self.done = False
-        self.coming = False         # whether its body still comes, and goes on as it does
-        self.spent = False          # whether part of its body was let go, so that no other hop can have it
+        self.coming = False  # whether its body still comes, and goes on as it does
+        self.spent = False  # whether part of its body was let go, so that no other hop can have it
 
     def whole(self, now: int, number: int, until: int) -> None:
         """The last of a body has come: patience and the time of the hop that carries it begin."""
@@ -240,7 +273,8 @@
         hop.out = False
         self.out -= 1
         hop.may_have_run = outcome not in NEVER_RAN or (
-            outcome == Outcome.FULL and self.balancer.settings.full_unproven)
+            outcome == Outcome.FULL and self.balancer.settings.full_unproven
+        )
         if outcome not in (Outcome.CANCELLED, Outcome.MOOT):
             self.balancer.found(outcome == Outcome.FULL)
         self.balancer.hop_ended(now, self.terms, hop, outcome, spent)
@@ -286,9 +320,16 @@
     def copy(self, now: int) -> None:
         """Guards against answers lost on their way: the work was done, and costs its group nothing again."""
         balancer = self.balancer
-        if (self.out == 1 and not self.done and not self.spent and now < self.until and balancer.lost > LOST
-                and balancer.level < balancer.room and balancer.may_retry(self)
-                and (server := balancer.pick(now, self)) >= 0):
+        if (
+            self.out == 1
+            and not self.done
+            and not self.spent
+            and now < self.until
+            and balancer.lost > LOST
+            and balancer.level < balancer.room
+            and balancer.may_retry(self)
+            and (server := balancer.pick(now, self)) >= 0
+        ):
             self.send(now, server)
 
     def may_repeat(self, now: int) -> bool:
@@ -296,8 +337,11 @@
             self.bound(now)
         except PermissionError:
             return False
-        return (not self.spent and len(self.hops) < self.balancer.settings.most_hops
-                and self.balancer.retries_left >= 1.0)
+        return (
+            not self.spent
+            and len(self.hops) < self.balancer.settings.most_hops
+            and self.balancer.retries_left >= 1.0
+        )
 
     def bound(self, now: int) -> Hop | None:
         """Where a further hop may go: any server, or only the group of the first hop that may have run.
@@ -474,7 +518,12 @@
                 self.drop(now, at)
                 changed = True
             elif at >= 0 and (entry.phase, entry.came_up, entry.zone, entry.cell, entry.kind) == (
-                    self.phase[at], self.told_up[at], self.zone[at], self.cell[at], self.kind[at]):
+                self.phase[at],
+                self.told_up[at],
+                self.zone[at],
+                self.cell[at],
+                self.kind[at],
+            ):
                 self.weigh(at, entry)  # all that a renewal of live scales costs
             elif entry.phase != Phase.GONE or at >= 0:
                 self.note(now, entry)
@@ -520,8 +569,11 @@
         return self.held[at]
 
     def choose_ready(self) -> None:
-        self.ready = [at for at, phase in enumerate(self.phase)
-                      if phase == Phase.READY and self.ids[at] not in self.by_hand]
+        self.ready = [
+            at
+            for at, phase in enumerate(self.phase)
+            if phase == Phase.READY and self.ids[at] not in self.by_hand
+        ]
         self.choose_reaches()
 
     def choose_reaches(self) -> None:
@@ -535,8 +587,11 @@
         reach = self.reaches.get(place)
         if reach is None:
             zones, kinds = place
-            ready = [at for at in self.ready if (zones is None or self.zone[at] in zones)
-                     and (kinds is None or self.kind[at] in kinds)]
+            ready = [
+                at
+                for at in self.ready
+                if (zones is None or self.zone[at] in zones) and (kinds is None or self.kind[at] in kinds)
+            ]
             reach = self.reaches[place] = Reach(ready, self.nearest(ready))
         return reach
 
@@ -624,13 +679,15 @@
         self.tokens = [min(0.0, tokens) for tokens in self.tokens]
         self.tokens_at = [now] * len(self.tokens)
         self.settings = replace(
-            settings, cold_from=min(before.cold_from, settings.cold_from),
+            settings,
+            cold_from=min(before.cold_from, settings.cold_from),
             cold_for=max(before.cold_for, settings.cold_for),
             most_hops=min(before.most_hops, settings.most_hops),
             fall_multiple=min(before.fall_multiple, settings.fall_multiple),
             fall_window=min(before.fall_window, settings.fall_window),
             full_unproven=before.full_unproven or settings.full_unproven,
-            ask_every=min(before.ask_every, settings.ask_every))
+            ask_every=min(before.ask_every, settings.ask_every),
+        )
         self.settling = Settling(self, settings)
         longest = max(self.settings.cold_for, before.fall_window, settings.fall_window)
         self.outlet.wake(now + longest, self.settling)
@@ -670,10 +727,27 @@
                 at = self.free.pop()
             else:
                 at = len(self.ids)
-                for column in (self.ids, self.salt, self.zone, self.cell, self.kind, self.state, self.fails,
-                               self.since, self.generation, self.trials, self.lag_at, self.came_up,
-                               self.told_up, self.cooldown, self.tokens_at, self.rested, self.dropped,
-                               self.held_at, self.heard):
+                for column in (
+                    self.ids,
+                    self.salt,
+                    self.zone,
+                    self.cell,
+                    self.kind,
+                    self.state,
+                    self.fails,
+                    self.since,
+                    self.generation,
+                    self.trials,
+                    self.lag_at,
+                    self.came_up,
+                    self.told_up,
+                    self.cooldown,
+                    self.tokens_at,
+                    self.rested,
+                    self.dropped,
+                    self.held_at,
+                    self.heard,
+                ):
                     column.append(0)
                 for shares in (self.scale, self.tokens, self.ill, self.queued, self.lag, self.held):
                     shares.append(0.0)
@@ -757,8 +831,9 @@
         """Take a submission; `until` is when its client gives up, a key of 0 means none."""
         return self.take_under(now, name, self.terms[tariff], key, retry, until)
 
-    def take_under(self, now: int, name: int, terms: Terms, key: int, retry: bool, until: int,
-                   coming: bool = False) -> Submission:
+    def take_under(
+        self, now: int, name: int, terms: Terms, key: int, retry: bool, until: int, coming: bool = False
+    ) -> Submission:
         """Take one under the terms that were in force when it was read, though others may be by now."""
         one = Submission(self, name, terms, key, retry, until)
         one.coming = coming
@@ -847,8 +922,10 @@
             self.shrunk = now
             self.calm_room = 0.7 * min(self.room, max(level, hop.level))
             if self.room == math.inf:
-                self.outlet.log(f"limit on: {self.tardy:.2f} of hops tardy, {middle:.2f} of those at the "
-                                f"middle server queued, {self.calm_room:.1f} may be out")
+                self.outlet.log(
+                    f"limit on: {self.tardy:.2f} of hops tardy, {middle:.2f} of those at the "
+                    f"middle server queued, {self.calm_room:.1f} may be out"
+                )
             self.room = self.calm_room = max(1.5 * terms.usual / self.span, self.calm_room)
             self.tardy = min(self.tardy, JAM / 2)
             self.queued = [share / 2 for share in self.queued]
@@ -1080,8 +1157,9 @@
         """Others' word on an open breaker: its trial is put off by as long, or with 0 may be made at once."""
         at = self.index.get(server, -1)
         if at >= 0 and self.state[at] == OPEN:
-            self.since[at] = max(self.since[at], now + wait - self.cooldown[at]) if wait else (
-                now - 2 * self.cooldown[at])
+            self.since[at] = (
+                max(self.since[at], now + wait - self.cooldown[at]) if wait else (now - 2 * self.cooldown[at])
+            )
 
     def verdict(self, now: int, hop: Hop, failed: bool, cause: str) -> None:
         at = hop.server
@@ -1174,8 +1252,9 @@
 
     def all_late(self, but: int) -> bool:
         """Whether the last hops to half of the other servers were late too: no one server's sickness."""
-        others = [self.late[at] or self.state[at] != CLOSED for at in self.ready
-                  if at != but and self.lag_at[at]]
+        others = [
+            self.late[at] or self.state[at] != CLOSED for at in self.ready if at != but and self.lag_at[at]
+        ]
         return len(others) > 0 and 2 * sum(others) >= len(others)
 
     # -- what is seen
--- a/pumicepath/relay/config.py
+++ b/pumicepath/relay/config.py
@@ -24,7 +24,7 @@
     listen: Address
     sources: dict[str, Address]
     admin: Address | None
-    batch: int                  # microseconds
+    batch: int  # microseconds
     most_followers: int
     whole_bytes_per_s: int
     history_changes: int
