--- a/pumicepath/relay/figures.py
+++ b/pumicepath/relay/figures.py
@@ -12,16 +12,44 @@
 
 def written(relay: Relay, now: int) -> str:
     held = relay.held
-    names = ("calls", "answers", "bytes", "whole", "changes", "concerned", "refused", "refused_whole",
-             "refused_full", "cut_slow", "idle", "lists_refused", "late", "faults", "turns")
+    names = (
+        "calls",
+        "answers",
+        "bytes",
+        "whole",
+        "changes",
+        "concerned",
+        "refused",
+        "refused_whole",
+        "refused_full",
+        "cut_slow",
+        "idle",
+        "lists_refused",
+        "late",
+        "faults",
+        "turns",
+    )
     figures: dict[str, int] = {name: relay.counts[name] for name in names}
-    figures |= {"version": held.version, "floor": held.floor, "history": len(held.log),
-                "servers": len(held.shown), "services": len(held.services), "live": held.live(),
-                "followers": len(relay.followers), "most_followers": relay.most,
-                "waiting": relay.subscriptions.waiting(), "interests": len(relay.subscriptions.groups),
-                "whole_waiting": len(relay.pace.queue), "slow": len(relay.slowed), "unsent": relay.unsent,
-                "up_s": (now - relay.started) // 1_000_000}
+    figures |= {
+        "version": held.version,
+        "floor": held.floor,
+        "history": len(held.log),
+        "servers": len(held.shown),
+        "services": len(held.services),
+        "live": held.live(),
+        "followers": len(relay.followers),
+        "most_followers": relay.most,
+        "waiting": relay.subscriptions.waiting(),
+        "interests": len(relay.subscriptions.groups),
+        "whole_waiting": len(relay.pace.queue),
+        "slow": len(relay.slowed),
+        "unsent": relay.unsent,
+        "up_s": (now - relay.started) // 1_000_000,
+    }
     for name, region in held.regions.items():
-        figures |= {f"region.{name}.seq": region.seq, f"region.{name}.live": int(region.live),
-                    f"region.{name}.servers": len(region.lines)}
+        figures |= {
+            f"region.{name}.seq": region.seq,
+            f"region.{name}.live": int(region.live),
+            f"region.{name}.servers": len(region.lines),
+        }
     return "".join(f"{PREFIX}.relay.{name}={value}\n" for name, value in figures.items())
--- a/pumicepath/relay/followers.py
+++ b/pumicepath/relay/followers.py
@@ -21,21 +21,32 @@
     from .loop import Relay
 
 LONGEST_WAIT_MS = 60_000
-MOST_AHEAD = 16 * 1024      # bytes that may come while a call is out
+MOST_AHEAD = 16 * 1024  # bytes that may come while a call is out
 JSON = [("Content-Type", "application/json")]
 TEXT = [("Content-Type", "text/plain; charset=utf-8")]
 READING, OUT, WRITING, CLOSED = range(4)
 
 
 class Call(NamedTuple):
-    since: int                  # -1 for the whole list
-    wait: int                   # microseconds
+    since: int  # -1 for the whole list
+    wait: int  # microseconds
     interest: Interest
 
 
 class Follower:
-    __slots__ = ("number", "sock", "relay", "admin", "parser", "state", "at", "unsent", "interest", "keep",
-                 "ahead")
+    __slots__ = (
+        "number",
+        "sock",
+        "relay",
+        "admin",
+        "parser",
+        "state",
+        "at",
+        "unsent",
+        "interest",
+        "keep",
+        "ahead",
+    )
 
     def __init__(self, number: int, sock: socket.socket, relay: Relay, now: int, admin: bool = False) -> None:
         self.number = number
@@ -44,7 +55,7 @@
         self.admin = admin
         self.parser = RequestParser(0)
         self.state = READING
-        self.at = now               # when its state began
+        self.at = now  # when its state began
         self.unsent: memoryview | None = None
         self.interest: Interest = PLAIN
         self.keep = True
--- a/pumicepath/relay/listeners.py
+++ b/pumicepath/relay/listeners.py
@@ -6,7 +6,7 @@
 
 from ..discovery.roster import Address
 
-SEND_BUFFER = 64 << 10      # bytes of a connection; the kernel doubles it
+SEND_BUFFER = 64 << 10  # bytes of a connection; the kernel doubles it
 RECEIVE_BUFFER = 16 << 10
 
 
--- a/pumicepath/relay/log.py
+++ b/pumicepath/relay/log.py
@@ -11,7 +11,7 @@
 import orjson
 
 MOST_WAITING = 500
-MOST_LINE = 4096            # what a pipe that can be written takes without a wait (PIPE_BUF)
+MOST_LINE = 4096  # what a pipe that can be written takes without a wait (PIPE_BUF)
 
 
 class Log:
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -31,17 +31,17 @@
 from .upstreams import Upstream
 
 MOST_OPERATORS = 16
-KEPT_BACK = 24              # descriptors for listeners, the loop, files, operators; and two for each origin
-MOST_AT_ONCE = 256          # answers, and connections taken, between two looks at all the rest
-MOST_UNSENT = 32 << 20      # bytes that sockets have not taken, of all followers together
-TURN = 10_000               # between two looks at what has come, at least
-SWEEP = 250_000             # between two looks for connections whose time is up
-UNFINISHED = 3_000_000      # from a connection, or from an answer, until the next call is whole
-WRITTEN = 3_000_000         # from an answer's first byte until its socket has taken the last
-FULL_FOR = 1_000_000        # without one turned away, until there is room again
-LATE = 400_000              # a loop that comes so late has stood still
+KEPT_BACK = 24  # descriptors for listeners, the loop, files, operators; and two for each origin
+MOST_AT_ONCE = 256  # answers, and connections taken, between two looks at all the rest
+MOST_UNSENT = 32 << 20  # bytes that sockets have not taken, of all followers together
+TURN = 10_000  # between two looks at what has come, at least
+SWEEP = 250_000  # between two looks for connections whose time is up
+UNFINISHED = 3_000_000  # from a connection, or from an answer, until the next call is whole
+WRITTEN = 3_000_000  # from an answer's first byte until its socket has taken the last
+FULL_FOR = 1_000_000  # without one turned away, until there is room again
+LATE = 400_000  # a loop that comes so late has stood still
 FULL = writing.response(503, [], b"", keep=False)
-HALF = 2                    # a list with less than one in so many left is told in the log
+HALF = 2  # a list with less than one in so many left is told in the log
 
 
 class Relay:
@@ -55,7 +55,7 @@
         self.selector = selectors.DefaultSelector()
         self.followers: dict[int, Follower] = {}
         self.operators: dict[int, Follower] = {}
-        self.slowed: dict[int, Follower] = {}       # those with unsent bytes, the first to fall behind first
+        self.slowed: dict[int, Follower] = {}  # those with unsent bytes, the first to fall behind first
         self.unsent = 0
         self.again: deque[Follower | Upstream] = deque()
         self.counts: Counter[str] = Counter()
@@ -73,11 +73,18 @@
         self.admin = None if config.admin is None else listening(config.admin)
         if self.admin is not None:
             self.selector.register(self.admin, selectors.EVENT_READ, self.accept_operator)
-        self.upstreams = [Upstream(region, where, Origin(region, share), self)
-                          for region, where in config.sources.items()]
+        self.upstreams = [
+            Upstream(region, where, Origin(region, share), self) for region, where in config.sources.items()
+        ]
         self.started = clock()
-        log.event("started", listen=named(self.listener), admin=named(self.admin), most_followers=self.most,
-                  regions=list(config.sources), version=version)
+        log.event(
+            "started",
+            listen=named(self.listener),
+            admin=named(self.admin),
+            most_followers=self.most,
+            regions=list(config.sources),
+            version=version,
+        )
 
     def run(self) -> None:
         while not self.stop:
@@ -109,8 +116,12 @@
                 # Guards the core against a turn for each call, and against a listener that can't be accepted
                 # from: what comes meanwhile is taken up together.
                 time.sleep(max(0, now + TURN - clock()) / 1e6)
-        self.log.event("stopped", after_s=round((clock() - self.started) / 1e6, 3),
-                       followers=len(self.followers), answers=self.counts["answers"])
+        self.log.event(
+            "stopped",
+            after_s=round((clock() - self.started) / 1e6, 3),
+            followers=len(self.followers),
+            answers=self.counts["answers"],
+        )
         self.log.flush()
 
     def guarded(self, peer: Follower | Upstream, mask: int, now: int) -> None:
@@ -119,8 +130,11 @@
             peer.ready(mask, now)
         except Exception as trouble:
             self.counts["faults"] += 1
-            self.log.event("fault", text=f"{type(trouble).__name__}: {trouble}",
-                           whose=peer.region if isinstance(peer, Upstream) else "follower")
+            self.log.event(
+                "fault",
+                text=f"{type(trouble).__name__}: {trouble}",
+                whose=peer.region if isinstance(peer, Upstream) else "follower",
+            )
             if isinstance(peer, Upstream):
                 peer.failed(now, "fault")
             else:
@@ -129,8 +143,11 @@
     def next_at(self, now: int) -> int:
         if self.again:
             return 0
-        return min(self.subscriptions.next_at(), self.pace.next_at(now),
-                   *(upstream.at for upstream in self.upstreams))
+        return min(
+            self.subscriptions.next_at(),
+            self.pace.next_at(now),
+            *(upstream.at for upstream in self.upstreams),
+        )
 
     # Followers
 
@@ -162,7 +179,7 @@
         except (BlockingIOError, ConnectionAbortedError):
             return None
         except OSError as trouble:
-            self.is_full(now, str(trouble))     # no descriptor or memory: tried again at the next turn
+            self.is_full(now, str(trouble))  # no descriptor or memory: tried again at the next turn
             return None
 
     def is_full(self, now: int, why: str) -> None:
@@ -240,8 +257,11 @@
     def told(self, follower: Follower, since: int, now: int) -> None:
         """The changes from a version on, or with -1 that there are none."""
         self.counts["answers"] += 1
-        body = (self.held.nothing(follower.interest) if since < 0
-                else self.held.answer(follower.interest, since)[0])
+        body = (
+            self.held.nothing(follower.interest)
+            if since < 0
+            else self.held.answer(follower.interest, since)[0]
+        )
         self.counts["bytes"] += len(body)
         follower.tell(200, body, now)
 
@@ -280,13 +300,24 @@
         if not self.paced:
             self.paced = True
             self.counts["refused_then"] = self.counts["refused_whole"]
-            self.log.event("whole_paced", waiting=len(self.pace.queue), bytes=self.pace.queued,
-                           followers=len(self.followers))
+            self.log.event(
+                "whole_paced",
+                waiting=len(self.pace.queue),
+                bytes=self.pace.queued,
+                followers=len(self.followers),
+            )
 
     # Origins
 
-    def taken(self, upstream: Upstream, seq: int, whole: bool, lines: Mapping[str, Line | None],
-              before: int | None, now: int) -> None:
+    def taken(
+        self,
+        upstream: Upstream,
+        seq: int,
+        whole: bool,
+        lines: Mapping[str, Line | None],
+        before: int | None,
+        now: int,
+    ) -> None:
         """An origin has answered, and is believed; `before` is its version where that has begun anew."""
         name = upstream.region
         upstream.refused = False
@@ -301,8 +332,13 @@
             self.counts["changes"] += change.servers
             self.counts["concerned"] += self.subscriptions.changed(change.services, change.version, now)
         if first or upstream.lost:
-            self.log.event("region_back", region=name, seq=seq, servers=len(self.held.regions[name].lines),
-                           changed=change.servers)
+            self.log.event(
+                "region_back",
+                region=name,
+                seq=seq,
+                servers=len(self.held.regions[name].lines),
+                changed=change.servers,
+            )
             upstream.lost = False
         self.turned(upstream, "", now)
 
@@ -315,17 +351,27 @@
         if not origin.live and not upstream.lost and (turned or never):
             upstream.lost = True
             since = upstream.since or self.started
-            self.log.event("region_lost", region=upstream.region, why=why, seq=origin.seq,
-                           silent_s=round((now - since) / 1e6, 3),
-                           servers=len(self.held.regions[upstream.region].lines))
+            self.log.event(
+                "region_lost",
+                region=upstream.region,
+                why=why,
+                seq=origin.seq,
+                silent_s=round((now - since) / 1e6, 3),
+                servers=len(self.held.regions[upstream.region].lines),
+            )
 
     def refused(self, upstream: Upstream, why: str) -> None:
         """A list that can't be meant; told once in a row of failures."""
         self.counts["lists_refused"] += 1
         if not upstream.refused:
             upstream.refused = True
-            self.log.event("list_refused", region=upstream.region, why=why, seq=upstream.origin.seq,
-                           servers=len(self.held.regions[upstream.region].lines))
+            self.log.event(
+                "list_refused",
+                region=upstream.region,
+                why=why,
+                seq=upstream.origin.seq,
+                servers=len(self.held.regions[upstream.region].lines),
+            )
 
     # All the rest
 
@@ -342,12 +388,16 @@
                 follower.close()
         if self.full and now > self.full_at + FULL_FOR and len(self.followers) < self.most:
             self.full = False
-            self.log.event("followers_room", followers=len(self.followers),
-                           refused=self.counts["refused_full"])
+            self.log.event(
+                "followers_room", followers=len(self.followers), refused=self.counts["refused_full"]
+            )
         if self.paced and self.pace.rested(now):
             self.paced = False
-            self.log.event("whole_done", followers=len(self.followers),
-                           refused=self.counts["refused_whole"] - self.counts["refused_then"])
+            self.log.event(
+                "whole_done",
+                followers=len(self.followers),
+                refused=self.counts["refused_whole"] - self.counts["refused_then"],
+            )
 
     def operator(self, follower: Follower, request: Request, now: int) -> None:
         if request.target.partition("?")[0] != "/stats":
--- a/pumicepath/relay/running.py
+++ b/pumicepath/relay/running.py
@@ -26,6 +26,7 @@
 
     def ends(number: int, frame: object) -> None:
         relay.stop = True
+
     signal.signal(signal.SIGTERM, ends)
     signal.signal(signal.SIGINT, ends)
     relay.run()
--- a/pumicepath/relay/upstreams.py
+++ b/pumicepath/relay/upstreams.py
@@ -1,6 +1,6 @@
 """The connection to one region's discovery, driven by the relay's loop; what it means decides `Origin`.
 
-    upstream = Upstream("eu", address, origin, loop); upstream.woke(now); upstream.ready(mask, now)
+upstream = Upstream("eu", address, origin, loop); upstream.woke(now); upstream.ready(mask, now)
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
     from .loop import Relay
 
 MOST_LIST = 32 * 1024 * 1024
-MOST_SEQ = 1 << 53          # what JSON carries exactly everywhere
-DIAL = 500_000              # microseconds; doubled each time that is not enough, up to
+MOST_SEQ = 1 << 53  # what JSON carries exactly everywhere
+DIAL = 500_000  # microseconds; doubled each time that is not enough, up to
 LONGEST_DIAL = 2_000_000
-WHOLE = 1_000_000           # from an answer's first byte to its last
+WHOLE = 1_000_000  # from an answer's first byte to its last
 NEVER = 1 << 62
-PART = 500                  # lines that are read in one turn: some 10 ms
+PART = 500  # lines that are read in one turn: some 10 ms
 
 
 class Upstream:
@@ -45,11 +45,11 @@
         self.parser = ResponseParser(MOST_LIST)
         self.dial = DIAL
         self.dialling = False
-        self.begun = False          # an answer
-        self.reading: Iterator[None] | None = None      # the answer that has come and is not read to its end
-        self.at = 0                 # when it is to be dialled, or taken for silent
-        self.since = 0              # when the last good answer came
-        self.lost = self.refused = False    # as the log was told
+        self.begun = False  # an answer
+        self.reading: Iterator[None] | None = None  # the answer that has come and is not read to its end
+        self.at = 0  # when it is to be dialled, or taken for silent
+        self.since = 0  # when the last good answer came
+        self.lost = self.refused = False  # as the log was told
 
     def woke(self, now: int) -> None:
         if now < self.at:
@@ -119,7 +119,7 @@
                 self.parser.end()
             response = self.parser.next()
             if response is not None:
-                self.at = NEVER         # the next word is ours
+                self.at = NEVER  # the next word is ours
                 self.reading = self.answered(response, response.keeps() and bool(data), now)
                 self.read_on()
             elif not data:
@@ -186,7 +186,7 @@
         raise BadList(str(trouble)) from trouble
     roster = Roster((), lambda born: 1)
     if not isinstance(data, dict) or not isinstance(data.get("hosts"), list):
-        roster.read(data)       # which says what is wrong, or finds nothing in it
+        roster.read(data)  # which says what is wrong, or finds nothing in it
         data = {**data, "hosts": []}
     told: list[Any] = data["hosts"]
     roster.read({**data, "hosts": []})
@@ -194,7 +194,7 @@
         raise BadList(f"seq: {data['seq']!r}")
     lines: dict[str, Line | None] = {}
     for start in range(0, len(told), PART):
-        part = told[start:start + PART]
+        part = told[start : start + PART]
         roster.read({**data, "hosts": part, "whole": False})
         for line in part:
             host, service = line["host"], line.get("service", "")
--- a/pumicepath/settings.py
+++ b/pumicepath/settings.py
@@ -8,7 +8,9 @@
 from .interface import Effect, Group, Settings, Tariff
 
 EFFECTS = {
-    "idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.DEDUPLICATED, "at_most_once": Effect.UNREPEATABLE,
+    "idempotent": Effect.IDEMPOTENT,
+    "deduplicated": Effect.DEDUPLICATED,
+    "at_most_once": Effect.UNREPEATABLE,
 }
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 DAY = 86_400.0
@@ -73,33 +75,61 @@
 COUNT = (0, 1 << 31)
 # Each key that is read, with its range or its words; what is not named here is skipped, as the wire asks.
 KEYS: dict[str, Any] = {
-    "me": COUNT, "fleetSize": (1, 1 << 31), "zone": COUNT,
-    "weights": ("off", "nominal", "rough", "live"), "membershipMode": ("pushed", "on_request"),
-    "prices.crossZone": NUMBER, "prices.connection": NUMBER,
-    "rules.askEveryS": NUMBER, "rules.coldFrom": SHARE, "rules.coldS": NUMBER, "rules.fallMultiple": NUMBER,
-    "rules.overloadForS": NUMBER, "policyLimits.mostHops": (1, 1 << 31),
+    "me": COUNT,
+    "fleetSize": (1, 1 << 31),
+    "zone": COUNT,
+    "weights": ("off", "nominal", "rough", "live"),
+    "membershipMode": ("pushed", "on_request"),
+    "prices.crossZone": NUMBER,
+    "prices.connection": NUMBER,
+    "rules.askEveryS": NUMBER,
+    "rules.coldFrom": SHARE,
+    "rules.coldS": NUMBER,
+    "rules.fallMultiple": NUMBER,
+    "rules.overloadForS": NUMBER,
+    "policyLimits.mostHops": (1, 1 << 31),
     "policyLimits.maxRetryAfterS": NUMBER,
-    "rules.drainBindsAlone": bool, "rules.fullUnproven": bool,
-    "policyLimits.retryAfter": bool, "policyLimits.mayTell": bool, "policyLimits.secondCopies": bool,
-    "clientHabits.marksRetry": bool, "policyLimits.connIdleS": NUMBER,
+    "rules.drainBindsAlone": bool,
+    "rules.fullUnproven": bool,
+    "policyLimits.retryAfter": bool,
+    "policyLimits.mayTell": bool,
+    "policyLimits.secondCopies": bool,
+    "clientHabits.marksRetry": bool,
+    "policyLimits.connIdleS": NUMBER,
     "policyLimits.dialTimeoutS": NUMBER,
 }
 IN_TARIFF: dict[str, Any] = {
-    "agreedTimeS": TIME, "patienceS": TIME, "gain": NUMBER, "lateGain": NUMBER, "windowS": NUMBER,
-    "effect": tuple(EFFECTS), "group": tuple(GROUPS), "stream": bool,
+    "agreedTimeS": TIME,
+    "patienceS": TIME,
+    "gain": NUMBER,
+    "lateGain": NUMBER,
+    "windowS": NUMBER,
+    "effect": tuple(EFFECTS),
+    "group": tuple(GROUPS),
+    "stream": bool,
 }
 # Null stands for nothing that these could mean.
 NEVER_NULL = ("agreedTimeS", "patienceS", "policyLimits.mostHops")
 # What a file need not have though the one before it had: optional on the wire.
-OPTIONAL = ("rules.drainBindsAlone", "rules.fullUnproven", "weights", "prices.connection",
-            "policyLimits.mayTell", "policyLimits.secondCopies", "clientHabits.marksRetry", "stream")
+OPTIONAL = (
+    "rules.drainBindsAlone",
+    "rules.fullUnproven",
+    "weights",
+    "prices.connection",
+    "policyLimits.mayTell",
+    "policyLimits.secondCopies",
+    "clientHabits.marksRetry",
+    "stream",
+)
 # Where a tariff may be served, and the names that such places have.
 PLACES = {"allowedIn": "dcs", "kindsAllowed": "kinds"}
 IN_TENANT: dict[str, Any] = {"quotaPerS": NUMBER}
 # What may be set and the platform of real sidecars has no way for, with the values that ask for nothing.
 IDLE_KEYS: dict[str, tuple] = {
-    "policyLimits.mayTell": (None, False), "policyLimits.secondCopies": (None, False),
-    "policyLimits.streamsPerConn": (None, 1), "report.how": (None, "off"),
+    "policyLimits.mayTell": (None, False),
+    "policyLimits.secondCopies": (None, False),
+    "policyLimits.streamsPerConn": (None, 1),
+    "report.how": (None, "off"),
 }
 
 
@@ -110,8 +140,9 @@
             raise ValueError(f"settings.{part} is no object")
     for key, allowed in KEYS.items():
         part, _, name = key.rpartition(".")
-        check_one("settings." + key, found(info, key), allowed,
-                  key in NEVER_NULL and name in (info.get(part) or {}))
+        check_one(
+            "settings." + key, found(info, key), allowed, key in NEVER_NULL and name in (info.get(part) or {})
+        )
     for places in PLACES.values():
         if not isinstance(info.get(places) or [], list):
             raise ValueError(f"settings.{places} is no list")
@@ -123,8 +154,12 @@
             if not isinstance(entry, dict):
                 raise ValueError(f"settings.{part}[{at}] is no object")
             for key, allowed in keys.items():
-                check_one(f"settings.{part}[{at}].{key}", entry.get(key), allowed,
-                          key in NEVER_NULL and key in entry)
+                check_one(
+                    f"settings.{part}[{at}].{key}",
+                    entry.get(key),
+                    allowed,
+                    key in NEVER_NULL and key in entry,
+                )
             for key, known in PLACES.items() if part == "tariffs" else ():
                 check_places(f"settings.{part}[{at}].{key}", entry.get(key), known, info.get(known) or [])
             if entry.get("effect") == "deduplicated" and entry.get("windowS", 1) == 0:
@@ -165,8 +200,13 @@
         kinds = (int,) if isinstance(allowed[0], int) else (int, float)
         fits = isinstance(value, kinds) and not isinstance(value, bool) and allowed[0] <= value <= allowed[1]
     if not fits:
-        wanted = "true or false" if allowed is bool else " or ".join(
-            map(str, allowed)) if isinstance(allowed[0], str) else f"from {allowed[0]} to {allowed[1]}"
+        wanted = (
+            "true or false"
+            if allowed is bool
+            else " or ".join(map(str, allowed))
+            if isinstance(allowed[0], str)
+            else f"from {allowed[0]} to {allowed[1]}"
+        )
         raise ValueError(f"{key}: {value!r} is not {wanted}")
 
 
--- a/pumicepath/sidecar/arrival.py
+++ b/pumicepath/sidecar/arrival.py
@@ -14,10 +14,10 @@
 
 from . import clock
 
-ESTABLISHED = 1             # of the kernel's states (tcp_states.h)
+ESTABLISHED = 1  # of the kernel's states (tcp_states.h)
 RECEIVED = slice(128, 136)  # tcpi_bytes_received of struct tcp_info (linux/tcp.h)
-STAMP = 35                  # SO_TIMESTAMPNS of asm-generic/socket.h, on all machines this is meant for
-LATEST = slice(52, 56)      # tcpi_last_data_recv, in milliseconds
+STAMP = 35  # SO_TIMESTAMPNS of asm-generic/socket.h, on all machines this is meant for
+LATEST = slice(52, 56)  # tcpi_last_data_recv, in milliseconds
 PAIR = struct.Struct("qq")
 SPACE = socket.CMSG_SPACE(PAIR.size)
 
--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -24,10 +24,10 @@
 ALLOWANCE = 25_000
 LONGEST_WRITE = struct.pack("ll", 10, 0)
 RESET = struct.pack("ii", 1, 0)
-STEP_S = 0.005              # between two looks at a connection that wakes nobody any more
+STEP_S = 0.005  # between two looks at a connection that wakes nobody any more
 SINK = bytearray(256 * 1024)  # what nobody reads goes there; the kernel does not even copy it
-MOST_UPLOAD = 40 << 20      # what says that it is longer is refused
-MOST_ERRORS = 3             # in a row, until the connection is closed
+MOST_UPLOAD = 40 << 20  # what says that it is longer is refused
+MOST_ERRORS = 3  # in a row, until the connection is closed
 # What a connection is doing: LAST has been told to end between requests, and serves what crossed that.
 FRESH, PARTIAL, BUSY, IDLE, CLOSING, LAST = range(6)
 
@@ -50,19 +50,19 @@
         self.owner = owner
         self.state = FRESH
         self.since = now
-        self.bound = now            # before which nothing that is read next can have come
+        self.bound = now  # before which nothing that is read next can have come
         self.keep = True
         self.errors = 0
         self.served = 0
         self.chunked = self.unframed = self.reset = False
         self.last = self.blind = False
-        self.group = ""             # the class of the submission under way, and its answer's status
+        self.group = ""  # the class of the submission under way, and its answer's status
         self.status = 0
-        self.head = False           # whether the answer has no body, as to HEAD
+        self.head = False  # whether the answer has no body, as to HEAD
         self.upload: Upload | None = None
-        self.broken = False         # whether it broke a body off, or sent it too slowly
-        self.got = 0                # of a request that is not whole
-        self.inside = False         # at the entrance, which others wait for
+        self.broken = False  # whether it broke a body off, or sent it too slowly
+        self.got = 0  # of a request that is not whole
+        self.inside = False  # at the entrance, which others wait for
         self.answered = threading.Event()
         self.gate = threading.Lock()
         self.outgoing = Ring(MOST_HEAD + MOST_BODY + 1024)
@@ -254,16 +254,20 @@
             # All connections that the limits allow are in use: nothing went out, so trying again is harmless.
             # The connection stays: a new one would cost more than this answer.
             self.owner.refused["no room"] += 1
-            self.answer(answers.deferred(dispatcher.balancer.bound_retry_in(terms[what.tariff])),
-                        not dispatcher.leaving())
+            self.answer(
+                answers.deferred(dispatcher.balancer.bound_retry_in(terms[what.tariff])),
+                not dispatcher.leaving(),
+            )
             return None
         if not self.inside:
             usual = terms[what.tariff].usual
-            self.inside = dispatcher.entrance.enter(arrived, arrived + what.patience, what.tariff, what.retry,
-                                                    usual)
+            self.inside = dispatcher.entrance.enter(
+                arrived, arrived + what.patience, what.tariff, what.retry, usual
+            )
             if not self.inside:
-                self.answer(answers.deferred(dispatcher.entrance.intake.back(what.tariff)),
-                            not dispatcher.leaving())
+                self.answer(
+                    answers.deferred(dispatcher.entrance.intake.back(what.tariff)), not dispatcher.leaving()
+                )
                 return None
         if clock.now() - arrived > LATE and self.gone():
             self.group = ""
@@ -330,7 +334,7 @@
         rest = memoryview(data)
         try:
             while rest:
-                rest = rest[self.outgoing.put(rest):]
+                rest = rest[self.outgoing.put(rest) :]
                 while len(self.outgoing):
                     self.outgoing.drop(self.send(self.outgoing.data()))
         except OSError:
--- a/pumicepath/sidecar/clients.py
+++ b/pumicepath/sidecar/clients.py
@@ -15,25 +15,25 @@
 
 __all__ = ["BUSY", "CLOSING", "FRESH", "IDLE", "LAST", "PARTIAL", "Client", "Clients"]
 
-SWEEP = 50_000              # between two looks for connections whose time is up, while room is scarce
-SWEEP_AT_EASE = 250_000     # and while it is not: all that is closed then has waited a second and more
-SILENT = 2_000_000          # until a connection that has sent nothing is closed
-UNFINISHED = upload.FIRST   # until a request that has begun must be whole, and more for what has come of it
-IDLE_LONG = 15_000_000      # between requests, while there is room
-IDLE_SHORT = 300_000        # and while more than a third of it is taken
-IDLE_ONCE = 60_000          # then, on a connection that has been used only once
-FIRST_BYTES = 300_000       # for the first request on a new connection, while clients are sent away
-LINGER = 1_000_000          # for the client to close after we did
+SWEEP = 50_000  # between two looks for connections whose time is up, while room is scarce
+SWEEP_AT_EASE = 250_000  # and while it is not: all that is closed then has waited a second and more
+SILENT = 2_000_000  # until a connection that has sent nothing is closed
+UNFINISHED = upload.FIRST  # until a request that has begun must be whole, and more for what has come of it
+IDLE_LONG = 15_000_000  # between requests, while there is room
+IDLE_SHORT = 300_000  # and while more than a third of it is taken
+IDLE_ONCE = 60_000  # then, on a connection that has been used only once
+FIRST_BYTES = 300_000  # for the first request on a new connection, while clients are sent away
+LINGER = 1_000_000  # for the client to close after we did
 # At the bound, from when a connection makes room for a new one: its first bytes are overdue, or it rests.
 CROWDED = {FRESH: 50_000, CLOSING: 100_000, IDLE: 100_000, PARTIAL: 2_100_000}
-LOOK = 5_000                # between two looks for such connections
-EVICTED = 8                 # at a time more than needed, since many come together
+LOOK = 5_000  # between two looks for such connections
+EVICTED = 8  # at a time more than needed, since many come together
 SPARE = 24
-LISTENING_S = 0.2           # between two looks whether connections are still to be accepted, where another
-LISTENING_ALONE_S = 0.4     # process may take them, and where only the end of this one ends that, which is
-LISTENING_ENDS_S = 0.02     # seen before connections stop coming, and looked for from then on
-READY_THREADS = 64          # that wait for the next connection at most
-STEP_S = 0.005              # between two looks for room
+LISTENING_S = 0.2  # between two looks whether connections are still to be accepted, where another
+LISTENING_ALONE_S = 0.4  # process may take them, and where only the end of this one ends that, which is
+LISTENING_ENDS_S = 0.02  # seen before connections stop coming, and looked for from then on
+READY_THREADS = 64  # that wait for the next connection at most
+STEP_S = 0.005  # between two looks for room
 
 
 def listening(config: Config) -> socket.socket:
@@ -65,7 +65,7 @@
         self.taking = threading.Event()
         self.taking.set()
         self.listener = listener or listening(config)
-        arrival.mark(self.listener)     # what it accepts is stamped from the first byte on
+        arrival.mark(self.listener)  # what it accepts is stamped from the first byte on
         self.stopped = False
         # The process that will take this one's place accepts from the same queue: each looks now and then
         # whether it is still to.  They share the socket, and so whether it blocks.
@@ -194,7 +194,7 @@
             state, since = client.state, client.since
             if now - since >= CROWDED.get(state, now):
                 overdue.append((state not in (FRESH, CLOSING), since, len(overdue), state, client))
-        for *_, state, client in sorted(overdue)[:max(0, len(self.open) - self.most) + EVICTED]:
+        for *_, state, client in sorted(overdue)[: max(0, len(self.open) - self.most) + EVICTED]:
             client.expire(state)
 
     def pause(self, out: bool) -> None:
@@ -210,8 +210,9 @@
 
     def under_way(self) -> int:
         """How many submissions are taken and not ended."""
-        return sum(1 for client in list(self.open)
-                   if client.group and (client.upload is None or client.upload.whole))
+        return sum(
+            1 for client in list(self.open) if client.group and (client.upload is None or client.upload.whole)
+        )
 
     def empty(self, out: bool) -> None:
         """Send clients away, or take them again."""
--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -18,12 +18,12 @@
 if TYPE_CHECKING:
     from ..fleet.settings import PeerSettings
 
-KEPT_BACK = 48              # descriptors for the listener, discovery, files, and clients beyond the bound
-OWN_MB = 24                 # memory before the first connection, with room for the list
-SPARE_PART = 1 / 16         # of the memory for the allocator and what grows
+KEPT_BACK = 48  # descriptors for the listener, discovery, files, and clients beyond the bound
+OWN_MB = 24  # memory before the first connection, with room for the list
+SPARE_PART = 1 / 16  # of the memory for the allocator and what grows
 EXPECTED = ("name", "seed", "limits", "listen", "discovery", "peers", "relays", "services")
-FEWEST = 8                  # connections, below which nothing can be served
-CONNECTION_KB = 140         # a connection with its thread and full bodies both ways: 132 measured
+FEWEST = 8  # connections, below which nothing can be served
+CONNECTION_KB = 140  # a connection with its thread and full bodies both ways: 132 measured
 
 
 class BadConfig(Exception):
@@ -50,7 +50,7 @@
     keys: frozenset[str] = frozenset()
     peers: PeerSettings | None = None
     relays: tuple[str, ...] = ()
-    services: tuple[str, ...] | None = None     # to be followed at relays, `("*",)` for all
+    services: tuple[str, ...] | None = None  # to be followed at relays, `("*",)` for all
 
     @property
     def from_clients(self) -> int:
@@ -97,6 +97,7 @@
     if told.get("peers") is None and not os.environ.get("GW_PEERS_LISTEN"):
         return None
     from ..fleet import settings as fleet
+
     found = fleet.decode(told.get("peers"), os.environ)
     name = str(told.get("name", ""))
     if not 0 < len(name.encode()) <= fleet.LONGEST_NAME:
@@ -111,6 +112,7 @@
             raise ValueError("services: there are none without relays")
         return (), None
     from . import relay_keys
+
     return relay_keys.relays(told), relay_keys.services(told)
 
 
@@ -139,8 +141,10 @@
     memory, sockets = limits.get("memory_mb", 192), limits.get("sockets", 1024)
     if had != resource.RLIM_INFINITY:
         sockets = min(sockets, max(had, KEPT_BACK + FEWEST))
-    fitting = {"memory_mb": (memory * (1 - SPARE_PART) - OWN_MB) * 1024 / CONNECTION_KB,
-               "sockets": sockets - KEPT_BACK}
+    fitting = {
+        "memory_mb": (memory * (1 - SPARE_PART) - OWN_MB) * 1024 / CONNECTION_KB,
+        "sockets": sockets - KEPT_BACK,
+    }
     scarce = min(fitting, key=lambda key: fitting[key])
     if fitting[scarce] < FEWEST:
         given = memory if scarce == "memory_mb" else sockets
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -24,7 +24,7 @@
 from .servers import Link, Pool
 
 FOREVER = (1 << 63) - 1
-TOO_LATE = 10_000            # from when our own threads' delay tells on what servers are judged by
+TOO_LATE = 10_000  # from when our own threads' delay tells on what servers are judged by
 
 
 Serving = tuple[Config, tuple[Terms, ...]]
@@ -71,9 +71,9 @@
         self.after: list[Callable[[], None]] = []
         self.exchanges: dict[int, Exchange] = {}
         self.taken = 0
-        self.draining = False       # since SIGTERM
-        self.ends = FOREVER         # by when all that is taken has to be answered, known from then on
-        self.emptied = False        # by an operator, until it is called back
+        self.draining = False  # since SIGTERM
+        self.ends = FOREVER  # by when all that is taken has to be answered, known from then on
+        self.emptied = False  # by an operator, until it is called back
         self.figures = Figures()
         self.loaded = self.invalid = 0
         self.pool = Pool(self, config, log)
@@ -169,11 +169,13 @@
 
     def adopt(self, config: Config) -> None:
         """Go by another configuration, in one step; what has been read ends under what it was read by."""
+
         def call(now: int) -> None:
             self.balancer.adopt(now, config.settings)
             self.pool.adopt(config)
             self.serving = (config, self.balancer.terms)
             self.longest = max(self.longest, *(tariff.patience for tariff in config.settings.tariffs))
+
         self.entrance.adopt(config)
         self.decide(call)
 
@@ -182,6 +184,7 @@
 
         Guards a submission that may still run against another one under its id, until its patience is over.
         """
+
         def call(now: int) -> None:
             while self.expiring and self.expiring[0][0] <= now:
                 self.traces.discard(self.expiring.popleft()[1])
@@ -192,11 +195,13 @@
             self.taken += 1
             exchange.number = self.taken
             self.exchanges[exchange.number] = exchange
-            exchange.handle = self.balancer.take_under(now, exchange.number, terms, key, retry,
-                                                       exchange.until, exchange.upload is not None)
+            exchange.handle = self.balancer.take_under(
+                now, exchange.number, terms, key, retry, exchange.until, exchange.upload is not None
+            )
             if not exchange.answered and exchange.upload is None:
                 self.wake(exchange.until, exchange)
             self.forget(exchange)
+
         self.decide(call)
         return exchange.number > 0
 
@@ -230,10 +235,12 @@
             exchange.until = min(now + exchange.patience, self.ends)
             exchange.handle.whole(now, hop.number, exchange.until)
             self.wake(exchange.until, exchange)
+
         self.decide(call)
 
-    def returned(self, hop: Hop, link: Link, outcome: Outcome, response: Response | None,
-                 reuse: bool) -> None:
+    def returned(
+        self, hop: Hop, link: Link, outcome: Outcome, response: Response | None, reuse: bool
+    ) -> None:
         """A hop has ended; its connection is ready for another, or it is closed."""
         exchange = hop.exchange
         left = outcome != Outcome.OK and not exchange.answered and exchange.client.gone()
@@ -253,12 +260,14 @@
             if outcome == Outcome.OK and response is not None and not exchange.answered:
                 self.answer(exchange, answers.succeeded(response))
             self.end(now, hop, Outcome.CANCELLED if hop.cancelled else outcome)
+
         self.decide(call)
 
     def started(self, hop: Hop) -> None:
         def call(now: int) -> None:
             if not hop.ended and hop.exchange.handle is not None:
                 hop.exchange.handle.started(now, hop.number)
+
         self.decide(call)
 
     def pass_on(self, hop: Hop, parser: ResponseParser) -> bool:
@@ -281,6 +290,7 @@
                 exchange.handle.ended(now, hop.number, Outcome.OK, max(hop.at, hop.came) - hop.at, True)
                 self.forget(exchange)
                 passed.append(True)
+
         passed: list[bool] = []
         self.decide(call)
         if passed:
@@ -289,6 +299,7 @@
 
     def failed(self, exchange: Exchange) -> None:
         """A fault of our own on the client's side: hops are called off and the client is told."""
+
         def call(now: int) -> None:
             for hop in exchange.hops:
                 hop.ended = True
@@ -297,6 +308,7 @@
             if not exchange.answered:
                 self.answer(exchange, answers.FORFEITED)
             self.exchanges.pop(exchange.number, None)
+
         self.decide(call)
 
     def end(self, now: int, hop: Hop, outcome: Outcome) -> None:
@@ -329,18 +341,22 @@
 
     def by_hand(self, name: str, out: bool, certain: bool = False) -> bool:
         """Take a server out, or let it serve again; nothing more goes to it from the return on."""
+
         def call(now: int) -> None:
             if self.balancer.hand(now, stable(name), out, certain):
                 self.pool.by_hand(stable(name), out)
                 done.append(True)
+
         done: list[bool] = []
         self.decide(call)
         return bool(done)
 
     def accompany(self, companions: Companions | None) -> None:
         """Have trials of sick servers agreed on with other sidecars, or each one's own again."""
+
         def call(now: int) -> None:
             self.balancer.companions = companions
+
         self.decide(call)
 
     def put_off(self, server: int, wait: int) -> None:
@@ -349,8 +365,10 @@
 
     def handed(self) -> tuple[dict[int, int], dict[int, int]]:
         """The servers out by hand and those back that may be cold, with the times since when."""
+
         def call(now: int) -> None:
             told.append((dict(self.balancer.by_hand), dict(self.balancer.returned)))
+
         told: list[tuple[dict[int, int], dict[int, int]]] = []
         self.decide(call)
         return told[0]
@@ -366,8 +384,10 @@
 
     def standing(self) -> tuple[int, int]:
         """How many servers are listed, and how many of them avoided."""
+
         def call(now: int) -> None:
             told.append(self.balancer.standing())
+
         told: list[tuple[int, int]] = []
         self.decide(call)
         return told[0]
@@ -380,6 +400,7 @@
             self.balancer.listed(now, kind, update.entries, spent)
             if alone:
                 self.pool.prune(self.balancer.index)
+
         self.decide(call)
 
     # -- the outlet of the balancer, called under the lock
--- a/pumicepath/sidecar/entrance.py
+++ b/pumicepath/sidecar/entrance.py
@@ -28,8 +28,9 @@
 
     def __init__(self, config: Config) -> None:
         settings = config.settings
-        self.intake: Intake[Waiting] = Intake(settings.tariffs, settings.most_retry_in, config.from_clients,
-                                              config.seed)
+        self.intake: Intake[Waiting] = Intake(
+            settings.tariffs, settings.most_retry_in, config.from_clients, config.seed
+        )
         self.gate = threading.Lock()
 
     def adopt(self, config: Config) -> None:
--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -13,8 +13,7 @@
 from ..logic import Submission
 from . import answers
 
-LATE = 5_000                # from when a client that waits may have gone
-
+LATE = 5_000  # from when a client that waits may have gone
 
 
 class Answerer(Protocol):
@@ -83,11 +82,34 @@
 class Exchange:
     """Its client's thread carries it: what is sent is `pending` until that thread takes it up."""
 
-    __slots__ = ("number", "client", "trace", "request", "until", "owner", "handle", "hops", "pending",
-                 "answered", "left", "upload", "patience", "arrived")
-
-    def __init__(self, client: Answerer, trace: str, request: Request, until: int, owner: Owner,
-                 upload: Upload | None = None, patience: int = 0, arrived: int = 0) -> None:
+    __slots__ = (
+        "number",
+        "client",
+        "trace",
+        "request",
+        "until",
+        "owner",
+        "handle",
+        "hops",
+        "pending",
+        "answered",
+        "left",
+        "upload",
+        "patience",
+        "arrived",
+    )
+
+    def __init__(
+        self,
+        client: Answerer,
+        trace: str,
+        request: Request,
+        until: int,
+        owner: Owner,
+        upload: Upload | None = None,
+        patience: int = 0,
+        arrived: int = 0,
+    ) -> None:
         self.number = 0
         self.client = client
         self.trace = trace
@@ -100,7 +122,7 @@
         self.answered = False
         self.left = False
         self.upload = upload
-        self.patience = patience    # from the last byte of such a body on
+        self.patience = patience  # from the last byte of such a body on
         self.arrived = arrived
 
     def over(self) -> bool:
@@ -116,9 +138,10 @@
         if hop.ended or self.answered or now >= self.until:
             return False
         if hop.number and self.handle is not None:
-            tariff, before = self.handle.terms.tariff, self.handle.hops[:hop.number]
+            tariff, before = self.handle.terms.tariff, self.handle.hops[: hop.number]
             if tariff.effect == Effect.DEDUPLICATED and any(
-                    one.may_have_run and now > one.at + tariff.window for one in before):
+                one.may_have_run and now > one.at + tariff.window for one in before
+            ):
                 return False
         return now - self.arrived <= LATE or not self.client.gone()
 
@@ -141,7 +164,7 @@
         self.server = server
         self.at = at
         self.ends = ends
-        self.came = 0               # when the last bytes of its answer reached this machine
+        self.came = 0  # when the last bytes of its answer reached this machine
         self.link: Carrier
         self.ended = False
         self.cancelled = False
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -25,10 +25,10 @@
     def __init__(self, watcher: Watcher, homes: Homes) -> None:
         self.watcher = watcher
         self.homes = homes
-        self.answering = ""         # the relay that answered last
-        self.heard = 0.0            # when
-        self.trouble = ""           # of the last call that failed
-        self.stale: dict[str, float] = {}       # regions out of touch there, since when
+        self.answering = ""  # the relay that answered last
+        self.heard = 0.0  # when
+        self.trouble = ""  # of the last call that failed
+        self.stale: dict[str, float] = {}  # regions out of touch there, since when
 
     def where(self) -> Address:
         """The relay to dial, which the watch is told of."""
@@ -46,8 +46,9 @@
         self.trouble = f"{type(trouble).__name__}: {trouble}"
         expected = isinstance(trouble, (OSError, Malformed, BadList))
         if watcher.failures == 1 or not expected:
-            watcher.dispatcher.events.event("watch_failed" if expected else "fault", text=self.trouble,
-                                            relay=homes.at)
+            watcher.dispatcher.events.event(
+                "watch_failed" if expected else "fault", text=self.trouble, relay=homes.at
+            )
         wait = homes.failed(clock.now(), watcher.dialling)
         if watcher.failures > len(homes.order):
             watcher.asked.set()
@@ -61,9 +62,16 @@
         if homes.at != self.answering:
             why = homes.why or "start"
             live, out = watch.standing()
-            events.event("relay_changed", **{"from": self.answering}, to=homes.at,
-                         why=self.trouble if why == "failed" else why, failures=watcher.failures,
-                         live=live, out=out, silent_s=round(now - self.heard, 3) if self.answering else 0.0)
+            events.event(
+                "relay_changed",
+                **{"from": self.answering},
+                to=homes.at,
+                why=self.trouble if why == "failed" else why,
+                failures=watcher.failures,
+                live=live,
+                out=out,
+                silent_s=round(now - self.heard, 3) if self.answering else 0.0,
+            )
             if self.answering:
                 watcher.dispatcher.figures.count("relay_changes")
             self.answering = homes.at
--- a/pumicepath/sidecar/log.py
+++ b/pumicepath/sidecar/log.py
@@ -42,7 +42,7 @@
                 data = self.waiting.popleft()
                 try:
                     while data:
-                        data = data[os.write(self.descriptor, data):]
+                        data = data[os.write(self.descriptor, data) :]
                 except OSError:
                     return  # nobody reads the log any more; that must not end the sidecar
             if self.dropped:
--- a/pumicepath/sidecar/operators.py
+++ b/pumicepath/sidecar/operators.py
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from .peers import Peers
 
-MOST = 16                   # calls at once; one more takes the place of the oldest
-LONGEST = 5_000_000         # that a call may take to come whole
+MOST = 16  # calls at once; one more takes the place of the oldest
+LONGEST = 5_000_000  # that a call may take to come whole
 LONGEST_WAIT = struct.pack("ll", 5, 0)
 MOST_BODY = 4096
 DONE = answers.plain(200, "done")
@@ -38,8 +38,14 @@
 class Operators:
     """The listener for operators and the calls under way."""
 
-    def __init__(self, where: Address, dispatcher: Dispatcher, clients: Clients,
-                 succession: Succession, peers: Peers | None = None) -> None:
+    def __init__(
+        self,
+        where: Address,
+        dispatcher: Dispatcher,
+        clients: Clients,
+        succession: Succession,
+        peers: Peers | None = None,
+    ) -> None:
         self.peers = peers
         self.dispatcher = dispatcher
         self.clients = clients
@@ -136,8 +142,11 @@
             case Call.PEERS:
                 if self.peers is None:
                     return NO_PEERS
-                return answers.Answer(200, [("Content-Type", "application/json")],
-                                      orjson.dumps(self.peers.view(), option=orjson.OPT_APPEND_NEWLINE))
+                return answers.Answer(
+                    200,
+                    [("Content-Type", "application/json")],
+                    orjson.dumps(self.peers.view(), option=orjson.OPT_APPEND_NEWLINE),
+                )
             case Call.RESIGN:
                 if self.peers is None:
                     return NO_PEERS
@@ -156,7 +165,14 @@
     def figures(self) -> str:
         dispatcher = self.dispatcher
         listed, avoided = dispatcher.standing()
-        return dispatcher.figures.written(dispatcher.serving[0].tariffs, {
-            "current": self.clients.under_way(), "cluster_size": listed, "cluster_unhealthy": avoided,
-            "conf_loaded": dispatcher.loaded, "conf_invalid": dispatcher.invalid,
-            **(self.peers.figures() if self.peers is not None else {})})
+        return dispatcher.figures.written(
+            dispatcher.serving[0].tariffs,
+            {
+                "current": self.clients.under_way(),
+                "cluster_size": listed,
+                "cluster_unhealthy": avoided,
+                "conf_loaded": dispatcher.loaded,
+                "conf_invalid": dispatcher.invalid,
+                **(self.peers.figures() if self.peers is not None else {}),
+            },
+        )
--- a/pumicepath/sidecar/pace.py
+++ b/pumicepath/sidecar/pace.py
@@ -6,8 +6,8 @@
 from .exchange import Owner
 
 BEAT = 25_000
-REST = 100_000              # between two beats while nothing comes: many sidecars at rest share a machine
-KEPT = 7 / 8                # of the delay, from one beat to the next
+REST = 100_000  # between two beats while nothing comes: many sidecars at rest share a machine
+KEPT = 7 / 8  # of the delay, from one beat to the next
 
 
 class Pace:
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -25,13 +25,13 @@
 from . import clock
 from .log import Log
 
-MOST_A_SECOND = 2000        # datagrams that are read; the kernel drops what comes beyond them
-NAMED = 5                   # peers named in one line of the log
-LINE_S = 1.0                # between two such lines
+MOST_A_SECOND = 2000  # datagrams that are read; the kernel drops what comes beyond them
+NAMED = 5  # peers named in one line of the log
+LINE_S = 1.0  # between two such lines
 BIND_AGAIN_S = 0.1
 LONGEST_READ = messages.LONGEST + 1
-MOST_WORDS = 4096           # of the balancer that wait for the thread: more than it says in its longest pause
-LONGEST_PAUSE = 0.1         # seconds that a word of the balancer waits
+MOST_WORDS = 4096  # of the balancer that wait for the thread: more than it says in its longest pause
+LONGEST_PAUSE = 0.1  # seconds that a word of the balancer waits
 
 
 class Companions:
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.said: deque[Callable[[Trials], None]] = deque(maxlen=MOST_WORDS)
-        self.turns: dict[str, int] = {}         # until when, by the servers' names; replaced as one
+        self.turns: dict[str, int] = {}  # until when, by the servers' names; replaced as one
 
     def turn(self, name: str) -> bool:
         return clock.now() < self.turns.get(name, 0)
@@ -67,7 +67,7 @@
         self.seal = messages.sealed(settings.fleet)
         self.out: list[tuple[str, messages.Any]] = []
         self.counts = Counter[str]()
-        self.told: dict[str, list[str]] = {}        # changes not logged yet: names by state
+        self.told: dict[str, list[str]] = {}  # changes not logged yet: names by state
         self.line_at = 0.0
         self.name, self.zone = name, zone
         self.listens = ""
@@ -76,9 +76,9 @@
         self.fellow: Fellow | None = None
         self.voting = settings.voting
         self.companions = Companions()
-        self.put_offs: list[tuple[str, int]] = []   # others' words on servers, to be told to the balancer
+        self.put_offs: list[tuple[str, int]] = []  # others' words on servers, to be told to the balancer
         self.on_put_off: Callable[[int, int], None] = lambda server, wait: None
-        self.held: dict[str, str] = {}              # changes not logged yet: duties, and how
+        self.held: dict[str, str] = {}  # changes not logged yet: duties, and how
         try:
             self.bind()
         except OSError:
@@ -210,14 +210,25 @@
             count = len(self.fellow.duties.held(clock.now())) if self.fellow.duties is not None else 0
         if held:
             some = [f"{duty}: {how}" for duty, how in held.items()]
-            self.log.event("duties", held=count, changes=[*some[:NAMED], *(
-                [f"and {len(some) - NAMED}"] if len(some) > NAMED else [])])
+            self.log.event(
+                "duties",
+                held=count,
+                changes=[*some[:NAMED], *([f"and {len(some) - NAMED}"] if len(some) > NAMED else [])],
+            )
         if not told:
             return
-        named = {state: [*names[:NAMED], *([f"and {len(names) - NAMED}"] if len(names) > NAMED else [])]
-                 for state, names in told.items()}
-        self.log.event("peers", alive=counts[messages.ALIVE], suspects=counts[messages.SUSPECTED],
-                       dead=counts[messages.DEAD], slow=sick, changes=named)
+        named = {
+            state: [*names[:NAMED], *([f"and {len(names) - NAMED}"] if len(names) > NAMED else [])]
+            for state, names in told.items()
+        }
+        self.log.event(
+            "peers",
+            alive=counts[messages.ALIVE],
+            suspects=counts[messages.SUSPECTED],
+            dead=counts[messages.DEAD],
+            slow=sick,
+            changes=named,
+        )
 
     # -- the outlet of the membership, called under the gate
 
@@ -242,9 +253,14 @@
 
     def figures(self) -> dict[str, int]:
         counts = self.counts
-        told = {"peers_in": counts["in"], "peers_out": counts["out"], "peers_in_bytes": counts["in_bytes"],
-                "peers_out_bytes": counts["out_bytes"], "peers_noise": counts["noise"],
-                "peers_foreign": counts["foreign"]}
+        told = {
+            "peers_in": counts["in"],
+            "peers_out": counts["out"],
+            "peers_in_bytes": counts["in_bytes"],
+            "peers_out_bytes": counts["out_bytes"],
+            "peers_noise": counts["noise"],
+            "peers_foreign": counts["foreign"],
+        }
         fellow = self.fellow
         if fellow is None:
             return {"peers_alive": 0, "peers_suspected": 0, **told}
@@ -254,11 +270,22 @@
             held, refused, sick = list(membership.roll.counts), membership.roll.refused, membership.sick
             bounds = membership.bounds(now)
             if fellow.duties is not None:
-                told |= {"duties_held": len(fellow.duties.held(now)), "duties_won": counts["duties_won"],
-                         "duties_lost": counts["duties_lost"]}
-        return {"peers_alive": held[messages.ALIVE], "peers_suspected": held[messages.SUSPECTED],
-                "peers_dead": held[messages.DEAD], "peers_refused": refused, "peers_slow": sick,
-                "fleet_least": bounds.least, "fleet_likely": bounds.likely, "fleet_most": bounds.most, **told}
+                told |= {
+                    "duties_held": len(fellow.duties.held(now)),
+                    "duties_won": counts["duties_won"],
+                    "duties_lost": counts["duties_lost"],
+                }
+        return {
+            "peers_alive": held[messages.ALIVE],
+            "peers_suspected": held[messages.SUSPECTED],
+            "peers_dead": held[messages.DEAD],
+            "peers_refused": refused,
+            "peers_slow": sick,
+            "fleet_least": bounds.least,
+            "fleet_likely": bounds.likely,
+            "fleet_most": bounds.most,
+            **told,
+        }
 
     def members(self) -> list[Seen]:
         if self.fellow is None:
@@ -270,14 +297,28 @@
         """What this sidecar sees of the fleet, in seconds; `heard_s` is null where only others told of it."""
         me = self.fellow.membership.me if self.fellow is not None else None
         members = self.members()
-        return {"name": self.name, "address": self.where, "born": f"{me.born:x}" if me else "",
-                "incarnation": me.incarnation if me else 0, "figures": self.figures(), **self.duties(members),
-                "peers": [
-                    {"name": one.name, "address": one.address, "zone": one.zone, "born": f"{one.born:x}",
-                     "incarnation": one.incarnation, "state": STATES[one.state],
-                     "since_s": round(one.for_ / 1e6, 3),
-                     "heard_s": round(one.heard_ago / 1e6, 3) if one.heard_ago >= 0 else None, "by": one.by}
-                    for one in members]}
+        return {
+            "name": self.name,
+            "address": self.where,
+            "born": f"{me.born:x}" if me else "",
+            "incarnation": me.incarnation if me else 0,
+            "figures": self.figures(),
+            **self.duties(members),
+            "peers": [
+                {
+                    "name": one.name,
+                    "address": one.address,
+                    "zone": one.zone,
+                    "born": f"{one.born:x}",
+                    "incarnation": one.incarnation,
+                    "state": STATES[one.state],
+                    "since_s": round(one.for_ / 1e6, 3),
+                    "heard_s": round(one.heard_ago / 1e6, 3) if one.heard_ago >= 0 else None,
+                    "by": one.by,
+                }
+                for one in members
+            ],
+        }
 
     def duties(self, members: list[Seen]) -> dict[str, Any]:
         """What this sidecar holds, and, if it votes, whom it has granted what; nothing where nobody votes."""
@@ -292,14 +333,24 @@
             granted = voter.granted(now) if voter is not None else []
             silent = max(0, voter.silent_until - now) if voter is not None else 0
             fit = duties.fit
-        told: dict[str, Any] = {"fit": fit, "holds": [
-            {"duty": duty, "number": f"{number:x}", "left_s": round(left / 1e6, 3)}
-            for duty, number, left in held]}
+        told: dict[str, Any] = {
+            "fit": fit,
+            "holds": [
+                {"duty": duty, "number": f"{number:x}", "left_s": round(left / 1e6, 3)}
+                for duty, number, left in held
+            ],
+        }
         if voter is not None:
             told["silent_s"] = round(silent / 1e6, 3)
             told["granted"] = [
-                {"duty": duty, "holder": names.get(holder, f"{holder:x}"), "number": f"{number:x}",
-                 "left_s": round(left / 1e6, 3)} for duty, holder, number, left in granted]
+                {
+                    "duty": duty,
+                    "holder": names.get(holder, f"{holder:x}"),
+                    "number": f"{number:x}",
+                    "left_s": round(left / 1e6, 3),
+                }
+                for duty, holder, number, left in granted
+            ]
         return told
 
     # -- what comes from elsewhere
--- a/pumicepath/sidecar/relay_keys.py
+++ b/pumicepath/sidecar/relay_keys.py
@@ -12,7 +12,7 @@
 
 MOST_RELAYS = 64
 MOST_SERVICES = 256
-LONGEST_SERVICES = 12_000   # bytes of all names, which have to fit into the head of one request
+LONGEST_SERVICES = 12_000  # bytes of all names, which have to fit into the head of one request
 LONGEST_SERVICE = 64
 OF_SERVICES = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789._-"
 
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -39,11 +39,11 @@
 # Of the C library's allocator (malloc.h): one heap for all threads, and no mapping for each large body.
 ONE_HEAP = {"M_ARENA_MAX": (-8, 1), "M_MMAP_THRESHOLD": (-3, 32 << 20), "M_TRIM_THRESHOLD": (-1, 32 << 20)}
 SWITCH = 0.02
-COMING = 0.5                # how long new connections may still come after SIGTERM, with room to spare
+COMING = 0.5  # how long new connections may still come after SIGTERM, with room to spare
 FIXED = ("name", "listen", "limits", "admin", "peers")  # keys of the file that are read at the start only
-FIRST_S = 2.0               # that clients wait in the queue for a first list, where all that is listed counts
-ANSWERED = 400_000          # past the longest patience, when whatever came late is answered
-LAST = 0.6                  # past the longest patience, when to end whatever is left, 0.1 s before the kill
+FIRST_S = 2.0  # that clients wait in the queue for a first list, where all that is listed counts
+ANSWERED = 400_000  # past the longest patience, when whatever came late is answered
+LAST = 0.6  # past the longest patience, when to end whatever is left, 0.1 s before the kill
 
 
 def serve(config: Config, path: str) -> None:
@@ -62,9 +62,14 @@
     before = reach(config.listen) if config.admin else None
     known, told = first_list(roster, config, before)
     homes = following(config)
-    watch = Watch(roster, homes.at if homes else f"{config.discovery.host}:{config.discovery.port}",
-                  -1 if homes or "regions" in told else known.version, 2 * config.settings.ask_every,
-                  Chance(config.seed).share, config.services)
+    watch = Watch(
+        roster,
+        homes.at if homes else f"{config.discovery.host}:{config.discovery.port}",
+        -1 if homes or "regions" in told else known.version,
+        2 * config.settings.ask_every,
+        Chance(config.seed).share,
+        config.services,
+    )
     watch.inherit(told)
     watcher = Watcher(watch, config.discovery, config.pushed, homes)
     dispatcher = Dispatcher(config, log, watcher.follow)
@@ -107,11 +112,18 @@
     host, port = clients.listener.getsockname()[:2]
     if operators is not None:
         succession.offer()  # before it says that it has started: who waited for that may replace it at once
-    log.event("started", listen=f"{host}:{port}", operators=operators.where if operators else "",
-              servers=len(known.entries), from_clients=config.from_clients, to_servers=config.to_servers,
-              checks="asserted" if __debug__ else "counted", form=compiled.FORM,
-              **({"peers": peers.listens} if peers is not None else {}),
-              **({"relays": len(config.relays)} if config.relays else {}))
+    log.event(
+        "started",
+        listen=f"{host}:{port}",
+        operators=operators.where if operators else "",
+        servers=len(known.entries),
+        from_clients=config.from_clients,
+        to_servers=config.to_servers,
+        checks="asserted" if __debug__ else "counted",
+        form=compiled.FORM,
+        **({"peers": peers.listens} if peers is not None else {}),
+        **({"relays": len(config.relays)} if config.relays else {}),
+    )
     start(clients.run)
     if operators is not None:
         if before is not None:
@@ -127,6 +139,7 @@
     if config.peers is None:
         return None
     from .peers import Peers
+
     zone = config.zones[config.settings.zone] if config.zones else ""
     try:
         return Peers(config.peers, config.name, zone, log, waits)
@@ -148,6 +161,7 @@
     if not config.relays:
         return None
     from ..distribution.homes import Homes
+
     # Not by the seed alone: guards relays against sidecars that share one, and would wait alike.
     return Homes(config.name, config.relays, Chance(config.seed ^ stable(config.name)).share)
 
@@ -164,8 +178,9 @@
             mallopt(option, value)
 
 
-def reload(config: Config, path: str, dispatcher: Dispatcher, watcher: Watcher, log: Log,
-           peers: Peers | None) -> Config:
+def reload(
+    config: Config, path: str, dispatcher: Dispatcher, watcher: Watcher, log: Log, peers: Peers | None
+) -> Config:
     """Read the file again and go by it, whole or not at all; what is fixed while it runs is named."""
     try:
         new = settings.follow(path, config)
@@ -174,14 +189,20 @@
         log.event("reload_failed", text=str(trouble))
         return config
     waiting = [key for key in FIXED if fixed(new, key) != fixed(config, key)]
-    new = replace(new, name=config.name, listen=config.listen, admin=config.admin, seed=config.seed,
-                  connections=config.connections, peers=lasting(config.peers, new.peers))
+    new = replace(
+        new,
+        name=config.name,
+        listen=config.listen,
+        admin=config.admin,
+        seed=config.seed,
+        connections=config.connections,
+        peers=lasting(config.peers, new.peers),
+    )
     if peers is not None and new.peers is not None and new.peers != config.peers:
         peers.adopt(new.peers.voting)
         dispatcher.accompany(peers.companions if trying(new.peers) else None)
     before, after = config.settings, localised(new, watcher.watch.roster).settings
-    changed = after != before or (new.zones, new.idle, new.dial) != (
-        config.zones, config.idle, config.dial)
+    changed = after != before or (new.zones, new.idle, new.dial) != (config.zones, config.idle, config.dial)
     if changed:
         dispatcher.adopt(replace(new, settings=after))
     wait = 2 * min(before.ask_every, after.ask_every)
@@ -195,9 +216,15 @@
         # Before long the old waits, and what the old discovery told, count for nothing.
         watcher.move(new.discovery, wait, new.pushed)
     dispatcher.loaded += 1
-    log.event("reloaded", discovery=f"{new.discovery.host}:{new.discovery.port}", settings=changed,
-              tariffs=list(new.tariffs), without_effect=list(new.idle_keys), needs_restart=waiting,
-              **({"relays": list(new.relays), "services": list(new.services or ())} if new.relays else {}))
+    log.event(
+        "reloaded",
+        discovery=f"{new.discovery.host}:{new.discovery.port}",
+        settings=changed,
+        tariffs=list(new.tariffs),
+        without_effect=list(new.idle_keys),
+        needs_restart=waiting,
+        **({"relays": list(new.relays), "services": list(new.services or ())} if new.relays else {}),
+    )
     return replace(new, settings=after)
 
 
@@ -223,13 +250,20 @@
     settings, zone = config.settings, config.settings.zone
     if config.zones:
         zone = roster.zone(config.zones[zone])
-    tariffs = tuple(replace(one, zones=numbered(one.zones, config.zones, roster.zone),
-                            kinds=numbered(one.kinds, config.kinds, roster.kind)) for one in settings.tariffs)
+    tariffs = tuple(
+        replace(
+            one,
+            zones=numbered(one.zones, config.zones, roster.zone),
+            kinds=numbered(one.kinds, config.kinds, roster.kind),
+        )
+        for one in settings.tariffs
+    )
     return replace(config, settings=replace(settings, zone=zone, tariffs=tariffs))
 
 
-def numbered(places: tuple[int, ...] | None, names: tuple[str, ...],
-             number: Callable[[str], int]) -> tuple[int, ...] | None:
+def numbered(
+    places: tuple[int, ...] | None, names: tuple[str, ...], number: Callable[[str], int]
+) -> tuple[int, ...] | None:
     """Places that the file has by their order; one without a name there is none of the list's."""
     if places is None:
         return None
@@ -277,8 +311,13 @@
             break
         sleep(0.01)
     if peers is not None:
-        peers.leave()       # not before: until now it has sent hops, and counts among those who do
-    log.event("stopped", after_s=round(monotonic() - began, 3), clients=len(clients.open),
-              taken=dispatcher.taken, broken=invariants.broken)
+        peers.leave()  # not before: until now it has sent hops, and counts among those who do
+    log.event(
+        "stopped",
+        after_s=round(monotonic() - began, 3),
+        clients=len(clients.open),
+        taken=dispatcher.taken,
+        broken=invariants.broken,
+    )
     log.flush()
     os._exit(0)  # the threads left hold nothing that anyone waits for
--- a/pumicepath/sidecar/servers.py
+++ b/pumicepath/sidecar/servers.py
@@ -23,10 +23,10 @@
 
 DEADLINE = "x-expires-in-ms"
 NEVER_RAN = "X-Never-Ran"
-ENOUGH = 5                  # rests of about one length, from which their resets tell something
-KEPT = 0.99                 # of what is known about rests, from one look at the connections to the next
-MOST_ANSWER = 40 << 20      # what says that it is larger is taken for spoilt
-PAST = 5_000                # of a dial past the end of its hop, which has timed out by then
+ENOUGH = 5  # rests of about one length, from which their resets tell something
+KEPT = 0.99  # of what is known about rests, from one look at the connections to the next
+MOST_ANSWER = 40 << 20  # what says that it is larger is taken for spoilt
+PAST = 5_000  # of a dial past the end of its hop, which has timed out by then
 UNMOVED = struct.pack("ll", 10, 0)  # for how long nothing may move of what goes through as it comes
 UNBOUND = struct.pack("ll", 0, 0)
 
@@ -51,7 +51,7 @@
         self.parser = ResponseParser(MOST_ANSWER)
         self.dead = False
         self.idle_since = 0
-        self.got = 0                # bytes read so far
+        self.got = 0  # bytes read so far
 
     def kill(self) -> None:
         """Nothing goes out on it any more; whoever carries a hop on it wakes up and finds it broken.
@@ -165,7 +165,7 @@
                 raise ConnectionAbortedError
             data = memoryview(writing.chunk(piece, last) if upload.length == writing.CHUNKED else piece)
             while data:
-                data = data[self.outgoing.put(data):]
+                data = data[self.outgoing.put(data) :]
                 self.flush()
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, UNBOUND)
 
@@ -220,8 +220,13 @@
     headers = [(name, value) for name, value in came.passed_on() if name.lower() != DEADLINE]
     if not came.all("host"):
         headers.insert(0, ("Host", f"{where.host}:{where.port}"))  # HTTP/1.0 needs none, HTTP/1.1 does
-    return writing.request(came.method, came.target, [*headers, (DEADLINE, str(left))], came.body,
-                           upload.length if upload is not None else writing.WHOLE)
+    return writing.request(
+        came.method,
+        came.target,
+        [*headers, (DEADLINE, str(left))],
+        came.body,
+        upload.length if upload is not None else writing.WHOLE,
+    )
 
 
 def outcome_of(response: Response) -> Outcome:
@@ -351,8 +356,9 @@
             idle.remove(link)
 
     def drop_oldest(self) -> bool:
-        oldest = min((idle[0] for idle in self.idle.values() if idle), key=lambda link: link.idle_since,
-                     default=None)
+        oldest = min(
+            (idle[0] for idle in self.idle.values() if idle), key=lambda link: link.idle_since, default=None
+        )
         if oldest is not None:
             oldest.kill()
         return oldest is not None
--- a/pumicepath/sidecar/submissions.py
+++ b/pumicepath/sidecar/submissions.py
@@ -8,7 +8,7 @@
 from ..http1.messages import Malformed, Request
 from ..interface import Tariff
 
-MOST_DIGITS = 9             # of milliseconds
+MOST_DIGITS = 9  # of milliseconds
 MOST_ID = 256
 TRACE_ID, TARIFF, EXPIRES = "x-trace-id", "x-qos", "x-expires-in-ms"
 
--- a/pumicepath/sidecar/succession.py
+++ b/pumicepath/sidecar/succession.py
@@ -22,10 +22,10 @@
 from .servers import start
 
 NAME = "pumicepath.succession"
-VERSION = 1                 # of what is said on the line
-LONGEST_S = 1.0             # that the old process may take to answer
-AGREED_S = 0.5              # that a change made by hand waits for the other process
-MOST = 4 * 1024 * 1024      # bytes of one message
+VERSION = 1  # of what is said on the line
+LONGEST_S = 1.0  # that the old process may take to answer
+AGREED_S = 0.5  # that a change made by hand waits for the other process
+MOST = 4 * 1024 * 1024  # bytes of one message
 
 
 class Broken(Exception):
@@ -144,8 +144,9 @@
             raise Broken(f"version {told.get('version')}")
         listener = socket.socket(fileno=descriptors.pop()) if descriptors else None
         sock.settimeout(None)
-        return Inherited(line, listener, told["known"], got(told["by_hand"]), got(told["returned"]),
-                         bool(told["emptied"]))
+        return Inherited(
+            line, listener, told["known"], got(told["by_hand"]), got(told["returned"]), bool(told["emptied"])
+        )
     except (OSError, Broken, ValueError, TypeError, KeyError):
         for each in descriptors:
             os.close(each)
@@ -156,14 +157,15 @@
 class Succession:
     """Both ends of the line in a process that runs: to the one before it, and to the one after it."""
 
-    def __init__(self, dispatcher: Dispatcher, clients: Clients, known: Callable[[], Any],
-                 listen: Address) -> None:
+    def __init__(
+        self, dispatcher: Dispatcher, clients: Clients, known: Callable[[], Any], listen: Address
+    ) -> None:
         self.dispatcher = dispatcher
         self.clients = clients
         self.known = known
         self.listen = list(listen)
         self.lines: dict[Line, None] = {}
-        self.followed = False       # whether a process that takes clients has come after this one
+        self.followed = False  # whether a process that takes clients has come after this one
 
     def follow(self, before: Line) -> None:
         """This process takes clients: the one before it leaves them to it."""
@@ -249,8 +251,12 @@
             self.lines[line] = None  # what is changed from now on is told behind this, and may be in it too
             by_hand, returned = dispatcher.handed()
             told = {
-                "version": VERSION, "known": self.known(), "emptied": dispatcher.emptied,
-                "by_hand": put(by_hand), "returned": put(returned)}
+                "version": VERSION,
+                "known": self.known(),
+                "emptied": dispatcher.emptied,
+                "by_hand": put(by_hand),
+                "returned": put(returned),
+            }
             same = message.get("listen") == self.listen
             line.send(told, (self.clients.listener.fileno(),) if same else ())
 
--- a/pumicepath/sidecar/upload.py
+++ b/pumicepath/sidecar/upload.py
@@ -12,9 +12,9 @@
 from . import clock
 from .exchange import Abandoned
 
-SLOWEST = 0.048             # bytes in a microsecond of waiting that a client must send on the whole
-FIRST = 2_400_000           # that it may take until then
-FAR = 900_000_000           # past what the longest body takes at that
+SLOWEST = 0.048  # bytes in a microsecond of waiting that a client must send on the whole
+FIRST = 2_400_000  # that it may take until then
+FAR = 900_000_000  # past what the longest body takes at that
 LOOK = struct.pack("ll", 0, 500_000)
 UNBOUND = struct.pack("ll", 0, 0)
 
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -19,29 +19,30 @@
     from ..distribution.homes import Homes
     from .following import Following
 
-DIAL_S = 0.5                # of the 2 s that a silent watch leaves; doubled each time that is not enough
+DIAL_S = 0.5  # of the 2 s that a silent watch leaves; doubled each time that is not enough
 LONGEST_DIAL_S = 2.0
-WHOLE_S = 1.0               # from an answer's first byte to its last
-MOVING_S = 3.0              # how long a new discovery is tried anew before that counts as a failed call
-STEP_S = 0.1                # between two calls while each counts
+WHOLE_S = 1.0  # from an answer's first byte to its last
+MOVING_S = 3.0  # how long a new discovery is tried anew before that counts as a failed call
+STEP_S = 0.1  # between two calls while each counts
 
 
 class Watcher:
     """With `homes` it follows relays, and never calls `where`, which is discovery."""
 
-    def __init__(self, watch: Watch, where: Address, pushed: bool = False,
-                 homes: Homes | None = None) -> None:
+    def __init__(
+        self, watch: Watch, where: Address, pushed: bool = False, homes: Homes | None = None
+    ) -> None:
         self.watch = watch
         self.following: Following | None = None
         self.follows(homes)
         self.coming: tuple[Homes | None, tuple[str, ...] | None] = homes, None  # what a move brings
-        self.hurry = threading.Event()          # no waiting for the next dial of a relay
+        self.hurry = threading.Event()  # no waiting for the next dial of a relay
         self.where = where
-        self.pushed = pushed        # what discovery has counts as told, whether or not it has been read
+        self.pushed = pushed  # what discovery has counts as told, whether or not it has been read
         self.asked = threading.Event()  # a first call is over
-        self.failures = 0           # in a row
+        self.failures = 0  # in a row
         self.dial = DIAL_S
-        self.began = monotonic()    # from when the call that is out counts: its dial, or the end of its wait
+        self.began = monotonic()  # from when the call that is out counts: its dial, or the end of its wait
         self.dialling = False
         self.wanted = threading.Event()
         self.gate = threading.Lock()
@@ -62,13 +63,20 @@
             self.following.homes = homes
         else:
             from .following import Following
+
             self.following = Following(self, homes)
 
     def follow(self) -> None:
         self.wanted.set()
 
-    def move(self, where: Address, wait_us: int, pushed: bool, homes: Homes | None = None,
-             services: tuple[str, ...] | None = None) -> None:
+    def move(
+        self,
+        where: Address,
+        wait_us: int,
+        pushed: bool,
+        homes: Homes | None = None,
+        services: tuple[str, ...] | None = None,
+    ) -> None:
         """The list is to be had elsewhere from now on, or waits are others; all is asked for at once."""
         with self.gate:
             self.where, self.pushed, self.coming = where, pushed, (homes, services)
@@ -107,8 +115,9 @@
         self.failures += 1
         expected = isinstance(trouble, (OSError, Malformed, BadList))
         if self.failures == 1 or not expected:
-            self.dispatcher.events.event("watch_failed" if expected else "fault",
-                                         text=f"{type(trouble).__name__}: {trouble}")
+            self.dispatcher.events.event(
+                "watch_failed" if expected else "fault", text=f"{type(trouble).__name__}: {trouble}"
+            )
         if self.failures == 1 and expected and not isinstance(trouble, Overtaxed):
             # Guards what a watch has missed that fell silent, or was reset: it counts as told before long.
             self.wanted.set()
--- a/pumicepath/wirehost/frames.py
+++ b/pumicepath/wirehost/frames.py
@@ -39,7 +39,7 @@
 def part(tail: memoryview, offset: int, size: int) -> memoryview:
     if offset + size > len(tail):
         raise Malformed(f"tail of {len(tail)} bytes has no {size} bytes at {offset}")
-    return tail[offset:offset + size]
+    return tail[offset : offset + size]
 
 
 def read(stream: BinaryIO) -> Batch | None:
@@ -62,7 +62,7 @@
         if fields is None:
             raise Malformed(f"unknown event code {code}")
         records.append((code, fields.unpack_from(body, at + 2)))
-    return Batch(now, records, body[count * EVENT:])
+    return Batch(now, records, body[count * EVENT :])
 
 
 class Reply:
--- a/pumicepath/wirehost/host.py
+++ b/pumicepath/wirehost/host.py
@@ -14,8 +14,14 @@
 
 PROBE, SHED, PRINT, FOLLOW, FREE, TRANSMIT, WAKE, FAIL, REVOKE, TELL, DIE = 1, 2, 3, 4, 5, 6, 7, 8, 9, 11, 12
 OUTCOMES = {
-    0: Outcome.OK, 5: Outcome.ERROR, 11: Outcome.FULL, 110: Outcome.TIMEOUT, 111: Outcome.CONNECT_FAILED,
-    104: Outcome.RESET, 125: Outcome.CANCELLED, 114: Outcome.MOOT,
+    0: Outcome.OK,
+    5: Outcome.ERROR,
+    11: Outcome.FULL,
+    110: Outcome.TIMEOUT,
+    111: Outcome.CONNECT_FAILED,
+    104: Outcome.RESET,
+    125: Outcome.CANCELLED,
+    114: Outcome.MOOT,
 }
 
 
@@ -118,7 +124,8 @@
         if code == frames.INGRESS:
             _, name, _, key, marks, _, until, tariff = fields
             instance.handles[name] = instance.balancer.take(
-                now, name, tariff, key, bool(marks & 2), micros(until))
+                now, name, tariff, key, bool(marks & 2), micros(until)
+            )
         elif code == frames.REPORT:
             _, name, complete, status, spent, _, hop = fields
             if status not in OUTCOMES:
--- a/setup.py
+++ b/setup.py
@@ -14,9 +14,15 @@
 
 HERE = Path(__file__).resolve().parent
 MODULES = [
-    "pumicepath/logic.py", "pumicepath/interface.py", "pumicepath/settings.py", "pumicepath/invariants.py",
-    "pumicepath/http1/ring.py", "pumicepath/http1/messages.py", "pumicepath/http1/parsing.py",
-    "pumicepath/http1/writing.py", "pumicepath/intake/queue.py",
+    "pumicepath/logic.py",
+    "pumicepath/interface.py",
+    "pumicepath/settings.py",
+    "pumicepath/invariants.py",
+    "pumicepath/http1/ring.py",
+    "pumicepath/http1/messages.py",
+    "pumicepath/http1/parsing.py",
+    "pumicepath/http1/writing.py",
+    "pumicepath/intake/queue.py",
 ]
 BUILT = HERE / "pumicepath" / "compiled.json"
 
@@ -34,14 +40,18 @@
             return
         if self.extensions:
             hashes = {name: hashlib.sha256((HERE / name).read_bytes()).hexdigest() for name in MODULES}
-            built = sorted(str(file.relative_to(HERE)) for where in (HERE, HERE / "pumicepath")
-                           for file in (where.glob("*.so") if where == HERE else where.rglob("*.so")))
+            built = sorted(
+                str(file.relative_to(HERE))
+                for where in (HERE, HERE / "pumicepath")
+                for file in (where.glob("*.so") if where == HERE else where.rglob("*.so"))
+            )
             BUILT.write_text(json.dumps({"files": hashes, "built": built}, indent=1) + "\n")
 
 
 def extensions() -> list:
     try:
         from mypyc.build import mypycify
+
         return mypycify(["--config-file=", *MODULES], opt_level="3", debug_level="0")
     except BaseException as trouble:  # mypyc exits where it can't go on
         print(f"pumicepath is not compiled, and runs as it is: {trouble}", file=sys.stderr)
--- a/tests/following_rig.py
+++ b/tests/following_rig.py
@@ -70,8 +70,9 @@
             return answer(503)
         whole = not self.first <= since <= self.seq
         lines = list(self.lines.values()) if whole else [one for seq, one in self.news if seq > since]
-        return answer(200, json.dumps({"seq": self.seq, "whole": whole, "hosts": lines,
-                                       "regions": self.regions}))
+        return answer(
+            200, json.dumps({"seq": self.seq, "whole": whole, "hosts": lines, "regions": self.regions})
+        )
 
     def tell(self, region: str, seq: int, live: bool, *lines: dict) -> Relay:
         with self.change:
@@ -114,8 +115,9 @@
 class Around(Deployment):
     """One real sidecar, servers that answer whatever comes, and relays in the order that it has of them."""
 
-    def __init__(self, folder: Path, count: int, waits: float = 0.6, servers: int = 2,
-                 **changed: Any) -> None:
+    def __init__(
+        self, folder: Path, count: int, waits: float = 0.6, servers: int = 2, **changed: Any
+    ) -> None:
         super().__init__(folder, 0, **changed)
         self.servers = [Answering(f"s-{at}", self.script, self.lines) for at in range(servers)]
         self.told["known"] = self.listing(1, True, "active")
@@ -132,8 +134,10 @@
         self.config.write_text(json.dumps(self.told))
 
     def lines_now(self, *healths: str) -> list[dict]:
-        return [{**line, "health": health}
-                for line, health in zip(self.listing(1, True, "active")["hosts"], healths)]
+        return [
+            {**line, "health": health}
+            for line, health in zip(self.listing(1, True, "active")["hosts"], healths)
+        ]
 
     def used(self, requests: int) -> set[str]:
         """Which servers are sent anything until so many requests are served, however slow the machine is."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -23,10 +23,19 @@
 
 def settings(*tariffs: Tariff, **changed: object) -> Settings:
     values: dict = {
-        "me": 0, "fleet": 3, "zone": 0, "tariffs": tariffs or (READ, ONCE),
-        "crossing_price": 0.0, "must_ask": False, "ask_every": 10 * SECOND,
-        "most_hops": 4, "most_retry_in": 2 * SECOND, "cold_from": 0.2, "cold_for": 20 * SECOND,
-        "fall_multiple": 2.5, "fall_window": 3 * SECOND,
+        "me": 0,
+        "fleet": 3,
+        "zone": 0,
+        "tariffs": tariffs or (READ, ONCE),
+        "crossing_price": 0.0,
+        "must_ask": False,
+        "ask_every": 10 * SECOND,
+        "most_hops": 4,
+        "most_retry_in": 2 * SECOND,
+        "cold_from": 0.2,
+        "cold_for": 20 * SECOND,
+        "fall_multiple": 2.5,
+        "fall_window": 3 * SECOND,
     }
     return Settings(**{**values, **changed})
 
@@ -89,8 +98,9 @@
         self.now = until
         return self
 
-    def take(self, name: int, key: int = 1, tariff: int = 0, patience: float = 2.0,
-             retry: bool = False) -> Submission:
+    def take(
+        self, name: int, key: int = 1, tariff: int = 0, patience: float = 2.0, retry: bool = False
+    ) -> Submission:
         return self.balancer.take(self.now, name, tariff, key, retry, self.now + int(patience * SECOND))
 
     def end(self, one: Submission, outcome: Outcome, hop: int = -1) -> None:
--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -26,8 +26,16 @@
 
 
 def line(host: str, service: str | None = None, health: str = "active", port: int = 9000) -> dict[str, Any]:
-    told = {"host": host, "dial": f"127.0.0.9:{port}", "site": "a", "class": "m", "block": 0,
-            "health": health, "share": 1.0, "born_ms": 0}
+    told = {
+        "host": host,
+        "dial": f"127.0.0.9:{port}",
+        "site": "a",
+        "class": "m",
+        "block": 0,
+        "health": health,
+        "share": 1.0,
+        "born_ms": 0,
+    }
     return told if service is None else {**told, "service": service}
 
 
@@ -47,7 +55,7 @@
         self.seq = self.first = seq
         self.log: list[tuple[int, dict[str, Any]]] = []
         self.silent = False
-        self.scripted: list[bytes] = []     # bodies that are answered first, whatever is asked
+        self.scripted: list[bytes] = []  # bodies that are answered first, whatever is asked
         self.calls: list[str] = []
         self.open: list[socket.socket] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -131,26 +139,33 @@
             since = int(asked.get("since", -1))
             whole = not self.first <= since <= self.seq
             if not whole:
-                self.some.wait_for(lambda: self.seq != since or self.silent,
-                                   int(asked.get("timeout_ms", 0)) / 1000)
+                self.some.wait_for(
+                    lambda: self.seq != since or self.silent, int(asked.get("timeout_ms", 0)) / 1000
+                )
             self.some.wait_for(lambda: not self.silent)
             if whole or not self.first <= since <= self.seq:
                 hosts = self.lines
             else:
                 hosts = {str(one["host"]): one for seq, one in self.log if seq > since}
-            return json.dumps({"seq": self.seq, "whole": hosts is self.lines,
-                               "hosts": list(hosts.values())}).encode()
+            return json.dumps(
+                {"seq": self.seq, "whole": hosts is self.lines, "hosts": list(hosts.values())}
+            ).encode()
 
 
 class Relay:
     """A relay as a process of its own."""
 
-    def __init__(self, folder: Path, sources: dict[str, Origin], name: str = "r0", files: int = 0,
-                 **changed: Any) -> None:
+    def __init__(
+        self, folder: Path, sources: dict[str, Origin], name: str = "r0", files: int = 0, **changed: Any
+    ) -> None:
         self.path = folder / f"{name}.json"
         self.told: dict[str, Any] = {
-            "name": name, "listen": "127.0.0.1:0", "admin": "127.0.0.1:0",
-            "sources": {region: origin.address for region, origin in sources.items()}, **changed}
+            "name": name,
+            "listen": "127.0.0.1:0",
+            "admin": "127.0.0.1:0",
+            "sources": {region: origin.address for region, origin in sources.items()},
+            **changed,
+        }
         self.files = files
         self.events: list[dict[str, Any]] = []
         self.begin()
@@ -160,9 +175,13 @@
 
         def limit() -> None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (self.files, self.files))
+
         self.process = subprocess.Popen(
             [sys.executable, "-m", "pumicepath", "relay", "--config", str(self.path)],
-            stdout=subprocess.PIPE, env={**os.environ}, preexec_fn=limit if self.files else None)
+            stdout=subprocess.PIPE,
+            env={**os.environ},
+            preexec_fn=limit if self.files else None,
+        )
         self.reader = threading.Thread(target=self.read, args=(self.process.stdout,), daemon=True)
         self.reader.start()
         started = self.event("started")
@@ -202,8 +221,10 @@
         with socket.create_connection(self.admin, LONG_S) as sock:
             sock.sendall(writing.request("GET", "/stats", [("Host", "a")]))
             body = next_of(sock, ResponseParser(1 << 20)).body.decode()
-        return {name.removeprefix("edge_gw.relay."): int(value)
-                for name, _, value in (text.partition("=") for text in body.splitlines())}
+        return {
+            name.removeprefix("edge_gw.relay."): int(value)
+            for name, _, value in (text.partition("=") for text in body.splitlines())
+        }
 
 
 class Follower:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -57,8 +57,12 @@
         return far, client
 
     def asked(self, name: str, tariff: str = "once", expires: int = 5000) -> bytes:
-        headers = [("Host", "api"), ("X-Qos", tariff), ("X-Trace-Id", name),
-                   ("X-Expires-In-Ms", str(expires))]
+        headers = [
+            ("Host", "api"),
+            ("X-Qos", tariff),
+            ("X-Trace-Id", name),
+            ("X-Expires-In-Ms", str(expires)),
+        ]
         return writing.request("GET", f"/{name}", headers)
 
 
@@ -71,8 +75,9 @@
 
 
 @contextmanager
-def held(monkeypatch: pytest.MonkeyPatch, where: Any, name: str, before: bool = True
-         ) -> Iterator[tuple[threading.Semaphore, threading.Semaphore]]:
+def held(
+    monkeypatch: pytest.MonkeyPatch, where: Any, name: str, before: bool = True
+) -> Iterator[tuple[threading.Semaphore, threading.Semaphore]]:
     """Stop each call of something at its begin, or at its end: `came` tells of one, `go` lets one go on."""
     came, go, real = threading.Semaphore(0), threading.Semaphore(0), getattr(where, name)
 
@@ -81,6 +86,7 @@
         came.release()
         assert go.acquire(timeout=20)
         return real(*given, **named) if before else result
+
     with monkeypatch.context() as patch:
         patch.setattr(where, name, instead)
         yield came, go
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,8 +19,14 @@
 
 
 def series(points: list[Any], form: str = "compiled") -> dict[str, Any]:
-    return {"what": "a thing", "unit": "us", "by": "servers", "form": form, "run": dict(RUN),
-            "points": points}
+    return {
+        "what": "a thing",
+        "unit": "us",
+        "by": "servers",
+        "form": form,
+        "run": dict(RUN),
+        "points": points,
+    }
 
 
 def capacity(**named: list[Any]) -> Capacity:
@@ -40,7 +46,7 @@
     return next(row for row in roles.ROLES[role](known, TARGET, ASSUMED) if row.what.startswith(begins))
 
 
-STRAIGHT = [[10, [30, 30, 31]], [20, [50]], [30, [70, 60, 80]], [40, [90]]]      # 10 + 2 n
+STRAIGHT = [[10, [30, 30, 31]], [20, [50]], [30, [70, 60, 80]], [40, [90]]]  # 10 + 2 n
 
 
 def test_the_page_is_what_the_file_says() -> None:
@@ -80,9 +86,9 @@
     assert known.at("straight", 5) == Figure(30, "measured")
     far = known.at("straight", 1000)
     assert (far.value, far.kind, far.beyond) == (pytest.approx(2010), "extrapolated", 25)
-    assert known.at("bent", 300).value == pytest.approx(70_000)     # by the line through the last two points
+    assert known.at("bent", 300).value == pytest.approx(70_000)  # by the line through the last two points
     falling = capacity(falling=[[1, [40]], [2, [30]], [3, [20]], [4, [10]]])
-    assert falling.at("falling", 100).value == 10       # and not below nothing
+    assert falling.at("falling", 100).value == 10  # and not below nothing
     assert known["straight"].spread == pytest.approx(20 / 70)
 
 
@@ -109,7 +115,14 @@
     row = rows.Row("role", "what", Figure(9, "measured"), "s", 6, "f", ("straight",), "m")
     assert row.factor == 1.5 and rows.against(row) == "**1.5**"
     assert rows.cells(row, capacity(straight=STRAIGHT)) == [
-        "what", "9 s", "6 s", "**1.5**", "measured, compiled", "f [straight]", "m"]
+        "what",
+        "9 s",
+        "6 s",
+        "**1.5**",
+        "measured, compiled",
+        "f [straight]",
+        "m",
+    ]
     assert rows.against(rows.Row("role", "what", Figure(9), "s", None, "f", (), "m")) == "no budget"
 
 
@@ -136,24 +149,24 @@
     known = flat(relay_renewed_us=100, relay_change_us=1000, relay_whole_bytes=14_000, relay_whole_us=300)
     # 1,000 followers each 2.25 s at 100 us, and 65,920 changes a day at 1 ms.
     at_rest, changes = 1000 / 2.25 * 100 / 1e6, 65_920 / 86_400 * 1000 / 1e6
-    assert row(known, "control",
-            "CPU").value.value == pytest.approx(100 * (at_rest + changes))  # type: ignore
-    assert row(known, "control",
-            "CPU, one down").value.value == pytest.approx(                  # type: ignore
-        100 * (2 * at_rest + 10 * changes))
+    assert row(known, "control", "CPU").value.value == pytest.approx(100 * (at_rest + changes))  # type: ignore
+    assert row(known, "control", "CPU, one down").value.value == pytest.approx(  # type: ignore
+        100 * (2 * at_rest + 10 * changes)
+    )
     found = {day.name: day for day in days.days(known, TARGET, ASSUMED)}
     usual, largest, spent = found["all control machines restarted"].peaks
-    assert usual.value.value == pytest.approx(20_000 * 14_000 / 20 / 64e6)                        # type: ignore
-    assert largest.value.value == pytest.approx(                                                 # type: ignore
-        20_000 * (0.9 * 14_000 + 0.1 * 2584 * 14_000 / (160_000 / 1900)) / 20 / 64e6)
-    assert spent.value.value == pytest.approx(1000 * 300 / 1e6)                                  # type: ignore
+    assert usual.value.value == pytest.approx(20_000 * 14_000 / 20 / 64e6)  # type: ignore
+    assert largest.value.value == pytest.approx(  # type: ignore
+        20_000 * (0.9 * 14_000 + 0.1 * 2584 * 14_000 / (160_000 / 1900)) / 20 / 64e6
+    )
+    assert spent.value.value == pytest.approx(1000 * 300 / 1e6)  # type: ignore
     zone = found["a zone, 590 at once"].peaks[0]
-    assert zone.value.value == pytest.approx(100 * (at_rest + 590 / 6 * 1000 / 1e6))             # type: ignore
+    assert zone.value.value == pytest.approx(100 * (at_rest + 590 / 6 * 1000 / 1e6))  # type: ignore
 
 
 def test_a_sidecar_by_hand() -> None:
     known = flat(call_cpu_ms=0.5, relay_renewed_bytes=160, followed_mb=25)
-    assert row(known, "data-path", "CPU, usual").value == Figure(7.5, "measured")       # 150 x 0.5 ms, in %
+    assert row(known, "data-path", "CPU, usual").value == Figure(7.5, "measured")  # 150 x 0.5 ms, in %
     assert row(known, "data-path", "CPU of calls 13 deep").factor == pytest.approx(13 * 0.5 / 1.8)
     at_rest = row(known, "lists", "bytes at rest")
     assert at_rest.value is not None and at_rest.value.kind == "reckoned"
@@ -163,8 +176,11 @@
 
 def test_what_was_not_measured_is_said_so() -> None:
     changed = copy.deepcopy(DATA)
-    for name in [name for name in changed["series"] if name.startswith(
-            ("hollow_", "real_", "direct_", "added_", "control-", "zone-", "region-"))]:
+    for name in [
+        name
+        for name in changed["series"]
+        if name.startswith(("hollow_", "real_", "direct_", "added_", "control-", "zone-", "region-"))
+    ]:
         del changed["series"][name]
     known = decode(changed)
     told = row(known, "change", "a change of servers' entries")
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -43,12 +43,15 @@
     assert all(bench.sent[at] != bench.sent[at - 1] for at in copied)
 
 
-@pytest.mark.parametrize(("tariff", "late", "more"), [
-    (marked(Group.CELL), DOUBT_PART + 0.2, {"copies": True}),  # a queue: what is late does come
-    (marked(Group.CELL), 0.0, {}),  # not allowed
-    (Tariff(SECOND, 5 * SECOND, 3.0, 0.2, Effect.IDEMPOTENT, Group.ALL, 0), 0.0, {"copies": True}),
-    (Tariff(SECOND, 5 * SECOND, 3.0, 0.2, Effect.UNREPEATABLE, Group.ALL, 0), 0.0, {"copies": True}),
-])
+@pytest.mark.parametrize(
+    ("tariff", "late", "more"),
+    [
+        (marked(Group.CELL), DOUBT_PART + 0.2, {"copies": True}),  # a queue: what is late does come
+        (marked(Group.CELL), 0.0, {}),  # not allowed
+        (Tariff(SECOND, 5 * SECOND, 3.0, 0.2, Effect.IDEMPOTENT, Group.ALL, 0), 0.0, {"copies": True}),
+        (Tariff(SECOND, 5 * SECOND, 3.0, 0.2, Effect.UNREPEATABLE, Group.ALL, 0), 0.0, {"copies": True}),
+    ],
+)
 def test_no_copy_where_it_would_be_work_done_twice(tariff: Tariff, late: float, more: dict) -> None:
     bench = played(tariff, 4, late, **more)
     assert len(bench.sent) == len({line.split()[2] for line in bench.lines if "hop to" in line})
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,8 +36,10 @@
 
 # -- retries: what was true when an attempt was chosen, and is no longer when it could be written
 
+
 def test_a_request_whose_client_left_during_the_dial_is_not_sent(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rig = Rig(tmp_path)
 
     def dialled(name: str, leaves: bool) -> None:
@@ -57,6 +59,7 @@
                 assert status(far) == 200
                 far.close()
             until(lambda: client not in rig.clients.open)
+
     dialled("stays", False)
     dialled("leaves", True)
     assert rig.around.lines == ["s-0: GET /stays stays"]
@@ -99,12 +102,20 @@
 
 
 def test_a_repeat_is_not_sent_once_the_servers_have_forgotten_the_first(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     lines = []
 
     def repeated(group: str, over: bool) -> None:
-        tariff = {"name": "once", "effect": "deduplicated", "group": group, "windowS": 30.0, "gain": 1.0,
-                  "agreedTimeS": 20.0, "patienceS": 60.0}
+        tariff = {
+            "name": "once",
+            "effect": "deduplicated",
+            "group": group,
+            "windowS": 30.0,
+            "gain": 1.0,
+            "agreedTimeS": 20.0,
+            "patienceS": 60.0,
+        }
         rig = Rig(tmp_path, 2, tariffs=[tariff])
         far, client = rig.connect()
         rig.around.script.put("reset")
@@ -120,8 +131,11 @@
             if over:
                 exchange.handle.hops[0].at -= 31_000_000
             go.release()
-            lines.append(f"{group}, window {'over' if over else 'open'}: {status(far)} after "
-                         f"{len(rig.around.lines)} sends")
+            lines.append(
+                f"{group}, window {'over' if over else 'open'}: {status(far)} after "
+                f"{len(rig.around.lines)} sends"
+            )
+
     for group in ("all", "zone"):
         repeated(group, False)
         repeated(group, True)
@@ -131,7 +145,8 @@
 @pytest.mark.parametrize("what", ["leaving", "left", "not there", "started anew", "by hand"])
 @pytest.mark.parametrize("attempt", ["first", "retry"])
 def test_a_server_that_is_gone_when_its_dial_ends_gets_nothing(
-        what: str, attempt: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    what: str, attempt: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rig = Rig(tmp_path, 2)
     servers = rig.around.servers
     far, client = rig.connect()
@@ -180,7 +195,8 @@
 
 @pytest.mark.parametrize("ends", ["deadline", "time-out"])
 def test_a_late_dial_holds_the_next_request_up_no_longer_than_its_own_may_last(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ends: str) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ends: str
+) -> None:
     rig = Rig(tmp_path, policyLimits={"mostHops": 1, "connIdleS": 30.0, "dialTimeoutS": 15.0})
     late, full = full_queue(rig.around)
     update = Roster(["a"], lambda born: 0).read(rig.around.listing(2, True, "active"))
@@ -211,8 +227,9 @@
         rig = Rig(tmp_path)
         far, client = rig.connect()
         now = clock.now()
-        exchange = Exchange(client, "t", Request(method="GET", target="/"), now + 60_000_000, rig.dispatcher,
-                            arrived=now)
+        exchange = Exchange(
+            client, "t", Request(method="GET", target="/"), now + 60_000_000, rig.dispatcher, arrived=now
+        )
         rig.dispatcher.take(exchange, rig.dispatcher.serving[1][1], 0, False)
         hop = exchange.pending.popleft()
         link = hop.link
@@ -221,14 +238,19 @@
         parser = ResponseParser()
         parser.feed(answer(200, "in hand"))
         response = parser.next()
-        steps = {"deadline": lambda: rig.dispatcher.decide(exchange.woke),
-                 "answer": lambda: rig.dispatcher.returned(hop, link, Outcome.OK, response, True)}
+        steps = {
+            "deadline": lambda: rig.dispatcher.decide(exchange.woke),
+            "answer": lambda: rig.dispatcher.returned(hop, link, Outcome.OK, response, True),
+        }
         for name in (first, *(set(steps) - {first})):
             steps[name]()
         far.settimeout(0.5)
         told = far.recv(65536)
-        lines.append(f"{first} first: {told.count(b'HTTP/1.1')} answer, {told.split()[1].decode()}; "
-                     f"{rig.dispatcher.pool.open} connection kept, {len(rig.dispatcher.exchanges)} open")
+        lines.append(
+            f"{first} first: {told.count(b'HTTP/1.1')} answer, {told.split()[1].decode()}; "
+            f"{rig.dispatcher.pool.open} connection kept, {len(rig.dispatcher.exchanges)} open"
+        )
+
     crossed("answer")
     crossed("deadline")
     compare("crossed-deadline", lines)
@@ -243,8 +265,10 @@
         "no length, ended": [(unframed, "end")],
         "no length, reset": [(unframed, "reset")],
         "whole, then a reset": [(answer(200, "whole"), "reset")],
-        "two answers at once, then a request": [answer(200, "first") + answer(200, "second"),
-                                                answer(200, "its own")],
+        "two answers at once, then a request": [
+            answer(200, "first") + answer(200, "second"),
+            answer(200, "its own"),
+        ],
     }
     with Deployment(tmp_path, 2).running() as around:
         for name, script in steps.items():
@@ -266,10 +290,21 @@
 
 
 def test_a_window_that_a_reload_makes_shorter_holds_for_what_is_read_from_then_on(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def tariffs(window: float) -> list[dict]:
-        return [{"name": "once", "effect": "deduplicated", "group": "all", "windowS": window, "gain": 1.0,
-                 "agreedTimeS": 20.0, "patienceS": 60.0}]
+        return [
+            {
+                "name": "once",
+                "effect": "deduplicated",
+                "group": "all",
+                "windowS": window,
+                "gain": 1.0,
+                "agreedTimeS": 20.0,
+                "patienceS": 60.0,
+            }
+        ]
+
     rig = Rig(tmp_path, 2, tariffs=tariffs(30.0))
     shorter = Rig(tmp_path, 2, tariffs=tariffs(0.000_001)).config
 
@@ -285,12 +320,14 @@
                 rig.dispatcher.adopt(shorter)
             go.release(100)
             return status(far)
+
     assert repeated("before", True) == 200 and len(rig.around.lines) == 2
     assert repeated("after", False) == 503 and len(rig.around.lines) == 3
 
 
 # -- idle closes
 
+
 def resting(rig: Rig) -> tuple[socket.socket, socket.socket, socket.socket]:
     """A listener in the place of all servers, a client, and the server's end of a connection that rests."""
     server = socket.create_server(("127.0.0.1", 0))
@@ -328,7 +365,8 @@
 
 @pytest.mark.parametrize("trouble", ["closed", "reset", "an answer that nobody asked for"])
 def test_what_comes_on_a_resting_connection_after_it_was_chosen_costs_no_request(
-        trouble: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    trouble: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rig = Rig(tmp_path, 0)
     server, far, near = resting(rig)
     with held(monkeypatch, Link, "carry") as (came, go):
@@ -413,6 +451,7 @@
             headers = [("Host", "api"), ("X-Qos", "read"), ("X-Trace-Id", f"flood-{number}-{turn}")]
             with contextlib.suppress(OSError), socket.create_connection(around.where) as sock:
                 sock.sendall(writing.request("GET", "/", headers) * 3 + b"GET / HTTP/9\r\n\r\nand so on")
+
     with around.running():
         floods = [threading.Thread(target=flood, args=(number,)) for number in range(8)]
         for thread in floods:
@@ -425,6 +464,7 @@
             if response is None or not response.keeps():  # ended between two requests, as any may be
                 around.client, around.parser = socket.create_connection(around.where), ResponseParser()
             return response.status if response is not None else 0
+
         while any(thread.is_alive() for thread in floods) or len(statuses) < 20:
             statuses.append(ask())
         # Each is answered in its time, unless its connection ends before it is read.
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -58,8 +58,10 @@
         thread = threading.Thread(target=client.run)
         thread.start()
         response = next_of(far, ResponseParser())
-        lines.append(f"{name}: {response.status if response else 'closed'}"
-                     f"{', closed' if response and not response.keeps() else ''}")
+        lines.append(
+            f"{name}: {response.status if response else 'closed'}"
+            f"{', closed' if response and not response.keeps() else ''}"
+        )
         thread.join(5)
     compare("crossed", lines)
 
@@ -88,6 +90,7 @@
 
     def come() -> None:
         told.append(entrance.enter(now, now + 2_000_000, 0, False, 5000.0))
+
     threads = [threading.Thread(target=come) for _ in range(2)]
     for at, thread in enumerate(threads):
         thread.start()
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -22,8 +22,10 @@
 
 def lines(**services: str) -> list[dict[str, Any]]:
     """By host: its service, or left."""
-    return [line(host, "cart", "left") if service == "left" else line(host, service or None)
-            for host, service in services.items()]
+    return [
+        line(host, "cart", "left") if service == "left" else line(host, service or None)
+        for host, service in services.items()
+    ]
 
 
 def take(held: Held, name: str, seq: int, whole: bool, some: list[dict[str, Any]]) -> Change:
@@ -68,8 +70,12 @@
         self.shown: dict[str, str] = {}
 
     def drawn(self) -> dict[str, Any]:
-        return line(f"h{self.draw.randrange(9)}", self.draw.choice(SERVICES) or None,
-                    self.draw.choice(("active", "active", "leaving")), self.draw.randrange(9000, 9003))
+        return line(
+            f"h{self.draw.randrange(9)}",
+            self.draw.choice(SERVICES) or None,
+            self.draw.choice(("active", "active", "leaving")),
+            self.draw.randrange(9000, 9003),
+        )
 
     def step(self) -> tuple[str, ...]:
         """One answer of an origin: changes, a whole list, or a restart with older versions."""
@@ -128,10 +134,11 @@
                 continued += not mirror.told["whole"]
                 if not mirror.interest.plain:
                     assert {name: one["seq"] for name, one in mirror.told["regions"].items()} == {
-                        name: seq for name, seq in world.seqs.items() if world.held.regions[name].seq >= 0}
+                        name: seq for name, seq in world.seqs.items() if world.held.regions[name].seq >= 0
+                    }
     assert continued > 100
     if world.held.most_changes == 1000:
-        assert wholes == len(mirrors)   # each its first, and none after
+        assert wholes == len(mirrors)  # each its first, and none after
     else:
         assert wholes > 3 * len(mirrors)
     assert len(world.held.log) <= world.held.most_changes
@@ -215,8 +222,9 @@
     assert held.answer(interest_of("cart,stock"), 0)[0] is not first
 
 
-@pytest.mark.parametrize("text", ("", ",", "cart,", "a b", "*,cart", "é", "x" * 65,
-                                  ",".join(f"s{at}" for at in range(257))))
+@pytest.mark.parametrize(
+    "text", ("", ",", "cart,", "a b", "*,cart", "é", "x" * 65, ",".join(f"s{at}" for at in range(257)))
+)
 def test_services_that_are_none(text: str) -> None:
     with pytest.raises(ValueError, match="^services: "):
         interest_of(text)
@@ -224,6 +232,7 @@
 
 # Who is due
 
+
 def subscribed(*interests: str, batch: int = 50_000) -> Subscriptions:
     subscriptions = Subscriptions(batch, random.Random(1).random)
     for number, text in enumerate(interests):
@@ -265,6 +274,7 @@
         def items(self) -> Any:
             touched.append(self)
             return super().items()
+
     for group in subscriptions.groups.values():
         group.waiting = Counting(group.waiting)
     assert subscriptions.changed(("cart",), 11, 0) == 1
@@ -297,8 +307,16 @@
     assert len(subscriptions.ends) <= 4 * len(subscriptions.until) + 65
     for number in range(60):
         subscriptions.leave(number)
-    assert not any((subscriptions.groups, subscriptions.by_service, subscriptions.every, subscriptions.of,
-                    subscriptions.until, subscriptions.marked))
+    assert not any(
+        (
+            subscriptions.groups,
+            subscriptions.by_service,
+            subscriptions.every,
+            subscriptions.of,
+            subscriptions.until,
+            subscriptions.marked,
+        )
+    )
     assert subscriptions.due(9 * SECOND, 99) == []
 
 
@@ -308,8 +326,10 @@
     world = World(seed, most_changes=(3, 1000)[seed % 2])
     world.step()
     subscriptions = Subscriptions(50_000, world.draw.random)
-    mirrors = {number: Mirror(interest_of(text)) for number, text in
-               enumerate(("*", "cart", "stock", "cart,pay", "pay", "none"))}
+    mirrors = {
+        number: Mirror(interest_of(text))
+        for number, text in enumerate(("*", "cart", "stock", "cart,pay", "pay", "none"))
+    }
     woken = 0
 
     def call(number: int, now: int) -> None:
@@ -323,6 +343,7 @@
         else:
             assert mirror.held == world.wanted(mirror.interest)
             subscriptions.wait(number, mirror.seq, now + world.draw.randrange(10_000, 3 * SECOND))
+
     for number in mirrors:
         call(number, 0)
     for now in range(0, 60 * SECOND, 25_000):
@@ -344,6 +365,7 @@
 
 # At which pace
 
+
 def test_whole_lists_keep_to_the_rate_and_go_in_turn() -> None:
     pace = Pace(1_000_000)
     assert all(pace.admit(number, 100_000, 0) for number in range(20))
@@ -384,6 +406,7 @@
 
 # What is believed of an origin
 
+
 def test_an_origin_is_asked_at_once_after_any_doubt_and_is_known_to_be_silent_soon() -> None:
     origin = Origin("eu", lambda: 1.0)
     assert origin.target() == "/discovery/hosts?services=*" and origin.silent() == ANSWER
@@ -432,12 +455,12 @@
     origin.failed(refused=True)
     assert origin.target() == "/discovery/hosts?services=*"
     with pytest.raises(Refused):
-        origin.believed(42, False, 1)           # changes, where the whole list was asked for
-    assert not origin.believed(41, True, 9)     # that it is as it was begins the count anew
+        origin.believed(42, False, 1)  # changes, where the whole list was asked for
+    assert not origin.believed(41, True, 9)  # that it is as it was begins the count anew
     for _ in range(MOST_BACK - 1):
         with pytest.raises(Refused):
             origin.believed(3, True, 9)
     assert origin.believed(3, True, 9)
-    assert not origin.believed(42, True, 1)     # halved and more: passed on
+    assert not origin.believed(42, True, 1)  # halved and more: passed on
     with pytest.raises(Refused):
         origin.believed(43, True, 0)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -56,11 +56,25 @@
     assert not duties.number(SECOND + 4, "d"), "what the old ones granted counts for nothing"
 
 
-@pytest.mark.parametrize("planted", (
-    Planted(held_for=lambda lease: lease), Planted(silent=False), Planted(remembers=False),
-    Planted(fenced=False), Planted(checked_late=False), Planted(both=False)), ids=(
-        "no drift margin", "no silence after a restart", "votes not remembered", "fence not looked at",
-        "checked before it was queued", "voters changed in one step"))
+@pytest.mark.parametrize(
+    "planted",
+    (
+        Planted(held_for=lambda lease: lease),
+        Planted(silent=False),
+        Planted(remembers=False),
+        Planted(fenced=False),
+        Planted(checked_late=False),
+        Planted(both=False),
+    ),
+    ids=(
+        "no drift margin",
+        "no silence after a restart",
+        "votes not remembered",
+        "fence not looked at",
+        "checked before it was queued",
+        "voters changed in one step",
+    ),
+)
 def test_checks_catch_planted_faults(planted: Planted) -> None:
     worst = 0.05 if planted.held_for is not None else DRIFT
     assert any(broken(schedule(seed, planted, worst=worst)) for seed in range(100))
@@ -113,11 +127,20 @@
     old, new = named("abc"), named("def")
     now = silent_for(LEASE, 0.0)
     files = {"old": (old,), "both": (old, new), "new": (new,)}
-    granted = {(voter, holder): Voter(files[voter], LEASE, 0.0, 0).asked(
-        now, "d", 1, 1, LEASE, frozenset(files[holder])).verdict == Verdict.GRANTED
-        for voter in files for holder in files}
+    granted = {
+        (voter, holder): Voter(files[voter], LEASE, 0.0, 0)
+        .asked(now, "d", 1, 1, LEASE, frozenset(files[holder]))
+        .verdict
+        == Verdict.GRANTED
+        for voter in files
+        for holder in files
+    }
     assert [pair for pair, given in granted.items() if not given] == [
-        ("old", "new"), ("both", "old"), ("both", "new"), ("new", "old")]
+        ("old", "new"),
+        ("both", "old"),
+        ("both", "new"),
+        ("new", "old"),
+    ]
 
 
 class Asked:
@@ -134,8 +157,9 @@
         self.lines.append(f"{duty} {'held' if number else 'no more'}: {why}")
 
 
-def started(names: Sequence[str],
-            sets: tuple[tuple[str, ...], ...] = (("a", "b", "c"),)) -> tuple[Duties, Asked]:
+def started(
+    names: Sequence[str], sets: tuple[tuple[str, ...], ...] = (("a", "b", "c"),)
+) -> tuple[Duties, Asked]:
     asked = Asked()
     duties = Duties(7, Given(sets, LEASE, 0.01), 1, asked, 0)
     duties.want(0, names)
@@ -199,15 +223,24 @@
     """Found by measuring: others waited for the end that the lease would have had, 21 s at worst for 30."""
     time = Virtual()
     lease = 30 * SECOND
-    peering = Peering(time, Links(time, 1, 300), 1, 8, voting=Voting(
-        (tuple(address(number) for number in range(3)),), lease, lease))
+    peering = Peering(
+        time,
+        Links(time, 1, 300),
+        1,
+        8,
+        voting=Voting((tuple(address(number) for number in range(3)),), lease, lease),
+    )
     for number in range(8):
         peering.start(number)
 
     def holders() -> list[int]:
         duties = [node.fellow.duties for node in peering.nodes if node.fellow is not None]
-        return [number for number, one in enumerate(duties)
-                if one is not None and one.number(peering.nodes[number].clock(), "d")]
+        return [
+            number
+            for number, one in enumerate(duties)
+            if one is not None and one.number(peering.nodes[number].clock(), "d")
+        ]
+
     for _ in range(100):
         for node in peering.nodes:
             assert node.fellow is not None and node.fellow.duties is not None
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -52,9 +52,9 @@
     "too many servers hit": SMALL + "count = 5\n",
     "no title": spoilt('title = "Small"\n', ""),
     "negative time": spoilt("for_s = 2", "for_s = -2"),
-    "sweep of nothing": SMALL + "[sweep]\n\"fleet.serers\" = [1, 2]\n",
-    "sweep past the list": SMALL + "[sweep]\n\"troubles.1.at_s\" = [1, 2]\n",
-    "variant with a wrong value": SMALL + "[variants.other]\n\"load.part\" = \"much\"\n",
+    "sweep of nothing": SMALL + '[sweep]\n"fleet.serers" = [1, 2]\n',
+    "sweep past the list": SMALL + '[sweep]\n"troubles.1.at_s" = [1, 2]\n',
+    "variant with a wrong value": SMALL + '[variants.other]\n"load.part" = "much"\n',
 }
 
 
@@ -72,6 +72,7 @@
 
 def test_all_that_are_shipped_can_be_read_and_cover_every_trouble() -> None:
     from pumicepath.lab.troubles import KINDS
+
     made = [files.read(path) for path in sorted(SHIPPED.glob("*.toml"))]
     met = {trouble.kind for read in made for trouble in read.plan.troubles}
     assert len(made) >= 12 and met == set(KINDS)
@@ -81,11 +82,12 @@
 
 def test_run_report_compare_end_to_end(tmp_path: Path) -> None:
     path = tmp_path / "small.toml"
-    path.write_text(SMALL + "[variants.plain]\n[variants.patient]\n\"load.retries\" = 3\n")
+    path.write_text(SMALL + '[variants.plain]\n[variants.patient]\n"load.retries" = 3\n')
     outputs = []
     for name in ("one", "other"):
-        ended = CliRunner().invoke(main, ["lab", "run", str(path), "--report", str(tmp_path / name),
-                                          "--workers", "2"])
+        ended = CliRunner().invoke(
+            main, ["lab", "run", str(path), "--report", str(tmp_path / name), "--workers", "2"]
+        )
         assert ended.exit_code == 0, ended.output
         outputs.append(ended.stdout.replace(str(tmp_path / name), "").splitlines())
     assert outputs[0] == outputs[1]
@@ -100,9 +102,25 @@
     path = tmp_path / "long.toml"
     path.write_text(SMALL.replace("seeds = 3", "seeds = 500"))
     results = tmp_path / "out" / running.RESULTS
-    with subprocess.Popen([sys.executable, "-m", "pumicepath", "lab", "run", str(path), "--workers", "2",
-                           "--report", str(tmp_path / "out")], stdout=subprocess.PIPE, stderr=subprocess.PIPE,
-                          text=True, start_new_session=True, preexec_fn=interruptible) as process:
+    with subprocess.Popen(
+        [
+            sys.executable,
+            "-m",
+            "pumicepath",
+            "lab",
+            "run",
+            str(path),
+            "--workers",
+            "2",
+            "--report",
+            str(tmp_path / "out"),
+        ],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+        start_new_session=True,
+        preexec_fn=interruptible,
+    ) as process:
         give_up = time.monotonic() + 60
         while time.monotonic() < give_up and (not results.exists() or results.read_bytes().count(b"\n") < 4):
             if process.poll() is not None:
@@ -113,7 +131,7 @@
     head, runs = running.results(tmp_path / "out")
     assert 3 <= len(runs) < head["runs"]
     assert "Unfinished" in (tmp_path / "out" / "report.html").read_text() and "report:" in out
-    with pytest.raises(ProcessLookupError):     # nobody is left of its group
+    with pytest.raises(ProcessLookupError):  # nobody is left of its group
         os.killpg(process.pid, 0)
 
 
@@ -123,6 +141,10 @@
     one = figures.difference({1: 0.5}, {1: 0.6})
     held = figures.histogram(range(1, 100_001))
     shares = figures.percentiles(figures.merged([held.encode().decode()] * 2))
-    compare("experiments-figures", [
-        *(f"{each}: {comparing.verdict(each)}" for each in (same, less, one)),
-        *(f"{name} {value:.3f} ms" for name, value in shares.items())])
+    compare(
+        "experiments-figures",
+        [
+            *(f"{each}: {comparing.verdict(each)}" for each in (same, less, one)),
+            *(f"{name} {value:.3f} ms" for name, value in shares.items()),
+        ],
+    )
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -24,8 +24,15 @@
 
 from .helpers import compare
 
-HEAD = {"at": 0, "who": "rig", "what": "run", "version": history.VERSION, "seed": 1, "slack": 60_000,
-        "plan": Plan(sidecars=Sidecars(count=3, peers=True)).model_dump()}
+HEAD = {
+    "at": 0,
+    "who": "rig",
+    "what": "run",
+    "version": history.VERSION,
+    "seed": 1,
+    "slack": 60_000,
+    "plan": Plan(sidecars=Sidecars(count=3, peers=True)).model_dump(),
+}
 
 
 def seen(at: float, who: str, what: str, **more: object) -> dict:
@@ -54,30 +61,61 @@
 RETRIES = seen(0, "rig", "budget", budget="retries", sum=10, window_us=SECOND)
 # What was seen, and the breaches that it is: each check's own planted faults, and what must pass it.
 PLANTED: dict[str, list[dict]] = {
-    "all is well": [TRIED, SENT, RAN, ENDED, acted(2, "n0", 1), acted(3, "n1", 2), RETRIES, spent(4, 10),
-                    spent(5, 10)],
+    "all is well": [
+        TRIED,
+        SENT,
+        RAN,
+        ENDED,
+        acted(2, "n0", 1),
+        acted(3, "n1", 2),
+        RETRIES,
+        spent(4, 10),
+        spent(5, 10),
+    ],
     "no answer": [TRIED, SENT, seen(1.7, "clients", "patience_over", ask=ASK)],
     "no answer of a sidecar that was stopped": [
-        TRIED, seen(1.05, "rig", "stopped", sidecar=0), seen(1.7, "clients", "patience_over", ask=ASK)],
+        TRIED,
+        seen(1.05, "rig", "stopped", sidecar=0),
+        seen(1.7, "clients", "patience_over", ask=ASK),
+    ],
     "no answer of one that was stopped before": [
-        seen(0.1, "rig", "stopped", sidecar=0), seen(0.5, "rig", "going_on", sidecar=0), TRIED,
-        seen(1.7, "clients", "patience_over", ask=ASK)],
+        seen(0.1, "rig", "stopped", sidecar=0),
+        seen(0.5, "rig", "going_on", sidecar=0),
+        TRIED,
+        seen(1.7, "clients", "patience_over", ask=ASK),
+    ],
     "answered twice": [TRIED, ENDED, ENDED],
     "answered late": [TRIED, seen(1.7, "clients", "answered", ask=ASK, end="forfeited")],
-    "sent after its answer": [TRIED, SENT, RAN, ENDED, seen(2, "server-1", "sent", ask=ASK, sidecar=0,
-                                                             server=1, told=None)],
+    "sent after its answer": [
+        TRIED,
+        SENT,
+        RAN,
+        ENDED,
+        seen(2, "server-1", "sent", ask=ASK, sidecar=0, server=1, told=None),
+    ],
     "ran twice": [TRIED, SENT, RAN, SENT, RAN, ENDED],
     "deferred, and may have run": [TRIED, SENT, RAN, {**ENDED, "end": "deferred"}],
     "sent to a server that drains": [TRIED, {**SENT, "told": 100_000}],
     "a cold server pushed over": [{**PUSHED, "knowing": 70}],
     "a cold server pushed over by others": [PUSHED],
     "two holders whose terms overlap": [acted(1, "n0", 1), acted(2, "n1", 2), acted(3, "n0", 1)],
-    "the same, turned away by fencing": [acted(1, "n0", 1), acted(2, "n1", 2),
-                                         acted(3, "n0", 1, accepted=False)],
+    "the same, turned away by fencing": [
+        acted(1, "n0", 1),
+        acted(2, "n1", 2),
+        acted(3, "n0", 1, accepted=False),
+    ],
     "two that say that they hold it, surely at one time": [
-        may(0.9, 1, "n0", 1), may(1.4, 1.5, "n1", 2), may(1.9, 2, "n1", 2), may(1.8, 2.1, "n0", 1)],
+        may(0.9, 1, "n0", 1),
+        may(1.4, 1.5, "n1", 2),
+        may(1.9, 2, "n1", 2),
+        may(1.8, 2.1, "n0", 1),
+    ],
     "two that say so, one maybe after the other": [
-        may(0.9, 1, "n0", 1), may(1.4, 1.5, "n1", 2), may(1.9, 2, "n1", 2), may(1.4, 2.1, "n0", 1)],
+        may(0.9, 1, "n0", 1),
+        may(1.4, 1.5, "n1", 2),
+        may(1.9, 2, "n1", 2),
+        may(1.4, 2.1, "n0", 1),
+    ],
     "one number, two holders": [acted(1, "n0", 1), acted(2, "n1", 1)],
     "two holders at two places": [acted(1, "n0", 1), acted(2, "n1", 2, "server-2"), acted(3, "n0", 1)],
     "more than the sum in a window": [RETRIES, spent(1.0, 6), spent(1.9, 5)],
@@ -103,21 +141,37 @@
 def test_times_until_views_are_right_and_service_is_full() -> None:
     def views(at: float, state: str) -> dict:
         return seen(at, "rig", "views", running=["a", "b"], sees={"a": [("b", state)], "b": [("a", "alive")]})
+
     shares = [1.0, 1.0, 0.4, 0.5, 0.98, 1.0, 0.995, 1.0, 0.2]
     fault = seen(2.1, "rig", "fault", kind="sidecars-killed", text="", until=3_200_000)
-    met = [HEAD, views(0.5, "alive"), fault, views(3.0, "alive"), views(4.0, "dead"), views(4.5, "alive"),
-           *(seen(9, "clients", "second", second=at, wanted=10.0, earned=10 * share)
-             for at, share in enumerate(shares))]
+    met = [
+        HEAD,
+        views(0.5, "alive"),
+        fault,
+        views(3.0, "alive"),
+        views(4.0, "dead"),
+        views(4.5, "alive"),
+        *(
+            seen(9, "clients", "second", second=at, wanted=10.0, earned=10 * share)
+            for at, share in enumerate(shares)
+        ),
+    ]
     assert times.views_right(met) == 1.3 and times.full_service(met) == 1.8
     assert times.views_right(met[:-10]) is None and times.full_service(met[:-3]) is None
     assert times.faults(met) == {"sidecars-killed": 1}
 
 
-@pytest.mark.parametrize("data, why", (
-    (None, "No such file"), (b"", ":1: no head"), (b"{}\n", ":1: no line"),
-    (orjson.dumps(HEAD) + b"\nx\n", ":2: no"),
-    (orjson.dumps({**HEAD, "version": 9}), ":1: no head"),
-    (orjson.dumps({**HEAD, "at": 5}) + b"\n" + orjson.dumps(HEAD), ":2: earlier")))
+@pytest.mark.parametrize(
+    "data, why",
+    (
+        (None, "No such file"),
+        (b"", ":1: no head"),
+        (b"{}\n", ":1: no line"),
+        (orjson.dumps(HEAD) + b"\nx\n", ":2: no"),
+        (orjson.dumps({**HEAD, "version": 9}), ":1: no head"),
+        (orjson.dumps({**HEAD, "at": 5}) + b"\n" + orjson.dumps(HEAD), ":2: earlier"),
+    ),
+)
 def test_what_is_no_history_is_named(tmp_path: Path, data: bytes | None, why: str) -> None:
     path = tmp_path / "history.jsonl"
     if data is not None:
@@ -140,14 +194,20 @@
 
 def test_links_lose_delay_double_spoil_and_squeeze() -> None:
     lines = []
-    for name, noise in (("nothing", Noise()), ("loss", Noise(loss=0.3)), ("doubled", Noise(doubled=0.2)),
-                        ("spoilt", Noise(spoilt=0.5)), ("delay", Noise(delay=20_000, spread=50_000)),
-                        ("rate", Noise(rate=2000))):
+    for name, noise in (
+        ("nothing", Noise()),
+        ("loss", Noise(loss=0.3)),
+        ("doubled", Noise(doubled=0.2)),
+        ("spoilt", Noise(spoilt=0.5)),
+        ("delay", Noise(delay=20_000, spread=50_000)),
+        ("rate", Noise(rate=2000)),
+    ):
         timeline, came = Virtual(), list[tuple[int, bytes]]()
         links = Links(timeline, 1, 300)
 
         def take(data: bytes, timeline: Virtual = timeline, came: list[tuple[int, bytes]] = came) -> None:
             came.append((timeline.now, data))
+
         undo = links.disturb([1], noise)
         for step in range(100):
             timeline.run(step * 10_000)
@@ -155,15 +215,17 @@
         undo()
         timeline.run(10 * SECOND)
         order = [data[:3] for _, data in came]
-        lines.append(f"{name:<8} {len(came)} came, {links.dropped} dropped, {len(set(order))} different, "
-                     f"{sum(one > other for one, other in zip(order, order[1:]))} swapped, "
-                     f"{sum(any(data[3:]) for _, data in came)} spoilt, "
-                     f"the last at {came[-1][0] / 1e6:.3f} s")
+        lines.append(
+            f"{name:<8} {len(came)} came, {links.dropped} dropped, {len(set(order))} different, "
+            f"{sum(one > other for one, other in zip(order, order[1:]))} swapped, "
+            f"{sum(any(data[3:]) for _, data in came)} spoilt, "
+            f"the last at {came[-1][0] / 1e6:.3f} s"
+        )
     cut, met = Links(Virtual(), 1), []
     undo = cut.cut([0], [1, 2], both=False)
     for one, other in ((0, 1), (1, 0), (2, 1)):
         cut.carry(one, other, b"x", met.append)
-    cut.timeline.run(1)                                         # type: ignore[attr-defined]
+    cut.timeline.run(1)  # type: ignore[attr-defined]
     lines.append(f"cut one way: {len(met)} of 3")
     undo()
     compare("faults-links", lines)
@@ -187,13 +249,20 @@
 
 def test_the_starter_bends_what_a_process_reads(tmp_path: Path) -> None:
     Page(tmp_path / "clock").set(1.0, -3_600_000_000_000)
-    code = ("import os, time; from pathlib import Path; true = time.time()\n"
-            "from pumicepath.lab.faults import clocks, starter\n"
-            "starter.bend(clocks.Page(Path(os.environ[clocks.VARIABLE])))\n"
-            "from pumicepath.sidecar import clock\n"
-            "print(round(true - time.time()), clock.now() > 0)")
-    ended = subprocess.run([sys.executable, "-c", code], text=True, capture_output=True, timeout=60,
-                           env={"PATH": "/usr/bin", VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."})
+    code = (
+        "import os, time; from pathlib import Path; true = time.time()\n"
+        "from pumicepath.lab.faults import clocks, starter\n"
+        "starter.bend(clocks.Page(Path(os.environ[clocks.VARIABLE])))\n"
+        "from pumicepath.sidecar import clock\n"
+        "print(round(true - time.time()), clock.now() > 0)"
+    )
+    ended = subprocess.run(
+        [sys.executable, "-c", code],
+        text=True,
+        capture_output=True,
+        timeout=60,
+        env={"PATH": "/usr/bin", VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."},
+    )
     assert ended.stdout.split() == ["3600", "True"], ended.stderr
 
 
@@ -202,28 +271,40 @@
     page.disk(True, 50)
     (tmp_path / "own").mkdir()
     (tmp_path / "own" / "kept").write_text("x")
-    code = ("import os, sys, time; from pathlib import Path\n"
-            "from pumicepath.lab.faults import clocks, starter\n"
-            "starter.burden(clocks.Page(Path(os.environ[clocks.VARIABLE])), sys.argv[1])\n"
-            "own, began = Path(sys.argv[1]), time.monotonic()\n"
-            "def tried(what):\n"
-            "    try: return what() and 'done'\n"
-            "    except OSError as trouble: return trouble.strerror\n"
-            "print(tried(lambda: (own / 'kept').read_text()), tried(lambda: (own / 'new').write_text('y')),\n"
-            "      tried(lambda: os.replace(own / 'kept', own / 'b')), tried(lambda: os.open(own / 'c',\n"
-            "      os.O_CREAT)), tried(lambda: (own.parent / 'other').write_text('z')),\n"
-            "      time.monotonic() - began > 0.2, sep='; ')")
+    code = (
+        "import os, sys, time; from pathlib import Path\n"
+        "from pumicepath.lab.faults import clocks, starter\n"
+        "starter.burden(clocks.Page(Path(os.environ[clocks.VARIABLE])), sys.argv[1])\n"
+        "own, began = Path(sys.argv[1]), time.monotonic()\n"
+        "def tried(what):\n"
+        "    try: return what() and 'done'\n"
+        "    except OSError as trouble: return trouble.strerror\n"
+        "print(tried(lambda: (own / 'kept').read_text()), tried(lambda: (own / 'new').write_text('y')),\n"
+        "      tried(lambda: os.replace(own / 'kept', own / 'b')), tried(lambda: os.open(own / 'c',\n"
+        "      os.O_CREAT)), tried(lambda: (own.parent / 'other').write_text('z')),\n"
+        "      time.monotonic() - began > 0.2, sep='; ')"
+    )
     around = {"PATH": "/usr/bin", VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."}
-    ended = subprocess.run([sys.executable, "-c", code, str(tmp_path / "own")], text=True,
-                           capture_output=True, timeout=60, env=around)
+    ended = subprocess.run(
+        [sys.executable, "-c", code, str(tmp_path / "own")],
+        text=True,
+        capture_output=True,
+        timeout=60,
+        env=around,
+    )
     refused = "Read-only file system"
     assert ended.stdout.strip().split("; ") == ["done", *[refused] * 3, "done", "True"], ended
 
 
 def test_a_list_that_some_cant_reach_is_as_it_was_for_others() -> None:
-    plan = Plan(lasts_s=8, sidecars=Sidecars(count=3), troubles=(
-        Trouble(kind="list-down", at_s=2, for_s=5, sidecars=(1,)),
-        Trouble(kind="drain", at_s=3, servers=(0,))))
+    plan = Plan(
+        lasts_s=8,
+        sidecars=Sidecars(count=3),
+        troubles=(
+            Trouble(kind="list-down", at_s=2, for_s=5, sidecars=(1,)),
+            Trouble(kind="drain", at_s=3, servers=(0,)),
+        ),
+    )
     world = VirtualWorld(plan, 1, "random")
     world.timeline.run(4 * SECOND)
     told = [world.registry.followers[number].told.get(0) for number in range(3)]
@@ -245,10 +326,16 @@
         disk.put_back()
     assert len({size for size, _ in cuts}) > 10 and (1000, True) in cuts
     assert disk.lose() == 1 and not disk.files() and other.take_from(disk.copies) == 1
-    code = ("import sys; print('up', flush=True); sys.stdin.read(1)\n"
-            "with open(sys.argv[1], 'wb') as file: file.write(b'x')")
-    with subprocess.Popen([sys.executable, "-c", code, str(disk.folder / "new")], stdin=subprocess.PIPE,
-                          stdout=subprocess.PIPE, stderr=subprocess.PIPE) as process:
+    code = (
+        "import sys; print('up', flush=True); sys.stdin.read(1)\n"
+        "with open(sys.argv[1], 'wb') as file: file.write(b'x')"
+    )
+    with subprocess.Popen(
+        [sys.executable, "-c", code, str(disk.folder / "new")],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+    ) as process:
         assert process.stdout is not None
         process.stdout.readline()
         disk.fill(process.pid, True)
@@ -285,9 +372,14 @@
 """
 
 
-@pytest.mark.parametrize("old, new, key", (
-    ("at_s = 1\n", "at_s = 1\nsidecars = [3]\n", "26: troubles.2.sidecars"),
-    ("peers = true", "peers = false", ""), ("clock-rate", "peers-shut", "24: troubles.2.kind")))
+@pytest.mark.parametrize(
+    "old, new, key",
+    (
+        ("at_s = 1\n", "at_s = 1\nsidecars = [3]\n", "26: troubles.2.sidecars"),
+        ("peers = true", "peers = false", ""),
+        ("clock-rate", "peers-shut", "24: troubles.2.kind"),
+    ),
+)
 def test_what_a_plan_cant_have_is_named_by_line_and_key(tmp_path: Path, old: str, new: str, key: str) -> None:
     path = tmp_path / "one.toml"
     path.write_text(SMALL.replace(old, new))
@@ -305,9 +397,22 @@
 def test_an_experiment_with_real_processes_ends_in_one_object_and_a_page(tmp_path: Path) -> None:
     path, folder = tmp_path / "small.toml", tmp_path / "out"
     path.write_text(SMALL)
-    command = [sys.executable, "-m", "pumicepath", "lab", "run", str(path), "--on", "loopback", "--json",
-               "--seed", "4", "--report", str(folder)]
-    for _ in range(3):                      # 3: the machine was too slow to tell
+    command = [
+        sys.executable,
+        "-m",
+        "pumicepath",
+        "lab",
+        "run",
+        str(path),
+        "--on",
+        "loopback",
+        "--json",
+        "--seed",
+        "4",
+        "--report",
+        str(folder),
+    ]
+    for _ in range(3):  # 3: the machine was too slow to tell
         ended = subprocess.run(command, text=True, capture_output=True, timeout=180)
         if ended.returncode != 3:
             break
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,10 +22,15 @@
 from pumicepath.lab.model.views import wrong
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
-LONGEST_S = 90.0            # for what must happen; on an idle machine a few seconds
+LONGEST_S = 90.0  # for what must happen; on an idle machine a few seconds
 EVERY_S = 0.2
-PLAN = Plan(lasts_s=3600, warm_s=0, fleet=Fleet(servers=4, halls=2, work_ms=5), load=Load(rate=20),
-            sidecars=Sidecars(count=6, peers=True, peers_every_s=EVERY_S))
+PLAN = Plan(
+    lasts_s=3600,
+    warm_s=0,
+    fleet=Fleet(servers=4, halls=2, work_ms=5),
+    load=Load(rate=20),
+    sidecars=Sidecars(count=6, peers=True, peers_every_s=EVERY_S),
+)
 # What may never happen, whatever peers do; how soon answers come is the machine's affair, too.
 NEVER = ("ran_twice", "deferred_may_run", "late_sends", "pushed_over", "answered_twice")
 
@@ -42,8 +47,11 @@
         while True:
             asked = [each for each in self.sidecars if each.up and not each.stopped]
             told = await asyncio.gather(*(each.asked("/peers", 5.0) for each in asked))
-            views = {each.name: [(one["name"], one["state"]) for one in view["peers"]]
-                     for each, view in zip(asked, told) if view is not None}
+            views = {
+                each.name: [(one["name"], one["state"]) for one in view["peers"]]
+                for each, view in zip(asked, told)
+                if view is not None
+            }
             if holds(views):
                 return
             assert time.monotonic() < give_up, (what, views)
@@ -61,11 +69,12 @@
         def holds(views: dict[str, list[tuple[str, str]]]) -> bool:
             seen = [views.get(f"sidecar-{seer}", [(name, "alive") for name in names]) for seer in seers]
             return not any(name in names and state == "alive" for view in seen for name, state in view)
+
         await self.until(holds, f"{seers} without {whom}")
 
     async def started(self) -> None:
         for each in self.sidecars:
-            await self.until(lambda _, each=each: each.up, f"{each.name} up")   # type: ignore[misc]
+            await self.until(lambda _, each=each: each.up, f"{each.name} up")  # type: ignore[misc]
 
 
 def played(folder: Path, work: Callable[[Stage], Coroutine[Any, Any, None]], plan: Plan = PLAN) -> LiveWorld:
@@ -84,6 +93,7 @@
         finally:
             await world.end()
         return world
+
     return asyncio.run(play())
 
 
@@ -122,24 +132,32 @@
         await stage.right("four of six restarted at once")
         sidecars[2].end()
         await stage.gone({2}, every - {2})
+
     world = played(tmp_path, work)
     assert [world.judge.broken[rule] for rule in NEVER] == [0] * len(NEVER), world.judge.first
 
 
 def test_a_liar_changes_views_and_no_rule(tmp_path: Path) -> None:
     """It says that all are dead and gone under its own and others' names, and floods them with noise."""
+
     async def work(stage: Stage) -> None:
         await stage.right("all have begun")
         views = await asyncio.gather(*(each.asked("/peers", 5.0) for each in stage.sidecars))
-        lives = [Record(view["name"], int(view["born"], 16), view["address"], "a", 1 << 31, state)
-                 for view in views if view is not None for state in (SUSPECTED, LEFT)]
+        lives = [
+            Record(view["name"], int(view["born"], 16), view["address"], "a", 1 << 31, state)
+            for view in views
+            if view is not None
+            for state in (SUSPECTED, LEFT)
+        ]
         chance = random.Random(1)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as liar:
             liar.bind(("127.0.0.1", 0))
             mine = Record("sidecar-0", 99, "{}:{}".format(*liar.getsockname()), "a")
             for step in range(300):
-                ghosts = [Record(f"ghost-{each}", 1000 + each, "127.0.0.1:9", "a", step, ALIVE)
-                          for each in range(step % 10, 30, 10)]
+                ghosts = [
+                    Record(f"ghost-{each}", 1000 + each, "127.0.0.1:9", "a", step, ALIVE)
+                    for each in range(step % 10, 30, 10)
+                ]
                 lies = (News(mine, 1, lives), News(mine, 2, ghosts), Ping(mine, 3, step, 0, []))
                 for each in stage.sidecars:
                     for lie in lies:
@@ -152,13 +170,16 @@
 
         def all_there(views: dict[str, list[tuple[str, str]]]) -> bool:
             return len(views) == 6 and all(
-                {name for name, state in view if state == "alive"} >= names - {mine} and not any(
-                    name.startswith("ghost") and state == "alive" for name, state in view)
-                for mine, view in views.items())
+                {name for name, state in view if state == "alive"} >= names - {mine}
+                and not any(name.startswith("ghost") and state == "alive" for name, state in view)
+                for mine, view in views.items()
+            )
+
         await stage.until(all_there, "the liar has gone")
         told = await stage.sidecars[0].asked("/peers", 5.0)
         assert told is not None
         assert told["figures"]["peers_noise"] > 0 and told["figures"]["peers_foreign"] > 0
+
     world = played(tmp_path, work)
     assert [world.judge.broken[rule] for rule in NEVER] == [0] * len(NEVER), world.judge.first
     assert world.judge.finals["succeeded"] > 0 and not world.judge.finals["cut"]
@@ -174,9 +195,10 @@
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
     with Deployment(tmp_path / "a", 1, admin_addr="127.0.0.1:0", peers=peers).running() as one:
-        told = json.loads(one.call("GET", "/peers").body)        # type: ignore[union-attr]
-        other = Deployment(tmp_path / "b", 1, admin_addr="127.0.0.1:0",
-                           peers={**peers, "seeds": [told["address"]]})
+        told = json.loads(one.call("GET", "/peers").body)  # type: ignore[union-attr]
+        other = Deployment(
+            tmp_path / "b", 1, admin_addr="127.0.0.1:0", peers={**peers, "seeds": [told["address"]]}
+        )
         with other.running():
             said = one.event("peers_name_twice")
             assert said["name"] == "n0" and one.figures()["edge_gw.peers_alive"] == 1
@@ -195,18 +217,27 @@
         assert ended.returncode == 2 and "no peers in the configuration" in ended.stderr
 
 
-@pytest.mark.parametrize("peers, why", (
-    ({"listen": "127.0.0.1:0", "seed": []}, "peers.seed: unknown"),
-    ({"listen": "1.2.3.4:9"}, "cannot listen on")))
+@pytest.mark.parametrize(
+    "peers, why",
+    (
+        ({"listen": "127.0.0.1:0", "seed": []}, "peers.seed: unknown"),
+        ({"listen": "1.2.3.4:9"}, "cannot listen on"),
+    ),
+)
 def test_peers_that_cant_be_end_the_start_with_a_name(tmp_path: Path, peers: dict, why: str) -> None:
     around = Deployment(tmp_path, 1, peers=peers)
-    ended = subprocess.run([sys.executable, "-m", "pumicepath", "serve", "--config", str(around.config)],
-                           text=True, capture_output=True, timeout=60)
+    ended = subprocess.run(
+        [sys.executable, "-m", "pumicepath", "serve", "--config", str(around.config)],
+        text=True,
+        capture_output=True,
+        timeout=60,
+    )
     assert ended.returncode == 2 and why in ended.stderr
 
 
 def test_a_process_that_is_replaced_while_it_is_stopped_goes_on_and_ends(tmp_path: Path) -> None:
     """Found by random faults: the rig let its successor go on, and the stopped one never ended."""
+
     async def work(stage: Stage) -> None:
         await stage.right("all have begun")
         one = stage.sidecars[4]
@@ -221,5 +252,6 @@
         one.go_on()
         await asyncio.wait_for(old.wait(), LONGEST_S)
         await stage.right("the new process alone")
+
     world = played(tmp_path, work)
     assert [world.judge.broken[rule] for rule in NEVER] == [0] * len(NEVER), world.judge.first
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -114,6 +114,7 @@
             around.write(**changed)
             around.process.send_signal(signal.SIGHUP)
             return around.event(event)
+
         assert "relays[0]: 'here'" in reload("reload_failed", relays=["here"])["text"]
         assert "services[0]" in reload("reload_failed", relays=[first.address], services=["a b"])["text"]
         del around.told["services"]
@@ -166,7 +167,8 @@
 
 
 def test_a_process_without_relays_that_takes_the_place_of_one_with_asks_discovery_for_all(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     around = replaceable(tmp_path, 1)
     (relay,) = around.relays
     relay.tell("eu", 6, True, *around.lines_now("leaving", "active"))
@@ -198,22 +200,29 @@
             sock.sendall(answer(200, json.dumps(around.listing(number, False, "active"))))
         asked.append(sock.recv(65536).decode())
         done.set()
+
     done = threading.Event()
     threading.Thread(target=serve, daemon=True).start()
     with around.running():
         assert done.wait(20)
     # As the program of before asked with this seed, recorded.
-    expected = ["since=1&timeout_ms=1", "since=8&timeout_ms=17406", "since=9&timeout_ms=19394",
-                "since=10&timeout_ms=18322"]
+    expected = [
+        "since=1&timeout_ms=1",
+        "since=8&timeout_ms=17406",
+        "since=9&timeout_ms=19394",
+        "since=10&timeout_ms=18322",
+    ]
     assert asked == [f"GET /discovery/hosts?{each} HTTP/1.1\r\nHost: {where}\r\n\r\n" for each in expected]
-    code = ("import sys; from pumicepath.command import main; main.get_command(None, 'serve');"
-            "from pumicepath.sidecar import config, running;"
-            "from pumicepath.discovery.watch import Watch;"
-            f"c = config.read({str(around.config)!r}); Watch(None, '', 1, 1);"
-            "assert running.following(c) is None;"
-            "print([name for name in sys.modules if 'distribution' in name or 'relay' in name"
-            " or name == 'pumicepath.sidecar.following'"
-            " or name in ('pumicepath.commands.' + each for each in ('lab', 'scale', 'demo', 'peers'))])")
+    code = (
+        "import sys; from pumicepath.command import main; main.get_command(None, 'serve');"
+        "from pumicepath.sidecar import config, running;"
+        "from pumicepath.discovery.watch import Watch;"
+        f"c = config.read({str(around.config)!r}); Watch(None, '', 1, 1);"
+        "assert running.following(c) is None;"
+        "print([name for name in sys.modules if 'distribution' in name or 'relay' in name"
+        " or name == 'pumicepath.sidecar.following'"
+        " or name in ('pumicepath.commands.' + each for each in ('lab', 'scale', 'demo', 'peers'))])"
+    )
     ran = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, env=dict(os.environ))
     assert ran.stdout == "[]\n", ran.stderr
 
@@ -265,12 +274,21 @@
 
 
 def line(name: str) -> dict:
-    return {"host": name, "dial": "127.0.0.1:1", "site": "a", "class": "m", "block": 0, "health": "active",
-            "share": 1.0, "born_ms": 0}
+    return {
+        "host": name,
+        "dial": "127.0.0.1:1",
+        "site": "a",
+        "class": "m",
+        "block": 0,
+        "health": "active",
+        "share": 1.0,
+        "born_ms": 0,
+    }
 
 
 def test_back_at_the_first_once_it_can_be_dialled_and_no_call_lost_to_one_that_cannot(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(deciding, "HOME_US", 500_000)
     relays = [Relay(1000 * at).tell("eu", 5, True, line("s-1")) for at in (1, 2)]
     with followed(*relays) as (watcher, (first, second), heard):
@@ -291,17 +309,22 @@
         changes = [each for each in heard.lines if each.startswith("relay")]
         assert changes[0] == f"relay_changed {first.address} start"
         assert changes[1].startswith(f"relay_changed {second.address} Connection")
-        assert changes[2:] == ["relay_changes", f"relay_changed {first.address} back to the first",
-                               "relay_changes"]
+        assert changes[2:] == [
+            "relay_changes",
+            f"relay_changed {first.address} back to the first",
+            "relay_changes",
+        ]
         assert not any(each.startswith("FAILED") for each in heard.lines)
 
 
 def test_without_a_descriptor_for_another_relay_the_watch_that_works_goes_on(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(deciding, "HOME_US", 500_000)
 
     def none_left(where: object) -> socket.socket:
         raise OSError(24, "Too many open files")
+
     relays = [Relay(1000 * at).tell("eu", 5, True, line("s-1")) for at in (1, 2)]
     with followed(*relays) as (watcher, (first, second), _):
         until(first.taken)
@@ -316,7 +339,8 @@
 
 
 def test_a_first_that_takes_connections_and_says_nothing_is_left_for_the_one_before(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(deciding, "HOME_US", 500_000)
     monkeypatch.setattr("pumicepath.discovery.watch.ANSWER_S", 0.5)
     relays = [Relay(1000 * at).tell("eu", 5, True, line("s-1")) for at in (1, 2, 3)]
@@ -325,22 +349,24 @@
         first.turn("silent")
         until(second.taken)
         calls = len(first.asked)
-        until(lambda: len(first.asked) > calls)         # tried
+        until(lambda: len(first.asked) > calls)  # tried
         calls = len(second.asked)
         until(lambda: len(second.asked) > calls + 2 and second.taken())
         assert not third.asked, "back to the one that answered, not on to the next"
 
 
 def test_where_a_region_is_out_of_touch_another_relay_is_looked_at_and_kept_if_it_is_better(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(deciding, "LOOK_US", 400_000)
-    relays = [Relay(1000 * at).tell("eu", 5, True, line("s-1")).tell("us", 5, True, line("u-1"))
-              for at in (1, 2, 3)]
+    relays = [
+        Relay(1000 * at).tell("eu", 5, True, line("s-1")).tell("us", 5, True, line("u-1")) for at in (1, 2, 3)
+    ]
     with followed(*relays) as (watcher, (first, second, third), heard):
         until(first.taken)
         second.tell("us", 5, False).tell("eu", 5, False)
         first.tell("us", 5, False)
-        until(lambda: second.asked)                     # looked at, and left at once as it has fewer
+        until(lambda: second.asked)  # looked at, and left at once as it has fewer
         until(lambda: third.asked and third.taken())
         calls = len(third.asked)
         until(lambda: len(third.asked) > calls + 3)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -12,7 +12,7 @@
 
 from .test_never_back import SECOND, Clock, line, target, told, watching
 
-LAG = LIVE + SECOND // 4    # of a relay that says it is in touch: its word's age, and a turn of its loop
+LAG = LIVE + SECOND // 4  # of a relay that says it is in touch: its word's age, and a turn of its loop
 STATE = frozenset[tuple[str, str, str, int]]
 
 
@@ -110,7 +110,7 @@
     def __init__(self, seed: int) -> None:
         self.chance = chance = random.Random(seed)
         self.clock = Clock()
-        self.origins = [Origin(region, chance) for region in ("eu", "us", "asia")[:chance.choice((2, 3))]]
+        self.origins = [Origin(region, chance) for region in ("eu", "us", "asia")[: chance.choice((2, 3))]]
         self.clock.now = 100 * SECOND
         for origin in self.origins:
             for _ in range(5):
@@ -149,12 +149,14 @@
             if same and max(same)[1] < seq:
                 same = []
                 assert any(version[0] != life for version in versions), (
-                    f"{origin.region} went back from {life}, {seq} to {versions}")
+                    f"{origin.region} went back from {life}, {seq} to {versions}"
+                )
             # A state that was twice is taken for the earlier one, so that what follows is judged rightly.
             later = [version for version in same if version[1] >= seq]
             other = [version for version in versions if version[0] != life]
-            self.seen[origin.region] = min(later) if later else min(
-                version for version in other if version[0] == max(other)[0])
+            self.seen[origin.region] = (
+                min(later) if later else min(version for version in other if version[0] == max(other)[0])
+            )
 
     def move(self) -> None:
         self.at = (self.at + 1) % len(self.relays)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -37,6 +37,7 @@
 
 # -- the plan
 
+
 def test_sizes_are_a_long_tail_and_one_seed_makes_one_plan() -> None:
     ask = Ask(20_000, 1_900, regions=10, zones=34)
     plan, again = Plan(ask), Plan(ask)
@@ -47,20 +48,45 @@
     assert {plan.region_of(server) for server in range(100)} <= set(range(10))
 
 
-@pytest.mark.parametrize("given, option", [
-    (["--sidecars", "0"], "--sidecars"), (["--services", "13"], "--services"),
-    (["--regions", "0"], "--regions"),
-    (["--zones", "1"], "--zones"), (["--changes-per-s", "-1"], "--changes-per-s"), (["--for", "0"], "--for"),
-    (["--fault", "flood"], "--fault"), (["--fault", "region-cut"], "--fault"), (["--calls", "0"], "--calls"),
-    (["--fault", "release", "--fault-for", "60"], "--for"), (["--popular", "nan"], "--popular"),
-    (["--sidecars", "20000", "--services", "1900"], "--sidecars"),
-    (["--form", "relayed", "--play-regions", "3"], "--play-regions"), (["--play-regions", "1"], "--form"),
-    (["--whole-bytes-per-s", "16000000"], "--form"),
-    (["--form", "relayed", "--whole-bytes-per-s", "9999"], "--whole-bytes-per-s"),
-    (["--form", "relayed", "--regions", "30", "--sidecars", "90", "--zones", "30",
-      "--relays-per-region", "16"], "--relays-per-region")])
+@pytest.mark.parametrize(
+    "given, option",
+    [
+        (["--sidecars", "0"], "--sidecars"),
+        (["--services", "13"], "--services"),
+        (["--regions", "0"], "--regions"),
+        (["--zones", "1"], "--zones"),
+        (["--changes-per-s", "-1"], "--changes-per-s"),
+        (["--for", "0"], "--for"),
+        (["--fault", "flood"], "--fault"),
+        (["--fault", "region-cut"], "--fault"),
+        (["--calls", "0"], "--calls"),
+        (["--fault", "release", "--fault-for", "60"], "--for"),
+        (["--popular", "nan"], "--popular"),
+        (["--sidecars", "20000", "--services", "1900"], "--sidecars"),
+        (["--form", "relayed", "--play-regions", "3"], "--play-regions"),
+        (["--play-regions", "1"], "--form"),
+        (["--whole-bytes-per-s", "16000000"], "--form"),
+        (["--form", "relayed", "--whole-bytes-per-s", "9999"], "--whole-bytes-per-s"),
+        (
+            [
+                "--form",
+                "relayed",
+                "--regions",
+                "30",
+                "--sidecars",
+                "90",
+                "--zones",
+                "30",
+                "--relays-per-region",
+                "16",
+            ],
+            "--relays-per-region",
+        ),
+    ],
+)
 def test_what_cannot_be_run_is_refused_by_the_option_before_anything_starts(
-        given: list[str], option: str, tmp_path: Path) -> None:
+    given: list[str], option: str, tmp_path: Path
+) -> None:
     ended = CliRunner().invoke(main, [*SMALL, *given, "--report", str(tmp_path / "run")])
     assert ended.exit_code == 2 and f"{option}:" in ended.output and ended.output.count("\n") == 1
     assert not (tmp_path / "run").exists()
@@ -92,6 +118,7 @@
 
 # -- the judge
 
+
 class Held:
     """A balancer as a hollow sidecar has one, told of lists by the test."""
 
@@ -100,9 +127,18 @@
         self.balancer = Balancer(decode(told(plan, number)), 1, MUTE)
 
     def take(self, at: int, whole: bool, *changes: Change) -> None:
-        entries = [Entry(stable(self.plan.server_name(one.server)), 0, 0, PHASES[one.health],
-                         1.0 + one.state / STEP, one.born, self.plan.server_name(one.server))
-                   for one in changes]
+        entries = [
+            Entry(
+                stable(self.plan.server_name(one.server)),
+                0,
+                0,
+                PHASES[one.health],
+                1.0 + one.state / STEP,
+                one.born,
+                self.plan.server_name(one.server),
+            )
+            for one in changes
+        ]
         self.balancer.listed(at, Listing.FULL if whole else Listing.CHANGES, entries)
         self.updated_at = at
 
@@ -147,7 +183,7 @@
     scene.tell(3 * S, drain)
     scene.tell(4 * S, share)
     gone = scene.change(5 * S, 0, 2, LEFT)
-    scene.tell(5 * S + 1, gone)             # before the witness has read of it
+    scene.tell(5 * S + 1, gone)  # before the witness has read of it
     back = scene.change(6 * S, 0, 3, ACTIVE, 7)
     scene.witness.tick(6 * S)
     assert scene.witness.waiting() == 1
@@ -196,10 +232,10 @@
 def test_what_no_origin_told_in_a_window_counts_from_its_end() -> None:
     cut = Window(1 * S, 9 * S, region=0, there=0, but=True)
     assert cut.concerns(0, 1) and not cut.concerns(0, 0) and not cut.concerns(1, 0)
-    assert counted(0, 12 * S, [cut]) == (9 * S, 3 * S)             # out of reach within its 6 s
+    assert counted(0, 12 * S, [cut]) == (9 * S, 3 * S)  # out of reach within its 6 s
     assert counted(2 * S, 9 * S + 5, [cut]) == (9 * S, 5)
-    assert counted(0, S // 2, [cut]) == (0, S // 2)                # in force before
-    assert counted(-6 * S, 12 * S, [cut]) == (-6 * S, 18 * S)      # its 6 s were over before
+    assert counted(0, S // 2, [cut]) == (0, S // 2)  # in force before
+    assert counted(-6 * S, 12 * S, [cut]) == (-6 * S, 18 * S)  # its 6 s were over before
     assert counted(10 * S, 12 * S, [cut]) == (10 * S, 2 * S)
     assert counted(0, 30 * S, [Window(10 * S, 20 * S), cut]) == (20 * S, 10 * S)
 
@@ -221,9 +257,24 @@
 
 # -- runs
 
+
 def test_small_direct_run_with_the_origin_killed_has_all_in_force(tmp_path: Path) -> None:
-    ended = CliRunner().invoke(main, [*SMALL, "--changes-per-s", "10", "--for", "2", "--fault",
-                                      "control-killed", "--fault-for", "1", "--report", str(tmp_path)])
+    ended = CliRunner().invoke(
+        main,
+        [
+            *SMALL,
+            "--changes-per-s",
+            "10",
+            "--for",
+            "2",
+            "--fault",
+            "control-killed",
+            "--fault-for",
+            "1",
+            "--report",
+            str(tmp_path),
+        ],
+    )
     assert ended.exit_code == 0, ended.output
     found = json.loads(ended.output)
     assert found["sidecars"] == 12 and found["changes"] > 0 and found["observed"] > found["changes"]
@@ -234,9 +285,26 @@
 
 @pytest.mark.parametrize("fault", ["control-killed", "region-cut"])
 def test_small_relayed_run_has_all_in_force_whatever_happens_to_a_relay_or_a_region(
-        fault: str, tmp_path: Path) -> None:
-    ended = CliRunner().invoke(main, [*SMALL, "--form", "relayed", "--changes-per-s", "10", "--for", "2",
-                                      "--fault", fault, "--fault-for", "1", "--report", str(tmp_path)])
+    fault: str, tmp_path: Path
+) -> None:
+    ended = CliRunner().invoke(
+        main,
+        [
+            *SMALL,
+            "--form",
+            "relayed",
+            "--changes-per-s",
+            "10",
+            "--for",
+            "2",
+            "--fault",
+            fault,
+            "--fault-for",
+            "1",
+            "--report",
+            str(tmp_path),
+        ],
+    )
     assert ended.exit_code == 0, ended.output
     found = json.loads(ended.output)
     assert found["control"]["machines"] == 4 and found["observed"] > 0 and found["recovered_s"] is not None
@@ -244,11 +312,29 @@
     assert 0 < found["held_each"] <= 12.0
 
 
-def test_one_region_of_two_is_played_beside_both_origins_with_relays_told_their_pace(
-        tmp_path: Path) -> None:
-    ended = CliRunner().invoke(main, [*SMALL, "--form", "relayed", "--changes-per-s", "10", "--for", "2",
-                                      "--fault", "control-restarted", "--fault-for", "1", "--play-regions",
-                                      "1", "--whole-bytes-per-s", "16000000", "--report", str(tmp_path)])
+def test_one_region_of_two_is_played_beside_both_origins_with_relays_told_their_pace(tmp_path: Path) -> None:
+    ended = CliRunner().invoke(
+        main,
+        [
+            *SMALL,
+            "--form",
+            "relayed",
+            "--changes-per-s",
+            "10",
+            "--for",
+            "2",
+            "--fault",
+            "control-restarted",
+            "--fault-for",
+            "1",
+            "--play-regions",
+            "1",
+            "--whole-bytes-per-s",
+            "16000000",
+            "--report",
+            str(tmp_path),
+        ],
+    )
     assert ended.exit_code == 0, ended.output
     found = json.loads(ended.output)
     assert found["sidecars"] == 12 and found["played"] == 6 and found["control"]["machines"] == 2
@@ -258,8 +344,10 @@
     assert [json.loads(file.read_text())["wholeBytesPerS"] for file in files] == [16_000_000] * 2
 
 
-@pytest.mark.parametrize("planted, kind", [
-    ("ignores-drain", "old_at_end"), ("goes-back", "back"), ("origin-loses", "missing_at_end")])
+@pytest.mark.parametrize(
+    "planted, kind",
+    [("ignores-drain", "old_at_end"), ("goes-back", "back"), ("origin-loses", "missing_at_end")],
+)
 def test_faults_planted_in_processes_are_found(planted: str, kind: str, tmp_path: Path) -> None:
     ask = Ask(20, 2, changes_per_s=30, seconds=1, planted=(planted,))
     found = Run(Plan(checked(ask)), tmp_path, 2, lambda line: None, settle_s=0.5).play()
@@ -267,9 +355,13 @@
 
 
 def test_all_that_a_run_started_ends_with_it(tmp_path: Path) -> None:
-    run = subprocess.Popen([sys.executable, "-m", "pumicepath", *SMALL, "--for", "60",
-                            "--report", str(tmp_path)], stdout=subprocess.PIPE,
-                           stderr=subprocess.PIPE, text=True, preexec_fn=interruptible)
+    run = subprocess.Popen(
+        [sys.executable, "-m", "pumicepath", *SMALL, "--for", "60", "--report", str(tmp_path)],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+        preexec_fn=interruptible,
+    )
     children = Path(f"/proc/{run.pid}/task/{run.pid}/children")
     until(lambda: list(tmp_path.glob("host-*.err")) and len(children.read_text().split()) >= 2)
     started = [int(pid) for pid in children.read_text().split()]
@@ -288,27 +380,42 @@
 
 # -- a folder is one run's own
 
+
 def test_folder_that_another_run_uses_is_refused_by_name(tmp_path: Path) -> None:
     with owned(tmp_path), pytest.raises(Taken, match=f"{tmp_path}.*process {os.getpid()}"), owned(tmp_path):
         pass
-    with owned(tmp_path):       # free again
+    with owned(tmp_path):  # free again
         assert (tmp_path / LOCK).read_text() == f"{os.getpid()}\n"
 
 
-@pytest.mark.parametrize("command", [["lab", "run", "experiments/hall.toml"], SMALL,
-                                     ["lab", "run", "experiments/fleet-noise.toml", "--on", "loopback"]])
+@pytest.mark.parametrize(
+    "command",
+    [
+        ["lab", "run", "experiments/hall.toml"],
+        SMALL,
+        ["lab", "run", "experiments/fleet-noise.toml", "--on", "loopback"],
+    ],
+)
 def test_commands_refuse_a_folder_in_use(command: list[str], tmp_path: Path) -> None:
     holder = subprocess.Popen(
-        [sys.executable, "-c", "import sys; from pathlib import Path\n"
-         "from pumicepath.lab.experiments.folders import owned\n"
-         "with owned(Path(sys.argv[1])): print('has it', flush=True); sys.stdin.read()", str(tmp_path)],
-        stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+        [
+            sys.executable,
+            "-c",
+            "import sys; from pathlib import Path\n"
+            "from pumicepath.lab.experiments.folders import owned\n"
+            "with owned(Path(sys.argv[1])): print('has it', flush=True); sys.stdin.read()",
+            str(tmp_path),
+        ],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     assert holder.stdout is not None and holder.stdin is not None
     assert holder.stdout.readline() == "has it\n"
     ended = CliRunner().invoke(main, [*command, "--report", str(tmp_path)])
     assert ended.exit_code == 2 and f"{tmp_path}: another run (process {holder.pid})" in ended.output
     assert [file.name for file in tmp_path.iterdir()] == [LOCK]
-    holder.kill()               # however it ends, the folder is free
+    holder.kill()  # however it ends, the folder is free
     holder.wait()
     with owned(tmp_path):
         pass
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -22,7 +22,7 @@
         self.step = step
         self.chance = random.Random(seed)
         self.homes = [Homes(f"n{at}", relays, self.chance.random) for at in range(count)]
-        self.arrivals: list[tuple[int, str]] = []      # dials, with the relay
+        self.arrivals: list[tuple[int, str]] = []  # dials, with the relay
         self.up: Callable[[int, str], bool] = lambda now, relay: True
         self.live: Callable[[int, str], tuple[int, int]] = lambda now, relay: (2, 0)
         self.due = [(int(self.chance.random() * step), at) for at in range(count)]
@@ -151,14 +151,19 @@
     homes.answered(SECOND, 1, 0)
     # One that is there and turns calls away is spared all the same.
     assert [homes.failed(SECOND, absent) for absent in (True, True, False, True, False)] == [
-        FIRST_US, FIRST_US, 2 * FIRST_US, FIRST_US, 4 * FIRST_US]
+        FIRST_US,
+        FIRST_US,
+        2 * FIRST_US,
+        FIRST_US,
+        4 * FIRST_US,
+    ]
     # A third of the relays lost at one moment, machines and all: each dial in vain takes half a second.
     late = []
     for at in range(2000):
         homes = Homes(f"n{at}", RELAYS, random.Random(at).random)
         now = 0
         while homes.at in RELAYS[:7]:
-            now += (SECOND // 2 if now else 0)
+            now += SECOND // 2 if now else 0
             now += homes.failed(now, now > 0)
         late.append(now)
     late.sort()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -162,10 +162,7 @@
     )
     newer = roster.read(listing(43, False, host("s-1", born_ms=6)))
     one, two = first.entries
-    assert (
-        one.server == stable("s-1") != two.server
-        and (one.name, two.name) == ("s-1", "s-2")
-    )
+    assert one.server == stable("s-1") != two.server and (one.name, two.name) == ("s-1", "s-2")
     assert (one.zone, one.cell, one.scale, one.came_up, two.zone, two.phase) == (
         1,
         3,
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -23,8 +23,15 @@
     def note(self, text: str) -> None:
         self.lines.append(f"{self.now:8.2f}  {text}")
 
-    def come(self, tariff: int = 0, retry: bool = False, waited: float = 0.0, patience: float = 600.0,
-             usual: float = 5.0, quiet: bool = False) -> Verdict:
+    def come(
+        self,
+        tariff: int = 0,
+        retry: bool = False,
+        waited: float = 0.0,
+        patience: float = 600.0,
+        usual: float = 5.0,
+        quiet: bool = False,
+    ) -> Verdict:
         self.count += 1
         now, name = int(self.now * MS), f"r{self.count}"
         arrived = now - int(waited * MS)
@@ -76,8 +83,8 @@
             met[f"tariff {tariff}{' again' * retry}"] = len(play.intake.waiting)
     for name, length in sorted(met.items()):
         play.note(f"{name} waited behind {length} at most")
-    play.come(1, waited=140.0)      # would be late: nothing is gained by it
-    play.come(0, patience=20.0)     # would have gone
+    play.come(1, waited=140.0)  # would be late: nothing is gained by it
+    play.come(0, patience=20.0)  # would have gone
     play.note(f"asked to come back after {play.intake.back(0) / MS:.0f} ms")
     # An idle place is not refused to what is late already, unless nobody waits for it any more.
     idle = Play()
@@ -93,7 +100,7 @@
         while play.come(quiet=True) == Verdict.WAIT:
             pass
         lengths.append(len(play.intake.waiting))
-    assert lengths == [433, 1000]   # by time, and by the most that may wait
+    assert lengths == [433, 1000]  # by time, and by the most that may wait
 
 
 def test_a_stall_turns_away_what_is_too_late_and_is_not_taken_for_the_cost_of_each() -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,8 +17,19 @@
 from tests.helpers import compare
 
 SMALL = Plan(lasts_s=8, warm_s=1, fleet=Fleet(halls=2, servers=6, cold_s=4, fall_s=1), load=Load(part=0.3))
-BUILD = Build(cores=1, queue=2, cache=1, miss=2.0, cold_from=0.5, cold_for=4_000_000, fall_multiple=2.0,
-              fall_window=1_000_000, jam_at=3.0, jam_speed=0.5, stops=True)
+BUILD = Build(
+    cores=1,
+    queue=2,
+    cache=1,
+    miss=2.0,
+    cold_from=0.5,
+    cold_for=4_000_000,
+    fall_multiple=2.0,
+    fall_window=1_000_000,
+    jam_at=3.0,
+    jam_speed=0.5,
+    stops=True,
+)
 
 
 def with_trouble(kind: str, plan: Plan = SMALL, **more: object) -> Plan:
@@ -30,8 +41,10 @@
     """What a run comes to, in a line; a judge's finding by its name."""
     result = VirtualWorld(plan, seed, policy).run()
     told = summary(result)
-    ends = " ".join(f"{name} {told[name]}" for name in (
-        "offered", "good", "late", "deferred", "forfeited", "left", "lost", "refused"))
+    ends = " ".join(
+        f"{name} {told[name]}"
+        for name in ("offered", "good", "late", "deferred", "forfeited", "left", "lost", "refused")
+    )
     broken = " ".join(name for name, count in result.rules.items() if count)
     return f"{told['service']:.3f}  {ends}{'  BROKEN ' + broken if broken else ''}"
 
@@ -62,6 +75,7 @@
     def send(self, name: str, at: int = 0, key: int = 0, work: int = 100_000) -> Job:
         def reply(outcome: Outcome) -> None:
             self.lines.append(f"{self.time.now / 1e6:.3f}  {name} {outcome.name.lower()}")
+
         job = Job(0, key, 1, work, reply)
         self.servers[at].came(job)
         return job
@@ -74,7 +88,7 @@
 def test_servers_queue_refuse_remember_slow_down_and_stop() -> None:
     yard = Yard()
     one = yard.servers[0]
-    for name in "abcd":                 # the core, two in the queue, one too many
+    for name in "abcd":  # the core, two in the queue, one too many
         yard.send(name)
     yard.until(1).send("new key", key=5)
     yard.until(2).send("known key", key=5)
@@ -107,7 +121,7 @@
 def test_cold_server_sent_too_much_over_any_window_falls_and_stays_down() -> None:
     yard = Yard()
     yard.until(1).servers[0].start()
-    for step in range(12):              # twice what it can do, in a second, is 1.0 and more of work
+    for step in range(12):  # twice what it can do, in a second, is 1.0 and more of work
         yard.until(1.01 + step * 0.09).send(f"{step}", work=110_000)
     compare("lab-fall", yard.until(9).lines + yard.witness.pushed)
 
@@ -125,8 +139,9 @@
     build = Build(1, 10, 1, 1.0, 1.0, 1, 9.0, 1, 3.0, 0.5, False)
     server = Server(time, Everyone(), build, 0, 0, 0)
     for name in "abcde":
-        server.came(Job(0, 0, 1, 100_000, lambda outcome, name=name: lines.append(
-            f"{time.now / 1e6:.3f}  {name}")))
+        server.came(
+            Job(0, 0, 1, 100_000, lambda outcome, name=name: lines.append(f"{time.now / 1e6:.3f}  {name}"))
+        )
     time.run(2_000_000)
     compare("lab-jam", lines)
 
@@ -153,30 +168,47 @@
     plan = with_trouble(kind, base, hall=1)
     world = VirtualWorld(plan, 1, "random")
     met, calm = world.run(), VirtualWorld(base, 1, "random").run()
-    shown = [f"{name}: {line(given, 'random')}; at server 4 {[row[4] for row in result.at_servers]}"
-             + (f"; views wrong {result.views_wrong}" if result.views_wrong else "")
-             for name, given, result in (("calm", base, calm), ("met ", plan, met))]
+    shown = [
+        f"{name}: {line(given, 'random')}; at server 4 {[row[4] for row in result.at_servers]}"
+        + (f"; views wrong {result.views_wrong}" if result.views_wrong else "")
+        for name, given, result in (("calm", base, calm), ("met ", plan, met))
+    ]
     shown += [mark.text for mark in world.marks]
-    told = [f"server {server}: known to be off since {since / 1e6:.3f}"
-            for server, since in sorted(world.registry.followers[0].told.items())]
+    told = [
+        f"server {server}: known to be off since {since / 1e6:.3f}"
+        for server, since in sorted(world.registry.followers[0].told.items())
+    ]
     assert calm.events != met.events
     compare(f"lab-trouble-{kind}", shown + told)
 
 
-EFFECTS = Load(part=0.3, retries=2, tariffs=(
-    Tariff(name="read"), Tariff(name="once", effect="at_most_once"),
-    Tariff(name="marked", effect="deduplicated", group="cell", window_s=1)))
-
-
-@pytest.mark.parametrize("maker, kind, cause", [
-    (bad.Silent, "fail-quickly", None), (bad.Twice, "pause", "answered_twice"),
-    (bad.After, "pause", "sent_after_answer"), (bad.Repeats, "fail-quickly", "ran_twice"),
-    (bad.Promises, "fail-quickly", "deferred_may_run"), (bad.Deaf, "drain", "late_sends"),
-    (bad.Rush, "die", "pushed_over")])
+EFFECTS = Load(
+    part=0.3,
+    retries=2,
+    tariffs=(
+        Tariff(name="read"),
+        Tariff(name="once", effect="at_most_once"),
+        Tariff(name="marked", effect="deduplicated", group="cell", window_s=1),
+    ),
+)
+
+
+@pytest.mark.parametrize(
+    "maker, kind, cause",
+    [
+        (bad.Silent, "fail-quickly", None),
+        (bad.Twice, "pause", "answered_twice"),
+        (bad.After, "pause", "sent_after_answer"),
+        (bad.Repeats, "fail-quickly", "ran_twice"),
+        (bad.Promises, "fail-quickly", "deferred_may_run"),
+        (bad.Deaf, "drain", "late_sends"),
+        (bad.Rush, "die", "pushed_over"),
+    ],
+)
 def test_judge_catches_a_balancer_that_breaks_the_rule(maker: type, kind: str, cause: str | None) -> None:
     plan = with_trouble(kind, SMALL.model_copy(update={"load": EFFECTS}))
     found = VirtualWorld(plan, 1, maker).run()
-    if cause is None:       # the host itself has the last word when patience ends
+    if cause is None:  # the host itself has the last word when patience ends
         assert found.columns["forfeited"][3] > 0
     else:
         assert found.rules[cause] > 0, found.rules
@@ -186,15 +218,17 @@
 
 @pytest.mark.parametrize("after, cause", [(None, "unanswered"), (100_000, "answered_late")])
 def test_judge_catches_a_sidecar_without_a_last_word_or_with_a_late_one(
-        after: int | None, cause: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    after: int | None, cause: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Some balancers leave the last word to their host; here the host fails them."""
     last_word = Sidecar.patience_over
 
     def late(self: Sidecar, name: int, one: Open) -> None:
         if after is not None:
             self.world.timeline.at(self.world.timeline.now + after, last_word, self, name, one)
+
     monkeypatch.setattr(Sidecar, "patience_over", late)
-    if after is not None:       # its client waits on, or nobody would see the late one
+    if after is not None:  # its client waits on, or nobody would see the late one
         monkeypatch.setattr(Clients, "given_up", lambda *_: None)
     plan = with_trouble("fail-quickly", SMALL.model_copy(update={"load": EFFECTS}))
     found = VirtualWorld(plan, 1, bad.Silent).run()
@@ -208,8 +242,14 @@
 
 
 def test_a_thousand_sidecars_leave_nothing_behind() -> None:
-    plan = Plan(lasts_s=3, warm_s=1, fleet=Fleet(servers=20), sidecars=Sidecars(count=200),
-                load=Load(part=0.3, leaves=0.1), troubles=(Trouble(kind="vanish", at_s=1, for_s=1, count=3),))
+    plan = Plan(
+        lasts_s=3,
+        warm_s=1,
+        fleet=Fleet(servers=20),
+        sidecars=Sidecars(count=200),
+        load=Load(part=0.3, leaves=0.1),
+        troubles=(Trouble(kind="vanish", at_s=1, for_s=1, count=3),),
+    )
     world = VirtualWorld(plan, 2)
     world.run()
     held = [len(world.judge.cases)] + [len(one.opens) + len(one.names) for one in world.instances]
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -23,8 +23,17 @@
 
 
 def line(name: str, health: str = "active", **changed: object) -> dict:
-    return {"host": name, "dial": "127.0.0.1:1", "site": "a", "class": "m", "block": 0, "health": health,
-            "share": 1.0, "born_ms": 0, **changed}
+    return {
+        "host": name,
+        "dial": "127.0.0.1:1",
+        "site": "a",
+        "class": "m",
+        "block": 0,
+        "health": health,
+        "share": 1.0,
+        "born_ms": 0,
+        **changed,
+    }
 
 
 def listing(seq: int, *lines: dict, whole: bool = False) -> dict:
@@ -74,15 +83,19 @@
     "no server at all": [told(8, whole=True), GOOD],
     "an older change": [told(8, line("s-1", "leaving")), told(7, line("s-1")), told(9)],
     "an older whole list, then the present one": [
-        told(8, line("s-1", "leaving")), told(7, line("s-1"), whole=True), told(9)],
-    "versions lost for good": [
-        told(8, line("s-1", "leaving")), *[told(2, line("s-2"), whole=True)] * 3],
+        told(8, line("s-1", "leaving")),
+        told(7, line("s-1"), whole=True),
+        told(9),
+    ],
+    "versions lost for good": [told(8, line("s-1", "leaving")), *[told(2, line("s-2"), whole=True)] * 3],
     "the same version again, whole": [told(8, line("s-1", "leaving"), whole=True)] * 2,
     "one server twice": [told(8, line("s-1"), line("s-1", "leaving")), GOOD],
     "no address": [told(8, line("s-2"), {"host": "s-1", "health": "active"}), GOOD],
     "no state": [told(8, {"host": "s-1", "dial": "127.0.0.1:1"}), GOOD],
     "lacks a server that a change brings back": [
-        told(8, line("s-2"), whole=True), told(9, line("s-1", "leaving"))],
+        told(8, line("s-2"), whole=True),
+        told(9, line("s-1", "leaving")),
+    ],
 }
 
 
@@ -117,7 +130,8 @@
 
 
 def test_after_each_trouble_of_a_watch_the_list_in_force_stays_and_the_next_call_comes_in_time(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     lines = []
     for name, steps in CASES.items():
         lines += play(name, steps, monkeypatch)
@@ -125,7 +139,8 @@
 
 
 def test_where_lists_are_pushed_a_watch_that_fails_is_tried_again_without_a_pause_of_the_balancer(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     lines = play("down for some calls", ["reset", answer(503), "reset", GOOD], monkeypatch, pushed=True)
     steps = [told(8), "reset", "reset", answer(503), told(9)]
     lines += play("down while a watch is open", steps, monkeypatch, pushed=True)
@@ -133,7 +148,8 @@
 
 
 def test_a_new_discovery_that_stays_away_is_told_of_once_the_move_is_over(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("pumicepath.sidecar.watching.MOVING_S", 0.3)
     heard, script = Heard([]), queue.SimpleQueue()
     peer = Peer("", script, [])
@@ -148,8 +164,11 @@
     watcher.move(away, 100_000, False)
     for _ in range(2):
         assert heard.some.acquire(timeout=20)
-    assert heard.lines == ["    told: changes 8", "    log: watch_failed {'text': 'the connection broke'}",
-                           "    told: failed 0"]
+    assert heard.lines == [
+        "    told: changes 8",
+        "    log: watch_failed {'text': 'the connection broke'}",
+        "    told: failed 0",
+    ]
 
 
 def test_a_call_is_given_up_while_what_it_missed_is_not_yet_deemed_told() -> None:
@@ -178,6 +197,7 @@
             far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 4000000\r\n\r\n")
             while not over.is_set():
                 far.sendall(b" ")
+
     over = threading.Event()
     threading.Thread(target=trickle, daemon=True).start()
     with pytest.raises(TimeoutError):
@@ -189,13 +209,16 @@
     clock = iter(range(1000, 2000))
     roster = Roster(["a"], lambda born: next(clock))
     first = roster.read(listing(1, line("s-1", born_ms=5), whole=True))
-    for bad in (listing(2, line("s-1", born_ms=6), {"host": "s-2"}),
-                listing(2, line("s-1", born_ms=6), line("s-3", born_ms=9), line("s-3"))):
+    for bad in (
+        listing(2, line("s-1", born_ms=6), {"host": "s-2"}),
+        listing(2, line("s-1", born_ms=6), line("s-3", born_ms=9), line("s-3")),
+    ):
         with pytest.raises(BadList):
             roster.read(bad)
 
     def refuse(update: object) -> None:
         raise BadList("not now")
+
     with pytest.raises(BadList):
         roster.read(listing(2, line("s-1", born_ms=6), line("s-4", born_ms=7)), refuse)
     again = roster.read(listing(2, line("s-1", born_ms=5)))
@@ -214,6 +237,7 @@
         time.sleep(0.5)
         times.append((met, time.time()))
         around.lists.put(answer(200, json.dumps(around.listing(8, False, "leaving"))))
+
     times: list[tuple[float, float]] = []
     holding = threading.Thread(target=hold_back)
     holding.start()
@@ -225,6 +249,7 @@
         if found["event"] == "started":
             seen.started = found["time"]
         return found
+
     with around.running():
         holding.join()
         met, released = times[0]
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -346,7 +346,7 @@
     for first in range(20, 60, 2):
         held = bench.take(first, key=0)
         for ready in (False, True):
-            bench.balancer.listed(bench.now, Listing.FULL, [entry(first + 1), entry(first)][:2 * ready])
+            bench.balancer.listed(bench.now, Listing.FULL, [entry(first + 1), entry(first)][: 2 * ready])
         # Its place is not given to another while a hop of it is out; the outcome is nobody else's.
         bench.end(held, Outcome.RESET)
         bench.end(held, Outcome.OK)
@@ -407,7 +407,7 @@
 def test_log_calls_servers_by_their_names_in_either_form() -> None:
     """Compiled code keeps numbers, not what else an id of the host's might carry."""
     called = []
-    for number, name in ((7, "s-7"), (2 ** 63 + 9, "s-9"), (11, "")):
+    for number, name in ((7, "s-7"), (2**63 + 9, "s-9"), (11, "")):
         bench = Bench(settings(), [entry(number)._replace(name=name), entry(1), entry(2)])
         for step in range(40):
             one = bench.at(step / 10).take(step, step + 1)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -22,9 +22,14 @@
 
 from .helpers import compare, interruptible
 
-ALONE = Plan(lasts_s=2, warm_s=0, fleet=Fleet(servers=2, halls=2, cores=1, queue=1, work_ms=5),
-             sidecars=Sidecars(count=1), load=Load(rate=1))
-UNANSWERED_S = 0.4          # how long a stand-in that says nothing is waited for
+ALONE = Plan(
+    lasts_s=2,
+    warm_s=0,
+    fleet=Fleet(servers=2, halls=2, cores=1, queue=1, work_ms=5),
+    sidecars=Sidecars(count=1),
+    load=Load(rate=1),
+)
+UNANSWERED_S = 0.4  # how long a stand-in that says nothing is waited for
 
 
 def within(plan: Plan, tmp_path: Path, work: Callable[[LiveWorld], Coroutine[Any, Any, None]]) -> None:
@@ -34,6 +39,7 @@
             await work(world)
         finally:
             await world.end()
+
     asyncio.run(playing())
 
 
@@ -114,6 +120,7 @@
         world.begin(0, cold=True)
         lines.append(f"same address under a new id: {world.address_of(world.places[0]) == where}")
         await note("a new server there")
+
     within(ALONE, tmp_path, work)
     compare("loopback-server", lines)
 
@@ -153,6 +160,7 @@
         await watch("back", 2)
         writer.close()
         desk.close()
+
     within(ALONE, tmp_path, work)
     compare("loopback-watch", lines)
 
@@ -167,6 +175,7 @@
         world.loop.call_soon(divmod, 1, 0)
         with pytest.raises(Void, match="ZeroDivisionError"):
             await world.play(None)
+
     within(ALONE, tmp_path, work)
 
 
@@ -175,6 +184,7 @@
         world.timeline.late.extend([1000] * 90 + [30_000] * 10)
         with pytest.raises(Void, match="30 ms behind"):
             world.check()
+
     within(ALONE, tmp_path, work)
 
 
@@ -183,23 +193,28 @@
         sidecar = world.sidecars[0]
         clients = world.clients(sidecar, sidecar)
         clients.begin()
-        one = Ask(clients, 7, 0, 1, 0, 10 ** 9)
+        one = Ask(clients, 7, 0, 1, 0, 10**9)
         clients.open[7] = one
-        world.judge.tried(7, 0, 10 ** 9)
+        world.judge.tried(7, 0, 10**9)
         clients.leave(one)
-        clients.succeeded(one, one.turn)        # counts as a second answer: the client had gone
+        clients.succeeded(one, one.turn)  # counts as a second answer: the client had gone
         assert world.judge.broken["answered_twice"] == 1 and world.tally.left[0] == 1
         world.registry.join(0, sidecar.desk)
         sidecar.desk.listed(Listing.FAILED, [])
         assert sidecar.desk.failed
+
     within(ALONE, tmp_path, work)
 
 
 def demo(*arguments: str) -> subprocess.CompletedProcess[str]:
     """`demo`, once more if the machine was too slow to tell."""
     for _ in range(3):
-        ended = subprocess.run([sys.executable, "-m", "pumicepath", "demo", *arguments], text=True,
-                               capture_output=True, timeout=120)
+        ended = subprocess.run(
+            [sys.executable, "-m", "pumicepath", "demo", *arguments],
+            text=True,
+            capture_output=True,
+            timeout=120,
+        )
         if ended.returncode != 3:
             break
     return ended
@@ -211,18 +226,25 @@
     told = json.loads(ended.stdout)
     assert told["taken"] > 1000 and told["succeeded"] > 0.8 * told["taken"]
     assert [told[name] for name in ("lost", "duplicated", "late_sends", "pushed_over")] == [0, 0, 0, 0]
-    assert told["taken"] == sum(told[name] for name in (
-        "succeeded", "deferred", "forfeited", "left", "cut", "lost"))
+    assert told["taken"] == sum(
+        told[name] for name in ("succeeded", "deferred", "forfeited", "left", "cut", "lost")
+    )
 
 
 def test_demo_interrupted_leaves_no_process() -> None:
     import os
     import signal
-    with subprocess.Popen([sys.executable, "-m", "pumicepath", "demo", "--for", "60"], text=True,
-                          stdout=subprocess.PIPE, stderr=subprocess.PIPE, start_new_session=True,
-                          preexec_fn=interruptible) as process:
+
+    with subprocess.Popen(
+        [sys.executable, "-m", "pumicepath", "demo", "--for", "60"],
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        start_new_session=True,
+        preexec_fn=interruptible,
+    ) as process:
         assert process.stdout is not None
-        process.stdout.readline()               # the first second has been played
+        process.stdout.readline()  # the first second has been played
         process.send_signal(signal.SIGINT)
         _, err = process.communicate(timeout=60)
     assert process.returncode == 130 and "no process is left" in err, (process.returncode, err)
@@ -238,17 +260,18 @@
     from pumicepath.lab.loopback import demo as shown
 
     async def work(world: LiveWorld) -> None:
-        world.timeline.began -= 3.5             # in the fourth second
+        world.timeline.began -= 3.5  # in the fourth second
         world.tally.offered[1], world.tally.good[1] = 200, 180
         world.mark("die: server 1", 2_000_000)
         world.at_place(1).kill()
         world.sidecars[0].refused.add("s-1")
         world.note("sidecar 0: server s-1 open for 5.0 s")
-        world.log[0] = world.log[0].strip()[5:]     # without the time
+        world.log[0] = world.log[0].strip()[5:]  # without the time
         out = StringIO()
         Console(file=out, width=90).print(shown.view(world))
         lines.extend(line.rstrip() for line in out.getvalue().splitlines())
         lines.append(shown.line(world))
+
     lines: list[str] = []
     within(ALONE, tmp_path, work)
     compare("loopback-view", lines)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -32,12 +32,12 @@
     began, step = peering.timeline.now, 100_000
     while peering.wrong():
         assert peering.timeline.now - began < limit_s * SECOND, peering.wrong()
-        peering.timeline.run(peering.timeline.now + step)       # type: ignore[attr-defined]
+        peering.timeline.run(peering.timeline.now + step)  # type: ignore[attr-defined]
     return (peering.timeline.now - began) / SECOND
 
 
 def run(peering: Peering, seconds: float) -> None:
-    peering.timeline.run(peering.timeline.now + round(seconds * SECOND))    # type: ignore[attr-defined]
+    peering.timeline.run(peering.timeline.now + round(seconds * SECOND))  # type: ignore[attr-defined]
 
 
 def stopped(peering: Peering, numbers: Iterable[int], seconds: float) -> None:
@@ -105,7 +105,7 @@
 def test_seeds_that_are_dead_or_come_up_later() -> None:
     timeline = Virtual()
     peering = Peering(timeline, Links(timeline, 1, 300), 1, 6)
-    for number in (5, 4, 3):            # the seeds are 0, 1 and 2
+    for number in (5, 4, 3):  # the seeds are 0, 1 and 2
         peering.start(number)
     run(peering, 20)
     assert len(peering.wrong()) == 3
@@ -157,14 +157,14 @@
 def alone(**more: object) -> tuple[Membership, Noted, Record]:
     noted = Noted()
     me = Record("n0", 1000, "127.0.0.1:1000", "a")
-    given = settings.PeerSettings("127.0.0.1:1000", **more)     # type: ignore[arg-type]
+    given = settings.PeerSettings("127.0.0.1:1000", **more)  # type: ignore[arg-type]
     return Membership(me, given, 7, noted, SECOND), noted, me
 
 
 def hear(one: Membership, now: float, sender: Record, *news: Record, source: str = "") -> None:
     at = round(now * SECOND)
     if one.due() < at:
-        one.expected = at                   # the clock was read meanwhile; nothing was due for these tests
+        one.expected = at  # the clock was read meanwhile; nothing was due for these tests
     one.heard(at, source or sender.address, News(sender, 1, list(news)))
 
 
@@ -176,8 +176,10 @@
         for other in (ALIVE, SUSPECTED, DEAD, LEFT):
             held = Roll(10, random.Random(1)).add(msgspec.structs.replace(base, state=state), 0, "")
             assert held is not None
-            wins = [roll.newer(held, msgspec.structs.replace(base, state=other, incarnation=incarnation))
-                    for incarnation in (2, 3, 4)]
+            wins = [
+                roll.newer(held, msgspec.structs.replace(base, state=other, incarnation=incarnation))
+                for incarnation in (2, 3, 4)
+            ]
             told = " ".join(f"{at}: {'yes' if win else 'no ':<3}" for at, win in zip((2, 3, 4), wins))
             lines.append(f"{messages.STATES[state]:<9} 3, told {messages.STATES[other]:<9} of {told}")
     compare("membership-order", [line.rstrip() for line in lines])
@@ -187,7 +189,7 @@
     one, noted, me = alone(most=6)
     peer = Record("n1", 11, "127.0.0.1:11", "a")
     hear(one, 1.0, peer)
-    hear(one, 1.1, Record("n1", 12, "127.0.0.1:11", "a"))       # another process at its address
+    hear(one, 1.1, Record("n1", 12, "127.0.0.1:11", "a"))  # another process at its address
     hear(one, 1.2, Record("n2", 13, "127.0.0.1:13", "a"), Record("n0", 1000, "x", "a", 7, DEAD))
     noted.lines.append(f"said to be dead: incarnation {one.me.incarnation}")
     hear(one, 1.3, peer, Record("n0", 1000, "x", "a", 1 << 31, SUSPECTED))
@@ -195,7 +197,7 @@
     born = one.me.born
     hear(one, 1.4, peer, Record("n0", born, "x", "a", 0, LEFT))
     noted.lines.append(f"and again within a second: another life {one.me.born != born}")
-    hear(one, 1.5, Record("n0", 77, "127.0.0.1:77", "a"))       # a second process of this name
+    hear(one, 1.5, Record("n0", 77, "127.0.0.1:77", "a"))  # a second process of this name
     for step in range(8):
         hear(one, 1.6, peer, Record(f"ghost{step}", 100 + step, f"127.0.0.1:{100 + step}", "a"))
     noted.lines.append(f"held {len(one.roll.members)} of at most 6, refused {one.roll.refused}")
@@ -251,23 +253,30 @@
             unpacked(b"\x01" + seal + spoilt, 0)
 
 
-@pytest.mark.parametrize("told, key", (
-    ([], "peers is no object"), ({}, "peers.listen is missing"), ({"listen": "somewhere:1"}, "peers.listen"),
-    ({"listen": "127.0.0.1:0", "seeds": ["127.0.0.1"]}, "peers.seeds[0]"),
-    ({"listen": "127.0.0.1:0", "seeds": ["127.0.0.1:0"]}, "peers.seeds[0]"),
-    ({"listen": "0.0.0.0:1"}, "peers.advertise"), ({"listen": "127.0.0.1:0", "every": 1}, "peers.every"),
-    ({"listen": "127.0.0.1:0", "everyS": "soon"}, "peers.everyS"),
-    ({"listen": "127.0.0.1:0", "timeoutS": 0.6}, "peers.timeoutS"),
-    ({"listen": "127.0.0.1:0", "most": 1.5}, "peers.most"),
-    ({"listen": "127.0.0.1:0", "fleet": "x" * 65}, "peers.fleet"),
-    ({"listen": "127.0.0.1:0", "leaseS": 5}, "peers.leaseS: there are no voters"),
-    ({"listen": "127.0.0.1:0", "voters": [address(1), address(2)]}, "peers.voters"),
-    ({"listen": "127.0.0.1:0", "voters": [address(1)] * 3}, "peers.voters"),
-    ({"listen": "127.0.0.1:0", "voters": [address(1)], "votersBefore": ["x"]}, "peers.votersBefore[0]"),
-    ({"listen": "127.0.0.1:0", "voters": [address(1)], "leaseS": 0.1}, "peers.leaseS"),
-    ({"listen": "127.0.0.1:0", "voters": [address(1)], "leaseS": 5, "longestS": 4}, "peers.longestS"),
-    ({"listen": "127.0.0.1:0", "voters": [address(1)], "drift": 0.2}, "peers.drift"),
-    ({"listen": "127.0.0.1:0", "voters": [address(1)], "trials": 1}, "peers.trials")))
+@pytest.mark.parametrize(
+    "told, key",
+    (
+        ([], "peers is no object"),
+        ({}, "peers.listen is missing"),
+        ({"listen": "somewhere:1"}, "peers.listen"),
+        ({"listen": "127.0.0.1:0", "seeds": ["127.0.0.1"]}, "peers.seeds[0]"),
+        ({"listen": "127.0.0.1:0", "seeds": ["127.0.0.1:0"]}, "peers.seeds[0]"),
+        ({"listen": "0.0.0.0:1"}, "peers.advertise"),
+        ({"listen": "127.0.0.1:0", "every": 1}, "peers.every"),
+        ({"listen": "127.0.0.1:0", "everyS": "soon"}, "peers.everyS"),
+        ({"listen": "127.0.0.1:0", "timeoutS": 0.6}, "peers.timeoutS"),
+        ({"listen": "127.0.0.1:0", "most": 1.5}, "peers.most"),
+        ({"listen": "127.0.0.1:0", "fleet": "x" * 65}, "peers.fleet"),
+        ({"listen": "127.0.0.1:0", "leaseS": 5}, "peers.leaseS: there are no voters"),
+        ({"listen": "127.0.0.1:0", "voters": [address(1), address(2)]}, "peers.voters"),
+        ({"listen": "127.0.0.1:0", "voters": [address(1)] * 3}, "peers.voters"),
+        ({"listen": "127.0.0.1:0", "voters": [address(1)], "votersBefore": ["x"]}, "peers.votersBefore[0]"),
+        ({"listen": "127.0.0.1:0", "voters": [address(1)], "leaseS": 0.1}, "peers.leaseS"),
+        ({"listen": "127.0.0.1:0", "voters": [address(1)], "leaseS": 5, "longestS": 4}, "peers.longestS"),
+        ({"listen": "127.0.0.1:0", "voters": [address(1)], "drift": 0.2}, "peers.drift"),
+        ({"listen": "127.0.0.1:0", "voters": [address(1)], "trials": 1}, "peers.trials"),
+    ),
+)
 def test_settings_that_cant_be_meant_are_named(told: object, key: str) -> None:
     with pytest.raises(ValueError) as caught:
         settings.decode(told, {})
@@ -275,8 +284,10 @@
 
 
 def test_the_environment_goes_before_the_file() -> None:
-    made = settings.decode({"listen": "127.0.0.1:1"}, {
-        "GW_PEERS_LISTEN": "127.0.0.1:2", "GW_PEERS_SEEDS": f"{address(1)}, {address(2)}"})
+    made = settings.decode(
+        {"listen": "127.0.0.1:1"},
+        {"GW_PEERS_LISTEN": "127.0.0.1:2", "GW_PEERS_SEEDS": f"{address(1)}, {address(2)}"},
+    )
     assert made == settings.PeerSettings("127.0.0.1:2", (address(1), address(2)))
 
 
