--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -60,23 +60,38 @@
 
 def clients(**changed: object) -> Clients:
     time, registry, judge = yard()
-    values: dict = {"rate": 200.0, "pattern": "poisson", "steps": (), "trace": (), "shares": (3.0, 1.0, 0.0),
-                    "keys": 1000, "zipf": 1.0, "drift": 0, "leaves": 0.0, "retries": 1, "back_off": 50_000,
-                    "heeds": True}
+    values: dict = {
+        "rate": 200.0,
+        "pattern": "poisson",
+        "steps": (),
+        "trace": (),
+        "shares": (3.0, 1.0, 0.0),
+        "keys": 1000,
+        "zipf": 1.0,
+        "drift": 0,
+        "leaves": 0.0,
+        "retries": 1,
+        "back_off": 50_000,
+        "heeds": True,
+    }
     habits = Habits(**{**values, **changed})
     keys = Keys(habits.keys, habits.zipf, habits.drift)
-    made = Clients(time, habits, (READ, ONCE, CELL), keys, Moods(), judge, Tally(11, 3, 0), Nobody(), 1, 9,
-                   10 * SECOND)
+    made = Clients(
+        time, habits, (READ, ONCE, CELL), keys, Moods(), judge, Tally(11, 3, 0), Nobody(), 1, 9, 10 * SECOND
+    )
     made.begin()
     return made
 
 
 def test_arrivals_are_as_the_plan_says() -> None:
     lines = []
-    for name, changed in (("poisson", {}), ("bursty", {"pattern": "bursty"}), ("even", {"pattern": "even"}),
-                          ("steps", {"pattern": "even", "steps": ((2 * SECOND, 3.0), (4 * SECOND, 0.0),
-                                                                  (6 * SECOND, 1.0))}),
-                          ("trace", {"trace": (1, 500_000, 500_000, 7 * SECOND)})):
+    for name, changed in (
+        ("poisson", {}),
+        ("bursty", {"pattern": "bursty"}),
+        ("even", {"pattern": "even"}),
+        ("steps", {"pattern": "even", "steps": ((2 * SECOND, 3.0), (4 * SECOND, 0.0), (6 * SECOND, 1.0))}),
+        ("trace", {"trace": (1, 500_000, 500_000, 7 * SECOND)}),
+    ):
         dues = list(takewhile(lambda due: due < 10 * SECOND, clients(**changed).arrivals()))
         counts = Counter(due // SECOND for due in dues)
         lines.append(f"{name}: {[counts[second] for second in range(10)]}")
@@ -101,7 +116,7 @@
     registry.join(0, Reader(time, lines))
     registry.follow(0)
     time.run(SECOND)
-    for step in range(4):                       # faster than the lag: some overtake others
+    for step in range(4):  # faster than the lag: some overtake others
         registry.drained(step % 3, Phase.DRAINING if step < 3 else Phase.GONE)
     time.run(4 * SECOND)
     registry.lie(1, Phase.READY)
@@ -121,9 +136,9 @@
     time, registry, judge = yard()
     for server in range(2):
         registry.put(Entry(server, 0, 0, Phase.READY, 1.0, 0))
-    registry.join(0, Reader(time, []))          # follows, and is told
+    registry.join(0, Reader(time, []))  # follows, and is told
     registry.follow(0)
-    registry.join(1, Reader(time, []))          # never asks
+    registry.join(1, Reader(time, []))  # never asks
     time.run(SECOND)
     registry.drained(1)
     lines = []
@@ -132,16 +147,18 @@
         time.run(at)
         before = judge.broken["late_sends"]
         judge.tried(at, 0, at + SECOND)
-        judge.sent(sidecar, 1, at)              # one being written when it is told is no new one
-        lines.append(f"sidecar {sidecar} at {at / 1e6:.6f}: "
-                     f"{'late' if judge.broken['late_sends'] > before else 'in time'}")
+        judge.sent(sidecar, 1, at)  # one being written when it is told is no new one
+        lines.append(
+            f"sidecar {sidecar} at {at / 1e6:.6f}: "
+            f"{'late' if judge.broken['late_sends'] > before else 'in time'}"
+        )
 
     time.run(SECOND + 200_000)
     told = registry.knows_since(0, 1)
     assert told is not None and 1_010_000 <= told <= 1_100_000
     send(0, told + 500_000)
     send(0, told + 500_001)
-    send(1, 10 * SECOND)                        # deemed told of it 10 s after it was listed
+    send(1, 10 * SECOND)  # deemed told of it 10 s after it was listed
     send(1, 11 * SECOND + 500_000)
     send(1, 11 * SECOND + 500_001)
     registry.put(Entry(1, 0, 0, Phase.READY, 1.0, 0))
@@ -158,8 +175,10 @@
     def run(ask: int, server: int, what: str) -> None:
         before = judge.broken["ran_twice"]
         effect = judge.ran(time.now, Job(ask, 0, 1, 1, lambda outcome: None), servers[server])
-        lines.append(f"{what}: {'effect' if effect else 'dropped'}"
-                     f"{', broken' if judge.broken['ran_twice'] > before else ''}")
+        lines.append(
+            f"{what}: {'effect' if effect else 'dropped'}"
+            f"{', broken' if judge.broken['ran_twice'] > before else ''}"
+        )
 
     for ask, tariff in ((1, 0), (2, 1), (3, 2), (4, 2)):
         judge.tried(ask, tariff, SECOND)
@@ -167,7 +186,7 @@
     run(1, 1, "idempotent again")
     run(2, 0, "unrepeatable")
     judge.answered(2, "forfeited")
-    judge.tried(2, 1, SECOND)                   # its client tries again, against all advice
+    judge.tried(2, 1, SECOND)  # its client tries again, against all advice
     run(2, 0, "unrepeatable, by the client's retry")
     run(3, 0, "deduplicated")
     run(3, 1, "again in its cell")
--- a/tests/test_never_back.py
+++ b/tests/test_never_back.py
@@ -18,8 +18,19 @@
 
 
 def line(name: str, region: str = "eu", health: str = "active", **changed: Any) -> dict:
-    return {"host": name, "dial": "127.0.0.1:1", "site": "a", "class": "m", "block": 0, "health": health,
-            "share": 1.0, "born_ms": 0, "service": "cart", "region": region, **changed}
+    return {
+        "host": name,
+        "dial": "127.0.0.1:1",
+        "site": "a",
+        "class": "m",
+        "block": 0,
+        "health": health,
+        "share": 1.0,
+        "born_ms": 0,
+        "service": "cart",
+        "region": region,
+        **changed,
+    }
 
 
 def told(seq: int, regions: dict[str, tuple[int, bool]], *lines: dict, whole: bool = False) -> Any:
@@ -37,8 +48,14 @@
 
 
 def watching(*services: str, clock: Clock | None = None) -> Watch:
-    return Watch(Roster(["a"], lambda born: 1), "r1:1", -1, 20 * SECOND, services=services or ("*",),
-                 clock=clock or Clock())
+    return Watch(
+        Roster(["a"], lambda born: 1),
+        "r1:1",
+        -1,
+        20 * SECOND,
+        services=services or ("*",),
+        clock=clock or Clock(),
+    )
 
 
 def phases(watch: Watch) -> dict[str, str]:
@@ -59,8 +76,12 @@
 
 
 def test_without_services_each_request_is_what_it_was() -> None:
-    for services, added in ((None, ""), (("stock", "cart", "stock"), "services=cart,stock"),
-                            (("*",), "services=*"), ((), "services=")):
+    for services, added in (
+        (None, ""),
+        (("stock", "cart", "stock"), "services=cart,stock"),
+        (("*",), "services=*"),
+        ((), "services="),
+    ):
         watch = Watch(Roster(["a"], lambda born: 1), "d", -1, 20 * SECOND, lambda: 1.0, services)
         question, more = (f"?{added}", f"&{added}") if services is not None else ("", "")
         head = "GET /discovery/hosts{} HTTP/1.1\r\nHost: d\r\n\r\n"
@@ -95,20 +116,30 @@
     assert [(entry.name, entry.phase.name) for entry in update.entries] == [("s1", "DRAINING")]
     watch.move("r2:1")
     assert target(watch) == "/discovery/hosts?services=*" and watch.regions == {}
-    update = watch.update(told(900, {"eu": (5, False), "us": (1, True)}, line("s1"), line("u1", "us"),
-                               whole=True))
+    update = watch.update(
+        told(900, {"eu": (5, False), "us": (1, True)}, line("s1"), line("u1", "us"), whole=True)
+    )
     # The part of the other region counts, and with it comes what is held of this one.
     assert phases(watch) == {"s1": "leaving", "s2": "active", "u1": "active"}
     assert not update.whole and {entry.name: entry.phase.name for entry in update.entries} == {"u1": "READY"}
     assert watch.regions == {"eu": (5, False), "us": (1, True)} and watch.standing() == (1, 1)
     # Nothing of it counts: nothing is said.
     assert watch.update(told(901, {"eu": (5, False), "us": (0, True)}, line("s1"), whole=True)) == Update(
-        901, False, [], [])
+        901, False, [], []
+    )
     # Come as far as what is held, the relay is asked for all, and followed by its changes again.
     watch.update(told(902, {"eu": (6, True), "us": (1, True)}, line("s1", health="leaving")))
     assert "since" not in target(watch)
-    watch.update(told(902, {"eu": (6, True), "us": (1, True)}, line("s1", health="leaving"), line("s2"),
-                      line("u1", "us"), whole=True))
+    watch.update(
+        told(
+            902,
+            {"eu": (6, True), "us": (1, True)},
+            line("s1", health="leaving"),
+            line("s2"),
+            line("u1", "us"),
+            whole=True,
+        )
+    )
     watch.update(told(903, {"eu": (7, True), "us": (1, True)}, line("s1", health="left")))
     assert phases(watch) == {"s2": "active", "u1": "active"} and watch.version == 903
 
@@ -129,8 +160,9 @@
     watch = watching()
     watch.roster.read({"seq": 3, "whole": True, "hosts": [line("old"), line("older")]})
     del watch.roster.lines["old"]["region"], watch.roster.lines["older"]["region"]
-    watch.update(told(10, {"eu": (5, True), "us": (5, True)}, line("s1"), line("s2"), line("u1", "us"),
-                      whole=True))
+    watch.update(
+        told(10, {"eu": (5, True), "us": (5, True)}, line("s1"), line("s2"), line("u1", "us"), whole=True)
+    )
     assert set(phases(watch)) == {"s1", "s2", "u1"}, "the list of the start is in force until then"
     watch.move("r2:1")
     update = watch.update(told(7, {"eu": (6, True)}, line("s2"), whole=True))
@@ -141,8 +173,13 @@
 
 
 def test_origins_whose_versions_began_anew_are_believed_of_a_relay_in_touch_after_three_seconds() -> None:
-    for live, gap, expected in ((True, 1, 15), (True, 3, 14), (False, 1, None), (False, 3, None),
-                                (True, 5, None)):
+    for live, gap, expected in (
+        (True, 1, 15),
+        (True, 3, 14),
+        (False, 1, None),
+        (False, 3, None),
+        (True, 5, None),
+    ):
         clock = Clock()
         watch = watching(clock=clock)
         watch.update(told(10, {"eu": (500, True)}, line("s1", health="leaving"), line("s2"), whole=True))
@@ -161,8 +198,7 @@
         assert seen == ([expected] if expected else []), (live, gap, seen)
 
 
-def test_while_an_origin_may_have_begun_anew_the_relay_is_asked_more_often_and_at_once_when_that_can_be_told(
-) -> None:
+def test_relay_is_asked_more_often_while_an_origin_may_have_begun_anew_and_at_once_when_known() -> None:
     clock = Clock()
     watch = watching(clock=clock)
     watch.update(told(10, {"eu": (500, True)}, line("s1"), whole=True))
@@ -191,7 +227,7 @@
         asked(watch, told(11, {"eu": (3, True)}, line("s1"), whole=True))
     clock.now = int(2.9 * SECOND)
     target(watch)
-    clock.now = 4 * SECOND      # it has come late, and may be as old as its question
+    clock.now = 4 * SECOND  # it has come late, and may be as old as its question
     watch.update(told(12, {"eu": (3, True)}, line("s1"), whole=True))
     assert phases(watch) == {"s1": "leaving"}
     asked(watch, told(12, {"eu": (3, True)}, line("s1"), whole=True))
@@ -205,7 +241,7 @@
         watch.update(told(10, {"eu": (500, True)}, line("s1", health="leaving"), whole=True))
         for number in range(5):
             clock.now += 2 * SECOND
-            if number == 2 and between is None:     # another relay has to say so as well
+            if number == 2 and between is None:  # another relay has to say so as well
                 watch.move("r2:1")
             clock.now -= 2 * SECOND if number == 3 and between is None else 0
             regions = between if number == 2 and between else {"eu": (3, True)}
@@ -243,11 +279,20 @@
     watch.move("r2:1")
     watch.update(told(20, {"eu": (5, True)}, line("s1"), whole=True))
     # What is new to the relay is new in its changes: who has left meanwhile is not among them.
-    watch.update(told(21, {"eu": (5, True), "us": (8, True), "asia": (3, True)}, line("u2", "us"),
-                      line("x1", "asia")))
+    watch.update(
+        told(21, {"eu": (5, True), "us": (8, True), "asia": (3, True)}, line("u2", "us"), line("x1", "asia"))
+    )
     assert set(phases(watch)) == {"s1", "u1", "x1"} and "since" not in target(watch)
-    watch.update(told(22, {"eu": (5, True), "us": (8, True), "asia": (3, True)}, line("s1"), line("u2", "us"),
-                      line("x1", "asia"), whole=True))
+    watch.update(
+        told(
+            22,
+            {"eu": (5, True), "us": (8, True), "asia": (3, True)},
+            line("s1"),
+            line("u2", "us"),
+            line("x1", "asia"),
+            whole=True,
+        )
+    )
     assert set(phases(watch)) == {"s1", "u2", "x1"}
 
 
@@ -296,13 +341,19 @@
     eu = {"eu": (5, True)}
     watch.update(told(10, eu, line("s1"), whole=True))
     bad = [
-        told(11, {}, whole=True), told(11, eu, line("s1", "us"), whole=True), told(11, eu, {"host": "s1"}),
-        told(11, eu, line("s1"), line("s1", health="leaving")), told(9, eu, line("s1", health="left")),
-        told(11, {"eu": (-1, True)}), told(11, {"eu": (True, True)}), told(11, {"eu": (5, 1)}),  # type: ignore
+        told(11, {}, whole=True),
+        told(11, eu, line("s1", "us"), whole=True),
+        told(11, eu, {"host": "s1"}),
+        told(11, eu, line("s1"), line("s1", health="leaving")),
+        told(9, eu, line("s1", health="left")),
+        told(11, {"eu": (-1, True)}),
+        told(11, {"eu": (True, True)}),
+        told(11, {"eu": (5, 1)}),  # type: ignore
         told(11, {f"r{at}": (1, True) for at in range(MOST_REGIONS + 1)}),
         told(11, {"eu": (6, True)}, line("s2"), line("s3", dial="nowhere"), whole=True),
         SimpleNamespace(status=200, body=b'{"seq": 11, "whole": true, "hosts": [], "regions": [1]}'),
-        SimpleNamespace(status=200, body=b"[]"), SimpleNamespace(status=200, body=b"{"),
+        SimpleNamespace(status=200, body=b"[]"),
+        SimpleNamespace(status=200, body=b"{"),
     ]
     for answer in bad:
         with pytest.raises(BadList):
@@ -336,11 +387,21 @@
     assert len(watch.update(told(10, {"eu": (5, True)}, *lines, whole=True)).entries) == 50
     watch.move("r2:1")
     assert watch.update(told(90, {"eu": (5, True)}, *lines, whole=True)) == Update(90, False, [], [])
-    lines = [line("s0", health="leaving"), line("s1", share=1.5), line("s2", born_ms=9), *lines[3:49],
-             line("new")]
+    lines = [
+        line("s0", health="leaving"),
+        line("s1", share=1.5),
+        line("s2", born_ms=9),
+        *lines[3:49],
+        line("new"),
+    ]
     update = watch.update(told(91, {"eu": (6, True)}, *lines, whole=True))
     assert not update.whole and {(entry.name, entry.phase.name) for entry in update.entries} == {
-        ("s0", "DRAINING"), ("s1", "READY"), ("s2", "READY"), ("s49", "GONE"), ("new", "READY")}
+        ("s0", "DRAINING"),
+        ("s1", "READY"),
+        ("s2", "READY"),
+        ("s49", "GONE"),
+        ("new", "READY"),
+    }
     assert set(watch.roster.lines) == set(watch.roster.starts) == {one["host"] for one in lines}
 
 
@@ -357,8 +418,9 @@
             if before is not None:
                 changed.append({**before, "health": "left"})
             else:
-                servers[name] = line(name, region, health, share=draw.choice([1.0, 2.0]),
-                                     born_ms=draw.randrange(3))
+                servers[name] = line(
+                    name, region, health, share=draw.choice([1.0, 2.0]), born_ms=draw.randrange(3)
+                )
                 changed.append(servers[name])
                 if health == "left":
                     del servers[name]
@@ -378,8 +440,10 @@
             if entry.phase != Phase.GONE:
                 held[entry.name] = (entry.phase.name, entry.scale, entry.came_up)
         names = {"active": "READY", "leaving": "DRAINING"}
-        assert held == {name: (names[one["health"]], one["share"], watch.roster.starts[name][1])
-                        for name, one in watch.roster.lines.items()}
+        assert held == {
+            name: (names[one["health"]], one["share"], watch.roster.starts[name][1])
+            for name, one in watch.roster.lines.items()
+        }
         if watch.version >= 0:
             assert phases(watch) == {name: one["health"] for name, one in servers.items()}
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -25,10 +25,22 @@
 
 def test_calls_are_told_apart_and_others_refused() -> None:
     lines = []
-    for line in ("GET /healthcheck", "HEAD /stats", "GET /stats?x=1", "PUT /servers/s-1/maint",
-                 "PUT /servers/a%20b/ready", "PUT /healthcheck/fail", "PUT http://o/healthcheck/ok",
-                 "POST /stats", "GET /healthcheck/ok", "PUT /servers//maint", "PUT /servers/s-1/drain",
-                 "PUT /servers/s-1/maint/x", "GET /", "OPTIONS *"):
+    for line in (
+        "GET /healthcheck",
+        "HEAD /stats",
+        "GET /stats?x=1",
+        "PUT /servers/s-1/maint",
+        "PUT /servers/a%20b/ready",
+        "PUT /healthcheck/fail",
+        "PUT http://o/healthcheck/ok",
+        "POST /stats",
+        "GET /healthcheck/ok",
+        "PUT /servers//maint",
+        "PUT /servers/s-1/drain",
+        "PUT /servers/s-1/maint/x",
+        "GET /",
+        "OPTIONS *",
+    ):
         method, target = line.split()
         try:
             call, server = understood(Request(method=method, target=target))
@@ -145,8 +157,10 @@
         around.lines.append(f"avoided: {around.figures()['edge_gw.cluster_unhealthy']}")
         around.ask("read", answer(200, "again"))
     assert not any(line.startswith("s-0") for line in around.lines[:10])
-    compare("out_and_back", [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET")
-                             for line in around.lines])
+    compare(
+        "out_and_back",
+        [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in around.lines],
+    )
 
 
 def test_callers_that_finish_nothing_hold_up_nobody(tmp_path: Path) -> None:
@@ -166,10 +180,12 @@
 
 def test_clients_are_sent_away_and_taken_again(tmp_path: Path) -> None:
     with at_operators(tmp_path, 1).running() as around:
+
         def up() -> str:
             with socket.create_connection(around.where) as sock:
                 sock.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                 return sock.recv(999).decode().replace("HTTP/1.1 ", "").split("\r\n")[-1].strip()
+
         resting = socket.create_connection(around.where)
         around.ask("read", answer(200, "before"))
         for call in ("fail", "fail"):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -23,8 +23,9 @@
 FLEET = [server(10 * zone + kind, zone, kind) for zone in (0, 1) for kind in (1, 2, 3)]
 
 
-@pytest.mark.parametrize("outcome", [
-    Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.OK])
+@pytest.mark.parametrize(
+    "outcome", [Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.OK]
+)
 def test_a_bound_tariff_goes_nowhere_else_whatever_its_servers_say(outcome: Outcome) -> None:
     bench = Bench(settings(BOUND, READ), FLEET)
     for step in range(60):
@@ -61,8 +62,9 @@
     met("none left")
     bench.balancer.adopt(bench.now, settings(replace(BOUND, zones=None), READ))
     met("any zone")
-    bench.balancer.listed(bench.now, Listing.FULL, FLEET[:1] + [
-        server(number, 1, 2, came_up=bench.now) for number in (5, 6)])
+    bench.balancer.listed(
+        bench.now, Listing.FULL, FLEET[:1] + [server(number, 1, 2, came_up=bench.now) for number in (5, 6)]
+    )
     met("all that are open are cold")
     check("placement", bench)
 
@@ -97,12 +99,22 @@
 
 
 def test_places_are_read_by_number_and_by_name() -> None:
-    info = {"dcs": ["a", "b"], "kinds": ["x", "y"], "rules": {"fullUnproven": True}, "tariffs": [
-        {"name": "one", "allowedIn": [1], "kindsAllowed": [1, 0]},
-        {"name": "two", "allowedIn": ["b", "a"], "kindsAllowed": ["y"]}, {"name": "three"}]}
+    info = {
+        "dcs": ["a", "b"],
+        "kinds": ["x", "y"],
+        "rules": {"fullUnproven": True},
+        "tariffs": [
+            {"name": "one", "allowedIn": [1], "kindsAllowed": [1, 0]},
+            {"name": "two", "allowedIn": ["b", "a"], "kindsAllowed": ["y"]},
+            {"name": "three"},
+        ],
+    }
     read = decode(info)
     assert [(one.zones, one.kinds) for one in read.tariffs] == [
-        ((1,), (0, 1)), ((0, 1), (1,)), (None, None)] and read.full_unproven
+        ((1,), (0, 1)),
+        ((0, 1), (1,)),
+        (None, None),
+    ] and read.full_unproven
 
 
 def test_a_sidecar_serves_a_bound_tariff_where_its_file_says(tmp_path: Path) -> None:
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -127,8 +127,13 @@
     bench = Bench(settings(*named), [entry(1), entry(2), entry(3)])
     sent(bench, 30, 10)
     one, usual = bench.take(100, tariff=1), bench.balancer.terms[0].usual
-    new = settings(dataclasses.replace(named[0], agreed=SECOND // 5), cold_from=0.1, cold_for=9 * SECOND,
-                   fall_multiple=4.0, fall_window=5 * SECOND)
+    new = settings(
+        dataclasses.replace(named[0], agreed=SECOND // 5),
+        cold_from=0.1,
+        cold_for=9 * SECOND,
+        fall_multiple=4.0,
+        fall_window=5 * SECOND,
+    )
     bench.balancer.adopt(bench.now, new)
     held = bench.balancer.settings
     assert (held.cold_from, held.cold_for, held.fall_multiple) == (0.1, 20 * SECOND, 2.5)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -40,6 +40,7 @@
     def make(sources: dict[str, Origin], **changed: Any) -> Relay:
         made.append(Relay(tmp_path, sources, f"r{len(made)}", **changed))
         return made[-1]
+
     yield make
     for relay in made:
         relay.kill()
@@ -58,15 +59,37 @@
 GOOD = {"name": "r", "listen": "127.0.0.1:0", "sources": {"eu": "127.0.0.1:9"}}
 
 
-@pytest.mark.parametrize("key, value", [
-    ("name", 3), ("name", "x" * 129), ("listen", None), ("listen", "here"), ("listen", 8600),
-    ("listen", "127.0.0.1:99999"), ("sources", None), ("sources", {}), ("sources", ["127.0.0.1:9"]),
-    ("sources", {"e u": "127.0.0.1:9"}), ("sources", {"eu": "nowhere"}), ("sources", {"eu": 9}),
-    ("sources", {f"r{at}": "127.0.0.1:9" for at in range(65)}), ("admin", "there"), ("admin", 8601),
-    ("batchMs", -1), ("batchMs", 1001), ("batchMs", "50"), ("batchMs", True), ("mostFollowers", 0),
-    ("mostFollowers", 1.5), ("wholeBytesPerS", 0), ("wholeBytesPerS", None), ("historyChanges", 0),
-    ("historyChanges", 10**8), ("batchMS", 50),
-])
+@pytest.mark.parametrize(
+    "key, value",
+    [
+        ("name", 3),
+        ("name", "x" * 129),
+        ("listen", None),
+        ("listen", "here"),
+        ("listen", 8600),
+        ("listen", "127.0.0.1:99999"),
+        ("sources", None),
+        ("sources", {}),
+        ("sources", ["127.0.0.1:9"]),
+        ("sources", {"e u": "127.0.0.1:9"}),
+        ("sources", {"eu": "nowhere"}),
+        ("sources", {"eu": 9}),
+        ("sources", {f"r{at}": "127.0.0.1:9" for at in range(65)}),
+        ("admin", "there"),
+        ("admin", 8601),
+        ("batchMs", -1),
+        ("batchMs", 1001),
+        ("batchMs", "50"),
+        ("batchMs", True),
+        ("mostFollowers", 0),
+        ("mostFollowers", 1.5),
+        ("wholeBytesPerS", 0),
+        ("wholeBytesPerS", None),
+        ("historyChanges", 0),
+        ("historyChanges", 10**8),
+        ("batchMS", 50),
+    ],
+)
 def test_a_bad_file_is_named_with_its_key_in_one_line(tmp_path: Path, key: str, value: object) -> None:
     path = tmp_path / "relay.json"
     told: dict[str, Any] = {**GOOD, key: value}
@@ -103,6 +126,7 @@
 
 # What it hands on
 
+
 def test_each_follower_gets_its_services_of_all_regions_and_nothing_else(relays: Make) -> None:
     eu, us = three(), Origin([line("x", "cart"), line("y", "pay")], seq=7)
     relay = relays({"eu": eu, "us": us})
@@ -154,8 +178,13 @@
     relay = relays({"eu": three()})
     follower = Follower(relay.where)
     follower.follow(lambda: live(follower))
-    for target, status in (("/discovery/hosts?services=a%20b", 400), ("/discovery/hosts?since=x", 400),
-                           ("/other", 404), ("/stats", 404), ("/discovery/hosts?services=cart%2Cpay", 200)):
+    for target, status in (
+        ("/discovery/hosts?services=a%20b", 400),
+        ("/discovery/hosts?since=x", 400),
+        ("/other", 404),
+        ("/stats", 404),
+        ("/discovery/hosts?services=cart%2Cpay", 200),
+    ):
         with socket.create_connection(relay.where) as sock:
             sock.sendall(writing.request("GET", target, [("Host", "r")]))
             assert next_of(sock, ResponseParser()).status == status, target
@@ -185,6 +214,7 @@
 
 # Its own troubles
 
+
 def test_before_any_list_it_says_so_and_one_region_that_is_out_holds_nothing_up(relays: Make) -> None:
     eu, us = three(), Origin([line("x", "cart")])
     us.refuse()
@@ -242,7 +272,7 @@
     until(lambda: "since=41" in origin.calls[-1])
     relay.signal(signal.SIGSTOP)
     origin.put(line("n", "cart"))
-    time.sleep(3.5)             # longer than any call to an origin may take
+    time.sleep(3.5)  # longer than any call to an origin may take
     origin.drop("a")
     follower.ask(0)
     relay.signal(signal.SIGCONT)
@@ -261,7 +291,7 @@
     upstream.origin.answered(41)
     upstream.since = 1_000
     relay.taken(upstream, 41, True, encoded("eu", [line("a", "cart")]), None, 1_000)
-    upstream.failed(2_000_000, "reset")                     # dialled anew at once, and asked without a wait
+    upstream.failed(2_000_000, "reset")  # dialled anew at once, and asked without a wait
     upstream.at = 2_000_000 + ANSWER
     upstream.woke(1_000 + LIVE)
     assert relay.held.regions["eu"].live
@@ -298,7 +328,7 @@
     reader.start()
     until(lambda: upstream.ready(selectors.EVENT_READ, 2_000) or relay.again)
     reader.join(LONG_S)
-    there.recv(4096)                # what it asked before
+    there.recv(4096)  # what it asked before
     turns = 0
     while relay.again:
         # Between two parts the loop goes on with all others, and nothing of the list is in force.
@@ -307,7 +337,7 @@
         assert relay.next_at(3_000) == 0
         if spoilt == "the end":
             upstream.failed(3_000, "ended")
-        upstream.ready(selectors.EVENT_READ, 3_000)     # what else comes meanwhile is not read
+        upstream.ready(selectors.EVENT_READ, 3_000)  # what else comes meanwhile is not read
         assert relay.again.popleft() is upstream
         upstream.ready(0, 3_000)
     assert turns == (1 if spoilt == "the end" else 2)
@@ -369,7 +399,7 @@
     assert 1 <= served < 30 and all(answer is None or answer["whole"] for answer in answers)
     until(lambda: sum(one["refused"] for one in relay.named("whole_done")) == 30 - served)
     refused = next(one for one, answer in zip(crowd, answers) if answer is None)
-    refused.dial(relay.where)   # who asks again gets it
+    refused.dial(relay.where)  # who asks again gets it
     refused.follow(lambda: len(refused.held) == 300)
 
 
@@ -387,7 +417,7 @@
         one.sock.settimeout(20)
         assert one.sock.recv(100)[:12] in (b"HTTP/1.1 503", b"")
     assert relay.event("followers_full")["followers"] == most
-    origin.reset()      # the way to the origin has room
+    origin.reset()  # the way to the origin has room
     origin.put(line("n", "cart"))
     for one in followers:
         one.hear()
@@ -428,6 +458,7 @@
 
 # Its origins' troubles
 
+
 def test_a_region_that_is_cut_off_keeps_its_last_list_and_the_other_goes_on(relays: Make) -> None:
     eu, us = three(), Origin([line("x", "cart")])
     relay = relays({"eu": eu, "us": us})
@@ -519,11 +550,12 @@
         calls = len(origin.calls)
         origin.reset()
         assert why in relay.event("list_refused", count)["why"]
-        until(lambda: len(origin.calls) > calls + 2)    # it was asked anew, and that is answered as well
+        until(lambda: len(origin.calls) > calls + 2)  # it was asked anew, and that is answered as well
         origin.put(line(f"m{count}", "cart"))
         names.add(f"m{count}")
         follower.follow(lambda: f"m{count}" in follower.held)
         assert set(follower.held) == names and follower.regions["eu"]["seq"] == 41 + count
+
     for count, (bad, why) in enumerate(BAD, 1):
         refuses(count, bad, why)
 
@@ -542,6 +574,7 @@
 def test_a_fault_of_its_own_ends_the_one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     def fault(*given: object) -> None:
         raise ZeroDivisionError("planted")
+
     told = config.config({**GOOD, "listen": "127.0.0.1:0"})
     relay = loop.Relay(told, Quiet(), 0, random.Random(1).random)  # type: ignore[arg-type]
     far, other = (socket.create_connection(relay.listener.getsockname()) for _ in range(2))
--- a/tests/test_relay_keys.py
+++ b/tests/test_relay_keys.py
@@ -25,22 +25,27 @@
     ({"services": ["cart"]}, "services: there are none without relays"),
     ({"relays": None, "services": []}, "services: there are none without relays"),
     ({"relays": ["127.0.0.1:1"], "services": "cart"}, "services: no list of 0 to 256 names"),
-    ({"relays": ["127.0.0.1:1"], "services": [f"s{at}" for at in range(257)]},
-     "services: no list of 0 to 256"),
+    (
+        {"relays": ["127.0.0.1:1"], "services": [f"s{at}" for at in range(257)]},
+        "services: no list of 0 to 256",
+    ),
     ({"relays": ["127.0.0.1:1"], "services": ["cart", "a,b"]}, "services[1]: 'a,b' is no name"),
     ({"relays": ["127.0.0.1:1"], "services": ["*"]}, "services[0]: '*' is no name"),
     ({"relays": ["127.0.0.1:1"], "services": [""]}, "services[0]: '' is no name"),
     ({"relays": ["127.0.0.1:1"], "services": ["x" * 65]}, "services[0]: 'xxx"),
     ({"relays": ["127.0.0.1:1"], "services": [3]}, "services[0]: 3 is no name"),
     ({"relays": ["127.0.0.1:1"], "services": ["a", "a"]}, "services[1]: 'a' is named twice"),
-    ({"relays": ["127.0.0.1:1"], "services": [f"{at:064}" for at in range(200)]},
-     "services: longer than 12000"),
+    (
+        {"relays": ["127.0.0.1:1"], "services": [f"{at:064}" for at in range(200)]},
+        "services: longer than 12000",
+    ),
 ]
 
 
 @pytest.mark.parametrize("changed, says", BAD)
 def test_keys_that_cannot_be_meant_are_one_line_that_names_the_key(
-        changed: dict, says: str, tmp_path: Path) -> None:
+    changed: dict, says: str, tmp_path: Path
+) -> None:
     around = Deployment(tmp_path, 1, **changed)
     with pytest.raises(config.BadConfig) as trouble:
         config.read(str(around.config))
--- a/tests/test_relayed_sidecars.py
+++ b/tests/test_relayed_sidecars.py
@@ -29,9 +29,9 @@
 from .relay_rig import Origin, Relay, line, until
 
 COUNT = 3
-TOLD_S = 6.0                # after which a change counts as told, once discovery had it and could be reached
-SLACK_S = 1.5               # of a busy machine, between a sidecar's choice and the stand-in's stamp
-FORCE_S = 30.0              # nobody is left on an old list for longer, on the slowest machine
+TOLD_S = 6.0  # after which a change counts as told, once discovery had it and could be reached
+SLACK_S = 1.5  # of a busy machine, between a sidecar's choice and the stand-in's stamp
+FORCE_S = 30.0  # nobody is left on an old list for longer, on the slowest machine
 
 
 class Server:
@@ -76,7 +76,7 @@
             near = self.listener.accept()[0]
             try:
                 far = socket.create_connection(self.to)
-            except OSError:     # it refuses
+            except OSError:  # it refuses
                 near.close()
                 continue
             for one, other, back in ((near, far, False), (far, near, True)):
@@ -102,18 +102,39 @@
         self.processes = []
         for number, name in enumerate(self.counts):
             told = {
-                "name": name, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": f"{number + 1:x}",
-                "limits": {"memory_mb": 192, "sockets": 256}, "services": ["cart"],
+                "name": name,
+                "listen": "127.0.0.1:0",
+                "discovery": "127.0.0.1:1",
+                "seed": f"{number + 1:x}",
+                "limits": {"memory_mb": 192, "sockets": 256},
+                "services": ["cart"],
                 "relays": [f"{host}:{port}" for host, port in (relay.where for relay in relays)],
-                "settings": {"membershipMode": "on_request", "dcs": ["a"], "me": number, "fleetSize": COUNT,
-                             "zone": 0, "rules": {"askEveryS": 10.0, "coldFrom": 1.0, "coldS": 0.0},
-                             "policyLimits": {"mostHops": 4, "connIdleS": 30.0, "dialTimeoutS": 0.25},
-                             "tariffs": [{"name": "read", "effect": "idempotent", "gain": 1.0,
-                                          "agreedTimeS": 0.6, "patienceS": 20.0}]}}
+                "settings": {
+                    "membershipMode": "on_request",
+                    "dcs": ["a"],
+                    "me": number,
+                    "fleetSize": COUNT,
+                    "zone": 0,
+                    "rules": {"askEveryS": 10.0, "coldFrom": 1.0, "coldS": 0.0},
+                    "policyLimits": {"mostHops": 4, "connIdleS": 30.0, "dialTimeoutS": 0.25},
+                    "tariffs": [
+                        {
+                            "name": "read",
+                            "effect": "idempotent",
+                            "gain": 1.0,
+                            "agreedTimeS": 0.6,
+                            "patienceS": 20.0,
+                        }
+                    ],
+                },
+            }
             path = folder / f"{name}.json"
             path.write_text(json.dumps(told))
-            process = subprocess.Popen([sys.executable, "-m", "pumicepath", "serve"], stdout=subprocess.PIPE,
-                                       env={**os.environ, "GW_CONFIG": str(path)})
+            process = subprocess.Popen(
+                [sys.executable, "-m", "pumicepath", "serve"],
+                stdout=subprocess.PIPE,
+                env={**os.environ, "GW_CONFIG": str(path)},
+            )
             self.processes.append(process)
             assert process.stdout is not None
             started = next(event for event in map(json.loads, process.stdout) if event["event"] == "started")
@@ -128,8 +149,13 @@
         number = 0
         while not self.over:
             number += 1
-            headers = [("Host", "api"), ("X-Trace-Id", f"{name}-{number}"), ("X-Qos", "read"),
-                       ("X-Expires-In-Ms", "20000"), ("X-Object", f"key {number % 97}")]
+            headers = [
+                ("Host", "api"),
+                ("X-Trace-Id", f"{name}-{number}"),
+                ("X-Qos", "read"),
+                ("X-Expires-In-Ms", "20000"),
+                ("X-Object", f"key {number % 97}"),
+            ]
             try:
                 sock.sendall(writing.request("GET", "/", headers))
                 response = next_of(sock, parser)
@@ -155,20 +181,24 @@
 class Fleet:
     def __init__(self, folder: Path, relays: int = 2, files: int = 0) -> None:
         self.servers = {name: Server() for name in ("s0", "s1", "s2", "late")}
-        self.origins = {"eu": Origin([self.line("s0"), self.line("s1")], seq=500),
-                        "us": Origin([self.line("s2")])}
+        self.origins = {
+            "eu": Origin([self.line("s0"), self.line("s1")], seq=500),
+            "us": Origin([self.line("s2")]),
+        }
         self.cuts = {region: Cut(origin.where) for region, origin in self.origins.items()}
         self.relays = []
         for number in range(relays):
             sources: dict[str, Any] = dict(self.origins)
             if number == 0:
-                sources = self.cuts     # only the first one's ways to the origins can be cut
+                sources = self.cuts  # only the first one's ways to the origins can be cut
             self.relays.append(Relay(folder, sources, f"r{number}", files=files if number == 0 else 0))
         self.sidecars = Sidecars(folder, self.relays)
 
     def line(self, name: str, health: str = "active") -> dict[str, Any]:
-        return {**line(name, "cart", health, self.servers[name].port),
-                "dial": f"127.0.0.1:{self.servers[name].port}"}
+        return {
+            **line(name, "cart", health, self.servers[name].port),
+            "dial": f"127.0.0.1:{self.servers[name].port}",
+        }
 
     def all_send_to(self, name: str, since: float) -> None:
         until(lambda: self.servers[name].by(since) == set(self.sidecars.counts), FORCE_S)
@@ -182,8 +212,9 @@
         """All go by the change, nobody sent on old word for too long, and nothing was lost."""
         self.all_send_to("late", 0.0)
         until(lambda: time.monotonic() > told + TOLD_S + SLACK_S + 1.0)
-        late = [(round(at - told, 2), name) for at, name in self.servers["s0"].met
-                if at > told + TOLD_S + SLACK_S]
+        late = [
+            (round(at - told, 2), name) for at, name in self.servers["s0"].met if at > told + TOLD_S + SLACK_S
+        ]
         assert not late, f"sent to a draining server, s after discovery had it: {late[:5]}"
         now = time.monotonic()
         self.all_send_to("s1", now)
@@ -258,7 +289,8 @@
 
 
 def test_a_relay_whose_descriptors_are_taken_serves_those_there_are_and_sends_the_rest_elsewhere(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     files = 64
     assert resource.getrlimit(resource.RLIMIT_NOFILE)[0] > 4 * files
     with fleet(tmp_path, files=files) as made:
--- a/tests/test_scripted.py
+++ b/tests/test_scripted.py
@@ -27,7 +27,7 @@
     log = logged(0)
     assert log.next(("started",)) == {"event": "started"}
     assert log.next(("reload_failed", "stopped")) == {"event": "stopped"}
-    assert log.process.wait(60) == 0        # nobody has to read for it to end
+    assert log.process.wait(60) == 0  # nobody has to read for it to end
     for _ in range(2):
         with pytest.raises(AssertionError, match="the log ended before reloaded"):
             log.next(("reloaded",))
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -24,7 +24,8 @@
 
 
 def test_half_a_request_that_crosses_the_end_of_a_resting_connection_is_answered(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rig = Rig(tmp_path)
     far, client = rig.connect()
     request = rig.asked("halves")
@@ -33,9 +34,9 @@
     with held(monkeypatch, arrival, "receive", before=False) as (came, go):
         far.sendall(request[:20])
         start(client.run)
-        assert came.acquire(timeout=20)     # the half is read, and nobody knows of it yet
+        assert came.acquire(timeout=20)  # the half is read, and nobody knows of it yet
         assert client.expire(IDLE) and client.state == LAST
-        for _ in range(3):                  # that nothing more is there is found, and found again
+        for _ in range(3):  # that nothing more is there is found, and found again
             go.release()
             assert came.acquire(timeout=20)
         far.sendall(request[20:])
@@ -70,7 +71,8 @@
 
 
 def test_a_request_that_waits_for_admission_at_sigterm_is_answered(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rig = Rig(tmp_path)
     far, client = rig.connect()
     rig.around.script.put(answer(200, "served"))
@@ -91,7 +93,8 @@
 
 
 def test_bytes_behind_the_last_answer_do_not_take_it_along(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rig = Rig(tmp_path)
     far, client = rig.connect()
     rig.around.script.put(answer(200, "served"))
@@ -113,7 +116,8 @@
 
 @pytest.mark.parametrize("crosses", [True, False])
 def test_what_crossed_the_end_of_a_connection_and_was_sent_on_is_answered_though_its_client_went(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, crosses: bool) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, crosses: bool
+) -> None:
     rig = Rig(tmp_path)
     far, client = rig.connect()
     client.state = IDLE
@@ -124,7 +128,7 @@
         assert not crosses or client.expire(IDLE) and client.state == LAST
         go.release(100)
         assert rig.around.servers[0].met.acquire(timeout=20)
-        far.shutdown(socket.SHUT_WR)    # it may still read
+        far.shutdown(socket.SHUT_WR)  # it may still read
         until(client.gone)
         rig.around.script.put("reset")
         # One that crossed nothing is told nothing: by the protocol it has gone.
@@ -134,7 +138,8 @@
 
 
 def test_where_our_own_end_of_reading_looks_like_the_clients_what_crossed_it_is_carried_on(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Seen on the bench: the kernel's state is CLOSE_WAIT from our shutdown of reading on."""
     real = arrival.gone
     rig = Rig(tmp_path, servers=2)
@@ -145,8 +150,9 @@
         start(client.run)
         assert came.acquire(timeout=20)
         looks = iter([False])
-        monkeypatch.setattr(arrival, "gone",
-                            lambda sock: next(looks, True) if sock is client.sock else real(sock))
+        monkeypatch.setattr(
+            arrival, "gone", lambda sock: next(looks, True) if sock is client.sock else real(sock)
+        )
         assert client.expire(IDLE) and client.state == LAST
         rig.around.script.put("reset")
         rig.around.script.put(answer(200, "served"))
@@ -157,7 +163,8 @@
 
 
 def test_half_of_a_long_body_that_crosses_the_end_of_a_resting_connection_goes_on(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("pumicepath.lab.loopback.scripted.RequestParser", lambda: RequestParser(1 << 20))
     rig = Rig(tmp_path)
     far, client = rig.connect()
@@ -181,7 +188,8 @@
 
 
 def test_the_end_waits_for_a_connection_that_is_accepted_and_not_yet_among_the_open(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rig = Rig(tmp_path)
     with held(monkeypatch, Clients, "admit") as (came, go):
         accepting = threading.Thread(target=rig.clients.accept)
@@ -216,7 +224,8 @@
 
 
 def test_what_waits_in_the_listeners_queue_at_the_end_is_answered(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("pumicepath.sidecar.clients.SPARE", 0)
     rig = Rig(tmp_path)
     waiting = [socket.create_connection(rig.clients.listener.getsockname()) for _ in range(5)]
@@ -246,7 +255,8 @@
 
 
 def test_at_sigterm_a_waiting_a_half_written_and_a_half_read_request_are_answered_and_sighup_does_nothing(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     with Deployment(tmp_path, 1).running() as around:
         halves, taken = socket.create_connection(around.where), around.client
         request = writing.request("GET", "/half", [("Host", "a"), ("X-Qos", "once"), ("X-Trace-Id", "half")])
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -29,9 +29,14 @@
 
 from .helpers import compare, entry
 
-KNOWN = json.dumps({
-    "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {"tariffs": [{"name": "a"}]},
-    "known": {"seq": 1, "whole": True, "hosts": [{"host": "s", "dial": 5, "health": "active"}]}})
+KNOWN = json.dumps(
+    {
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "settings": {"tariffs": [{"name": "a"}]},
+        "known": {"seq": 1, "whole": True, "hosts": [{"host": "s", "dial": 5, "health": "active"}]},
+    }
+)
 NEVER = ("X-Never-Ran", "1")
 
 
@@ -98,8 +103,10 @@
 def test_requests_that_come_together_are_answered_in_turn(tmp_path: Path) -> None:
     with Deployment(tmp_path, 1).running() as around:
         headers = [("Host", "api"), ("X-Qos", "read")]
-        both = [writing.request("GET", f"/{name}", [*headers, ("X-Trace-Id", name)])
-                for name in ("one", "two", "three")]
+        both = [
+            writing.request("GET", f"/{name}", [*headers, ("X-Trace-Id", name)])
+            for name in ("one", "two", "three")
+        ]
         around.client.sendall(both[0] + both[1] + both[2][:9])
         for name in ("one", "two", "three"):
             around.script.put(answer(200, name))
@@ -113,11 +120,16 @@
 def test_bad_clients_get_an_error_or_a_close_and_nothing_of_theirs_is_passed_on(tmp_path: Path) -> None:
     good = {"Host": "api", "X-Trace-Id": "t9", "X-Qos": "read", "X-Expires-In-Ms": "900"}
     odd = {
-        "no id": {"X-Trace-Id": None}, "no class": {"X-Qos": None}, "unknown class": {"X-Qos": "gold"},
-        "no number": {"X-Expires-In-Ms": "soon"}, "negative": {"X-Expires-In-Ms": "-5"},
-        "no time": {"X-Expires-In-Ms": "0"}, "open id": {"X-Trace-Id": "t1"},
+        "no id": {"X-Trace-Id": None},
+        "no class": {"X-Qos": None},
+        "unknown class": {"X-Qos": "gold"},
+        "no number": {"X-Expires-In-Ms": "soon"},
+        "negative": {"X-Expires-In-Ms": "-5"},
+        "no time": {"X-Expires-In-Ms": "0"},
+        "open id": {"X-Trace-Id": "t1"},
         "two ends": {"Content-Length": "3", "Transfer-Encoding": "chunked"},
-        "negative length": {"Content-Length": "-1"}, "two lengths": {"Content-Length": "3, 3"},
+        "negative length": {"Content-Length": "-1"},
+        "two lengths": {"Content-Length": "3, 3"},
         "60 MB": {"Content-Length": "60000000"},
     }
     with Deployment(tmp_path, 1).running() as around:
@@ -302,7 +314,7 @@
         behind.append(pace.behind)
     assert behind == [0, 0, 80_000, 70_000, 61_250, 100_000] and owner.told[-1] == pace.due
     beats = []
-    for taken in (0, 5, 5, 5):              # late still, met something, nothing, nothing
+    for taken in (0, 5, 5, 5):  # late still, met something, nothing, nothing
         pace.entrance.intake.taken = taken
         at = pace.due
         pace.behind = 60_000 if not taken else 0
@@ -426,6 +438,7 @@
             dispatcher.after.append(lambda: order.append(f"act of {threading.current_thread().name}"))
             if name == "fault":
                 raise ValueError(name)
+
         try:
             dispatcher.decide(call)
         except ValueError as trouble:
@@ -438,6 +451,7 @@
             thread.start()
             while len(dispatcher.waiting) < at:
                 pass
+
     dispatcher.decide(owner)
     for thread in others:
         thread.join()
@@ -526,11 +540,13 @@
         with socket.create_connection(around.where) as late:
             began = time.monotonic()
             around.send("once", 200, sock=late)
-            while time.monotonic() - began < 0.6:   # until patience is over, and well past it
+            while time.monotonic() - began < 0.6:  # until patience is over, and well past it
                 time.sleep(0.05)
             around.process.send_signal(signal.SIGCONT)
             response = around.hear(late, ResponseParser())
         assert response is not None and response.status != 200, around.lines
         assert around.ask("once", answer(200, "after")) is not None
     assert [line for line in around.lines if line.startswith("s-0")] == [
-        "s-0: GET /api?x=1 t1", "s-0: GET /api?x=1 t3"], around.lines
+        "s-0: GET /api?x=1 t1",
+        "s-0: GET /api?x=1 t3",
+    ], around.lines
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -25,7 +25,7 @@
 
 
 def chunked(data: bytes, size: int, ending: bytes = b"0\r\n\r\n") -> bytes:
-    parts = [data[at:at + size] for at in range(0, len(data), size)]
+    parts = [data[at : at + size] for at in range(0, len(data), size)]
     return b"".join(b"%x;note=1\r\n%b\r\n" % (len(part), part) for part in parts) + ending
 
 
@@ -53,7 +53,7 @@
             return "reset"
         time.sleep(pause)
         for at in range(0, len(data), 65536):
-            parser.feed(data[at:at + 65536])
+            parser.feed(data[at : at + 65536])
             if (message := parser.next()) is not None:
                 return f"{message.status} {digest(message.body)}"
         if not data:
@@ -68,8 +68,11 @@
     steps = {
         "with a length": [answer(200, "x" * 3_000_000)],
         "in chunks, with extensions and trailers": [
-            b"HTTP/1.1 100 Continue\r\n\r\n" + head + b"Transfer-Encoding: chunked\r\n\r\n"
-            + chunked(LONG, 70_001, b"0\r\nX-Sum: 1\r\n\r\n")],
+            b"HTTP/1.1 100 Continue\r\n\r\n"
+            + head
+            + b"Transfer-Encoding: chunked\r\n\r\n"
+            + chunked(LONG, 70_001, b"0\r\nX-Sum: 1\r\n\r\n")
+        ],
         "until the connection ends": [(head + b"Connection: close\r\n\r\n" + LONG, "end")],
         "broken off": [(answer(200, "x" * 3_000_000)[:-9], "end")],
         "of an error": [(b"HTTP/1.1 500 No\r\nContent-Length: 3000000\r\n\r\n" + LONG[:3_000_000], "end")],
@@ -103,6 +106,7 @@
                     sock.sendall(data[:2_000_000])
                 going.wait(10)
                 sock.sendall(data[2_000_000:])
+
     around = among(tmp_path, Halting("h", queue.SimpleQueue(), []))
     with around.running(), socket.create_connection(around.where) as sock:
         around.send("read", expires=400, method="GET", sock=sock)
@@ -139,7 +143,7 @@
         if more:
             assert around.client.recv(99).startswith(b"HTTP/1.1 100")
         for at in range(0, len(body), 300_000):
-            around.client.sendall(body[at:at + 300_000])
+            around.client.sendall(body[at : at + 300_000])
         around.hear()
 
     with around.running():
@@ -161,6 +165,7 @@
         def serve(self, sock: socket.socket) -> None:
             sock.recv(100_000)
             sock.close()
+
     around = among(tmp_path, *(Breaking(f"b-{at}", queue.SimpleQueue(), []) for at in range(2)))
     with around.running():
         headers = [("Host", "a"), ("X-Qos", "once"), ("X-Trace-Id", "1")]
@@ -177,8 +182,13 @@
     def client(name: str) -> None:
         with socket.create_connection(around.where) as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-            sock.sendall(writing.request("GET", "/api", [
-                ("Host", "api"), ("X-Trace-Id", name), ("X-Qos", "read"), ("X-Expires-In-Ms", "900")]))
+            sock.sendall(
+                writing.request(
+                    "GET",
+                    "/api",
+                    [("Host", "api"), ("X-Trace-Id", name), ("X-Qos", "read"), ("X-Expires-In-Ms", "900")],
+                )
+            )
             got.append(read_all(sock, ResponseParser(9_000_000), 0.05))
 
     with around.running():
@@ -202,6 +212,7 @@
         sock, far = socket.socketpair()
 
         def leave(self) -> None: ...
+
     parser = RequestParser(upload.FAR)
     parser.feed(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n")
     assert parser.next() is None and parser.long()
@@ -217,8 +228,9 @@
 
 
 def test_patience_and_the_hop_begin_with_the_last_byte_and_no_second_hop_has_the_body() -> None:
-    bench = Bench(settings(Tariff(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, ONCE.group, 0)),
-                  [entry(1), entry(2)])
+    bench = Bench(
+        settings(Tariff(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, ONCE.group, 0)), [entry(1), entry(2)]
+    )
 
     def taken(name: int) -> Submission:
         balancer, until = bench.balancer, bench.now + 900 * SECOND
@@ -245,14 +257,23 @@
     check("body_coming", bench)
 
 
-@pytest.mark.parametrize(("target", "head", "becomes"), [
-    ("/a", "Content-Length: 5\r\nContent-Length: 6", None), ("/a", "Content-Length: +5", None),
-    ("/a", "Content-Length: 5\r\nTransfer-Encoding: chunked", None), ("/a", "Transfer-Encoding: gzip", None),
-    ("/a", "Transfer-Encoding: chunked, chunked", None), ("/a", "Content-Length: 60000000", None),
-    ("/a", "Transfer-Encoding: chunked\r\n\r\nfffffffff", None),
-    ("HTTP://a:1/b/c?d=/e", "Accept: x", "/b/c?d=/e"), ("http://a", "Accept: x", "/")])
+@pytest.mark.parametrize(
+    ("target", "head", "becomes"),
+    [
+        ("/a", "Content-Length: 5\r\nContent-Length: 6", None),
+        ("/a", "Content-Length: +5", None),
+        ("/a", "Content-Length: 5\r\nTransfer-Encoding: chunked", None),
+        ("/a", "Transfer-Encoding: gzip", None),
+        ("/a", "Transfer-Encoding: chunked, chunked", None),
+        ("/a", "Content-Length: 60000000", None),
+        ("/a", "Transfer-Encoding: chunked\r\n\r\nfffffffff", None),
+        ("HTTP://a:1/b/c?d=/e", "Accept: x", "/b/c?d=/e"),
+        ("http://a", "Accept: x", "/"),
+    ],
+)
 def test_forms_that_hide_or_never_end_are_refused_and_absolute_targets_become_plain(
-        target: str, head: str, becomes: str | None) -> None:
+    target: str, head: str, becomes: str | None
+) -> None:
     parser = RequestParser(40 << 20)
     parser.feed(f"POST {target} HTTP/1.1\r\nHost: a\r\n{head}\r\n\r\n".encode())
     if becomes is None:
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -32,9 +32,9 @@
 
 # -- 3: a cold server falls under the sum of what all sidecars send it
 
-RATE = 10.0                 # requests a second that a warm server can do
+RATE = 10.0  # requests a second that a warm server can do
 SERVERS = 10
-STARTED = 4                 # seconds after the begin of a day: from then on the first servers are cold
+STARTED = 4  # seconds after the begin of a day: from then on the first servers are cold
 
 
 class Sent:
@@ -53,8 +53,16 @@
 class Ramp:
     """Sidecars of one fleet and what all of them together send to cold servers, against their budget."""
 
-    def __init__(self, seed: int, fleet: int = 30, cold: int = 1, load: float = 0.9, uneven: bool = False,
-                 restarted: int = 0, **changed: object) -> None:
+    def __init__(
+        self,
+        seed: int,
+        fleet: int = 30,
+        cold: int = 1,
+        load: float = 0.9,
+        uneven: bool = False,
+        restarted: int = 0,
+        **changed: object,
+    ) -> None:
         self.chance = random.Random(seed)
         self.fleet, self.cold, self.restarted, self.changed = fleet, cold, restarted, changed
         self.servers = [self.chance.getrandbits(60) for _ in range(SERVERS)]
@@ -66,8 +74,11 @@
 
     def entries(self, now: int, known: bool = True) -> list[Entry]:
         started = STARTED * SECOND if now >= STARTED * SECOND else 0
-        return [entry(server, came_up=started if at < self.cold else 0)
-                for at, server in enumerate(self.servers) if at >= self.cold or started]
+        return [
+            entry(server, came_up=started if at < self.cold else 0)
+            for at, server in enumerate(self.servers)
+            if at >= self.cold or started
+        ]
 
     def begun(self, now: int, me: int) -> Balancer:
         sidecar = Balancer(replace(self.given, me=me), self.chance.getrandbits(32), Sent())
@@ -83,6 +94,7 @@
             nonlocal number
             number += 1
             heapq.heappush(events, (int(at), number, what))
+
         for me, rate in enumerate(self.rates):
             put(self.chance.expovariate(rate), me)
         for at in range(4 if self.restarted else 0):
@@ -93,14 +105,15 @@
             if not told and now >= STARTED * SECOND:
                 told = True
                 for sidecar in self.sidecars:
-                    sidecar.listed(now, Listing.CHANGES, self.entries(now)[:self.cold])
-            if isinstance(what, range):     # a part of the fleet at once
+                    sidecar.listed(now, Listing.CHANGES, self.entries(now)[: self.cold])
+            if isinstance(what, range):  # a part of the fleet at once
                 for me in what:
                     self.sidecars[me] = self.begun(now, me)
             elif isinstance(what, int):
                 put(now + self.chance.expovariate(self.rates[what]) + 1, what)
-                one = self.sidecars[what].take(now, number, 0, 1 + self.chance.randrange(500), False,
-                                               now + 2 * SECOND)
+                one = self.sidecars[what].take(
+                    now, number, 0, 1 + self.chance.randrange(500), False, now + 2 * SECOND
+                )
                 if one.hops:
                     put(now + self.chance.expovariate(1 / 50_000) + 5000, one)
                     if (server := one.balancer.outlet.last) in self.hits:  # type: ignore[attr-defined]
@@ -116,19 +129,24 @@
             for last, now in enumerate(hits):
                 warmth = given.cold_from + (1 - given.cold_from) * (now / SECOND - STARTED) / 8
                 budget = given.fall_multiple * warmth * RATE * given.fall_window / SECOND
-                sent = sum(then > now - given.fall_window for then in hits[:last + 1])
+                sent = sum(then > now - given.fall_window for then in hits[: last + 1])
                 worst = max(worst, (sent / (budget + 2 * math.sqrt(budget) + 2), sent, budget))
         return worst
 
 
 RAMPS: dict[str, dict] = {
-    "even": {}, "uneven": {"uneven": True}, "a part restarted": {"restarted": 4},
-    "all restarted": {"restarted": 1, "uneven": True}, "twenty, uneven": {"fleet": 20, "uneven": True},
-    "half of the servers": {"cold": 5}, "a burst, uneven": {"load": 1.35, "uneven": True},
+    "even": {},
+    "uneven": {"uneven": True},
+    "a part restarted": {"restarted": 4},
+    "all restarted": {"restarted": 1, "uneven": True},
+    "twenty, uneven": {"fleet": 20, "uneven": True},
+    "half of the servers": {"cold": 5},
+    "a burst, uneven": {"load": 1.35, "uneven": True},
     "small windows": {"fall_window": SECOND // 4, "uneven": True, "restarted": 4},
     "quotas, a part restarted": {"quotas": (RATE * SERVERS,), "uneven": True, "restarted": 4},
     "repeats are marked": {"marked": True, "uneven": True},
-    "connections cost": {"connection_price": 0.05}}
+    "connections cost": {"connection_price": 0.05},
+}
 
 
 @pytest.mark.parametrize("name", RAMPS)
@@ -144,6 +162,7 @@
 
 # -- 4: idle clients may fill the descriptors while discovery is down
 
+
 class Held:
     """Clients that take all connections they get, and come again for each that is closed.
 
@@ -188,10 +207,12 @@
 
 
 # The descriptors that the limits tell of, and those that the process has.
-@pytest.mark.parametrize("mode, told, real", [("on_request", 72, 72), ("pushed", 72, 72),
-                                              ("on_request", 256, 72)])
+@pytest.mark.parametrize(
+    "mode, told, real", [("on_request", 72, 72), ("pushed", 72, 72), ("on_request", 256, 72)]
+)
 def test_idle_clients_that_fill_the_descriptors_do_not_keep_the_watch_from_discovery(
-        mode: str, told: int, real: int, tmp_path: Path) -> None:
+    mode: str, told: int, real: int, tmp_path: Path
+) -> None:
     around = Deployment(tmp_path, 1)
     around.servers[0].script = Always()  # type: ignore[assignment]
     around.told["settings"]["membershipMode"] = mode
@@ -204,12 +225,13 @@
         process = begun()
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (real, real))
         return process
+
     around.begun = limited  # type: ignore[method-assign]
     with around.running():
         process = around.process
         log = around.logs[process]
         for _ in range(2):
-            assert around.discovery.met.acquire(timeout=20)     # the second is the watch
+            assert around.discovery.met.acquire(timeout=20)  # the second is the watch
         around.discovery.listener.shutdown(socket.SHUT_RDWR)
         around.discovery.listener.close()
         around.lists.put("reset")
@@ -237,7 +259,7 @@
         idle.over = True
         until(lambda: ask(around) == 200)
         around.lists.put(answer(200, json.dumps(around.listing(4, False, "leaving"))))
-        until(lambda: ask(around) == 503)   # what the watch tells is in force
+        until(lambda: ask(around) == 503)  # what the watch tells is in force
         assert process.poll() is None
         process.terminate()
         assert process.wait(20) == 0
@@ -253,7 +275,7 @@
 # -- 5: nine in ten restarted processes are ready within 10 s
 
 READY_S = 10.0
-CALL_S = 0.1                # that discovery takes for each call, one after the other
+CALL_S = 0.1  # that discovery takes for each call, one after the other
 
 
 class InTurn(Peer):
@@ -262,14 +284,14 @@
     def __init__(self, listing: dict) -> None:
         self.turn = threading.Lock()
         self.whole = answer(200, json.dumps(listing))
-        self.connection = threading.local()     # each is served by a thread of its own
+        self.connection = threading.local()  # each is served by a thread of its own
         super().__init__("discovery", self, [])  # type: ignore[arg-type]
 
     def get(self) -> object:
         with self.turn:
             time.sleep(CALL_S)
         if getattr(self.connection, "asked", False):
-            return "wait"           # the second call on a connection is the watch
+            return "wait"  # the second call on a connection is the watch
         self.connection.asked = True
         return self.whole
 
@@ -291,8 +313,10 @@
             parser = ResponseParser()
             while not over.is_set():
                 number += 1
-                sock.sendall(b"GET /a HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\nX-Expires-In-Ms: 2000\r\n"
-                             b"X-Trace-Id: %d-%d\r\n\r\n" % (threading.get_ident(), number))
+                sock.sendall(
+                    b"GET /a HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\nX-Expires-In-Ms: 2000\r\n"
+                    b"X-Trace-Id: %d-%d\r\n\r\n" % (threading.get_ident(), number)
+                )
                 response = next_of(sock, parser)
                 if response is None:
                     break
@@ -314,6 +338,7 @@
                 times.append(time.monotonic() - began)
                 return
             time.sleep(0.02)
+
     threads = [threading.Thread(target=wait, args=(where,)) for where in wheres]
     for thread in threads:
         thread.start()
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -23,7 +23,7 @@
 
 RESET = struct.pack("ii", 1, 0)
 NEVER = ("X-Never-Ran", "1")
-TOLD_S = 6.0                # after discovery had a change and could be reached, it counts as told
+TOLD_S = 6.0  # after discovery had a change and could be reached, it counts as told
 
 
 class Always:
@@ -61,8 +61,13 @@
 
 # What discovery does with the first calls; with the last of them it has the change, and could be reached.
 TROUBLES: dict[str, list] = {
-    "fails": [answer(503)], "is reset": ["reset"] * 2, "is cut": [(answer(200, "{}")[:-1], "end")] * 2,
-    "is silent": ["wait"] * 2, "stops in an answer": [(answer(200, "{}")[:-1], "wait")] * 2, "is refused": []}
+    "fails": [answer(503)],
+    "is reset": ["reset"] * 2,
+    "is cut": [(answer(200, "{}")[:-1], "end")] * 2,
+    "is silent": ["wait"] * 2,
+    "stops in an answer": [(answer(200, "{}")[:-1], "wait")] * 2,
+    "is refused": [],
+}
 # The longest pause that a sidecar can draw.
 SEED = next(seed for seed in range(10_000) if Chance(seed).bits() % 3_000_000 > 2_950_000)
 
@@ -98,7 +103,7 @@
             peer.name, peer.script, peer.lines = "discovery", around.lists, []
             peer.met, peer.closed = threading.Semaphore(0), threading.Semaphore(0)
             peer.listener = self.listener
-            assert self.started.wait(20)    # by when the sidecar has been refused, most likely twice
+            assert self.started.wait(20)  # by when the sidecar has been refused, most likely twice
             self.listener.listen()
             threading.Thread(target=peer.accept, daemon=True).start()
         self.since = time.monotonic()
@@ -134,8 +139,11 @@
 def drained(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, str], Drained]:
     """All cases at once, as each takes seconds in which little happens."""
     stalls = Stalls()
-    cases = {(mode, trouble): Drained(tmp_path_factory.mktemp("drained"), mode, trouble)
-             for mode in MODES for trouble in TROUBLES}
+    cases = {
+        (mode, trouble): Drained(tmp_path_factory.mktemp("drained"), mode, trouble)
+        for mode in MODES
+        for trouble in TROUBLES
+    }
     threads = [threading.Thread(target=case.run, args=(stalls,)) for case in cases.values()]
     for thread in threads:
         thread.start()
@@ -147,7 +155,8 @@
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("trouble", TROUBLES)
 def test_a_change_counts_as_told_6_s_after_discovery_had_it_whatever_became_of_the_call(
-        mode: str, trouble: str, drained: dict[tuple[str, str], Drained]) -> None:
+    mode: str, trouble: str, drained: dict[tuple[str, str], Drained]
+) -> None:
     case = drained[mode, trouble]
     print(f"{mode}, discovery {trouble}: the last was sent after {case.late:.2f} s")
     assert case.before == 200 or mode == "pushed", "by the list of the file, until the drain counts"
@@ -157,6 +166,7 @@
 
 # -- 2: who closes or cancels has gone, and no attempt begins more than 0.1 s later
 
+
 def reset(far: socket.socket) -> None:
     far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     far.close()
@@ -166,14 +176,19 @@
     def leave(far: socket.socket) -> None:
         far.sendall(more)
         far.close()
+
     return leave
 
 
 WAYS: dict[str, Callable[[socket.socket], None]] = {
-    "closes": socket.socket.close, "resets": reset, "half-closes": lambda far: far.shutdown(socket.SHUT_WR),
+    "closes": socket.socket.close,
+    "resets": reset,
+    "half-closes": lambda far: far.shutdown(socket.SHUT_WR),
     "closes behind half a request": behind(b"GET /half HTTP/1.1\r\nHost: a\r\n"),
-    "closes behind a whole one": behind(b"GET /next HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\n"
-                                        b"X-Trace-Id: next\r\nX-Expires-In-Ms: 2000\r\n\r\n")}
+    "closes behind a whole one": behind(
+        b"GET /next HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\nX-Trace-Id: next\r\nX-Expires-In-Ms: 2000\r\n\r\n"
+    ),
+}
 
 
 class Left:
@@ -201,7 +216,8 @@
 @pytest.mark.parametrize("way", ["", *WAYS])
 @pytest.mark.parametrize("trouble", ["reset", "end", "full", "late dial"])
 def test_no_further_attempt_begins_once_the_client_left_while_the_first_hung(
-        way: str, trouble: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    way: str, trouble: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rig = Rig(tmp_path, 2)
     far, client = rig.connect()
     one = Left(rig, far, client)
@@ -211,7 +227,7 @@
         start(client.run)
         assert came.acquire(timeout=20)
         go.release()
-        until(lambda: rig.around.lines)     # the first attempt hangs
+        until(lambda: rig.around.lines)  # the first attempt hangs
         if trouble == "late dial":
             rig.around.script.put(first)
             assert came.acquire(timeout=20)  # the further one has been dialled for, and is not written yet
@@ -226,10 +242,12 @@
 
 
 @pytest.mark.parametrize("way", ["", "closes", "resets", "half-closes"])
-@pytest.mark.parametrize("where", ["behind another request", "at the entrance", "before it is read",
-                                   "in the hands of its thread"])
+@pytest.mark.parametrize(
+    "where", ["behind another request", "at the entrance", "before it is read", "in the hands of its thread"]
+)
 def test_no_first_attempt_begins_once_the_client_left(
-        way: str, where: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    way: str, where: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     rig = Rig(tmp_path, 2)
     far, client = rig.connect()
     one = Left(rig, far, client)
@@ -247,8 +265,11 @@
         start(client.run)
     else:
         entrance = where == "at the entrance"
-        with held(monkeypatch, *((Entrance, "enter") if entrance else (Link, "carry")),  # type: ignore[arg-type]
-                  before=not entrance) as (came, go):
+        with held(
+            monkeypatch,
+            *((Entrance, "enter") if entrance else (Link, "carry")),  # type: ignore[arg-type]
+            before=not entrance,
+        ) as (came, go):
             start(client.run)
             assert came.acquire(timeout=20)
             one.leaves(way)
@@ -267,6 +288,7 @@
 
     def under_way() -> bool:
         return any(value for name, value in around.figures().items() if "current" in name)
+
     with around.running():
         around.send("read", 20_000)
         until(lambda: around.lines)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -65,9 +65,17 @@
         sock, parser, number = socket.create_connection(around.where), ResponseParser(), first
         while not done.is_set():
             number += 1
-            sending = writing.request("POST" if number % 2 else "GET", "/api", [
-                ("Host", "api"), ("X-Trace-Id", str(number)), ("X-Object", f"lot {number % 40}"),
-                ("X-Qos", "once" if number % 2 else "read")], b"")
+            sending = writing.request(
+                "POST" if number % 2 else "GET",
+                "/api",
+                [
+                    ("Host", "api"),
+                    ("X-Trace-Id", str(number)),
+                    ("X-Object", f"lot {number % 40}"),
+                    ("X-Qos", "once" if number % 2 else "read"),
+                ],
+                b"",
+            )
             try:
                 sock.sendall(sending)
             except OSError:
@@ -85,8 +93,10 @@
         sock.close()
 
     with around.running():
-        threads = [threading.Thread(target=client, args=(100_000 * at, at % 2 > 0), daemon=True)
-                   for at in range(1, 7)]
+        threads = [
+            threading.Thread(target=client, args=(100_000 * at, at % 2 > 0), daemon=True)
+            for at in range(1, 7)
+        ]
         for thread in threads:
             thread.start()
         for _ in range(10):
@@ -104,6 +114,7 @@
 def test_what_is_changed_by_hand_binds_both_and_outlives_the_old_process(tmp_path: Path) -> None:
     around = replaceable(tmp_path, 2)
     with around.running():
+
         def say(path: str, where: tuple[str, int] | None = None) -> None:
             around.lines.append(f"{path}: {around.call('PUT', path, where).status}")
 
@@ -132,8 +143,10 @@
             say(path)
         around.client, around.parser = socket.create_connection(around.where), ResponseParser()
         around.ask("read", answer(200, "served by the third"))
-    compare("succession", [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET")
-                           for line in around.lines])
+    compare(
+        "succession",
+        [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in around.lines],
+    )
 
 
 def test_a_new_process_that_ends_leaves_the_old_one_as_it_was(tmp_path: Path) -> None:
@@ -162,6 +175,7 @@
         def event(self, event: str, **figures: object) -> None:
             if event == "succeeding":
                 told.append(Line(there).receive()[0])
+
     rig.dispatcher.events = Dies()  # type: ignore[assignment]
     Succession(rig.dispatcher, rig.clients, dict, Address("127.0.0.1", 1)).follow(Line(here))
     there.close()
@@ -185,11 +199,14 @@
         around.client, around.parser = socket.create_connection(around.where), ResponseParser()
         around.ask("read", answer(200, "by the one that is left"))
     assert [line for line in around.lines if line.startswith("client")] == [
-        "client: 200 by one of them", "client: 200 by the one that is left"]
+        "client: 200 by one of them",
+        "client: 200 by the one that is left",
+    ]
 
 
 def test_a_new_process_that_dies_with_the_socket_in_its_hands_stops_nobody(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     around = replaceable(tmp_path, 1)
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     with around.running():
@@ -226,7 +243,8 @@
 
 @pytest.mark.parametrize("says", [b"", b"{", b"[1]\n", b'{"version": 9}\n', b'{"version": 1}\n', None])
 def test_what_stands_there_and_says_nothing_of_use_is_started_without(
-        says: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    says: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     assert reach(Address("127.0.0.1", 1)) is None
     with socket.socket(socket.AF_UNIX) as listener, Short(tmp_path / NAME) as short:
@@ -240,14 +258,16 @@
             with listener.accept()[0] as sock:
                 sock.sendall(says)
                 sock.recv(999)
+
         threading.Thread(target=speak, daemon=True).start()
         before = len(os.listdir("/proc/self/fd"))
         assert reach(Address("127.0.0.1", 1)) is None
         assert len(os.listdir("/proc/self/fd")) <= before + 1
 
 
-def test_a_socket_whose_port_the_file_does_not_name_goes_over(tmp_path: Path,
-                                                              monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_socket_whose_port_the_file_does_not_name_goes_over(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Found by the lab: the files of both differ, and the kernel spread clients over two queues."""
     around = Deployment(tmp_path, 1, admin_addr="127.0.0.1:0")
     around.environment = {"TMPDIR": str(tmp_path)}
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -22,15 +22,34 @@
 
 def other(told: dict) -> dict:
     """The same sidecar in a deployment of another shape."""
-    tariffs = [{"name": name, "effect": effect, "gain": 1.0, "agreedTimeS": 0.2, "patienceS": 2.0}
-               for name, effect in (
-                   ("sign", "at_most_once"), ("once", "at_most_once"), ("view", "idempotent"))]
-    limits = {"mostHops": 3, "connIdleS": 10.0, "dialTimeoutS": 0.1, "retryAfter": True, "mayTell": True,
-              "maxRetryAfterS": 2.0}
-    return {**told, "settings": {
-        "membershipMode": "pushed", "weights": "live", "dcs": ["b", "a"], "zone": 1, "me": 3, "fleetSize": 50,
-        "prices": {"connection": 0.03}, "tenants": [{"name": "x", "quotaPerS": 90.0}], "tariffs": tariffs,
-        "rules": {"askEveryS": 6.0, "coldFrom": 0.3, "coldS": 9.0}, "policyLimits": limits}}
+    tariffs = [
+        {"name": name, "effect": effect, "gain": 1.0, "agreedTimeS": 0.2, "patienceS": 2.0}
+        for name, effect in (("sign", "at_most_once"), ("once", "at_most_once"), ("view", "idempotent"))
+    ]
+    limits = {
+        "mostHops": 3,
+        "connIdleS": 10.0,
+        "dialTimeoutS": 0.1,
+        "retryAfter": True,
+        "mayTell": True,
+        "maxRetryAfterS": 2.0,
+    }
+    return {
+        **told,
+        "settings": {
+            "membershipMode": "pushed",
+            "weights": "live",
+            "dcs": ["b", "a"],
+            "zone": 1,
+            "me": 3,
+            "fleetSize": 50,
+            "prices": {"connection": 0.03},
+            "tenants": [{"name": "x", "quotaPerS": 90.0}],
+            "tariffs": tariffs,
+            "rules": {"askEveryS": 6.0, "coldFrom": 0.3, "coldS": 9.0},
+            "policyLimits": limits,
+        },
+    }
 
 
 def load(around: Deployment, told: dict) -> str:
@@ -38,8 +57,9 @@
     around.config.write_text(json.dumps(told))
     around.process.send_signal(signal.SIGHUP)
     event = around.event("reloaded", "reload_failed")
-    return " ".join(str(event.get(key)) for key in (
-        "event", "settings", "tariffs", "without_effect", "needs_restart"))
+    return " ".join(
+        str(event.get(key)) for key in ("event", "settings", "tariffs", "without_effect", "needs_restart")
+    )
 
 
 def test_what_was_taken_ends_under_its_own_terms_and_the_way_back_is_the_same(tmp_path: Path) -> None:
@@ -92,8 +112,12 @@
 
     def client(first: int) -> None:
         for number in range(first, first + 150):
-            headers = [("Host", "api"), ("X-Trace-Id", str(number)), ("X-Object", f"lot {number % 40}"),
-                       ("X-Qos", "once" if number % 2 else "view")]
+            headers = [
+                ("Host", "api"),
+                ("X-Trace-Id", str(number)),
+                ("X-Object", f"lot {number % 40}"),
+                ("X-Qos", "once" if number % 2 else "view"),
+            ]
             with socket.create_connection(around.where) as sock:
                 sock.sendall(writing.request("POST", "/api", headers, b""))
                 response = next_of(sock, ResponseParser())
@@ -111,36 +135,45 @@
     assert not [trace for trace, count in Counter(hops).items() if int(trace) % 2 and count > 1]
 
 
-@pytest.mark.parametrize(("settings", "says"), [
-    ({"rules": {"coldFrom": 1.5}}, "settings.rules.coldFrom: 1.5 is not from 0.0 to 1.0"),
-    ({"rules": {"coldS": math.inf}}, "settings.rules.coldS: inf is not from"),
-    ({"weights": "heavy"}, "settings.weights: 'heavy' is not off or nominal or rough or live"),
-    ({"policyLimits": {"mayTell": 1}}, "settings.policyLimits.mayTell: 1 is not true or false"),
-    ({"prices": 3}, "settings.prices is no object"),
-    ({"tenants": "abc"}, "settings.tenants is no list"),
-    ({"me": 4, "fleetSize": 4}, "settings.me: 4 is none of 4 sidecars"),
-    ({"dcs": ["a"], "zone": 1}, "settings.zone: 1 is none of 1 dcs"),
-    ({"tariffs": [{"name": "a"}, {"name": "a"}]}, "settings.tariffs: one name twice"),
-    ({"tariffs": [{"name": "b"}, {"name": "a"}, {"name": "a"}]}, "settings.tariffs: one name twice: 'a'"),
-    ({"tariffs": [{"effect": "deduplicated", "windowS": 0}]}, "settings.tariffs[0].windowS: 0 is no time"),
-    ({"tariffs": [{"effect": "idempotent", "windowS": -1}]}, "settings.tariffs[0].windowS: -1 is not from"),
-    ({"tariffs": [{"patienceS": -2}]}, "settings.tariffs[0].patienceS: -2 is not from"),
-    ({"tariffs": [{"effect": "often"}]}, "settings.tariffs[0].effect: 'often' is not"),
-    ({"dcs": ["a"], "tariffs": [{"allowedIn": []}]}, "settings.tariffs[0].allowedIn: [] is not a list"),
-    ({"dcs": ["a"], "tariffs": [{"allowedIn": [1]}]}, "settings.tariffs[0].allowedIn: 1 is none of dcs"),
-    ({"tariffs": [{"kindsAllowed": ["x"]}]}, "settings.tariffs[0].kindsAllowed: 'x' is none of kinds"),
-    ({"kinds": 5}, "settings.kinds is no list"),
-    ({"rules": {"fullUnproven": 1}}, "settings.rules.fullUnproven: 1 is not true or false"),
-    ({"tariffs": [{"patienceS": 0}]}, "settings.tariffs[0].patienceS: 0 is not from"),
-    ({"tariffs": [{"patienceS": None}]}, "settings.tariffs[0].patienceS: None is not from"),
-    ({"tariffs": [{"agreedTimeS": "0.3"}]}, "settings.tariffs[0].agreedTimeS: '0.3' is not from"),
-    ({"tariffs": [{"agreedTimeS": math.nan}]}, "settings.tariffs[0].agreedTimeS: nan is not from"),
-    ({"tariffs": [{"patienceS": True}]}, "settings.tariffs[0].patienceS: True is not from"),
-    ({"policyLimits": {"mostHops": None}}, "settings.policyLimits.mostHops: None is not from"),
-    ({"policyLimits": {"mostHops": 0}}, "settings.policyLimits.mostHops: 0 is not from"),
-    ({"policyLimits": {"mostHops": 2.5}}, "settings.policyLimits.mostHops: 2.5 is not from"),
-    ({"policyLimits": {"mostHops": -1}}, "settings.policyLimits.mostHops: -1 is not from"),
-])
+@pytest.mark.parametrize(
+    ("settings", "says"),
+    [
+        ({"rules": {"coldFrom": 1.5}}, "settings.rules.coldFrom: 1.5 is not from 0.0 to 1.0"),
+        ({"rules": {"coldS": math.inf}}, "settings.rules.coldS: inf is not from"),
+        ({"weights": "heavy"}, "settings.weights: 'heavy' is not off or nominal or rough or live"),
+        ({"policyLimits": {"mayTell": 1}}, "settings.policyLimits.mayTell: 1 is not true or false"),
+        ({"prices": 3}, "settings.prices is no object"),
+        ({"tenants": "abc"}, "settings.tenants is no list"),
+        ({"me": 4, "fleetSize": 4}, "settings.me: 4 is none of 4 sidecars"),
+        ({"dcs": ["a"], "zone": 1}, "settings.zone: 1 is none of 1 dcs"),
+        ({"tariffs": [{"name": "a"}, {"name": "a"}]}, "settings.tariffs: one name twice"),
+        ({"tariffs": [{"name": "b"}, {"name": "a"}, {"name": "a"}]}, "settings.tariffs: one name twice: 'a'"),
+        (
+            {"tariffs": [{"effect": "deduplicated", "windowS": 0}]},
+            "settings.tariffs[0].windowS: 0 is no time",
+        ),
+        (
+            {"tariffs": [{"effect": "idempotent", "windowS": -1}]},
+            "settings.tariffs[0].windowS: -1 is not from",
+        ),
+        ({"tariffs": [{"patienceS": -2}]}, "settings.tariffs[0].patienceS: -2 is not from"),
+        ({"tariffs": [{"effect": "often"}]}, "settings.tariffs[0].effect: 'often' is not"),
+        ({"dcs": ["a"], "tariffs": [{"allowedIn": []}]}, "settings.tariffs[0].allowedIn: [] is not a list"),
+        ({"dcs": ["a"], "tariffs": [{"allowedIn": [1]}]}, "settings.tariffs[0].allowedIn: 1 is none of dcs"),
+        ({"tariffs": [{"kindsAllowed": ["x"]}]}, "settings.tariffs[0].kindsAllowed: 'x' is none of kinds"),
+        ({"kinds": 5}, "settings.kinds is no list"),
+        ({"rules": {"fullUnproven": 1}}, "settings.rules.fullUnproven: 1 is not true or false"),
+        ({"tariffs": [{"patienceS": 0}]}, "settings.tariffs[0].patienceS: 0 is not from"),
+        ({"tariffs": [{"patienceS": None}]}, "settings.tariffs[0].patienceS: None is not from"),
+        ({"tariffs": [{"agreedTimeS": "0.3"}]}, "settings.tariffs[0].agreedTimeS: '0.3' is not from"),
+        ({"tariffs": [{"agreedTimeS": math.nan}]}, "settings.tariffs[0].agreedTimeS: nan is not from"),
+        ({"tariffs": [{"patienceS": True}]}, "settings.tariffs[0].patienceS: True is not from"),
+        ({"policyLimits": {"mostHops": None}}, "settings.policyLimits.mostHops: None is not from"),
+        ({"policyLimits": {"mostHops": 0}}, "settings.policyLimits.mostHops: 0 is not from"),
+        ({"policyLimits": {"mostHops": 2.5}}, "settings.policyLimits.mostHops: 2.5 is not from"),
+        ({"policyLimits": {"mostHops": -1}}, "settings.policyLimits.mostHops: -1 is not from"),
+    ],
+)
 def test_settings_that_cannot_be_meant_are_named_by_their_key(settings: dict, says: str) -> None:
     with pytest.raises(ValueError, match="^settings") as trouble:
         check(settings)
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -73,12 +73,15 @@
             claims, self.claims = self.claims, []
             for round_, one in claims:
                 if self.grants and not one.release:
-                    self.duties.answered(self.now, "v", round_, one.duty, one.number,
-                                         Answer(Said.GRANTED, 0, one.number))
+                    self.duties.answered(
+                        self.now, "v", round_, one.duty, one.number, Answer(Said.GRANTED, 0, one.number)
+                    )
             self.trials.looked(self.now, self.now // 1000)
             for verdict in self.trials.told_on(self.now):
-                self.note(f"tells of {verdict.server}: version {verdict.version >> OWN_BITS}, wait "
-                          f"{verdict.wait / SECOND:.1f} s{'' if verdict.tried else ', has it in hand'}")
+                self.note(
+                    f"tells of {verdict.server}: version {verdict.version >> OWN_BITS}, wait "
+                    f"{verdict.wait / SECOND:.1f} s{'' if verdict.tried else ', has it in hand'}"
+                )
         return self.trials
 
     def heard(self, seconds: float, version: int, wait_s: float, tried: bool = True, by: int = -1) -> None:
@@ -107,21 +110,21 @@
     one = Fellow(grants=False)
     one.at(1).opened(one.now, "s", 5 * SECOND, True)
     one.heard(2, 70, 8)
-    one.heard(2.1, 70, 8)           # the same once more
-    one.heard(2.2, 69, 8)           # older
-    one.heard(3, 71, 8, False)      # no verdict, and so puts off no trial
-    one.heard(5, 72, 59)            # longer than may be asked for
-    one.heard(6, 73, 9, by=72)      # from the same life twice in a row
-    one.heard(30, 80, 0)            # it serves
-    one.heard(31, 90, 5)            # so its own trial is next, whatever is said
+    one.heard(2.1, 70, 8)  # the same once more
+    one.heard(2.2, 69, 8)  # older
+    one.heard(3, 71, 8, False)  # no verdict, and so puts off no trial
+    one.heard(5, 72, 59)  # longer than may be asked for
+    one.heard(6, 73, 9, by=72)  # from the same life twice in a row
+    one.heard(30, 80, 0)  # it serves
+    one.heard(31, 90, 5)  # so its own trial is next, whatever is said
     one.at(32).opened(one.now, "s", 5 * SECOND, True)
     one.heard(33, 1 << 20, 5)
     one.heard(90, (1 << 20) + 1, 5)
-    one.heard(2 * OWN_EYES / SECOND + 33, (1 << 20) + 2, 5)     # two minutes by others' eyes alone
+    one.heard(2 * OWN_EYES / SECOND + 33, (1 << 20) + 2, 5)  # two minutes by others' eyes alone
     one.at(160).opened(one.now, "s", 5 * SECOND, True)
     one.heard(250, (1 << 20) + 3, 5)
     one.heard(330, (1 << 20) + 4, 5)
-    one.heard(4 * OWN_EYES / SECOND + 161, (1 << 20) + 5, 5)    # four, as its own trial failed again
+    one.heard(4 * OWN_EYES / SECOND + 161, (1 << 20) + 5, 5)  # four, as its own trial failed again
     compare("trials-words", one.lines)
     one.at(one.now / SECOND + KEPT / SECOND + 1)
     assert not one.trials.open
@@ -267,9 +270,13 @@
     """In virtual time: trials of both by the log, rules kept, and service no worse for it."""
     found = []
     for trials in (False, True):
-        plan = Plan(lasts_s=60, fleet=Fleet(servers=12, halls=2, work_ms=20), load=Load(part=0.3),
-                    sidecars=Sidecars(count=30, peers=True, trials=trials),
-                    troubles=(Trouble(kind="fail-quickly", at_s=10, for_s=30, count=2, value=1.0),))
+        plan = Plan(
+            lasts_s=60,
+            fleet=Fleet(servers=12, halls=2, work_ms=20),
+            load=Load(part=0.3),
+            sidecars=Sidecars(count=30, peers=True, trials=trials),
+            troubles=(Trouble(kind="fail-quickly", at_s=10, for_s=30, count=2, value=1.0),),
+        )
         world = VirtualWorld(plan, seed, trace=100_000)
         result = world.run()
         failed = sum("trial failed" in line for line in world.log)
@@ -281,8 +288,13 @@
     assert after > before - 0.01, found
 
 
-PLAN = Plan(lasts_s=3600, warm_s=0, fleet=Fleet(servers=6, halls=1, work_ms=5), load=Load(rate=150),
-            sidecars=Sidecars(count=6, peers=True, peers_every_s=0.2, trials=True, lease_s=1.0))
+PLAN = Plan(
+    lasts_s=3600,
+    warm_s=0,
+    fleet=Fleet(servers=6, halls=1, work_ms=5),
+    load=Load(rate=150),
+    sidecars=Sidecars(count=6, peers=True, peers_every_s=0.2, trials=True, lease_s=1.0),
+)
 
 
 class Holding:
@@ -299,7 +311,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.over = True        # cancelled, they might not notice: wait_for may swallow that
+        self.over = True  # cancelled, they might not notice: wait_for may swallow that
         await asyncio.gather(*self.following)
 
     def now(self) -> int:
@@ -311,9 +323,18 @@
             asked = self.now()
             view = await sidecar.asked("/peers", LONGEST_S) if sidecar.up else None
             for held in view.get("holds", []) if view is not None else []:
-                duty, fence, born = held["duty"], int(held["number"], 16), view["born"]     # type: ignore[index]
-                self.lines.append({"at": self.now(), "what": "acted", "duty": duty, "holder": born,
-                                   "fence": fence, "accepted": True, "asked": asked})
+                duty, fence, born = held["duty"], int(held["number"], 16), view["born"]  # type: ignore[index]
+                self.lines.append(
+                    {
+                        "at": self.now(),
+                        "what": "acted",
+                        "duty": duty,
+                        "holder": born,
+                        "fence": fence,
+                        "accepted": True,
+                        "asked": asked,
+                    }
+                )
                 self.latest[duty] = (fence, sidecar.name)
             await asyncio.sleep(0.02)
 
@@ -351,6 +372,7 @@
         def current(duty: str) -> tuple[int, Any]:
             fence, name = holding.latest[duty]
             return fence, next(each for each in stage.sidecars if each.name == name)
+
         fence, one = current(duties[0])
         one.stop()
         await holding.holder(duties[0], fence, one.name)
@@ -366,7 +388,7 @@
         await stage.started()
         fence, one = current(duties[0])
         assert not await one.resigned("no duty of its")
-        while not await one.resigned(duties[0]):        # it may have given it up by itself just now
+        while not await one.resigned(duties[0]):  # it may have given it up by itself just now
             await holding.holder(duties[0], fence)
             fence, one = current(duties[0])
         await holding.holder(duties[0], fence)
@@ -374,22 +396,25 @@
         one.end()
         await holding.holder(duties[1], fence, one.name)
         fence, one = current(duties[2])
-        one.replace()                   # two processes of one name; the new one inherits nothing
+        one.replace()  # two processes of one name; the new one inherits nothing
         await holding.holder(duties[2], fence)
         for server in (0, 1, 2):
             world.servers[server].failing = 0.0
+
     world = played(tmp_path, work, PLAN)
     assert [world.judge.broken[rule] for rule in NEVER] == [0] * len(NEVER), world.judge.first
 
 
 def test_a_holder_cut_off_from_servers_but_not_from_voters_keeps_none_from_the_others(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It renews as well as any, and its trials fail by its own fault; for the others the servers serve."""
     came, cut_off = Server.came, set[int]()
 
     def failing(self: Server, job: Job) -> bool:
         self.failing = 1.0 if self.number < 3 and (not cut_off or job.sender in cut_off) else 0.0
         return came(self, job)
+
     monkeypatch.setattr(Server, "came", failing)
     sick = {"s-0", "s-1", "s-2"}
 
@@ -398,18 +423,22 @@
         async with Holding(stage) as holding:
             for name in sorted(sick):
                 await holding.holder(f"trial hall-0 {name}", 0)
-            holder = next(each for each in stage.sidecars
-                          if each.name == holding.latest["trial hall-0 s-0"][1])
+            holder = next(
+                each for each in stage.sidecars if each.name == holding.latest["trial hall-0 s-0"][1]
+            )
             cut_off.add(holder.number)
             began = time.monotonic()
-            await stage.until(lambda _: not any(each.refused & sick for each in stage.sidecars
-                                                if each is not holder), "in use by all others")
+            await stage.until(
+                lambda _: not any(each.refused & sick for each in stage.sidecars if each is not holder),
+                "in use by all others",
+            )
             assert time.monotonic() - began < OWN_EYES / SECOND, "not only once nobody is heeded any more"
             assert holder.refused & sick, "its own eyes see them fail"
             cut_off.add(-1)
             cut_off.discard(holder.number)
             await stage.until(lambda _: not holder.refused & sick, "the way is back")
         assert not holding.broken(), holding.broken()[:3]
+
     played(tmp_path, work, PLAN)
 
 
@@ -438,6 +467,7 @@
         early = [ms - killed_ms for ms in claimed if 50 < ms - killed_ms < lease_s * 500]
         assert not early, (early, killed_ms)
         assert not holding.broken(), holding.broken()[:3]
+
     played(tmp_path, work, plan)
 
 
@@ -452,8 +482,9 @@
         view = around.call("GET", "/peers")
         assert view is not None
         return {"waiting": waiting, **json.loads(view.body)}
+
     with around.running():
-        mine = json.loads(around.call("GET", "/peers").body)["address"]     # type: ignore[union-attr]
+        mine = json.loads(around.call("GET", "/peers").body)["address"]  # type: ignore[union-attr]
         told = load(voters=[mine], leaseS=1, longestS=40, trials=True)
         assert told["waiting"] == [] and told["fit"] and told["holds"] == told["granted"] == []
         assert 30 < told["silent_s"] < 41, "one that becomes a voter knows nothing of what was granted"
@@ -477,11 +508,21 @@
     def failing(self: Server, job: Job) -> bool:
         self.failing = 1.0 if job.sender == 0 or self.number < 6 and self.timeline.now < 25 * SECOND else 0.0
         return came(self, job)
+
     monkeypatch.setattr(Server, "came", failing)
-    plan = Plan(lasts_s=55, fleet=Fleet(servers=12, halls=1, work_ms=20), load=Load(part=0.3),
-                sidecars=Sidecars(count=8, peers=True, trials=True))
+    plan = Plan(
+        lasts_s=55,
+        fleet=Fleet(servers=12, halls=1, work_ms=20),
+        load=Load(part=0.3),
+        sidecars=Sidecars(count=8, peers=True, trials=True),
+    )
     world = VirtualWorld(plan, 1, trace=100_000)
     world.run()
-    opened = [(one.number, at) for one in world.instances[1:] if isinstance(one, Sidecar)
-              for at, state in enumerate(one.decisions.state) if state]
+    opened = [
+        (one.number, at)
+        for one in world.instances[1:]
+        if isinstance(one, Sidecar)
+        for at, state in enumerate(one.decisions.state)
+        if state
+    ]
     assert not opened
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,10 +7,17 @@
 
 import pytest
 
-INFO = json.dumps({
-    "me": 0, "fleetSize": 1, "zone": 0, "membershipMode": "pushed", "unheardOf": [1],
-    "policyLimits": {"mostHops": 2}, "tariffs": [
-        {"effect": "idempotent", "gain": 1.0, "agreedTimeS": 0.5, "patienceS": 1.0}]}).encode()
+INFO = json.dumps(
+    {
+        "me": 0,
+        "fleetSize": 1,
+        "zone": 0,
+        "membershipMode": "pushed",
+        "unheardOf": [1],
+        "policyLimits": {"mostHops": 2},
+        "tariffs": [{"effect": "idempotent", "gain": 1.0, "agreedTimeS": 0.5, "patienceS": 1.0}],
+    }
+).encode()
 ENTRY = struct.pack("<IHHHBfd", 77, 0, 0, 0, 1, 1.0, 0.0)
 CREATE = struct.pack("<HHQII", 1, 3, 9, 0, len(INFO))
 SHEET = struct.pack("<HIII", 11, 0, len(INFO), 1)
@@ -43,14 +50,17 @@
     assert result.stdout[56:] == struct.pack("<IIII", 0, 0, 0, 0)
 
 
-@pytest.mark.parametrize(("data", "says"), [
-    (batch(EXIT)[:30], "ends after"),
-    (batch(EXIT)[:9], "header"),
-    (batch(struct.pack("<HH", 99, 3)), "unknown event code 99"),
-    (batch(struct.pack("<HHQII", 1, 3, 9, 4, 50), tail=INFO[:20]), "tail"),
-    (batch(CREATE, CACHED, tail=INFO), "sheet 0"),
-    (batch(CREATE, tail=INFO.replace(b"{", b"[")), "settings"),
-])
+@pytest.mark.parametrize(
+    ("data", "says"),
+    [
+        (batch(EXIT)[:30], "ends after"),
+        (batch(EXIT)[:9], "header"),
+        (batch(struct.pack("<HH", 99, 3)), "unknown event code 99"),
+        (batch(struct.pack("<HHQII", 1, 3, 9, 4, 50), tail=INFO[:20]), "tail"),
+        (batch(CREATE, CACHED, tail=INFO), "sheet 0"),
+        (batch(CREATE, tail=INFO.replace(b"{", b"[")), "settings"),
+    ],
+)
 def test_malformed_input_ends_with_one_line(data: bytes, says: str) -> None:
     result = run(data)
     assert result.returncode == 2 and result.stdout == b""
