--- a/pumicepath/lab/capacity/slopes.py
+++ b/pumicepath/lab/capacity/slopes.py
@@ -80,11 +80,26 @@
 
 
 def line(points: Sequence[tuple[float, float]]) -> Line:
-    """Least squares of the relative distances: small sizes count as much as large ones."""
-    sizes, middles = (numpy.array(column, dtype=float) for column in zip(*points))
-    slope, base = numpy.polyfit(sizes, middles, 1, w=1 / middles)
-    residual = numpy.max(numpy.abs(base + slope * sizes - middles) / middles)
-    return Line(float(base), float(slope), float(residual))
+    """Least squares of the relative distances: small sizes count as much as large ones.
+
+    Exact sums give the same line on every processor.  A slope that moves the line by no more than the last
+    digits of two points is rounding, and 0.
+    """
+    weights = [1 / (middle * middle) for _, middle in points]
+    total = math.fsum(weights)
+    mean_size = math.fsum(weight * size for weight, (size, _) in zip(weights, points)) / total
+    mean = math.fsum(weight * middle for weight, (_, middle) in zip(weights, points)) / total
+    offsets = [size - mean_size for size, _ in points]
+    slope = math.fsum(
+        weight * offset * (middle - mean) for weight, offset, (_, middle) in zip(weights, offsets, points)
+    ) / math.fsum(weight * offset * offset for weight, offset in zip(weights, offsets))
+    sizes = [size for size, _ in points]
+    last_digit = math.ulp(max(middle for _, middle in points))
+    if abs(slope) * (max(sizes) - min(sizes)) <= 2 * last_digit:
+        slope = 0.0
+    base = mean - slope * mean_size
+    residual = max(abs(base + slope * size - middle) / middle for size, middle in points)
+    return Line(base, slope, residual)
 
 
 @dataclass(frozen=True)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -4,6 +4,7 @@
 
 import copy
 import json
+import math
 from pathlib import Path
 from typing import Any
 
@@ -80,6 +81,32 @@
     assert not square.linear and square.residual > 0.5
 
 
+@pytest.mark.parametrize("value", [2.0, 0.1, 1 / 3, 1e-7, 12_345.678])
+def test_equal_points_have_no_slope(value: float) -> None:
+    found = line([(size, value) for size in (12, 100, 1000, 20_000)])
+    assert found.slope == 0
+    assert found.base == pytest.approx(value, rel=1e-15)
+    assert found.residual < 1e-15
+
+
+@pytest.mark.parametrize("value", [2.0, 0.1, 1 / 3, 1e-7, 12_345.678])
+@pytest.mark.parametrize("raised", [1, 2, 4, 8, 12, 14])
+def test_points_that_differ_in_the_last_bit_have_no_slope(value: float, raised: int) -> None:
+    sizes = (12, 100, 1000, 20_000)
+    found = line(
+        [
+            (size, math.nextafter(value, math.inf) if raised & 1 << at else value)
+            for at, size in enumerate(sizes)
+        ]
+    )
+    assert found.slope == 0
+
+
+def test_a_small_slope_above_rounding_stays() -> None:
+    found = line([(size, 2.0 + 1e-12 * size) for size in (12, 100, 1000, 20_000)])
+    assert found.slope == pytest.approx(1e-12, rel=1e-3)
+
+
 def test_figures_between_beyond_and_below_what_was_measured() -> None:
     known = capacity(straight=STRAIGHT, bent=[[1, [1]], [10, [100]], [100, [10_000]], [200, [40_000]]])
     assert known.at("straight", 25) == Figure(60, "measured")
