--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -231,7 +231,7 @@
     drawn = set()
     for at in range(8):
         around = Deployment(tmp_path, 0, name=f"n{at}", relays=["127.0.0.1:1"])
-        homes = running.following(config.read(str(around.config)))
+        homes = running.create_relay_selector(config.read(str(around.config)))
         assert homes is not None
         drawn.add(homes.failed(0))
     assert len(drawn) == 8
@@ -264,9 +264,9 @@
     by = {relay.address: relay for relay in relays}
     heard = Heard()
     watch = Watch(Roster(["a"], lambda born: 1), homes.at, -1, 100_000, services=("*",))
-    watcher = Watcher(watch, address("127.0.0.1:1"), homes=homes)
+    watcher = Watcher(watch, address("127.0.0.1:1"), relay_selector=homes)
     watcher.dispatcher = heard  # type: ignore[assignment]
-    watcher.follow()
+    watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
     yield watcher, [by[at] for at in homes.order], heard
     for relay in relays:
