--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -23,7 +23,7 @@
 from ...logic import Balancer, Chance
 from ...settings import decode
 from ...sidecar import clock
-from ...sidecar.watching import CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S, RETRY_INTERVAL_S, RESPONSE_TIMEOUT_S
+from ...sidecar.watching import CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S, RETRY_INTERVAL_S
 from .plan import Plan
 
 IP_BIND_ADDRESS_NO_PORT = 24  # linux/in.h: the port is chosen at connect, so that each pair can use all
--- a/pumicepath/sidecar/admin_server.py
+++ b/pumicepath/sidecar/admin_server.py
@@ -18,8 +18,8 @@
 from . import answers, clock
 from .clients import Clients
 from .dispatch import Dispatcher
-from .servers import start
 from .hot_restart import HotRestart
+from .servers import start
 
 if TYPE_CHECKING:
     from .peers import Peers
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -21,13 +21,13 @@
 from ..logic import Chance
 from . import clock
 from . import config as settings
+from .admin_server import AdminServer
 from .clients import Clients
-from .config import ConfigError, Config
+from .config import Config, ConfigError
 from .dispatch import Dispatcher
+from .hot_restart import Handover, HotRestart, request_handover
 from .log import Log
-from .admin_server import AdminServer
 from .servers import start
-from .hot_restart import Handover, HotRestart, request_handover
 from .watching import Watcher
 
 if TYPE_CHECKING:
@@ -211,7 +211,7 @@
         listen=config.listen,
         admin=config.admin,
         seed=config.seed,
-        connections=config.max_connections,
+        max_connections=config.max_connections,
         peers=merge_peer_settings(config.peers, new.peers),
     )
     if peers is not None and new.peers is not None and new.peers != config.peers:
@@ -227,7 +227,7 @@
         dispatcher.adopt(replace(new, settings=after))
     wait = 2 * min(before.ask_every, after.ask_every)
     if (new.relays, new.services) != (config.relays, config.services):
-        homes = watcher.homes if new.relays == config.relays else create_relay_selector(new)
+        homes = watcher.relay_selector if new.relays == config.relays else create_relay_selector(new)
         watcher.move(new.discovery, wait, new.pushed, homes, new.services)
     elif new.relays:
         # Waits at relays are short: guards them against all sidecars' asking for all when they are reloaded.
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -57,7 +57,7 @@
         self.sock: socket.socket | None = None
 
     @property
-    def homes(self) -> Homes | None:
+    def relay_selector(self) -> Homes | None:
         return self.relay_watch.homes if self.relay_watch is not None else None
 
     def set_relay_selector(self, relay_selector: Homes | None) -> None:
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -218,7 +218,7 @@
         "from pumicepath.sidecar import config, running;"
         "from pumicepath.discovery.watch import Watch;"
         f"c = config.read({str(around.config)!r}); Watch(None, '', 1, 1);"
-        "assert running.following(c) is None;"
+        "assert running.create_relay_selector(c) is None;"
         "print([name for name in sys.modules if 'distribution' in name or 'relay' in name"
         " or name == 'pumicepath.sidecar.following'"
         " or name in ('pumicepath.commands.' + each for each in ('lab', 'scale', 'demo', 'peers'))])"
@@ -297,7 +297,7 @@
         first.kill()
         until(second.taken)
         # The first is dialled in vain meanwhile: the watch at the second goes on, with no list asked anew.
-        until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
+        until(lambda: watcher.relay_selector and watcher.relay_selector.home_span > 500_000)
         until(lambda: sum("since" in target for _, target in second.asked) > 5)
         assert sum("since" not in target for _, target in second.asked) == 1 == second.accepted
         first.listener = socket.create_server((host, int(port)))
@@ -330,9 +330,9 @@
         until(first.taken)
         first.turn("busy")
         until(second.taken)
-        monkeypatch.setattr("pumicepath.sidecar.following.opened", none_left)
+        monkeypatch.setattr("pumicepath.sidecar.following.new_socket", none_left)
         first.turn("serving")
-        until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
+        until(lambda: watcher.relay_selector and watcher.relay_selector.home_span > 500_000)
         calls = len(second.asked)
         until(lambda: len(second.asked) > calls + 3)
         assert second.accepted == 1
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -16,7 +16,7 @@
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.sidecar.hot_restart import SOCKET_NAME, Channel, ShortPath, HotRestart, request_handover
+from pumicepath.sidecar.hot_restart import SOCKET_NAME, Channel, HotRestart, ShortPath, request_handover
 
 from .helpers import compare
 from .rig import Rig, held, until
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -103,7 +103,7 @@
     # Where discovery is to be silent that is found soon; elsewhere never, however slow the machine is.
     silences = iter([0.1 if step == "wait" or step[-1] == "wait" else 60.0 for step in steps])
     monkeypatch.setattr(Watch, "until_silent", lambda watch: next(silences, 60.0))
-    monkeypatch.setattr("pumicepath.sidecar.watching.WHOLE_S", 0.1)
+    monkeypatch.setattr("pumicepath.sidecar.watching.RESPONSE_TIMEOUT_S", 0.1)
     lines = [f"{name}{', pushed' if pushed else ''}:"]
     heard, script = Heard(lines), queue.SimpleQueue()
 
@@ -150,7 +150,7 @@
 def test_a_new_discovery_that_stays_away_is_told_of_once_the_move_is_over(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("pumicepath.sidecar.watching.MOVING_S", 0.3)
+    monkeypatch.setattr("pumicepath.sidecar.watching.MOVE_RETRY_S", 0.3)
     heard, script = Heard([]), queue.SimpleQueue()
     peer = Peer("", script, [])
     with socket.create_server(("127.0.0.1", 0)) as nobody:
@@ -188,7 +188,7 @@
 
 def test_an_answer_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watching, "ANSWER_S", 0.2)
-    monkeypatch.setattr("pumicepath.sidecar.watching.WHOLE_S", 0.2)
+    monkeypatch.setattr("pumicepath.sidecar.watching.RESPONSE_TIMEOUT_S", 0.2)
     watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), address("127.0.0.1:1"))
     near, far = socket.socketpair()
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -326,19 +326,19 @@
 def test_broken_invariants_are_counted_in_release_builds_and_told() -> None:
     script = """if True:
         from pumicepath import invariants
-        from pumicepath.sidecar.running import Watchman
+        from pumicepath.sidecar.running import ProblemReporter
         class Clients: refused = spoilt = {}
         class Dispatcher:
             events = property(lambda self: self)
             pool = Clients
             figures = events
-            def sum(self): pass
+            def apply_pending(self): pass
             def event(self, event, **figures): print(event, figures)
             def wake(self, at, whom): print("again at", at)
-        watchman = Watchman(Dispatcher(), Clients())
+        reporter = ProblemReporter(Dispatcher(), Clients())
         for holds in (True, False, False):
             invariants.must(holds, "x")
-            watchman.woke(0)
+            reporter.woke(0)
     """
     counted = "{'counts': {'x': 2}}\nagain at 1000000\n"
     for level, says in (("-O", counted), ("-B", "AssertionError: x")):
