--- a/pumicepath/sidecar/hot_restart.py
+++ b/pumicepath/sidecar/hot_restart.py
@@ -1,6 +1,7 @@
-"""Replacing the process: the line between the old one and the new, by which all is handed that must run on.
+"""Hot restart: the channel between an old and a new process, which hands over all that must keep running.
 
-`reach` is the new process's first step; `Succession` answers it in the old one, and keeps both of one mind.
+The new process calls `request_handover` first; in the old one `HotRestart` answers it. From then on
+`HotRestart` in both processes applies the changes that operators make at either.
 """
 
 from __future__ import annotations
@@ -22,28 +23,31 @@
 from .servers import start
 
 SOCKET_NAME = "pumicepath.succession"
-PROTOCOL_VERSION = 1  # of what is said on the line
-HANDOVER_TIMEOUT_S = 1.0  # that the old process may take to answer
-CONFIRM_TIMEOUT_S = 0.5  # that a change made by hand waits for the other process
-MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of one message
+PROTOCOL_VERSION = 1
+# The old process has this long to answer a request for a handover.
+HANDOVER_TIMEOUT_S = 1.0
+# An operator's change waits this long for the other process to confirm it.
+CONFIRM_TIMEOUT_S = 0.5
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
 
 class ChannelError(Exception):
-    """The other process says what can't be understood, or nothing."""
+    """The other process sent an invalid message or ended the channel."""
 
 
 class Channel:
-    """One message a JSON line, both ways."""
+    """A Unix socket to the other process: one JSON message per line, in both directions."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.buffer = b""
         self.write_lock = threading.RLock()
         self.confirmation = threading.Condition()
-        self.last_sent = self.last_confirmed = 0
+        self.last_sent = self.last_confirmed = 0  # numbers of messages that are to be confirmed
         self.closed = False
 
     def send(self, message: dict[str, Any], descriptors: tuple[int, ...] = ()) -> None:
+        """Send one message, with file descriptors; raises OSError if the channel is broken."""
         data = orjson.dumps(message, option=orjson.OPT_APPEND_NEWLINE)
         with self.write_lock:
             if descriptors:
@@ -52,24 +56,31 @@
             self.sock.sendall(data)
 
     def receive(self) -> tuple[dict[str, Any], list[int]]:
-        """The next message, with the descriptors that came; raises Broken once there is none."""
+        """Return the next message and the file descriptors that arrived with it.
+
+        Raises ChannelError at the end of the channel and for a message that is too long or no object, OSError
+        if the channel is broken, ValueError for invalid JSON.
+        """
         descriptors: list[int] = []
         while b"\n" not in self.buffer:
-            data, came, _, _ = socket.recv_fds(self.sock, 65536, 4)
-            descriptors += came
+            data, received, _, _ = socket.recv_fds(self.sock, 65536, 4)
+            descriptors += received
             self.buffer += data
             if not data or len(self.buffer) > MAX_MESSAGE_BYTES:
                 for each in descriptors:
                     os.close(each)
-                raise ChannelError("the line has ended")
+                raise ChannelError("the channel was closed, or a message was too long")
         line, _, self.buffer = self.buffer.partition(b"\n")
         message = orjson.loads(line)
         if not isinstance(message, dict):
-            raise ChannelError("no message")
+            raise ChannelError("the message is not an object")
         return message, descriptors
 
     def send_confirmed(self, message: dict[str, Any]) -> None:
-        """Have the other process do the same, and wait for it, but not for one that is stuck."""
+        """Have the other process apply a change, and wait until it has, at most `CONFIRM_TIMEOUT_S`.
+
+        The bound keeps an operator's call from hanging on a process that is stuck.
+        """
         with self.confirmation:
             self.last_sent += 1
             number = self.last_sent
@@ -81,6 +92,7 @@
                 )
 
     def close(self) -> None:
+        """Close the socket and release whoever waits for a confirmation."""
         with self.confirmation:
             self.closed = True
             self.confirmation.notify_all()
@@ -88,7 +100,12 @@
 
 
 class Handover(NamedTuple):
-    """What a new process goes on with."""
+    """What the old process hands to the new one.
+
+    `listener` is None if the old process listens at another address. `out_of_service` and `back_in_service`
+    have the servers that an operator has taken out, or put back, each with the time since when, in
+    microseconds of the sidecar's clock. `drained_by_operator`: clients are to be sent away.
+    """
 
     channel: Channel
     listener: socket.socket | None
@@ -99,20 +116,23 @@
 
 
 def encode_times(times: dict[int, int]) -> list[list[int]]:
-    return [[server, clock.to_monotonic(then)] for server, then in sorted(times.items())]
+    """Encode times by server for a message, as times of the machine's monotonic clock, which both share."""
+    return [[server, clock.to_monotonic(time)] for server, time in sorted(times.items())]
 
 
 def decode_times(times: list[list[int]]) -> dict[int, int]:
-    return {int(server): clock.since_monotonic(int(then)) for server, then in times}
+    """Decode what `encode_times` has made into times of this process's clock."""
+    return {int(server): clock.since_monotonic(int(time)) for server, time in times}
 
 
 def socket_path() -> Path | None:
+    """Return where the serving process is reached, or None if $TMPDIR is not set."""
     folder = os.environ.get("TMPDIR", "")
     return Path(folder) / SOCKET_NAME if folder else None
 
 
 class ShortPath:
-    """A path short enough for a socket's address, whose length the kernel bounds to 107 bytes."""
+    """Gives a path short enough for a socket's address, whose length the kernel limits to 107 bytes."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -126,9 +146,10 @@
 
 
 def request_handover(listen: Address) -> Handover | None:
-    """What the process that serves at this address hands over; None where there is none, or it says nothing.
+    """Ask the process that serves at this address for a handover.
 
-    Guards the start against what a process long dead has left: then this one starts from nothing.
+    Returns None if there is none or it gives no valid answer in time: this process then starts from nothing,
+    so that a socket that a dead process left behind cannot stop it from starting.
     """
     path = socket_path()
     if path is None or not path.exists():
@@ -139,20 +160,20 @@
         sock.settimeout(HANDOVER_TIMEOUT_S)
         with ShortPath(path) as short:
             sock.connect(short)
-        line = Channel(sock)
-        line.send({"version": PROTOCOL_VERSION, "listen": list(listen)})
-        told, descriptors = line.receive()
-        if told.get("version") != PROTOCOL_VERSION:
-            raise ChannelError(f"version {told.get('version')}")
+        channel = Channel(sock)
+        channel.send({"version": PROTOCOL_VERSION, "listen": list(listen)})
+        answer, descriptors = channel.receive()
+        if answer.get("version") != PROTOCOL_VERSION:
+            raise ChannelError(f"version {answer.get('version')}")
         listener = socket.socket(fileno=descriptors.pop()) if descriptors else None
         sock.settimeout(None)
         return Handover(
-            line,
+            channel,
             listener,
-            told["known"],
-            decode_times(told["by_hand"]),
-            decode_times(told["returned"]),
-            bool(told["emptied"]),
+            answer["known"],
+            decode_times(answer["by_hand"]),
+            decode_times(answer["returned"]),
+            bool(answer["emptied"]),
         )
     except (OSError, ChannelError, ValueError, TypeError, KeyError):
         for each in descriptors:
@@ -162,119 +183,123 @@
 
 
 class HotRestart:
-    """Both ends of the line in a process that runs: to the one before it, and to the one after it."""
+    """A running process's channels to the process that it has replaced and to those that may replace it."""
 
     def __init__(
-        self, dispatcher: Dispatcher, clients: Clients, known: Callable[[], Any], listen: Address
+        self, dispatcher: Dispatcher, clients: Clients, known_list: Callable[[], Any], listen: Address
     ) -> None:
         self.dispatcher = dispatcher
         self.clients = clients
-        self.known = known
+        self.known_list = known_list
         self.listen = list(listen)
         self.channels: dict[Channel, None] = {}
-        self.superseded = False  # whether a process that takes clients has come after this one
+        self.superseded = False  # whether a new process accepts clients in this one's place
 
-    def take_over(self, before: Channel) -> None:
-        """This process takes clients: the one before it leaves them to it."""
-        self.channels[before] = None
+    def take_over(self, old_process: Channel) -> None:
+        """Tell the old process that this one accepts clients now; the old one stops accepting them."""
+        self.channels[old_process] = None
         self.dispatcher.share(1, 2)
         self.clients.share(2, 3)
         with suppress(OSError):
-            before.send({"taking": True})
-        # Only once it is told: whoever reads it may end this process, and the one before must know by then
-        # that it had stopped taking clients, else it never says that it is alone again.
+            old_process.send({"taking": True})
+        # Logged only after the message is sent: whoever reads the log may end this process then.  If the old
+        # one did not know by that time that it had stopped accepting, it would never log that it is alone.
         self.dispatcher.events.event("succeeding")
-        start(lambda: self.serve_channel(before, False))
+        start(lambda: self.serve_channel(old_process, False))
 
     def open_socket(self) -> None:
-        """Wait for the process that will come after this one."""
+        """Listen for a process that is to replace this one; without $TMPDIR none can."""
         path = socket_path()
         if path is None:
             return
-        mine = path.with_name(f"{SOCKET_NAME}.{os.getpid()}")
+        own_path = path.with_name(f"{SOCKET_NAME}.{os.getpid()}")
         try:
             with suppress(FileNotFoundError):
-                mine.unlink()
+                own_path.unlink()
             listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            with ShortPath(mine) as short:
+            with ShortPath(own_path) as short:
                 listener.bind(short)
             listener.listen(4)
-            # In one step: guards a second new process against a moment in which nobody is to be met there.
-            os.replace(mine, path)
-        except OSError as trouble:
-            # It can still be replaced, with what waits in its queue lost and nothing handed over.
-            self.dispatcher.events.event("no_succession", text=str(trouble))
+            # Renamed in one atomic step: otherwise a second new process could find no socket for a moment,
+            # and would start from nothing.
+            os.replace(own_path, path)
+        except OSError as error:
+            # This process can still be replaced, but without a handover: what waits in its queue is lost.
+            self.dispatcher.events.event("no_succession", text=str(error))
             return
         start(lambda: self.accept_channels(listener))
 
     def accept_channels(self, listener: socket.socket) -> None:
+        """Serve each new process that connects, in a thread of its own."""
         while True:
             try:
-                line = Channel(listener.accept()[0])
-            except OSError as trouble:
-                self.dispatcher.events.event("no_succession", text=str(trouble))
+                channel = Channel(listener.accept()[0])
+            except OSError as error:
+                self.dispatcher.events.event("no_succession", text=str(error))
                 return
-            start(lambda line=line: self.serve_channel(line, True))  # type: ignore[misc]
+            start(lambda channel=channel: self.serve_channel(channel, True))  # type: ignore[misc]
 
-    def serve_channel(self, line: Channel, after: bool) -> None:
-        """All that the other process says, until it ends; `after` tells whether it comes after this one."""
-        taking = False
+    def serve_channel(self, channel: Channel, to_new_process: bool) -> None:
+        """Handle the messages of the other process until the channel ends."""
+        new_process_serves = False
         try:
-            if after:
-                self.hand_over(line)
+            if to_new_process:
+                self.hand_over(channel)
             while True:
-                message, _ = line.receive()
-                if message.get("taking") and after:
-                    taking = self.superseded = True
+                message, _ = channel.receive()
+                if message.get("taking") and to_new_process:
+                    new_process_serves = self.superseded = True
                     self.clients.pause(True)
                     self.dispatcher.share(1, 2)
                     self.dispatcher.events.event("succeeded", clients=len(self.clients.open))
                 if "done" in message:
-                    with line.confirmation:
-                        line.last_confirmed = max(line.last_confirmed, int(message["done"]))
-                        line.confirmation.notify_all()
+                    with channel.confirmation:
+                        channel.last_confirmed = max(channel.last_confirmed, int(message["done"]))
+                        channel.confirmation.notify_all()
                 if "number" in message:
                     self.apply(message)
-                    line.send({"done": message["number"]})
-        except (OSError, ChannelError, ValueError, TypeError, KeyError, IndexError) as trouble:
-            if not isinstance(trouble, (OSError, ChannelError)):
-                self.dispatcher.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
+                    channel.send({"done": message["number"]})
+        except (OSError, ChannelError, ValueError, TypeError, KeyError, IndexError) as error:
+            if not isinstance(error, (OSError, ChannelError)):
+                self.dispatcher.events.event("fault", text=f"{type(error).__name__}: {error}")
         finally:
-            self.channels.pop(line, None)
-            line.close()
-            if taking:
-                # The new process is gone before this one was told to go: clients are this one's again.
+            self.channels.pop(channel, None)
+            channel.close()
+            if new_process_serves:
+                # The new process has gone before this one was asked to end: this one accepts clients again.
                 self.superseded = False
                 self.clients.pause(False)
-            if taking or not after:
+            if new_process_serves or not to_new_process:
                 self.dispatcher.share(1, 1)
                 self.clients.share(1, 1)
                 self.dispatcher.events.event("alone")
 
-    def hand_over(self, line: Channel) -> None:
-        message, _ = line.receive()
+    def hand_over(self, channel: Channel) -> None:
+        """Answer a new process's request; it gets the listening socket if it serves at the same address."""
+        message, _ = channel.receive()
         dispatcher = self.dispatcher
-        with line.write_lock:
-            self.channels[line] = (
-                None  # what is changed from now on is told behind this, and may be in it too
-            )
-            by_hand, returned = dispatcher.handed()
-            told = {
+        with channel.write_lock:
+            # Changes from now on are sent after the answer, and may also be contained in it.
+            self.channels[channel] = None
+            out_of_service, back_in_service = dispatcher.handed()
+            answer = {
                 "version": PROTOCOL_VERSION,
-                "known": self.known(),
+                "known": self.known_list(),
                 "emptied": dispatcher.emptied,
-                "by_hand": encode_times(by_hand),
-                "returned": encode_times(returned),
+                "by_hand": encode_times(out_of_service),
+                "returned": encode_times(back_in_service),
             }
-            same = message.get("listen") == self.listen
-            line.send(told, (self.clients.listener.fileno(),) if same else ())
+            same_address = message.get("listen") == self.listen
+            channel.send(answer, (self.clients.listener.fileno(),) if same_address else ())
 
     def apply(self, message: dict[str, Any]) -> None:
+        """Apply a change that an operator has made at the other process."""
         if "server" in message:
             self.dispatcher.by_hand(str(message["server"]), bool(message["out"]), True)
         if "emptied" in message:
             self.clients.empty(bool(message["emptied"]))
 
     def propagate(self, message: dict[str, Any]) -> None:
-        for line in list(self.channels):
-            line.send_confirmed(message)
+        """Have all connected processes apply an operator's change, and wait for each of them."""
+        for channel in list(self.channels):
+            channel.send_confirmed(message)
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -1,4 +1,4 @@
-"""Start, signals and shutdown of one sidecar."""
+"""Start, reload (SIGHUP) and shutdown (SIGTERM, SIGINT) of one sidecar process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ..interface import Listing
 from ..logic import Chance
 from . import clock
-from . import config as settings
+from . import config as configuration
 from .admin_server import AdminServer
 from .clients import Clients
 from .config import Config, ConfigError
@@ -36,70 +36,71 @@
     from .peers import Peers
 
 THREAD_STACK_BYTES = 128 * 1024
-# Of the C library's allocator (malloc.h): one heap for all threads, and no mapping for each large body.
+# Options of the C library's allocator (malloc.h): one arena for all threads, and no separate mapping for each
+# large body.
 MALLOC_OPTIONS = {
     "M_ARENA_MAX": (-8, 1),
     "M_MMAP_THRESHOLD": (-3, 32 << 20),
     "M_TRIM_THRESHOLD": (-1, 32 << 20),
 }
 SWITCH_INTERVAL_S = 0.02
-ACCEPT_AFTER_SIGTERM_S = 0.5  # how long new connections may still come after SIGTERM, with room to spare
-RESTART_ONLY_KEYS = (
-    "name",
-    "listen",
-    "limits",
-    "admin",
-    "peers",
-)  # keys of the file that are read at the start only
-FIRST_LIST_TIMEOUT_S = 2.0  # that clients wait in the queue for a first list, where all that is listed counts
-LATE_ANSWER_GRACE_US = 400_000  # past the longest patience, when whatever came late is answered
-SHUTDOWN_GRACE_S = 0.6  # past the longest patience, when to end whatever is left, 0.1 s before the kill
+# New connections may still arrive for a while after SIGTERM; includes a margin.
+ACCEPT_AFTER_SIGTERM_S = 0.5
+# Keys of the configuration file that are read only at the start.
+RESTART_ONLY_KEYS = ("name", "listen", "limits", "admin", "peers")
+# With pushed lists everything on discovery's list binds at once: clients wait so long for the first list.
+FIRST_LIST_TIMEOUT_S = 2.0
+# Past the longest deadline: requests that arrived late are answered by then.
+LATE_ANSWER_GRACE_US = 400_000
+# Past the longest deadline: whatever is left ends, 0.1 s before the process is killed.
+SHUTDOWN_GRACE_S = 0.6
 
 
 def serve(config: Config, path: str) -> None:
-    """Run until SIGTERM or SIGINT, then until nothing is owed; never comes back."""
+    """Run until SIGTERM or SIGINT, finish all submissions and end the process; never returns.
+
+    Raises ConfigError if an address cannot be listened on.
+    """
     signals = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}
     signal.pthread_sigmask(signal.SIG_BLOCK, signals)
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     threading.stack_size(THREAD_STACK_BYTES)
     limit_malloc_arenas()
-    # Every thread that waits for the interpreter wakes up so often to ask for it: with hundreds of them a
-    # short time takes the whole core, and none is needed, as all of them soon wait for a socket.
+    # Each thread that waits for the interpreter lock wakes up once per interval to request it.  With hundreds
+    # of threads a short interval uses up a whole core, and is not needed: all of them soon wait for a socket.
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     log = Log(config.name)
-    roster = Roster(config.zones, clock.since_unix_ms, config.kinds)
-    config = with_list_numbers(config, roster)
-    before = request_handover(config.listen) if config.admin else None
-    known, told = initial_list(roster, config, before)
-    homes = create_relay_selector(config)
+    server_list = Roster(config.zones, clock.since_unix_ms, config.kinds)
+    config = with_list_numbers(config, server_list)
+    handover = request_handover(config.listen) if config.admin else None
+    known, raw_list = initial_list(server_list, config, handover)
+    relay_selector = create_relay_selector(config)
     watch = Watch(
-        roster,
-        homes.at if homes else f"{config.discovery.host}:{config.discovery.port}",
-        -1 if homes or "regions" in told else known.version,
+        server_list,
+        relay_selector.at if relay_selector else f"{config.discovery.host}:{config.discovery.port}",
+        -1 if relay_selector or "regions" in raw_list else known.version,
         2 * config.settings.ask_every,
         Chance(config.seed).share,
         config.services,
     )
-    watch.inherit(told)
-    watcher = Watcher(watch, config.discovery, config.pushed, homes)
+    watch.inherit(raw_list)
+    watcher = Watcher(watch, config.discovery, config.pushed, relay_selector)
     dispatcher = Dispatcher(config, log, watcher.request_list)
     watcher.dispatcher = dispatcher
     try:
-        clients = Clients(dispatcher, before.listener if before else None)
-    except OSError as trouble:
-        raise ConfigError(
-            f"cannot listen on {format_address(config.listen)}: {trouble.strerror}"
-        ) from trouble
-    # By the port that it has, which the file need not name: who comes after may only know that one.
+        clients = Clients(dispatcher, handover.listener if handover else None)
+    except OSError as error:
+        raise ConfigError(f"cannot listen on {format_address(config.listen)}: {error.strerror}") from error
+    # With the actual port, which the file may leave to the kernel (port 0): a new process may know only this.
     serving = config.listen._replace(port=clients.listener.getsockname()[1])
-    succession = HotRestart(dispatcher, clients, watch.known, serving)
-    peers = create_peers(config, log, before is not None)
+    hot_restart = HotRestart(dispatcher, clients, watch.known, serving)
+    peers = create_peers(config, log, handover is not None)
     try:
-        operators = (
-            AdminServer(config.admin, dispatcher, clients, succession, peers) if config.admin else None
+        admin_server = (
+            AdminServer(config.admin, dispatcher, clients, hot_restart, peers) if config.admin else None
         )
-    except OSError as trouble:
-        raise ConfigError(f"cannot listen on {format_address(config.admin)}: {trouble.strerror}") from trouble
+    except OSError as error:
+        raise ConfigError(f"cannot listen on {format_address(config.admin)}: {error.strerror}") from error
     start(log.run)
     start(dispatcher.run_timers)
     start(watcher.run)
@@ -108,13 +109,14 @@
         if shares_trials(config.peers):
             dispatcher.accompany(peers.shared_trials)
         start(peers.run)
-    if before is not None:
-        dispatcher.inherit(before.out_of_service, before.back_in_service)
-        dispatcher.emptied = before.drained_by_operator
+    if handover is not None:
+        dispatcher.inherit(handover.out_of_service, handover.back_in_service)
+        dispatcher.emptied = handover.drained_by_operator
     dispatcher.listed(Listing.CACHED, known)
     if config.pushed:
         watcher.request_list()
-        # Guards servers that drain: what discovery has counts as told from here on; the file's list is old.
+        # From here on this sidecar counts as notified of whatever discovery has, while the file's list is
+        # old: without waiting, requests could go to servers that are draining.
         watcher.first_call_done.wait(FIRST_LIST_TIMEOUT_S)
     dispatcher.decide(dispatcher.pool.woke)
     dispatcher.decide(clients.woke)
@@ -122,14 +124,16 @@
     dispatcher.decide(ProblemReporter(dispatcher, clients).woke)
     gc.collect()
     gc.freeze()
-    gc.set_threshold(10_000)  # what ends with a submission is freed with it; little is left to collect
+    # Reference counting frees what a submission used when it ends; little is left to collect.
+    gc.set_threshold(10_000)
     host, port = clients.listener.getsockname()[:2]
-    if operators is not None:
-        succession.open_socket()  # before it says that it has started: who waited for that may replace it at once
+    if admin_server is not None:
+        # Before `started` is logged: whoever waits for that event may start a replacement at once.
+        hot_restart.open_socket()
     log.event(
         "started",
         listen=f"{host}:{port}",
-        operators=operators.where if operators else "",
+        operators=admin_server.address if admin_server else "",
         servers=len(known.entries),
         from_clients=config.max_client_connections,
         to_servers=config.max_server_connections,
@@ -139,17 +143,20 @@
         **({"relays": len(config.relays)} if config.relays else {}),
     )
     start(clients.run)
-    if operators is not None:
-        if before is not None:
-            succession.take_over(before.channel)
-        start(operators.run)
+    if admin_server is not None:
+        if handover is not None:
+            hot_restart.take_over(handover.channel)
+        start(admin_server.run)
     while signal.sigwait(signals) == signal.SIGHUP:
         config = reload(config, path, dispatcher, watcher, log, peers)
     drain(dispatcher, clients, log, peers)
 
 
 def create_peers(config: Config, log: Log, retry_bind: bool) -> Peers | None:
-    """The part that speaks with other sidecars; not even imported where the file has no peers."""
+    """Create the exchange with other sidecars; its module is not imported if the file has no peers.
+
+    With `retry_bind` an address in use is no error, as the old process of a hot restart still holds it.
+    """
     if config.peers is None:
         return None
     from .peers import Peers
@@ -157,36 +164,42 @@
     zone = config.zones[config.settings.zone] if config.zones else ""
     try:
         return Peers(config.peers, config.name, zone, log, retry_bind)
-    except OSError as trouble:
+    except OSError as error:
         where = config.peers.listen
-        raise ConfigError(f"peers.listen: cannot listen on {where}: {trouble.strerror}") from trouble
+        raise ConfigError(f"peers.listen: cannot listen on {where}: {error.strerror}") from error
 
 
-def initial_list(roster: Roster, config: Config, before: Handover | None) -> tuple[Update, Any]:
-    """What the process before this one was told last, or what the file knows; read, and as it came."""
-    if before is not None:
+def initial_list(server_list: Roster, config: Config, handover: Handover | None) -> tuple[Update, Any]:
+    """Return the list to start with, decoded and raw: the old process's last one, or the one in the file."""
+    if handover is not None:
         with suppress(BadList):
-            return roster.read(before.known_list), before.known_list
-    return roster.read(config.known_list), config.known_list
+            return server_list.read(handover.known_list), handover.known_list
+    return server_list.read(config.known_list), config.known_list
 
 
 def create_relay_selector(config: Config) -> Homes | None:
-    """The relays in this sidecar's order; what decides on them is not even imported where there are none."""
+    """Create the choice among the relays, in this sidecar's order; not even imported without relays."""
     if not config.relays:
         return None
     from ..distribution.homes import Homes
 
-    # Not by the seed alone: guards relays against sidecars that share one, and would wait alike.
+    # Not seeded by the configured seed alone: sidecars that share one would all wait equally long and reach
+    # the relays at the same moments.
     return Homes(config.name, config.relays, Chance(config.seed ^ stable(config.name)).share)
 
 
-def format_address(where: Address | None) -> str:
-    return f"{where.host}:{where.port}" if where else ""
+def format_address(address: Address | None) -> str:
+    """Format an address as host:port, or as an empty string if there is none."""
+    return f"{address.host}:{address.port}" if address else ""
 
 
 def limit_malloc_arenas() -> None:
-    """Guards the memory limit: with a heap for each few threads, each keeps what its largest bodies took."""
-    with suppress(OSError, AttributeError):  # another C library has other ways
+    """Have all threads allocate from one arena.
+
+    With an arena for every few threads each would keep the memory of its largest bodies, past the memory
+    limit.
+    """
+    with suppress(OSError, AttributeError):  # C libraries other than glibc lack mallopt
         mallopt = ctypes.CDLL(None).mallopt
         for option, value in MALLOC_OPTIONS.values():
             mallopt(option, value)
@@ -195,14 +208,17 @@
 def reload(
     config: Config, path: str, dispatcher: Dispatcher, watcher: Watcher, log: Log, peers: Peers | None
 ) -> Config:
-    """Read the file again and go by it, whole or not at all; what is fixed while it runs is named."""
+    """Read the file again and apply it as a whole or, if it is invalid, not at all; return what is in force.
+
+    Changed keys that need a restart keep their value and are named in the `reloaded` event.
+    """
     try:
-        new = settings.read_replacement(path, config)
-    except ConfigError as trouble:
+        new = configuration.read_replacement(path, config)
+    except ConfigError as error:
         dispatcher.invalid += 1
-        log.event("reload_failed", text=str(trouble))
+        log.event("reload_failed", text=str(error))
         return config
-    waiting = [
+    needs_restart = [
         key for key in RESTART_ONLY_KEYS if restart_only_value(new, key) != restart_only_value(config, key)
     ]
     new = replace(
@@ -225,16 +241,17 @@
     )
     if changed:
         dispatcher.adopt(replace(new, settings=after))
-    wait = 2 * min(before.ask_every, after.ask_every)
+    wait_us = 2 * min(before.ask_every, after.ask_every)
     if (new.relays, new.services) != (config.relays, config.services):
-        homes = watcher.relay_selector if new.relays == config.relays else create_relay_selector(new)
-        watcher.move(new.discovery, wait, new.pushed, homes, new.services)
+        relay_selector = watcher.relay_selector if new.relays == config.relays else create_relay_selector(new)
+        watcher.move(new.discovery, wait_us, new.pushed, relay_selector, new.services)
     elif new.relays:
-        # Waits at relays are short: guards them against all sidecars' asking for all when they are reloaded.
-        watcher.watch.waits(wait)
+        # The call in progress goes on, as waits at relays are short.  If it were broken off, all sidecars
+        # that are reloaded together would request the whole list from the relays.
+        watcher.watch.waits(wait_us)
     elif changed or new.discovery != config.discovery:
-        # Before long the old waits, and what the old discovery told, count for nothing.
-        watcher.move(new.discovery, wait, new.pushed)
+        # The old wait, and what the old discovery reported, will soon no longer be valid.
+        watcher.move(new.discovery, wait_us, new.pushed)
     dispatcher.loaded += 1
     log.event(
         "reloaded",
@@ -242,56 +259,58 @@
         settings=changed,
         tariffs=list(new.request_classes),
         without_effect=list(new.keys_without_effect),
-        needs_restart=waiting,
+        needs_restart=needs_restart,
         **({"relays": list(new.relays), "services": list(new.services or ())} if new.relays else {}),
     )
     return replace(new, settings=after)
 
 
 def restart_only_value(config: Config, key: str) -> object:
+    """Return the part of the configuration that belongs to one of `RESTART_ONLY_KEYS`."""
     if key == "peers":
         return config.peers.lasting() if config.peers is not None else None
     return config.max_connections if key == "limits" else getattr(config, key)
 
 
 def merge_peer_settings(before: PeerSettings | None, after: PeerSettings | None) -> PeerSettings | None:
-    """What holds of peers once the file has been read again: its words on duties, all else as it was."""
+    """Return the peer settings in force after a reload: the new ones on voting, all others as before."""
     if before is None or after is None:
         return before
     return replace(before, voting=after.voting)
 
 
 def shares_trials(peers: PeerSettings | None) -> bool:
+    """Whether the sidecars of a zone coordinate the breakers' trials."""
     return peers is not None and peers.voting is not None and peers.voting.trials
 
 
-def with_list_numbers(config: Config, roster: Roster) -> Config:
-    """With zones and kinds by the numbers that the roster has for them."""
+def with_list_numbers(config: Config, server_list: Roster) -> Config:
+    """Return the configuration with zones and kinds by the numbers that the server list has for them."""
     settings, zone = config.settings, config.settings.zone
     if config.zones:
-        zone = roster.zone(config.zones[zone])
-    tariffs = tuple(
+        zone = server_list.zone(config.zones[zone])
+    request_classes = tuple(
         replace(
-            one,
-            zones=list_numbers(one.zones, config.zones, roster.zone),
-            kinds=list_numbers(one.kinds, config.kinds, roster.kind),
+            request_class,
+            zones=list_numbers(request_class.zones, config.zones, server_list.zone),
+            kinds=list_numbers(request_class.kinds, config.kinds, server_list.kind),
         )
-        for one in settings.tariffs
+        for request_class in settings.tariffs
     )
-    return replace(config, settings=replace(settings, zone=zone, tariffs=tariffs))
+    return replace(config, settings=replace(settings, zone=zone, tariffs=request_classes))
 
 
 def list_numbers(
-    places: tuple[int, ...] | None, names: tuple[str, ...], number: Callable[[str], int]
+    placement: tuple[int, ...] | None, names: tuple[str, ...], number: Callable[[str], int]
 ) -> tuple[int, ...] | None:
-    """Places that the file has by their order; one without a name there is none of the list's."""
-    if places is None:
+    """Map positions in `names` to the server list's numbers; -2, which no server has, if there is no name."""
+    if placement is None:
         return None
-    return tuple(sorted(number(names[at]) if 0 <= at < len(names) else -2 for at in places))
+    return tuple(sorted(number(names[at]) if 0 <= at < len(names) else -2 for at in placement))
 
 
 class ProblemReporter:
-    """Tells the log what is counted: broken invariants, and what clients sent that is no submission."""
+    """Logs, once a second, broken invariants and malformed messages of clients and servers."""
 
     def __init__(self, dispatcher: Dispatcher, clients: Clients) -> None:
         self.dispatcher = dispatcher
@@ -299,13 +318,14 @@
         self.reported = 0
 
     def woke(self, now: int) -> None:
+        """Log what has been counted since the last call, and set the timer for the next one."""
         self.dispatcher.figures.apply_pending()
         count = sum(invariants.broken.values())
         if count > self.reported:
             self.reported = count
             self.dispatcher.events.event("invariant_broken", counts=dict(invariants.broken))
-        spoilt = self.dispatcher.pool.spoilt
-        for event, counts in (("bad_requests", self.clients.refused), ("bad_answers", spoilt)):
+        bad_answers = self.dispatcher.pool.spoilt
+        for event, counts in (("bad_requests", self.clients.refused), ("bad_answers", bad_answers)):
             if counts:
                 self.dispatcher.events.event(event, counts=dict(counts))
                 counts.clear()
@@ -313,31 +333,34 @@
 
 
 def drain(dispatcher: Dispatcher, clients: Clients, log: Log, peers: Peers | None) -> None:
-    """Go on accepting and answering, close connections between requests, and end once nothing is owed."""
-    began = monotonic()
+    """Go on accepting and answering, close connections between requests, and end the process.
+
+    It ends once every submission is answered, at the latest `SHUTDOWN_GRACE_S` after the longest deadline.
+    """
+    started_at = monotonic()
     dispatcher.draining = True
-    patience = dispatcher.longest / 1e6
+    deadline_s = dispatcher.longest / 1e6
     dispatcher.ends = clock.now() + dispatcher.longest + LATE_ANSWER_GRACE_US
     if peers is not None:
         peers.release_duties()
     log.event("draining", clients=len(clients.open), out=len(dispatcher.exchanges))
-    while monotonic() - began < ACCEPT_AFTER_SIGTERM_S:
+    while monotonic() - started_at < ACCEPT_AFTER_SIGTERM_S:
         sleep(0.01)
     clients.stop()
-    while monotonic() - began < patience + SHUTDOWN_GRACE_S:
-        emptied = clients.empty_queue()
+    while monotonic() - started_at < deadline_s + SHUTDOWN_GRACE_S:
+        queue_empty = clients.empty_queue()
         clients.close_idle()
-        if emptied and not clients.open:
+        if queue_empty and not clients.open:
             break
         sleep(0.01)
     if peers is not None:
-        peers.leave()  # not before: until now it has sent hops, and counts among those who do
+        peers.leave()  # not earlier: until now it has sent hops, and counts as one of the sending sidecars
     log.event(
         "stopped",
-        after_s=round(monotonic() - began, 3),
+        after_s=round(monotonic() - started_at, 3),
         clients=len(clients.open),
         taken=dispatcher.taken,
         broken=invariants.broken,
     )
     log.flush()
-    os._exit(0)  # the threads left hold nothing that anyone waits for
+    os._exit(0)  # nobody waits for anything that the remaining threads hold
