--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told at its start."""
+"""The configuration file of a sidecar: `read` decodes and checks it, `read_replacement` also for a reload."""
 
 from __future__ import annotations
 
@@ -18,20 +18,27 @@
 if TYPE_CHECKING:
     from ..fleet.settings import PeerSettings
 
-RESERVED_DESCRIPTORS = 48  # descriptors for the listener, discovery, files, and clients beyond the bound
-BASE_MEMORY_MB = 24  # memory before the first connection, with room for the list
-SPARE_MEMORY_FRACTION = 1 / 16  # of the memory for the allocator and what grows
+# File descriptors for the listener, discovery, files, and clients above the limit.
+RESERVED_DESCRIPTORS = 48
+BASE_MEMORY_MB = 24  # before the first connection, including the server list
+SPARE_MEMORY_FRACTION = 1 / 16  # for the allocator and data that grows
 TOP_LEVEL_KEYS = ("name", "seed", "limits", "listen", "discovery", "peers", "relays", "services")
-MIN_CONNECTIONS = 8  # connections, below which nothing can be served
-CONNECTION_KB = 140  # a connection with its thread and full bodies both ways: 132 measured
+MIN_CONNECTIONS = 8  # with fewer nothing can be served
+CONNECTION_KB = 140  # a connection with its thread and full bodies in both directions takes 132
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text says why in one line."""
+    """The configuration cannot be used; the text is one line that says why."""
 
 
 @dataclass(frozen=True)
 class Config:
+    """The decoded configuration of one sidecar.
+
+    `known_list` is the server list to start with, as it stands in the file. `request_classes` maps names to
+    the positions in `settings`. `pushed`: whatever is on discovery's list binds, read or not.
+    """
+
     name: str
     listen: Address
     discovery: Address
@@ -54,17 +61,20 @@
 
     @property
     def max_client_connections(self) -> int:
+        """The clients' part of `max_connections`."""
         return self.max_connections * 13 // 20
 
     @property
     def max_server_connections(self) -> int:
+        """The servers' part of `max_connections`."""
         return self.max_connections - self.max_client_connections
 
 
 def read_replacement(path: str, before: Config) -> Config:
-    """The file that takes the place of another.
+    """Read the file that replaces the one in force.
 
-    Guards what is in force against a file with a part missing, whose defaults nobody meant.
+    Raises ConfigError if a key of the old file is missing: a file that was cut short would otherwise set
+    defaults that nobody intended.
     """
     after = read(path)
     missing = sorted(before.present_keys - after.present_keys)
@@ -74,120 +84,132 @@
 
 
 def read(path: str) -> Config:
+    """Read and check a configuration file; raises ConfigError that names the file and the key."""
     try:
         return decode_config(json.loads(Path(path).read_bytes()))
-    except OSError as trouble:
-        raise ConfigError(f"{path}: {trouble.strerror}") from trouble
-    except KeyError as trouble:
-        raise ConfigError(f"{path}: {trouble} is missing") from trouble
-    except RecursionError as trouble:
-        raise ConfigError(f"{path}: nested too deeply") from trouble
-    except (ValueError, TypeError, AttributeError, ArithmeticError, BadList) as trouble:
-        raise ConfigError(f"{path}: {trouble}".replace("\n", " ")) from trouble
-
-
-def admin_address(told: dict[str, Any]) -> Address | None:
-    """The operators' address.  The environment is the process's own: two that share a file differ in it."""
-    text = os.environ.get("GW_ADMIN_ADDR") or told.get("admin_addr")
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from error
+    except KeyError as error:
+        raise ConfigError(f"{path}: {error} is missing") from error
+    except RecursionError as error:
+        raise ConfigError(f"{path}: nested too deeply") from error
+    except (ValueError, TypeError, AttributeError, ArithmeticError, BadList) as error:
+        raise ConfigError(f"{path}: {error}".replace("\n", " ")) from error
+
+
+def admin_address(raw: dict[str, Any]) -> Address | None:
+    """Return the operators' address.
+
+    The environment takes precedence, as it is the process's own: two processes can share a file and differ in
+    this address.
+    """
+    text = os.environ.get("GW_ADMIN_ADDR") or raw.get("admin_addr")
     return address(str(text)) if text else None
 
 
-def peers(told: dict[str, Any]) -> PeerSettings | None:
-    """None where nothing speaks of them; then nothing of the fleet is imported either."""
-    if told.get("peers") is None and not os.environ.get("GW_PEERS_LISTEN"):
+def decode_peers(raw: dict[str, Any]) -> PeerSettings | None:
+    """Decode the settings of the exchange with other sidecars.
+
+    Returns None if neither file nor environment has any; no module of the fleet is imported then.
+    """
+    if raw.get("peers") is None and not os.environ.get("GW_PEERS_LISTEN"):
         return None
     from ..fleet import settings as fleet
 
-    found = fleet.decode(told.get("peers"), os.environ)
-    name = str(told.get("name", ""))
+    peer_settings = fleet.decode(raw.get("peers"), os.environ)
+    name = str(raw.get("name", ""))
     if not 0 < len(name.encode()) <= fleet.LONGEST_NAME:
         raise ValueError(f"name: {name!r} is no name of 1 to {fleet.LONGEST_NAME} bytes, as peers need one")
-    return found
+    return peer_settings
 
 
-def relays(told: dict[str, Any]) -> tuple[tuple[str, ...], tuple[str, ...] | None]:
-    """The relays in discovery's place, and what is followed there; none where nothing speaks of them."""
-    if told.get("relays") is None:
-        if told.get("services") is not None:
+def decode_relays(raw: dict[str, Any]) -> tuple[tuple[str, ...], tuple[str, ...] | None]:
+    """Return the relays that are used instead of discovery, and the services to follow there.
+
+    Returns `((), None)` without the key `relays`.
+    """
+    if raw.get("relays") is None:
+        if raw.get("services") is not None:
             raise ValueError("services: there are none without relays")
         return (), None
     from . import relay_keys
 
-    return relay_keys.decode_relays(told), relay_keys.decode_services(told)
+    return relay_keys.decode_relays(raw), relay_keys.decode_services(raw)
 
 
 @contextmanager
 def key_in_errors(key: str) -> Iterator[None]:
-    """What is wrong with the value of a key is told with its name."""
+    """Put the key's name in front of the text of an error that its value causes."""
     try:
         yield
     except KeyError:
         raise
-    except (ValueError, TypeError, AttributeError, ArithmeticError, BadList) as trouble:
-        raise ValueError(f"{key}: {trouble}") from trouble
+    except (ValueError, TypeError, AttributeError, ArithmeticError, BadList) as error:
+        raise ValueError(f"{key}: {error}") from error
 
 
 def connection_limit(limits: Any) -> int:
-    """How many connections the limits allow."""
+    """Return how many connections the limits allow; raises ValueError if they are invalid or too low."""
     if not isinstance(limits, dict):
         raise ValueError("limits is no object")
     for key in ("memory_mb", "sockets"):
         value = limits.get(key, 0)
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < 1e9:
             raise ValueError(f"limits.{key}: {value!r} is not from 0 to 1e9")
-    # Guards the watch, which has to be opened again while clients take all they get, against limits that
-    # promise more descriptors than the process has.
-    had = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    # The process may have fewer descriptors than the configured limit.  Without this bound clients could take
+    # all of them, and the watch on discovery could not be reopened.
+    available = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     memory, sockets = limits.get("memory_mb", 192), limits.get("sockets", 1024)
-    if had != resource.RLIM_INFINITY:
-        sockets = min(sockets, max(had, RESERVED_DESCRIPTORS + MIN_CONNECTIONS))
-    fitting = {
+    if available != resource.RLIM_INFINITY:
+        sockets = min(sockets, max(available, RESERVED_DESCRIPTORS + MIN_CONNECTIONS))
+    allowed = {
         "memory_mb": (memory * (1 - SPARE_MEMORY_FRACTION) - BASE_MEMORY_MB) * 1024 / CONNECTION_KB,
         "sockets": sockets - RESERVED_DESCRIPTORS,
     }
-    scarce = min(fitting, key=lambda key: fitting[key])
-    if fitting[scarce] < MIN_CONNECTIONS:
+    scarce = min(allowed, key=lambda key: allowed[key])
+    if allowed[scarce] < MIN_CONNECTIONS:
         given = memory if scarce == "memory_mb" else sockets
         raise ValueError(f"limits.{scarce}: {given} leaves no room for {MIN_CONNECTIONS} connections")
-    return int(fitting[scarce])
+    return int(allowed[scarce])
 
 
-def decode_config(told: dict[str, Any]) -> Config:
-    info = told["settings"]
+def decode_config(raw: dict[str, Any]) -> Config:
+    """Decode the file's object; raises KeyError, ValueError and others that `read` turns into ConfigError."""
+    info = raw["settings"]
     check(info)
-    allowed = info.get("policyLimits", {})
+    limits = info.get("policyLimits", {})
     names = [str(entry["name"]) for entry in info["tariffs"]]
     if not names:
         raise ValueError("settings.tariffs: no tariffs in the settings")
     zones = tuple(str(zone) for zone in info.get("dcs", []))
-    known = told.get("known") or {"seq": 0, "whole": True, "hosts": []}
+    known_list = raw.get("known") or {"seq": 0, "whole": True, "hosts": []}
     with key_in_errors("known"):
-        Roster(zones, lambda born: born).read(known)
+        Roster(zones, lambda started_at: started_at).read(known_list)
     with key_in_errors("listen"):
-        listen = address(told["listen"])
+        listen = address(raw["listen"])
     with key_in_errors("discovery"):
-        discovery = address(told["discovery"])
+        discovery = address(raw["discovery"])
     with key_in_errors("seed"):
-        seed = int(str(told.get("seed", "0")), 16)
-    followed, services = relays(told)
+        seed = int(str(raw.get("seed", "0")), 16)
+    relays, services = decode_relays(raw)
     return Config(
-        name=str(told.get("name", "")),
+        name=str(raw.get("name", "")),
         listen=listen,
         discovery=discovery,
         seed=seed,
-        max_connections=connection_limit(told.get("limits", {})),
-        known_list=known,
+        max_connections=connection_limit(raw.get("limits", {})),
+        known_list=known_list,
         zones=zones,
         kinds=tuple(str(kind) for kind in info.get("kinds", [])),
         request_classes={name: at for at, name in enumerate(names)},
         settings=replace(decode(info), copies=False),  # a client's thread carries one hop at a time
         pushed=info.get("membershipMode") != "on_request",
-        idle_timeout_us=int(allowed.get("connIdleS", 30.0) * 1e6),
-        connect_timeout_us=int(allowed.get("dialTimeoutS", 1.0) * 1e6),
+        idle_timeout_us=int(limits.get("connIdleS", 30.0) * 1e6),
+        connect_timeout_us=int(limits.get("dialTimeoutS", 1.0) * 1e6),
         keys_without_effect=tuple(without_effect(info)),
-        admin=admin_address(told),
-        present_keys=present(info) | {key for key in TOP_LEVEL_KEYS if key in told},
-        peers=peers(told),
-        relays=followed,
+        admin=admin_address(raw),
+        present_keys=present(info) | {key for key in TOP_LEVEL_KEYS if key in raw},
+        peers=decode_peers(raw),
+        relays=relays,
         services=services,
     )
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -1,6 +1,6 @@
-"""A watch kept at relays: what becomes of a call that fails, and of the relay that is followed.
+"""The relay part of a `Watcher`: what follows a failed call, and the change from one relay to another.
 
-Made by a `Watcher` where the file names relays, and imported only then.  What is decided, `Homes` decides.
+Imported only if the configuration names relays. The decisions are made by the relay selector.
 """
 
 from __future__ import annotations
@@ -20,52 +20,54 @@
 
 
 class RelayWatch:
-    """On the watcher's thread alone."""
+    """The watch at relays; used by the watcher's thread alone."""
 
-    def __init__(self, watcher: Watcher, homes: Homes) -> None:
+    def __init__(self, watcher: Watcher, relay_selector: Homes) -> None:
         self.watcher = watcher
-        self.homes = homes
+        self.relay_selector = relay_selector
         self.current_relay = ""  # the relay that answered last
         self.answered_at = 0.0  # when
         self.last_error = ""  # of the last call that failed
-        self.stale_since: dict[str, float] = {}  # regions out of touch there, since when
+        # Regions that the relay is not in touch with, with the time since when.
+        self.stale_since: dict[str, float] = {}
 
     def relay_address(self) -> Address:
-        """The relay to dial, which the watch is told of."""
-        if self.watcher.watch.host != self.homes.at:
-            self.watcher.watch.move(self.homes.at)
-        return address(self.homes.at)
+        """Return the address of the relay to connect to, and set the watch to it."""
+        if self.watcher.watch.host != self.relay_selector.at:
+            self.watcher.watch.move(self.relay_selector.at)
+        return address(self.relay_selector.at)
 
-    def handle_failure(self, trouble: Exception) -> None:
-        """A relay has failed: the next, after a wait that grows with each failure in a row.
+    def handle_failure(self, error: Exception) -> None:
+        """Go on with the next relay after a wait that grows with each consecutive failure.
 
-        Guards against a storm: when a relay dies, thousands of sidecars learn of it at one moment.
+        When a relay dies thousands of sidecars find out at the same moment; without the wait all of them
+        would connect to the other relays at once.
         """
-        watcher, homes = self.watcher, self.homes
+        watcher, relay_selector = self.watcher, self.relay_selector
         watcher.failures += 1
-        self.last_error = f"{type(trouble).__name__}: {trouble}"
-        expected = isinstance(trouble, (OSError, Malformed, BadList))
+        self.last_error = f"{type(error).__name__}: {error}"
+        expected = isinstance(error, (OSError, Malformed, BadList))
         if watcher.failures == 1 or not expected:
             watcher.dispatcher.events.event(
-                "watch_failed" if expected else "fault", text=self.last_error, relay=homes.at
+                "watch_failed" if expected else "fault", text=self.last_error, relay=relay_selector.at
             )
-        wait = homes.failed(clock.now(), watcher.connecting)
-        if watcher.failures > len(homes.order):
+        wait_us = relay_selector.failed(clock.now(), watcher.connecting)
+        if watcher.failures > len(relay_selector.order):
             watcher.first_call_done.set()
-        watcher.skip_wait.wait(wait / 1e6)
+        watcher.skip_wait.wait(wait_us / 1e6)
         watcher.call_requested.set()
 
     def log_changes(self) -> None:
-        """Say what an answer changes: the relay followed, regions that it is in touch with or not."""
-        watcher, homes = self.watcher, self.homes
+        """Log what an answer changes: the relay followed, and regions that are now stale or no longer so."""
+        watcher, relay_selector = self.watcher, self.relay_selector
         now, events, watch = monotonic(), watcher.dispatcher.events, watcher.watch
-        if homes.at != self.current_relay:
-            why = homes.why or "start"
+        if relay_selector.at != self.current_relay:
+            why = relay_selector.why or "start"
             live, out = watch.standing()
             events.event(
                 "relay_changed",
                 **{"from": self.current_relay},
-                to=homes.at,
+                to=relay_selector.at,
                 why=self.last_error if why == "failed" else why,
                 failures=watcher.failures,
                 live=live,
@@ -74,40 +76,42 @@
             )
             if self.current_relay:
                 watcher.dispatcher.figures.count("relay_changes")
-            self.current_relay = homes.at
+            self.current_relay = relay_selector.at
         self.answered_at = now
-        out_of_touch = watch.stale()
-        for region, seq in out_of_touch.items():
+        stale = watch.stale()
+        for region, seq in stale.items():
             if region not in self.stale_since:
                 self.stale_since[region] = now
-                events.event("region_stale", region=region, seq=seq, relay=homes.at)
-        for region in [region for region in self.stale_since if region not in out_of_touch]:
+                events.event("region_stale", region=region, seq=seq, relay=relay_selector.at)
+        for region in [region for region in self.stale_since if region not in stale]:
             since = self.stale_since.pop(region)
-            events.event("region_back", region=region, relay=homes.at, after_s=round(now - since, 3))
+            events.event("region_back", region=region, relay=relay_selector.at, after_s=round(now - since, 3))
 
     def switch_relay(self) -> None:
-        """Leave one relay that answers for another, once that can be dialled."""
-        watcher, homes = self.watcher, self.homes
+        """Leave a relay that answers for the selected one, once a connection to that one is open."""
+        watcher, relay_selector = self.watcher, self.relay_selector
         try:
-            sock = connect_to(address(homes.at))
+            sock = connect_to(address(relay_selector.at))
         except OSError:
-            if homes.before is None:
+            if relay_selector.before is None:
                 watcher.connecting = True
                 raise
-            # Guards the watch that works against one that can't be had, or no descriptor for it: it goes on.
-            homes.failed(clock.now())
+            # The other relay cannot be reached, or there is no file descriptor for it: the watch that works
+            # is kept.
+            relay_selector.failed(clock.now())
             return
         with watcher.lock:
             old, watcher.sock = watcher.sock, sock
         if old is not None:
             old.close()
         if watcher.moved:
-            raise ConnectionAbortedError("the relays are others")
-        watcher.watch.move(homes.at)
+            raise ConnectionAbortedError("the relays have changed")
+        watcher.watch.move(relay_selector.at)
         watcher.watch.restart()
 
 
 def connect_to(where: Address) -> socket.socket:
+    """Open a connection; raises OSError if that fails."""
     sock = new_socket(where)
     try:
         sock.settimeout(CONNECT_TIMEOUT_S)
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -1,4 +1,4 @@
-"""The thread that keeps the watch on the list: at discovery, or at the relays that `Homes` names."""
+"""The thread that watches the server list, at discovery or at the relay that the relay selector gives."""
 
 from __future__ import annotations
 
@@ -19,35 +19,36 @@
     from ..distribution.homes import Homes
     from .following import RelayWatch
 
-CONNECT_TIMEOUT_S = 0.5  # of the 2 s that a silent watch leaves; doubled each time that is not enough
+# A watch that has fallen silent leaves 2 s for the next call; doubled each time a connect takes longer.
+CONNECT_TIMEOUT_S = 0.5
 MAX_CONNECT_TIMEOUT_S = 2.0
-RESPONSE_TIMEOUT_S = 1.0  # from an answer's first byte to its last
-MOVE_RETRY_S = 3.0  # how long a new discovery is tried anew before that counts as a failed call
-RETRY_INTERVAL_S = 0.1  # between two calls while each counts
+RESPONSE_TIMEOUT_S = 1.0  # from a response's first byte to its last
+MOVE_RETRY_S = 3.0  # failed calls to a new discovery are retried this long before they count
+RETRY_INTERVAL_S = 0.1  # between two calls while every one counts
 
 
 class Watcher:
-    """With `homes` it follows relays, and never calls `where`, which is discovery."""
+    """Keeps one call open and passes each update of the list to the dispatcher.
+
+    With a `relay_selector` it follows relays, and never calls `discovery`.
+    """
 
     def __init__(
-        self, watch: Watch, where: Address, pushed: bool = False, relay_selector: Homes | None = None
+        self, watch: Watch, discovery: Address, pushed: bool = False, relay_selector: Homes | None = None
     ) -> None:
         self.watch = watch
         self.relay_watch: RelayWatch | None = None
         self.set_relay_selector(relay_selector)
-        self.pending_move: tuple[Homes | None, tuple[str, ...] | None] = (
-            relay_selector,
-            None,
-        )  # what a move brings
-        self.skip_wait = threading.Event()  # no waiting for the next dial of a relay
-        self.where = where
-        self.pushed = pushed  # what discovery has counts as told, whether or not it has been read
-        self.first_call_done = threading.Event()  # a first call is over
-        self.failures = 0  # in a row
+        # The relay selector and the services that take effect with the next connection after a move.
+        self.pending_move: tuple[Homes | None, tuple[str, ...] | None] = relay_selector, None
+        self.skip_wait = threading.Event()  # set: connect to the next relay without waiting
+        self.discovery = discovery
+        self.pushed = pushed  # whatever discovery has counts as received, whether or not it has been read
+        self.first_call_done = threading.Event()  # whether it succeeded or not
+        self.failures = 0  # consecutive
         self.connect_timeout = CONNECT_TIMEOUT_S
-        self.call_started_at = (
-            monotonic()
-        )  # from when the call that is out counts: its dial, or the end of its wait
+        # When the current call's time began: with its connect, or at the end of the wait that it asked for.
+        self.call_started_at = monotonic()
         self.connecting = False
         self.call_requested = threading.Event()
         self.lock = threading.Lock()
@@ -58,33 +59,35 @@
 
     @property
     def relay_selector(self) -> Homes | None:
-        return self.relay_watch.homes if self.relay_watch is not None else None
+        """What chooses among the relays; None if the list comes from discovery."""
+        return self.relay_watch.relay_selector if self.relay_watch is not None else None
 
     def set_relay_selector(self, relay_selector: Homes | None) -> None:
-        """At these relays, or at discovery: then what it takes to follow relays is not even imported."""
+        """Follow these relays, or discovery if None; then the code that follows relays is not imported."""
         if relay_selector is None:
             self.relay_watch = None
         elif self.relay_watch is not None:
-            self.relay_watch.homes = relay_selector
+            self.relay_watch.relay_selector = relay_selector
         else:
             from .following import RelayWatch
 
             self.relay_watch = RelayWatch(self, relay_selector)
 
     def request_list(self) -> None:
+        """Have the thread call discovery or a relay, from any thread."""
         self.call_requested.set()
 
     def move(
         self,
-        where: Address,
+        discovery: Address,
         wait_us: int,
         pushed: bool,
         relay_selector: Homes | None = None,
         services: tuple[str, ...] | None = None,
     ) -> None:
-        """The list is to be had elsewhere from now on, or waits are others; all is asked for at once."""
+        """Get the list from elsewhere from now on, or with other waits; requests the whole list at once."""
         with self.lock:
-            self.where, self.pushed, self.pending_move = where, pushed, (relay_selector, services)
+            self.discovery, self.pushed, self.pending_move = discovery, pushed, (relay_selector, services)
             self.watch.waits(wait_us)
             self.moved_at = monotonic()
             self.moved = True
@@ -95,50 +98,53 @@
         self.call_requested.set()
 
     def run(self) -> None:
+        """Watch whenever that is requested; the body of the thread."""
         while True:
             self.call_requested.wait()
             self.call_requested.clear()
             try:
                 self.watch_until_failure()
-            except Exception as trouble:  # the sidecar goes on with the list it has, and asks again
-                self.handle_failure(trouble)
+            except Exception as error:  # the sidecar goes on with the list it has, and calls again
+                self.handle_failure(error)
 
-    def handle_failure(self, trouble: Exception) -> None:
-        """Ask again: at once, after a step, or when the balancer wants it."""
+    def handle_failure(self, error: Exception) -> None:
+        """Call again: at once, after `RETRY_INTERVAL_S`, or when the balancer requests it."""
         self.close()
         self.watch.doubted = True
         if self.relay_watch is not None and not self.moved:
-            self.relay_watch.handle_failure(trouble)
+            self.relay_watch.handle_failure(error)
             return
         if self.moved or monotonic() - self.moved_at < MOVE_RETRY_S:
-            # Guards what has changed meanwhile, which counts as told soon after the move, against a new
-            # discovery that is not up yet or breaks the first call off.
+            # A new discovery may not be up yet, or break the first call off.  Changes made meanwhile count as
+            # received soon after the move, so the call is retried soon.
             if not self.moved:
                 sleep(RETRY_INTERVAL_S)
             self.call_requested.set()
             return
         self.failures += 1
-        expected = isinstance(trouble, (OSError, Malformed, BadList))
+        expected = isinstance(error, (OSError, Malformed, BadList))
         if self.failures == 1 or not expected:
             self.dispatcher.events.event(
-                "watch_failed" if expected else "fault", text=f"{type(trouble).__name__}: {trouble}"
+                "watch_failed" if expected else "fault", text=f"{type(error).__name__}: {error}"
             )
-        if self.failures == 1 and expected and not isinstance(trouble, Overtaxed):
-            # Guards what a watch has missed that fell silent, or was reset: it counts as told before long.
+        if self.failures == 1 and expected and not isinstance(error, Overtaxed):
+            # A watch that fell silent or was reset may have missed changes, which count as received soon:
+            # called again at once.
             self.call_requested.set()
             return
         self.first_call_done.set()
         if self.pushed:
-            # Guards against the return of discovery, from which on all that it has counts.
+            # Discovery may return at any moment, and from then on all that it has counts as received.
             sleep(RETRY_INTERVAL_S)
             self.call_requested.set()
         else:
-            # Guards what has changed since this call began, which counts as told 6 s later, against a call
-            # that was given up late and a long pause after it.
-            spent = max(0.0, monotonic() - self.call_started_at)
-            self.dispatcher.listed(Listing.FAILED, NOTHING, int(spent * 1e6))
+            # Changes since this call began count as received 6 s later.  The balancer gets the time that has
+            # passed since then: the call may have been given up late, and a long pause may follow.
+            elapsed = max(0.0, monotonic() - self.call_started_at)
+            self.dispatcher.listed(Listing.FAILED, NOTHING, int(elapsed * 1e6))
 
     def watch_until_failure(self) -> None:
+        """Make one call after the other; raises what makes a call fail."""
         first = True
         while True:
             self.call_started_at = monotonic()
@@ -148,27 +154,30 @@
                 self.dispatcher.listed(Listing.FULL if update.whole else Listing.CHANGES, update)
             first = False
             self.first_call_done.set()
-            following = self.relay_watch
-            if following is not None:
-                following.log_changes()
+            relay_watch = self.relay_watch
+            if relay_watch is not None:
+                relay_watch.log_changes()
             if self.failures > 1:
                 self.dispatcher.events.event("watch_back", failures=self.failures, seq=update.version)
             self.failures = 0
             if not response.keeps():
                 self.close()
-            if following is not None and following.homes.answered(clock.now(), *self.watch.standing()):
-                following.switch_relay()
+            if relay_watch is not None and relay_watch.relay_selector.answered(
+                clock.now(), *self.watch.standing()
+            ):
+                relay_watch.switch_relay()
 
     # -- connections
 
     def connect(self) -> socket.socket:
+        """Open a connection to discovery or to the selected relay, and make it the current one."""
         with self.lock:
-            where = self.where
+            where = self.discovery
             if self.moved:
                 self.moved = False
                 self.skip_wait.clear()
-                homes, services = self.pending_move
-                self.set_relay_selector(homes)
+                relay_selector, services = self.pending_move
+                self.set_relay_selector(relay_selector)
                 self.watch.wants(services)
                 self.watch.move(f"{where.host}:{where.port}")
             if self.relay_watch is not None:
@@ -176,7 +185,7 @@
             self.connecting = False
             self.sock = sock = new_socket(where)
         sock.settimeout(self.connect_timeout)
-        # Guards a discovery that always takes long to be reached against being given up each time.
+        # With a fixed time-out, a discovery that always takes longer to connect to would never be reached.
         self.connect_timeout = min(MAX_CONNECT_TIMEOUT_S, 2 * self.connect_timeout)
         self.connecting = True
         sock.connect(where)
@@ -188,16 +197,19 @@
         return sock
 
     def call(self, sock: socket.socket) -> Response:
-        """Raises TimeoutError where discovery is silent, whether it has begun its answer or not."""
+        """Make one call and return the response.
+
+        Raises TimeoutError if nothing arrives in time, at its beginning or in the middle.
+        """
         request = self.watch.request()
         self.call_started_at += self.watch.wait_ms / 1000
-        until = monotonic() + self.watch.until_silent()
+        deadline = monotonic() + self.watch.until_silent()
         parser = self.watch.parser
         begun = False
         while True:
-            left = until - monotonic()
+            left = deadline - monotonic()
             if left <= 0:
-                raise TimeoutError("an answer without end")
+                raise TimeoutError("the answer did not end in time")
             sock.settimeout(left)
             if request:
                 sock.sendall(request)
@@ -206,7 +218,7 @@
             count = sock.recv_into(parser.ring.room())
             parser.ring.wrote(count)
             if not begun:
-                begun, until = True, max(until, monotonic() + RESPONSE_TIMEOUT_S)
+                begun, deadline = True, max(deadline, monotonic() + RESPONSE_TIMEOUT_S)
             if not count:
                 parser.end()
             response = parser.next()
@@ -216,6 +228,7 @@
                 raise ConnectionResetError("discovery ended the connection")
 
     def close(self) -> None:
+        """Close the current connection, if there is one."""
         with self.lock:
             if self.sock is not None:
                 self.sock.close()
@@ -223,4 +236,5 @@
 
 
 def new_socket(where: Address) -> socket.socket:
+    """Create an unconnected TCP socket for an IPv4 or IPv6 address."""
     return socket.socket(socket.AF_INET6 if ":" in where.host else socket.AF_INET)
