--- a/pumicepath/admin/__init__.py
+++ b/pumicepath/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What operators call and are told at the second address: calls and figures, without sockets."""
+"""The calls of the operators' address and the metrics that it serves, without sockets."""
--- a/pumicepath/admin/calls.py
+++ b/pumicepath/admin/calls.py
@@ -1,4 +1,4 @@
-"""Which call of the operators a request is: `understood` gives the call, and the server that it names."""
+"""The calls of the operators' address: `parse_call` maps a request to a call and its target."""
 
 from __future__ import annotations
 
@@ -10,6 +10,8 @@
 
 
 class AdminCall(Enum):
+    """What an operator can ask of a sidecar; the values are the words in the paths."""
+
     HEALTH_CHECK = "check"
     STATS = "stats"
     PEERS = "peers"
@@ -21,11 +23,13 @@
 
 
 class ParsedCall(NamedTuple):
+    """A call and, for some, the name that the path gives."""
+
     call: AdminCall
-    target: str = ""  # or duty
+    target: str = ""  # a server or a duty
 
 
-# By path; what stands there is changed by PUT, and read by GET or HEAD.
+# Calls by path; state is changed by PUT and read by GET or HEAD.
 READ_CALLS: dict[tuple[str, ...], AdminCall] = {
     ("healthcheck",): AdminCall.HEALTH_CHECK,
     ("stats",): AdminCall.STATS,
@@ -39,19 +43,22 @@
 
 
 def parse_call(request: Request) -> ParsedCall:
-    """Raises Malformed for what is no call."""
+    """Return the call that a request makes.
+
+    Raises Malformed with status 404 for an unknown path, 405 for a method that the path does not allow.
+    """
     allowed: tuple[str, ...] = ("PUT",)
     path = tuple(urlsplit(request.target).path.split("/")[1:])
     if path in READ_CALLS:
-        allowed, asked = ("GET", "HEAD"), ParsedCall(READ_CALLS[path])
+        allowed, parsed = ("GET", "HEAD"), ParsedCall(READ_CALLS[path])
     elif path in CHANGE_CALLS:
-        asked = ParsedCall(CHANGE_CALLS[path])
+        parsed = ParsedCall(CHANGE_CALLS[path])
     elif len(path) == 3 and path[0] == "servers" and path[1] and path[2] in SERVER_CALLS:
-        asked = ParsedCall(SERVER_CALLS[path[2]], unquote(path[1]))
+        parsed = ParsedCall(SERVER_CALLS[path[2]], unquote(path[1]))
     elif len(path) == 4 and path[:2] == ("peers", "duties") and path[2] and path[3] == "resign":
-        asked = ParsedCall(AdminCall.RESIGN, unquote(path[2]))
+        parsed = ParsedCall(AdminCall.RESIGN, unquote(path[2]))
     else:
         raise Malformed(404, "no such call")
     if request.method not in allowed:
         raise Malformed(405, f"{request.method} is not {' or '.join(allowed)}")
-    return asked
+    return parsed
--- a/pumicepath/sidecar/admin_server.py
+++ b/pumicepath/sidecar/admin_server.py
@@ -1,4 +1,4 @@
-"""The second address: operators' calls, one to a connection, by threads of their own."""
+"""The operators' address: HTTP calls, one per connection, served by threads of their own."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 if TYPE_CHECKING:
     from .peers import Peers
 
-MAX_CALLS = 16  # calls at once; one more takes the place of the oldest
-CALL_TIMEOUT_US = 5_000_000  # that a call may take to come whole
-SOCKET_TIMEOUT = struct.pack("ll", 5, 0)
+MAX_CALLS = 16  # at once; one more ends the oldest
+CALL_TIMEOUT_US = 5_000_000  # for a whole request to arrive
+SOCKET_TIMEOUT = struct.pack("ll", 5, 0)  # struct timeval: 5 s
 MAX_BODY_BYTES = 4096
 DONE = answers.plain(200, "done")
 SERVING = answers.plain(200, "serving")
@@ -36,20 +36,21 @@
 
 
 class AdminServer:
-    """The listener for operators and the calls under way."""
+    """The listening socket for operators and the calls in progress."""
 
     def __init__(
         self,
         where: Address,
         dispatcher: Dispatcher,
         clients: Clients,
-        succession: HotRestart,
+        hot_restart: HotRestart,
         peers: Peers | None = None,
     ) -> None:
+        """Raise OSError if the address cannot be listened on."""
         self.peers = peers
         self.dispatcher = dispatcher
         self.clients = clients
-        self.succession = succession
+        self.hot_restart = hot_restart
         self.lock = threading.Lock()
         self.connections: dict[socket.socket, None] = {}
         self.idle_threads = 1
@@ -59,41 +60,41 @@
         self.listener.bind(where)
         self.listener.listen(64)
         host, port = self.listener.getsockname()[:2]
-        self.where = f"{host}:{port}"
+        self.address = f"{host}:{port}"
 
     def run(self) -> None:
-        """Take a call, see it through, and take the next; another thread waits for the next meanwhile."""
+        """Serve one call after the other; while one is served another thread waits for the next."""
         while True:
             try:
                 sock = self.listener.accept()[0]
-            except OSError as trouble:
+            except OSError as error:
                 if self.listener.fileno() < 0:
                     return
-                self.dispatcher.events.event("accept_failed", text=str(trouble), whose="operators")
-                threading.Event().wait(0.05)  # out of descriptors: others must end first
+                self.dispatcher.events.event("accept_failed", text=str(error), whose="operators")
+                threading.Event().wait(0.05)  # out of file descriptors: other connections must end first
                 continue
             with self.lock:
                 self.connections[sock] = None
                 oldest = next(iter(self.connections)) if len(self.connections) > MAX_CALLS else None
                 self.idle_threads -= 1
-                more = self.idle_threads < 1
-                self.idle_threads += more
+                needs_thread = self.idle_threads < 1
+                self.idle_threads += needs_thread
                 if oldest is not None:
-                    # Guards calls against callers that connect and finish none.
+                    # Callers that connect and never finish a request must not keep others out.
                     with suppress(OSError):
                         oldest.shutdown(socket.SHUT_RDWR)
-            if more:
+            if needs_thread:
                 try:
                     start(self.run)
-                except RuntimeError:  # no thread: this one takes the next call when it is done with this
+                except RuntimeError:  # no thread can be started: this one accepts again after this call
                     with self.lock:
                         self.idle_threads -= 1
             try:
                 self.serve_connection(sock)
             except OSError:
                 pass  # the caller has gone
-            except Exception as trouble:  # nothing said here may end the sidecar
-                self.dispatcher.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
+            except Exception as error:  # no call may end the sidecar
+                self.dispatcher.events.event("fault", text=f"{type(error).__name__}: {error}")
             finally:
                 with self.lock:
                     self.connections.pop(sock, None)
@@ -104,37 +105,39 @@
                 self.idle_threads += 1
 
     def serve_connection(self, sock: socket.socket) -> None:
+        """Read one request and answer it."""
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, SOCKET_TIMEOUT)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, SOCKET_TIMEOUT)
-        until = clock.now() + CALL_TIMEOUT_US
+        deadline = clock.now() + CALL_TIMEOUT_US
         parser = RequestParser(MAX_BODY_BYTES)
-        told = False
+        continue_sent = False
         try:
             while (request := parser.next()) is None:
-                if not told and parser.awaited():
-                    told = True
+                if not continue_sent and parser.awaited():
+                    continue_sent = True
                     sock.sendall(writing.CONTINUE)
                 data = sock.recv(4096)
-                if not data or clock.now() > until:
+                if not data or clock.now() > deadline:
                     return
                 parser.feed(data)
             answer = self.answer(request)
-        except Malformed as trouble:
+        except Malformed as error:
             request = None
-            answer = answers.plain(trouble.status, str(trouble))
+            answer = answers.plain(error.status, str(error))
         if request is not None and request.method == "HEAD":
             head = writing.response(answer.status, answer.headers, b"", False, len(answer.body))
             sock.sendall(head)
         else:
             sock.sendall(writing.response(*answer, False))
         sock.shutdown(socket.SHUT_WR)
-        while request is None and clock.now() < until and sock.recv(4096):
-            pass  # guards the answer: closed with bytes unread, it would be lost on its way
+        while request is None and clock.now() < deadline and sock.recv(4096):
+            pass  # closing with unread bytes would reset the connection, and the answer could be lost
 
     def answer(self, request: Request) -> answers.Answer:
-        asked = parse_call(request)
+        """Carry a call out and return its answer; raises Malformed if the request is not a known call."""
+        parsed = parse_call(request)
         dispatcher = self.dispatcher
-        match asked.call:
+        match parsed.call:
             case AdminCall.HEALTH_CHECK:
                 return SERVING
             case AdminCall.STATS:
@@ -150,19 +153,20 @@
             case AdminCall.RESIGN:
                 if self.peers is None:
                     return NO_PEERS
-                if not self.peers.resign_duty(asked.target):
+                if not self.peers.resign_duty(parsed.target):
                     return NOT_HELD
             case AdminCall.TAKE_OUT | AdminCall.PUT_BACK:
-                out = asked.call == AdminCall.TAKE_OUT
-                if not dispatcher.by_hand(asked.target, out):
+                out = parsed.call == AdminCall.TAKE_OUT
+                if not dispatcher.by_hand(parsed.target, out):
                     return NO_SERVER
-                self.succession.propagate({"server": asked.target, "out": out})
+                self.hot_restart.propagate({"server": parsed.target, "out": out})
             case AdminCall.FAIL_HEALTH_CHECK | AdminCall.PASS_HEALTH_CHECK:
-                self.clients.empty(asked.call == AdminCall.FAIL_HEALTH_CHECK)
-                self.succession.propagate({"emptied": asked.call == AdminCall.FAIL_HEALTH_CHECK})
+                self.clients.empty(parsed.call == AdminCall.FAIL_HEALTH_CHECK)
+                self.hot_restart.propagate({"emptied": parsed.call == AdminCall.FAIL_HEALTH_CHECK})
         return DONE
 
     def metrics(self) -> str:
+        """Return all metrics, one line each."""
         dispatcher = self.dispatcher
         listed, avoided = dispatcher.standing()
         return dispatcher.figures.render(
--- a/pumicepath/sidecar/log.py
+++ b/pumicepath/sidecar/log.py
@@ -1,4 +1,4 @@
-"""One JSON line an event, written by a thread of its own so that nobody waits for the reader of the log."""
+"""The log: one JSON line per event, written by a thread of its own, so that no other waits for the reader."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
 
 
 class Log:
+    """Queues lines from any thread; drops and counts them while `MAX_WAITING_LINES` are waiting."""
+
     def __init__(self, name: str, descriptor: int = 1) -> None:
         self.name = name
         self.descriptor = descriptor
@@ -22,21 +24,24 @@
         self.has_lines = threading.Event()
         self.write_lock = threading.Lock()
 
-    def event(self, event: str, **figures: Any) -> None:
+    def event(self, event: str, **fields: Any) -> None:
+        """Queue one event; never waits."""
         if len(self.waiting) >= MAX_WAITING_LINES:
             self.dropped += 1
             return
-        line = {"time": round(time.time(), 3), "sidecar": self.name, "event": event, **figures}
+        line = {"time": round(time.time(), 3), "sidecar": self.name, "event": event, **fields}
         self.waiting.append(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
         self.has_lines.set()
 
     def run(self) -> None:
+        """Write lines as they come; the body of the thread."""
         while True:
             self.has_lines.wait()
             self.has_lines.clear()
             self.flush()
 
     def flush(self) -> None:
+        """Write all lines that are waiting, and then how many were dropped."""
         with self.write_lock:
             while self.waiting:
                 data = self.waiting.popleft()
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -1,7 +1,7 @@
-"""The thread that speaks with other sidecars: one UDP socket, datagrams to messages; nothing decided.
+"""The thread that exchanges messages with other sidecars over one UDP socket; it decides nothing itself.
 
-`Peers` is made only where the file has `peers`; `run` is its thread, `figures` and `view` are for operators,
-`companions` for the balancer's breakers.
+`Peers` is created only if the configuration has `peers`. `run` is the body of its thread, `metrics` and
+`view` serve operators, `shared_trials` serves the balancer's breakers.
 """
 
 from __future__ import annotations
@@ -25,49 +25,61 @@
 from . import clock
 from .log import Log
 
-MAX_DATAGRAMS_PER_S = 2000  # datagrams that are read; the kernel drops what comes beyond them
-MAX_LOGGED_NAMES = 5  # peers named in one line of the log
-LOG_INTERVAL_S = 1.0  # between two such lines
+MAX_DATAGRAMS_PER_S = 2000  # that are read; the kernel drops what arrives beyond them
+MAX_LOGGED_NAMES = 5  # in one list of a log line
+LOG_INTERVAL_S = 1.0
 BIND_RETRY_S = 0.1
 READ_BYTES = messages.LONGEST + 1
-MAX_PENDING_REPORTS = 4096  # of the balancer that wait for the thread: more than it says in its longest pause
-MAX_REPORT_DELAY_S = 0.1  # seconds that a word of the balancer waits
+# Reports of the balancer that wait for the thread: more than it makes in `MAX_REPORT_DELAY_S`.
+MAX_PENDING_REPORTS = 4096
+MAX_REPORT_DELAY_S = 0.1
 
 
 class SharedTrials:
-    """Between the balancer's lock and the gate of peers, neither of which may wait for the other.
+    """Connects the balancer's breakers with the trials that the sidecars of a zone coordinate.
 
-    The balancer asks and tells under its lock; the thread of peers takes what was `said`, and sets `turns`.
+    The balancer calls it under its own lock, the thread of `Peers` holds another one, and neither may wait
+    for the other's: calls are queued in `reports` for that thread, which replaces `may_try_until` as a whole.
     """
 
     def __init__(self) -> None:
         self.reports: deque[Callable[[Trials], None]] = deque(maxlen=MAX_PENDING_REPORTS)
-        self.may_try_until: dict[str, int] = {}  # until when, by the servers' names; replaced as one
+        self.may_try_until: dict[str, int] = {}  # by the servers' names; replaced as a whole
 
     def turn(self, name: str) -> bool:
+        """Whether this sidecar may make the half-open trial of a server now."""
         return clock.now() < self.may_try_until.get(name, 0)
 
     def opened(self, name: str, cooldown: int, often: bool) -> None:
+        """Report that a server's breaker opened; `often`: this sidecar would send there within a cooldown."""
         now = clock.now()
         self.reports.append(lambda trials: trials.opened(now, name, cooldown, often))
 
     def tried(self, name: str, failed: bool) -> None:
+        """Report the result of a trial that this sidecar made."""
         now = clock.now()
         self.reports.append(lambda trials: trials.tried(now, name, failed))
 
 
 class Peers:
-    """The socket, the membership behind a lock of its own, and what is counted."""
+    """The socket, this sidecar's node of the fleet behind a lock of its own, and the counters.
+
+    `on_trial_postponed` is called with the number of a server and a time in microseconds, for which no trial
+    of it is needed here; 0 asks for a trial now.
+    """
 
     def __init__(self, settings: PeerSettings, name: str, zone: str, log: Log, retry_bind: bool) -> None:
-        """Raises OSError if it can't listen, unless it `waits` for the process that it takes the place of."""
+        """Raise OSError if the address cannot be bound.
+
+        With `retry_bind` the thread tries again instead: the old process of a hot restart still holds it.
+        """
         self.settings = settings
         self.log = log
         self.lock = threading.Lock()
         self.checksum_seed = messages.sealed(settings.fleet)
         self.outbox: list[tuple[str, messages.Any]] = []
         self.counts = Counter[str]()
-        self.state_changes: dict[str, list[str]] = {}  # changes not logged yet: names by state
+        self.state_changes: dict[str, list[str]] = {}  # not logged yet: names by state
         self.next_log_at = 0.0
         self.name, self.zone = name, zone
         self.listen_address = ""
@@ -76,11 +88,9 @@
         self.node: Fellow | None = None
         self.voting = settings.voting
         self.shared_trials = SharedTrials()
-        self.postponed_trials: list[
-            tuple[str, int]
-        ] = []  # others' words on servers, to be told to the balancer
+        self.postponed_trials: list[tuple[str, int]] = []  # by other sidecars; not passed to the balancer yet
         self.on_trial_postponed: Callable[[int, int], None] = lambda server, wait: None
-        self.duty_changes: dict[str, str] = {}  # changes not logged yet: duties, and how
+        self.duty_changes: dict[str, str] = {}  # not logged yet: what happened, by duty
         try:
             self.bind()
         except OSError:
@@ -89,10 +99,11 @@
 
     @property
     def address(self) -> str:
-        """Where others reach it."""
+        """The address at which other sidecars reach this one; empty before the socket is bound."""
         return self.node.me.address if self.node is not None else ""
 
     def bind(self) -> None:
+        """Bind the socket and create the node; raises OSError if the address is in use."""
         host, _, port = self.settings.listen.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -101,9 +112,9 @@
             sock.close()
             raise
         self.listen_address = "{}:{}".format(*sock.getsockname())
-        # Of chance each time: another life, whatever ran under this name or at this address before.
-        born = int.from_bytes(os.urandom(8)) >> 1 | 1
-        me = Record(self.name, born, self.settings.advertise or self.listen_address, self.zone)
+        # Random each time, so that others never take this process for an earlier one of this name or address.
+        instance_id = int.from_bytes(os.urandom(8)) >> 1 | 1
+        me = Record(self.name, instance_id, self.settings.advertise or self.listen_address, self.zone)
         self.node = Fellow(me, self.settings, int.from_bytes(os.urandom(8)), self, clock.now())
         self.node.adopt(clock.now(), self.voting)
         self.sock = sock
@@ -111,6 +122,7 @@
     # -- the thread
 
     def run(self) -> None:
+        """Bind, if that is still to be done, and exchange messages until the process ends."""
         while self.sock is None and not self.closed:
             sleep(BIND_RETRY_S)
             with suppress(OSError), self.lock:
@@ -119,19 +131,20 @@
         while not self.closed:
             try:
                 self.receive_until_closed()
-            except Exception as trouble:  # nothing that peers say may end the sidecar, or its hearing
+            except Exception as error:  # no message of a peer may end the sidecar or this thread
                 if not self.closed:
-                    self.log.event("fault", text=f"{type(trouble).__name__}: {trouble}")
+                    self.log.event("fault", text=f"{type(error).__name__}: {error}")
                     sleep(BIND_RETRY_S)
 
     def receive_until_closed(self) -> None:
-        sock, fellow = self.sock, self.node
-        assert sock is not None and fellow is not None
+        """Receive datagrams, run the node's timers, and send and log what follows from both."""
+        sock, node = self.sock, self.node
+        assert sock is not None and node is not None
         second, read = monotonic(), 0
         while not self.closed:
             with self.lock:
-                left = (fellow.due() - clock.now()) / 1e6
-                if fellow.trials is not None:
+                left = (node.due() - clock.now()) / 1e6
+                if node.trials is not None:
                     left = min(left, MAX_REPORT_DELAY_S)
             data = None
             if left > 0:
@@ -142,13 +155,13 @@
                 self.receive("{}:{}".format(*address), data)
                 read += 1
             with self.lock:
-                self.apply_reports(fellow)
-                if fellow.due() <= clock.now():
-                    fellow.woke(clock.now(), time_ns() // 1_000_000)
-                if fellow.trials is not None:
-                    self.shared_trials.may_try_until = fellow.trials.turns(clock.now())
-                put_offs, self.postponed_trials = self.postponed_trials, []
-            for server, wait in put_offs:
+                self.apply_reports(node)
+                if node.due() <= clock.now():
+                    node.woke(clock.now(), time_ns() // 1_000_000)
+                if node.trials is not None:
+                    self.shared_trials.may_try_until = node.trials.turns(clock.now())
+                postponed, self.postponed_trials = self.postponed_trials, []
+            for server, wait in postponed:
                 self.on_trial_postponed(stable(server), wait)
             self.send_outbox()
             self.log_changes()
@@ -156,12 +169,14 @@
             if now - second >= 1.0:
                 second, read = now, 0
             elif read >= MAX_DATAGRAMS_PER_S:
-                # Guards the core against a flood: probes still go out and are heard, all else is dropped.
+                # A flood of datagrams must not use up a core.  The pause is short enough for probes to be
+                # sent and answered; the kernel drops all else.
                 self.counts["floods"] += 1
                 sleep(min(self.settings.timeout / 4e6, second + 1.0 - now))
                 second, read = monotonic(), MAX_DATAGRAMS_PER_S * 3 // 4
 
     def receive(self, address: str, data: bytes) -> None:
+        """Decode and handle one datagram; an invalid one is only counted."""
         try:
             message = messages.unpacked(data, self.checksum_seed)
         except messages.Foreign:
@@ -176,92 +191,99 @@
         with self.lock:
             self.node.heard(clock.now(), address, message)
 
-    def apply_reports(self, fellow: Fellow) -> None:
-        """What the balancer has said since, in its order."""
-        said = self.shared_trials.reports
-        while said:
-            word = said.popleft()
-            if fellow.trials is not None:
-                word(fellow.trials)
+    def apply_reports(self, node: Fellow) -> None:
+        """Pass on what the balancer has reported since the last call, in its order."""
+        reports = self.shared_trials.reports
+        while reports:
+            report = reports.popleft()
+            if node.trials is not None:
+                report(node.trials)
 
     def send_outbox(self) -> None:
+        """Send the messages that are waiting, without the lock."""
         assert self.sock is not None
         with self.lock:
-            out, self.outbox = self.outbox, []
-        for address, message in out:
+            outbox, self.outbox = self.outbox, []
+        for address, message in outbox:
             host, _, port = address.rpartition(":")
             data = messages.packed(message, self.checksum_seed)
-            # What can't be sent is lost, as any datagram may be: full buffers, no way there, no such address.
+            # A datagram that cannot be sent is lost, as any may be: full buffers, no route, a bad address.
             with suppress(OSError, ValueError, OverflowError):
                 self.sock.sendto(data, (host, int(port)))
                 self.counts["out"] += 1
                 self.counts["out_bytes"] += len(data)
 
     def log_changes(self) -> None:
-        """One line for all changes of a second: a restart of the fleet must not fill the log."""
+        """Log all changes of a second together: a restart of the whole fleet must not fill the log."""
         now = monotonic()
         if not (self.state_changes or self.duty_changes) or now < self.next_log_at:
             return
         self.next_log_at = now + LOG_INTERVAL_S
         assert self.node is not None
         with self.lock:
-            told, self.state_changes = self.state_changes, {}
-            held, self.duty_changes = self.duty_changes, {}
+            state_changes, self.state_changes = self.state_changes, {}
+            duty_changes, self.duty_changes = self.duty_changes, {}
             counts = list(self.node.membership.roll.counts)
-            sick = self.node.membership.sick
-            count = len(self.node.duties.held(clock.now())) if self.node.duties is not None else 0
-        if held:
-            some = [f"{duty}: {how}" for duty, how in held.items()]
+            slow = self.node.membership.sick
+            held = len(self.node.duties.held(clock.now())) if self.node.duties is not None else 0
+        if duty_changes:
+            changes = [f"{duty}: {what}" for duty, what in duty_changes.items()]
             self.log.event(
                 "duties",
-                held=count,
+                held=held,
                 changes=[
-                    *some[:MAX_LOGGED_NAMES],
-                    *([f"and {len(some) - MAX_LOGGED_NAMES}"] if len(some) > MAX_LOGGED_NAMES else []),
+                    *changes[:MAX_LOGGED_NAMES],
+                    *([f"and {len(changes) - MAX_LOGGED_NAMES}"] if len(changes) > MAX_LOGGED_NAMES else []),
                 ],
             )
-        if not told:
+        if not state_changes:
             return
         named = {
             state: [
                 *names[:MAX_LOGGED_NAMES],
                 *([f"and {len(names) - MAX_LOGGED_NAMES}"] if len(names) > MAX_LOGGED_NAMES else []),
             ]
-            for state, names in told.items()
+            for state, names in state_changes.items()
         }
         self.log.event(
             "peers",
             alive=counts[messages.ALIVE],
             suspects=counts[messages.SUSPECTED],
             dead=counts[messages.DEAD],
-            slow=sick,
+            slow=slow,
             changes=named,
         )
 
-    # -- the outlet of the membership, called under the gate
+    # -- callbacks of the node, called under the lock
 
     def post(self, address: str, message: messages.Any) -> None:
+        """Queue a message, which is sent once the lock is released."""
         self.outbox.append((address, message))
 
     def changed(self, record: Record, by: str) -> None:
+        """Note the new state of a peer for the log."""
         names = self.state_changes.setdefault(STATES[record.state], [])
         names.append(record.name)
 
     def twice(self, record: Record) -> None:
+        """Log that another process uses this sidecar's name."""
         self.log.event("peers_name_twice", name=record.name, other=record.address)
 
     def holds(self, duty: str, number: int, why: str) -> None:
+        """Note for the log that a duty is held from now on or, with number 0, no longer."""
         self.counts["duties_won" if number else "duties_lost"] += 1
         self.duty_changes[duty] = f"held, {why}" if number else why
 
     def put_off(self, server: str, wait: int) -> None:
+        """Note that a trial is postponed by `wait` microseconds, or is to be made now if that is 0."""
         self.postponed_trials.append((server, wait))
 
-    # -- for others
+    # -- for operators
 
     def metrics(self) -> dict[str, int]:
+        """Return the counters and gauges of peers, by the names under which operators read them."""
         counts = self.counts
-        told = {
+        values = {
             "peers_in": counts["in"],
             "peers_out": counts["out"],
             "peers_in_bytes": counts["in_bytes"],
@@ -269,40 +291,48 @@
             "peers_noise": counts["noise"],
             "peers_foreign": counts["foreign"],
         }
-        fellow = self.node
-        if fellow is None:
-            return {"peers_alive": 0, "peers_suspected": 0, **told}
+        node = self.node
+        if node is None:
+            return {"peers_alive": 0, "peers_suspected": 0, **values}
         now = clock.now()
         with self.lock:
-            membership = fellow.membership
-            held, refused, sick = list(membership.roll.counts), membership.roll.refused, membership.sick
+            membership = node.membership
+            by_state, refused, slow = (
+                list(membership.roll.counts),
+                membership.roll.refused,
+                membership.sick,
+            )
             bounds = membership.bounds(now)
-            if fellow.duties is not None:
-                told |= {
-                    "duties_held": len(fellow.duties.held(now)),
+            if node.duties is not None:
+                values |= {
+                    "duties_held": len(node.duties.held(now)),
                     "duties_won": counts["duties_won"],
                     "duties_lost": counts["duties_lost"],
                 }
         return {
-            "peers_alive": held[messages.ALIVE],
-            "peers_suspected": held[messages.SUSPECTED],
-            "peers_dead": held[messages.DEAD],
+            "peers_alive": by_state[messages.ALIVE],
+            "peers_suspected": by_state[messages.SUSPECTED],
+            "peers_dead": by_state[messages.DEAD],
             "peers_refused": refused,
-            "peers_slow": sick,
+            "peers_slow": slow,
             "fleet_least": bounds.least,
             "fleet_likely": bounds.likely,
             "fleet_most": bounds.most,
-            **told,
+            **values,
         }
 
     def members(self) -> list[Seen]:
+        """Return the peers as this sidecar sees them."""
         if self.node is None:
             return []
         with self.lock:
             return self.node.membership.members(clock.now())
 
     def view(self) -> dict[str, Any]:
-        """What this sidecar sees of the fleet, in seconds; `heard_s` is null where only others told of it."""
+        """Return what this sidecar sees of the fleet, times in seconds.
+
+        `heard_s` is None for a peer that only other sidecars have reported.
+        """
         me = self.node.membership.me if self.node is not None else None
         members = self.members()
         return {
@@ -314,34 +344,34 @@
             **self.duties_view(members),
             "peers": [
                 {
-                    "name": one.name,
-                    "address": one.address,
-                    "zone": one.zone,
-                    "born": f"{one.born:x}",
-                    "incarnation": one.incarnation,
-                    "state": STATES[one.state],
-                    "since_s": round(one.for_ / 1e6, 3),
-                    "heard_s": round(one.heard_ago / 1e6, 3) if one.heard_ago >= 0 else None,
-                    "by": one.by,
+                    "name": member.name,
+                    "address": member.address,
+                    "zone": member.zone,
+                    "born": f"{member.born:x}",
+                    "incarnation": member.incarnation,
+                    "state": STATES[member.state],
+                    "since_s": round(member.for_ / 1e6, 3),
+                    "heard_s": round(member.heard_ago / 1e6, 3) if member.heard_ago >= 0 else None,
+                    "by": member.by,
                 }
-                for one in members
+                for member in members
             ],
         }
 
     def duties_view(self, members: list[Seen]) -> dict[str, Any]:
-        """What this sidecar holds, and, if it votes, whom it has granted what; nothing where nobody votes."""
-        fellow = self.node
-        if fellow is None or fellow.duties is None:
+        """Return the duties held and, if this sidecar is a voter, its grants; empty without voters."""
+        node = self.node
+        if node is None or node.duties is None:
             return {}
-        names = {one.born: one.name for one in members} | {fellow.me.born: self.name}
+        names = {member.born: member.name for member in members} | {node.me.born: self.name}
         now = clock.now()
         with self.lock:
-            duties, voter = fellow.duties, fellow.voter
+            duties, voter = node.duties, node.voter
             held = duties.held(now)
             granted = voter.granted(now) if voter is not None else []
-            silent = max(0, voter.silent_until - now) if voter is not None else 0
+            silent_us = max(0, voter.silent_until - now) if voter is not None else 0
             fit = duties.fit
-        told: dict[str, Any] = {
+        view: dict[str, Any] = {
             "fit": fit,
             "holds": [
                 {"duty": duty, "number": f"{number:x}", "left_s": round(left / 1e6, 3)}
@@ -349,8 +379,8 @@
             ],
         }
         if voter is not None:
-            told["silent_s"] = round(silent / 1e6, 3)
-            told["granted"] = [
+            view["silent_s"] = round(silent_us / 1e6, 3)
+            view["granted"] = [
                 {
                     "duty": duty,
                     "holder": names.get(holder, f"{holder:x}"),
@@ -359,12 +389,12 @@
                 }
                 for duty, holder, number, left in granted
             ]
-        return told
+        return view
 
-    # -- what comes from elsewhere
+    # -- calls of other threads
 
     def apply_voting(self, voting: Voting | None) -> None:
-        """The file was read again."""
+        """Apply the voting settings of a configuration that was read again."""
         with self.lock:
             self.voting = voting
             if self.node is not None:
@@ -372,17 +402,17 @@
         self.shared_trials.may_try_until = {}
 
     def resign_duty(self, duty: str) -> bool:
-        """By hand: whether this sidecar held it, which it gives up at once."""
+        """Give a duty up at once, as an operator demands; returns whether this sidecar held it."""
         if self.node is None:
             return False
         self.shared_trials.may_try_until = {}
         with self.lock:
-            done = self.node.take_away(clock.now(), duty)
+            resigned = self.node.take_away(clock.now(), duty)
         self.send_outbox()
-        return done
+        return resigned
 
     def release_duties(self) -> None:
-        """SIGTERM: duties go to others now; this sidecar is a member until it sends nothing more."""
+        """Release all duties at SIGTERM; this sidecar stays a member until it sends nothing more."""
         if self.node is not None and self.sock is not None:
             self.shared_trials.may_try_until = {}
             with self.lock:
@@ -390,7 +420,7 @@
             self.send_outbox()
 
     def leave(self) -> None:
-        """Say goodbye, as the process ends."""
+        """Stop the thread and tell the fleet that this process ends."""
         self.closed = True
         if self.node is not None and self.sock is not None:
             with self.lock:
