--- a/pumicepath/__init__.py
+++ b/pumicepath/__init__.py
@@ -2,4 +2,5 @@
 
 __version__ = "0.2.0"
 
-from . import compiled as compiled  # before any of the modules that it is about
+# Imported before the modules that may be compiled, as it decides in which form they run.
+from . import compiled as compiled
--- a/pumicepath/command.py
+++ b/pumicepath/command.py
@@ -1,4 +1,4 @@
-"""The command line; commands stand in `commands`, of which only what is called is imported."""
+"""The command line; of the modules in `commands` only that of the command that is called is imported."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from . import __version__
 
-# Command by command the module of `commands` that has it, in the order in which help shows them.
+# The module of `commands` that has each command, in the order in which the help lists them.
 COMMAND_MODULES = {
     "serve": "sidecar",
     "check": "sidecar",
@@ -20,12 +20,14 @@
 
 
 class LazyCommands(click.Group):
-    """Imports what is called: a sidecar runs beside each process, and holds no code of other commands."""
+    """Imports a command when it is called, so that sidecar processes hold no code of other commands."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """Return the names of all commands, without importing them."""
         return [*COMMAND_MODULES, *super().list_commands(ctx)]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Import and return a command; None if there is none of this name."""
         if cmd_name not in COMMAND_MODULES:
             return super().get_command(ctx, cmd_name)
         command: click.Command = getattr(
--- a/pumicepath/commands/__init__.py
+++ b/pumicepath/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, a file a group of commands; heavy imports stand inside the commands that need them."""
+"""The commands of the command line; heavy imports are inside the commands that need them."""
--- a/pumicepath/commands/errors.py
+++ b/pumicepath/commands/errors.py
@@ -1,4 +1,4 @@
-"""How commands end when they can't do what they were asked to."""
+"""How a command ends that cannot do what it was called for."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 def fail(error: object, code: int = 2) -> NoReturn:
-    """One clear line on standard error; 2 for what was asked wrongly."""
+    """Print one line to standard error and exit; code 2 stands for invalid usage or input."""
     click.echo(f"pumicepath: {error}", err=True)
     sys.exit(code)
--- a/pumicepath/commands/peers.py
+++ b/pumicepath/commands/peers.py
@@ -1,4 +1,4 @@
-"""`peers`: what one sidecar sees of its fleet, and who holds which duty."""
+"""`peers`: what one sidecar sees of its fleet, and which duties it holds and grants."""
 
 from __future__ import annotations
 
@@ -10,23 +10,27 @@
 
 
 def call_admin(address: str, method: str, path: str) -> bytes:
+    """Make one call to an operators' address and return the body; ends the command if it is not answered 200.
+
+    Raises OSError or http.client.HTTPException if there is no valid response.
+    """
     import http.client
 
     connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
     try:
         connection.request(method, path)
-        answer = connection.getresponse()
-        body = answer.read()
+        response = connection.getresponse()
+        body = response.read()
     finally:
         connection.close()
-    if answer.status != 200:
-        fail(f"{address}: {answer.status} {body.decode(errors='replace').strip()}")
+    if response.status != 200:
+        fail(f"{address}: {response.status} {body.decode(errors='replace').strip()}")
     return body
 
 
 @click.command()
 @click.argument("address")
-@click.option("--json", "as_json", is_flag=True, help="The view as the sidecar tells it, one object.")
+@click.option("--json", "as_json", is_flag=True, help="Print the sidecar's JSON object as it is.")
 @click.option("--resign", metavar="DUTY", help="Take a duty away from this sidecar; another claims it.")
 def peers(address: str, as_json: bool, resign: str | None) -> None:
     """Print what the sidecar with this operators' address (host:port) sees of its fleet."""
@@ -39,32 +43,34 @@
         if resign is not None:
             call_admin(address, "PUT", f"/peers/duties/{quote(resign, safe='')}/resign")
         body = call_admin(address, "GET", "/peers")
-        told = orjson.loads(body)
-    except (OSError, http.client.HTTPException, ValueError) as trouble:
-        fail(f"{address}: {trouble}")
+        view = orjson.loads(body)
+    except (OSError, http.client.HTTPException, ValueError) as error:
+        fail(f"{address}: {error}")
     if as_json:
         click.echo(body.decode().rstrip())
         return
-    figures = told["figures"]
+    metrics = view["figures"]
     click.echo(
-        f"{told['name']} at {told['address']}, incarnation {told['incarnation']}: "
-        f"{figures['peers_alive']} alive, {figures['peers_suspected']} suspected; the fleet counts "
-        f"{figures.get('fleet_least', 1)} heard of late, {figures.get('fleet_likely', 1)} likely, "
-        f"{figures.get('fleet_most', 1)} with those that may be cut off"
+        f"{view['name']} at {view['address']}, incarnation {view['incarnation']}: "
+        f"{metrics['peers_alive']} alive, {metrics['peers_suspected']} suspected; size of the fleet: "
+        f"at least {metrics.get('fleet_least', 1)} (heard recently), "
+        f"likely {metrics.get('fleet_likely', 1)}, "
+        f"at most {metrics.get('fleet_most', 1)} with those that may be cut off"
     )
-    for one in told.get("holds", []):
-        click.echo(f"  holds {one['duty']}, number {one['number']}, {one['left_s']:.1f} s left")
-    if "granted" in told:
-        silent = f", silent for {told['silent_s']:.1f} s more" if told["silent_s"] else ""
+    for duty in view.get("holds", []):
+        click.echo(f"  holds {duty['duty']}, number {duty['number']}, {duty['left_s']:.1f} s left")
+    if "granted" in view:
+        silent = f", silent for {view['silent_s']:.1f} s more" if view["silent_s"] else ""
         click.echo(f"  votes{silent}")
-        for one in told["granted"]:
+        for grant in view["granted"]:
             click.echo(
-                f"    {one['duty']}: {one['holder']}, number {one['number']}, {one['left_s']:.1f} s left"
+                f"    {grant['duty']}: {grant['holder']}, number {grant['number']}, "
+                f"{grant['left_s']:.1f} s left"
             )
-    for one in sorted(told["peers"], key=lambda one: (one["name"], one["born"])):
-        heard = "never heard" if one["heard_s"] is None else f"heard {one['heard_s']:.1f} s ago"
-        by = f", told by {one['by']}" if one["by"] else ""
+    for peer in sorted(view["peers"], key=lambda one: (one["name"], one["born"])):
+        heard = "never heard" if peer["heard_s"] is None else f"heard {peer['heard_s']:.1f} s ago"
+        reported_by = f", reported by {peer['by']}" if peer["by"] else ""
         click.echo(
-            f"  {one['name']:<20} {one['address']:<21} {one['zone']:<10} {one['state']:<9} "
-            f"for {one['since_s']:.1f} s, {heard}{by}"
+            f"  {peer['name']:<20} {peer['address']:<21} {peer['zone']:<10} {peer['state']:<9} "
+            f"for {peer['since_s']:.1f} s, {heard}{reported_by}"
         )
--- a/pumicepath/commands/sidecar.py
+++ b/pumicepath/commands/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar: `serve`, and `check` of what it would serve by."""
+"""`serve` runs one sidecar, `check` reads its configuration and says what would be run."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
     envvar="GW_CONFIG",
     default="",
     metavar="FILE",
-    help="The sidecar's configuration, JSON; $GW_CONFIG names it too.",
+    help="The sidecar's configuration, a JSON file; $GW_CONFIG names it too.",
 )
 
 
 def load_config(path: str) -> Config:
+    """Read the configuration; ends the command with a line that names file and key if it is invalid."""
     from ..sidecar import config
 
     try:
         if not path:
             raise config.ConfigError("no configuration: name it by --config or $GW_CONFIG")
         return config.read(path)
-    except config.ConfigError as trouble:
-        fail(trouble)
+    except config.ConfigError as error:
+        fail(error)
 
 
 @click.command()
@@ -40,26 +41,27 @@
 
     try:
         running.serve(load_config(path), path)
-    except config.ConfigError as trouble:
-        fail(trouble)
+    except config.ConfigError as error:
+        fail(error)
 
 
 @click.command()
 @config_option
 def check(path: str) -> None:
-    """Read the configuration as `serve` would, and say what would be run."""
+    """Read the configuration as `serve` would, and print what would be run."""
     from ..sidecar import running
 
     config = load_config(path)
     click.echo(
         f"{config.name}: listens on {config.listen.host}:{config.listen.port}, "
-        f"{len(config.known_list['hosts'])} servers known, {len(config.request_classes)} tariffs, "
-        f"{config.max_client_connections} connections of clients and {config.max_server_connections} to servers at most"
+        f"{len(config.known_list['hosts'])} servers known, {len(config.request_classes)} request classes, "
+        f"at most {config.max_client_connections} connections from clients and "
+        f"{config.max_server_connections} to servers"
     )
-    click.echo(f"fixed while it runs: {', '.join(running.RESTART_ONLY_KEYS)}")
+    click.echo(f"changed only by a restart: {', '.join(running.RESTART_ONLY_KEYS)}")
     if config.peers is not None:
         seeds = ", ".join(config.peers.seeds) or "none"
-        click.echo(f"speaks with peers at {config.peers.listen}, seeds: {seeds}")
+        click.echo(f"exchanges messages with peers at {config.peers.listen}, seeds: {seeds}")
     if config.relays:
         services = "all" if config.services == ("*",) else ", ".join(config.services or ()) or "none"
         click.echo(f"follows relays: {', '.join(config.relays)}; services: {services}")
--- a/pumicepath/sidecar/__init__.py
+++ b/pumicepath/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: threads, sockets, pools, timers and shutdown around the decisions."""
+"""The sidecar process: threads, sockets, connection pools, timers and shutdown around the balancer."""
