--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Replacing the process among stand-ins on loopback: under load, by hand, and with one that is broken."""
+"""Hot restart on loopback: under load, with changes by operators, and with processes that fail."""
 
 import json
 import os
@@ -23,7 +23,7 @@
 
 
 class EchoServer(Peer):
-    """Counts hops, and answers each with its id."""
+    """Records the trace id of each hop, and answers with it."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
@@ -34,35 +34,38 @@
 
 
 def restartable_deployment(folder: Path, servers: int) -> Deployment:
-    around = Deployment(folder, servers, admin_addr="127.0.0.1:0")
+    deployment = Deployment(folder, servers, admin_addr="127.0.0.1:0")
     with socket.create_server(("127.0.0.1", 0)) as free:
-        around.told["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
-    around.config.write_text(json.dumps(around.told))
-    around.environment = {"TMPDIR": str(folder)}
-    return around
+        deployment.told["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
+    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.environment = {"TMPDIR": str(folder)}
+    return deployment
 
 
-def start_replacement(around: Deployment) -> tuple[subprocess.Popen, tuple[str, int]]:
-    """The old process, still serving, with its second address; the new one stands in its place."""
-    old = around.process, around.operators
-    around.process = around.begun()
-    started = around.event("started")
+def start_replacement(deployment: Deployment) -> tuple[subprocess.Popen, tuple[str, int]]:
+    """Start a new process, and return the old one, still running, with its operators' address.
+
+    From then on the deployment's own attributes stand for the new process.
+    """
+    old = deployment.process, deployment.operators
+    deployment.process = deployment.begun()
+    started = deployment.event("started")
     host, port = started["operators"].rsplit(":", 1)
-    around.operators = (host, int(port))
-    around.event("succeeding")
+    deployment.operators = (host, int(port))
+    deployment.event("succeeding")
     return old
 
 
-def test_ten_replacements_under_load_turn_nothing_back(tmp_path: Path) -> None:
-    around, hops, heard, again = restartable_deployment(tmp_path, 0), [], [], []  # type: ignore[var-annotated]
-    around.servers = [EchoServer(f"c-{at}", queue.SimpleQueue(), hops) for at in range(3)]
-    around.told["known"] = around.listing(1, True, "active")
-    around.config.write_text(json.dumps(around.told))
+def test_ten_replacements_under_load_lose_no_request(tmp_path: Path) -> None:
+    deployment, hops, correct, again = restartable_deployment(tmp_path, 0), [], [], []  # type: ignore[var-annotated]
+    deployment.servers = [EchoServer(f"c-{at}", queue.SimpleQueue(), hops) for at in range(3)]
+    deployment.told["known"] = deployment.listing(1, True, "active")
+    deployment.config.write_text(json.dumps(deployment.told))
     done = threading.Event()
 
-    def client(first: int, keeps: bool) -> None:
-        """Its connection is kept until the sidecar ends it, or is new each time."""
-        sock, parser, number = socket.create_connection(around.where), ResponseParser(), first
+    def client(first: int, keep_alive: bool) -> None:
+        """Send requests on one connection until the sidecar closes it, or on a new one each time."""
+        sock, parser, number = socket.create_connection(deployment.where), ResponseParser(), first
         while not done.is_set():
             number += 1
             sending = writing.request(
@@ -81,18 +84,18 @@
             except OSError:
                 again.append(number)
             response = next_of(sock, parser)
-            if response is None:  # the sidecar's end of the connection crossed it: once more, on a new one
+            if response is None:  # it crossed the sidecar's end of the connection: sent again on a new one
                 again.append(number)
-                sock, parser = socket.create_connection(around.where), ResponseParser()
+                sock, parser = socket.create_connection(deployment.where), ResponseParser()
                 sock.sendall(sending)
                 response = next_of(sock, parser)
-            heard.append(response is not None and response.status == 200 and int(response.body) == number)
-            if response is None or not response.keeps() or not keeps:
+            correct.append(response is not None and response.status == 200 and int(response.body) == number)
+            if response is None or not response.keeps() or not keep_alive:
                 sock.close()
-                sock, parser = socket.create_connection(around.where), ResponseParser()
+                sock, parser = socket.create_connection(deployment.where), ResponseParser()
         sock.close()
 
-    with around.running():
+    with deployment.running():
         threads = [
             threading.Thread(target=client, args=(100_000 * at, at % 2 > 0), daemon=True)
             for at in range(1, 7)
@@ -100,181 +103,187 @@
         for thread in threads:
             thread.start()
         for _ in range(10):
-            old, _ = start_replacement(around)
+            old, _ = start_replacement(deployment)
             old.send_signal(signal.SIGTERM)
             assert old.wait(timeout=6) == 0
         done.set()
         for thread in threads:
             thread.join()
-    assert len(heard) > 1000 and all(heard)
+    assert len(correct) > 1000 and all(correct)
     assert not [trace for trace, count in Counter(hops).items() if int(trace) % 2 and count > 1]
-    assert len(again) <= 2, f"{len(again)} turned back of {len(heard)}"
+    assert len(again) <= 2, f"{len(again)} sent again of {len(correct)}"
 
 
-def test_what_is_changed_by_hand_binds_both_and_outlives_the_old_process(tmp_path: Path) -> None:
-    around = restartable_deployment(tmp_path, 2)
-    with around.running():
+def test_an_operators_change_applies_to_both_processes_and_outlives_the_old_one(tmp_path: Path) -> None:
+    deployment = restartable_deployment(tmp_path, 2)
+    with deployment.running():
 
-        def say(path: str, where: tuple[str, int] | None = None) -> None:
-            around.lines.append(f"{path}: {around.call('PUT', path, where).status}")
+        def put(path: str, where: tuple[str, int] | None = None) -> None:
+            deployment.lines.append(f"{path}: {deployment.call('PUT', path, where).status}")
 
-        def see(what: str, *where: tuple[str, int]) -> None:
+        def note_avoided(what: str, *where: tuple[str, int]) -> None:
             for one, at in zip(("old", "new"), where):
-                response = around.call("GET", "/stats", at)
+                response = deployment.call("GET", "/stats", at)
                 avoided = [line for line in response.body.decode().split() if "unhealthy" in line]
-                around.lines.append(f"{what}, {one}: {avoided[0]}")
-
-        say("/servers/s-0/maint")
-        old, first = start_replacement(around)
-        see("out before", first, around.operators)
-        say("/servers/s-1/maint", first)
-        see("out at the old", first, around.operators)
-        say("/servers/s-0/ready")
-        see("back at the new", first, around.operators)
-        say("/healthcheck/fail")
-        around.event("emptied", process=old)
+                deployment.lines.append(f"{what}, {one}: {avoided[0]}")
+
+        put("/servers/s-0/maint")
+        old, first = start_replacement(deployment)
+        note_avoided("out before", first, deployment.operators)
+        put("/servers/s-1/maint", first)
+        note_avoided("out at the old", first, deployment.operators)
+        put("/servers/s-0/ready")
+        note_avoided("back at the new", first, deployment.operators)
+        put("/healthcheck/fail")
+        deployment.event("emptied", process=old)
         old.send_signal(signal.SIGTERM)
         assert old.wait(timeout=6) == 0
-        last, _ = start_replacement(around)
+        last, _ = start_replacement(deployment)
         last.kill()
         last.wait()
-        around.event("alone")
+        deployment.event("alone")
         for path in ("/servers/s-1/ready", "/healthcheck/ok"):
-            say(path)
-        around.client, around.parser = socket.create_connection(around.where), ResponseParser()
-        around.ask("read", answer(200, "served by the third"))
+            put(path)
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "served by the third"))
     compare(
         "succession",
-        [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in around.lines],
+        [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in deployment.lines],
     )
 
 
-def test_a_new_process_that_ends_leaves_the_old_one_as_it_was(tmp_path: Path) -> None:
-    around = restartable_deployment(tmp_path, 1)
-    with around.running():
-        old, where = start_replacement(around)
-        around.process.kill()
-        around.process.wait()
-        around.process, around.operators = old, where
-        around.event("alone")
-        around.config.write_text("{")
-        refusing = around.begun()
-        assert refusing.wait(timeout=20) == 2
-        around.client, around.parser = socket.create_connection(around.where), ResponseParser()
-        around.ask("read", answer(200, "by the old one"))
-    assert around.lines[-1] == "client: 200 by the old one"
-
-
-def test_the_one_before_is_told_before_the_log_says_that_it_is_followed(tmp_path: Path) -> None:
-    """Whoever reads the log may end the new process there: the old one has to know by then."""
-    rig, (here, there) = Rig(tmp_path), socket.socketpair()
-    there.settimeout(0)
-    told = []
-
-    class Dies:
+def test_the_old_process_serves_again_when_the_new_one_ends(tmp_path: Path) -> None:
+    deployment = restartable_deployment(tmp_path, 1)
+    with deployment.running():
+        old, where = start_replacement(deployment)
+        deployment.process.kill()
+        deployment.process.wait()
+        deployment.process, deployment.operators = old, where
+        deployment.event("alone")
+        deployment.config.write_text("{")
+        invalid = deployment.begun()
+        assert invalid.wait(timeout=20) == 2
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "by the old one"))
+    assert deployment.lines[-1] == "client: 200 by the old one"
+
+
+def test_the_old_process_is_notified_before_the_takeover_is_logged(tmp_path: Path) -> None:
+    """Whoever reads the log may end the new process at that event: the old one must know by then."""
+    rig, (own_end, other_end) = Rig(tmp_path), socket.socketpair()
+    other_end.settimeout(0)
+    messages = []
+
+    class RecordingLog:
         def event(self, event: str, **figures: object) -> None:
             if event == "succeeding":
-                told.append(Channel(there).receive()[0])
+                messages.append(Channel(other_end).receive()[0])
 
-    rig.dispatcher.events = Dies()  # type: ignore[assignment]
-    HotRestart(rig.dispatcher, rig.clients, dict, Address("127.0.0.1", 1)).take_over(Channel(here))
-    there.close()
-    assert told == [{"taking": True}]
+    rig.dispatcher.events = RecordingLog()  # type: ignore[assignment]
+    HotRestart(rig.dispatcher, rig.clients, dict, Address("127.0.0.1", 1)).take_over(Channel(own_end))
+    other_end.close()
+    assert messages == [{"taking": True}]
 
 
-def test_of_two_new_processes_at_once_either_may_end_and_the_other_serves(tmp_path: Path) -> None:
-    around = restartable_deployment(tmp_path, 1)
-    with around.running():
-        old = around.process
-        first, second = around.begun(), around.begun()
+def test_with_two_new_processes_at_once_one_may_end_and_the_other_serves(tmp_path: Path) -> None:
+    deployment = restartable_deployment(tmp_path, 1)
+    with deployment.running():
+        old = deployment.process
+        first, second = deployment.begun(), deployment.begun()
         for process in (first, second):
-            around.event("succeeding", process=process)  # none of them has started from nothing
-        around.client, around.parser = socket.create_connection(around.where), ResponseParser()
-        around.ask("read", answer(200, "by one of them"))
+            deployment.event("succeeding", process=process)  # both got a handover
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "by one of them"))
         first.kill()
         first.wait()
         old.send_signal(signal.SIGTERM)
         assert old.wait(timeout=20) == 0
-        around.process = second
-        around.client, around.parser = socket.create_connection(around.where), ResponseParser()
-        around.ask("read", answer(200, "by the one that is left"))
-    assert [line for line in around.lines if line.startswith("client")] == [
+        deployment.process = second
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "by the one that is left"))
+    assert [line for line in deployment.lines if line.startswith("client")] == [
         "client: 200 by one of them",
         "client: 200 by the one that is left",
     ]
 
 
-def test_a_new_process_that_dies_with_the_socket_in_its_hands_stops_nobody(
+def test_a_new_process_that_dies_holding_the_listener_does_not_stop_the_old_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    around = restartable_deployment(tmp_path, 1)
+    deployment = restartable_deployment(tmp_path, 1)
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with around.running():
-        met = request_handover(Address(*around.where))
-        assert met is not None and met.listener is not None
-        met.listener.close()
-        met.channel.close()
-        around.client, around.parser = socket.create_connection(around.where), ResponseParser()
-        around.ask("read", answer(200, "by the old one"))
-    assert around.lines[-1] == "client: 200 by the old one"
+    with deployment.running():
+        handover = request_handover(Address(*deployment.where))
+        assert handover is not None and handover.listener is not None
+        handover.listener.close()
+        handover.channel.close()
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "by the old one"))
+    assert deployment.lines[-1] == "client: 200 by the old one"
 
 
-def test_there_is_always_a_process_to_be_met(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_new_process_always_finds_a_socket_to_connect_to(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     with socket.socket(socket.AF_UNIX) as before:
         with ShortPath(tmp_path / SOCKET_NAME) as short:
             before.bind(short)
         before.listen()
         after = HotRestart(None, None, dict, Address("127.0.0.1", 1))
-        with held(monkeypatch, os, "replace") as (came, go):
+        with held(monkeypatch, os, "replace") as (reached, proceed):
             threading.Thread(target=after.open_socket, daemon=True).start()
-            assert came.acquire(timeout=20)
-            with socket.socket(socket.AF_UNIX) as met, ShortPath(tmp_path / SOCKET_NAME) as short:
-                met.connect(short)
-            go.release()
+            assert reached.acquire(timeout=20)
+            with socket.socket(socket.AF_UNIX) as connected, ShortPath(tmp_path / SOCKET_NAME) as short:
+                connected.connect(short)
+            proceed.release()
             until(lambda: not (tmp_path / f"{SOCKET_NAME}.{os.getpid()}").exists())
-        with socket.socket(socket.AF_UNIX) as met, ShortPath(tmp_path / SOCKET_NAME) as short:
-            met.connect(short)
+        with socket.socket(socket.AF_UNIX) as connected, ShortPath(tmp_path / SOCKET_NAME) as short:
+            connected.connect(short)
             before.setblocking(False)
             before.accept()
             with pytest.raises(BlockingIOError):
                 before.accept()
 
 
-@pytest.mark.parametrize("says", [b"", b"{", b"[1]\n", b'{"version": 9}\n', b'{"version": 1}\n', None])
-def test_what_stands_there_and_says_nothing_of_use_is_started_without(
-    says: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("sent", [b"", b"{", b"[1]\n", b'{"version": 9}\n', b'{"version": 1}\n', None])
+def test_without_a_valid_answer_the_new_process_starts_from_nothing(
+    sent: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     assert request_handover(Address("127.0.0.1", 1)) is None
     with socket.socket(socket.AF_UNIX) as listener, ShortPath(tmp_path / SOCKET_NAME) as short:
         listener.bind(short)
-        if says is None:
-            assert request_handover(Address("127.0.0.1", 1)) is None  # of a process long dead
+        if sent is None:
+            # The socket of a dead process, which nobody listens on.
+            assert request_handover(Address("127.0.0.1", 1)) is None
             return
         listener.listen()
 
-        def speak() -> None:
+        def respond() -> None:
             with listener.accept()[0] as sock:
-                sock.sendall(says)
+                sock.sendall(sent)
                 sock.recv(999)
 
-        threading.Thread(target=speak, daemon=True).start()
+        threading.Thread(target=respond, daemon=True).start()
         before = len(os.listdir("/proc/self/fd"))
         assert request_handover(Address("127.0.0.1", 1)) is None
         assert len(os.listdir("/proc/self/fd")) <= before + 1
 
 
-def test_a_socket_whose_port_the_file_does_not_name_goes_over(
+def test_a_listener_on_a_port_chosen_by_the_kernel_is_handed_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Found by the lab: the files of both differ, and the kernel spread clients over two queues."""
-    around = Deployment(tmp_path, 1, admin_addr="127.0.0.1:0")
-    around.environment = {"TMPDIR": str(tmp_path)}
+    """Without the handover the kernel spreads clients over the queues of two listeners.
+
+    Found by the lab: the files of the two processes differ, and only one of them names the actual port.
+    """
+    deployment = Deployment(tmp_path, 1, admin_addr="127.0.0.1:0")
+    deployment.environment = {"TMPDIR": str(tmp_path)}
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with around.running():
-        met = request_handover(Address(*around.where))
-        assert met is not None and met.listener is not None
-        assert met.listener.getsockname() == around.where
-        met.listener.close()
-        met.channel.close()
+    with deployment.running():
+        handover = request_handover(Address(*deployment.where))
+        assert handover is not None and handover.listener is not None
+        assert handover.listener.getsockname() == deployment.where
+        handover.listener.close()
+        handover.channel.close()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The second address: which call is which, figures, servers out by hand, clients sent away."""
+"""The operators' address: parsing of calls, metrics, servers taken out of service, clients sent away."""
 
 import json
 import socket
@@ -18,12 +18,12 @@
 
 
 def admin_deployment(folder: Path, servers: int, **changed: object) -> Deployment:
-    around = Deployment(folder, servers, admin_addr="127.0.0.1:0", **changed)
-    around.environment = {"TMPDIR": str(folder)}
-    return around
+    deployment = Deployment(folder, servers, admin_addr="127.0.0.1:0", **changed)
+    deployment.environment = {"TMPDIR": str(folder)}
+    return deployment
 
 
-def test_calls_are_told_apart_and_others_refused() -> None:
+def test_calls_are_recognised_and_other_requests_refused() -> None:
     lines = []
     for line in (
         "GET /healthcheck",
@@ -45,166 +45,175 @@
         try:
             call, server = parse_call(Request(method=method, target=target))
             lines.append(f"{line}: {call.value} {server}".rstrip())
-        except Malformed as trouble:
-            lines.append(f"{line}: {trouble.status} {trouble}")
+        except Malformed as error:
+            lines.append(f"{line}: {error.status} {error}")
     compare("calls", lines)
 
 
-def test_figures_of_classes_outlive_them_in_bounded_number_and_cannot_break_a_line() -> None:
-    figures = Metrics()
+def test_metrics_of_removed_classes_stay_in_bounded_number_and_names_cannot_break_a_line() -> None:
+    metrics = Metrics()
     for status in (200, 429, 503, 502, 400):
-        figures.submission_finished("read", status)
-    figures.submission_finished("a=1\nb", 200)
+        metrics.submission_finished("read", status)
+    metrics.submission_finished("a=1\nb", 200)
     for number in range(3000):
-        figures.submission_finished(f"c{number}", 200)
-    lines = figures.render(["read", "new"], {"current": 3}).splitlines()
+        metrics.submission_finished(f"c{number}", 200)
+    lines = metrics.render(["read", "new"], {"current": 3}).splitlines()
     assert len(lines) < 1010
     compare("figures", [line for line in lines if ".c" not in line or "current" in line])
 
 
-def test_a_server_out_by_hand_stays_out_whatever_is_listed_and_returns_cold() -> None:
-    bench = Bench(settings(cold_for=20 * SECOND), [entry(1), entry(2)])
-    hand, listed = bench.balancer.hand, bench.balancer.listed
+def test_a_server_taken_out_stays_out_whatever_is_listed_and_returns_cold() -> None:
+    host = Bench(settings(cold_for=20 * SECOND), [entry(1), entry(2)])
+    set_out_of_service, update_servers = host.balancer.hand, host.balancer.listed
 
-    def said(what: str) -> None:
-        before = len(bench.sent)
-        bench.quick(100 + 40 * len(bench.lines), 30, 1, Outcome.OK)
-        met = bench.sent[before:]
-        standing = bench.balancer.standing()
-        bench.lines = [line for line in bench.lines if "hop to" not in line]
-        hops = [met.count(server) for server in (1, 2)]
-        bench.note(f"{what}: {hops} hops, {standing[0]} listed, {standing[1]} avoided")
+    def send_hops(what: str) -> None:
+        before = len(host.sent)
+        host.quick(100 + 40 * len(host.lines), 30, 1, Outcome.OK)
+        servers_hit = host.sent[before:]
+        standing = host.balancer.standing()
+        host.lines = [line for line in host.lines if "hop to" not in line]
+        hops = [servers_hit.count(server) for server in (1, 2)]
+        host.note(f"{what}: {hops} hops, {standing[0]} listed, {standing[1]} avoided")
 
     def call(server: int, out: bool) -> None:
-        bench.note(f"{server} {'out' if out else 'back'}: {'yes' if hand(bench.now, server, out) else 'no'}")
+        host.note(
+            f"{server} {'out' if out else 'back'}: "
+            f"{'yes' if set_out_of_service(host.now, server, out) else 'no'}"
+        )
 
-    said("before")
-    home = 1 if bench.sent[-1] == 1 else 2
+    send_hops("before")
+    preferred = 1 if host.sent[-1] == 1 else 2
     call(9, True)
     call(9, False)
-    call(home, True)
-    call(home, True)
-    said("out")
-    listed(bench.now, Listing.FULL, [entry(3 - home)])
-    said("not listed any more")
-    began = bench.now
-    listed(bench.now, Listing.CHANGES, [entry(home, came_up=began)])
-    said("listed as new")
-    listed(bench.now, Listing.FULL, [entry(home, phase=Phase.DRAINING), entry(3 - home)])
-    listed(bench.now, Listing.FULL, [entry(home), entry(3 - home)])
-    bench.at(bench.now / SECOND + 60)
-    said("a minute later")
-    call(home, False)
-    said("back, cold")
-    assert bench.balancer.came_up[bench.balancer.index[home]] == began
-    bench.at(bench.now / SECOND + 60)
-    call(home, True)
-    call(home, False)
-    listed(bench.now, Listing.CHANGES, [entry(home, came_up=began + SECOND)])
-    said("out and back, an old start listed since")
-    bench.at(bench.now / SECOND + 60)
-    said("warm")
-    call(home, False)
-    assert not bench.balancer.by_hand
-    check("by_hand", bench)
-
-
-def test_the_return_of_a_server_that_the_list_lacks_is_cold_too() -> None:
-    bench = Bench(settings(cold_for=20 * SECOND), [entry(1), entry(2)])
-    bench.balancer.hand(bench.now, 1, True)
-    bench.balancer.listed(bench.now, Listing.FULL, [entry(2)])
-    assert bench.at(30).balancer.hand(bench.now, 1, False)
-    bench.balancer.listed(bench.now, Listing.FULL, [entry(1), entry(2)])
-    assert bench.balancer.warmth(bench.now, bench.balancer.index[1]) < 0.3
-
-
-def test_figures_are_what_clients_and_servers_saw(tmp_path: Path) -> None:
-    around = admin_deployment(tmp_path, 1)
-    with around.running():
-        around.ask("read", answer(200, "a"))
-        around.ask("once", answer(500))
-        around.ask("once", answer(503, "", NEVER))
-        around.ask("read", answer(503, "", NEVER))
-        around.ask("once", "reset")
-        around.send("gold")
-        around.hear()
-        lines = [f"{name}={value}" for name, value in around.figures().items()]
-        around.send("read")
-        assert [around.servers[0].met.acquire(timeout=5) for _ in range(6)] == [True] * 6
-        lines.append(f"one under way: {around.figures()['edge_gw.current']}")
-        around.script.put(answer(200, "b"))
-        around.hear()
-        for told in (around.told, {}):
-            around.config.write_text(json.dumps(told))
-            around.process.send_signal(1)
-            around.event("reloaded" if told else "reload_failed")
-        lines += [f"{name}={value}" for name, value in around.figures().items() if "conf" in name]
+    call(preferred, True)
+    call(preferred, True)
+    send_hops("out")
+    update_servers(host.now, Listing.FULL, [entry(3 - preferred)])
+    send_hops("not listed any more")
+    restarted_at = host.now
+    update_servers(host.now, Listing.CHANGES, [entry(preferred, came_up=restarted_at)])
+    send_hops("listed as new")
+    update_servers(host.now, Listing.FULL, [entry(preferred, phase=Phase.DRAINING), entry(3 - preferred)])
+    update_servers(host.now, Listing.FULL, [entry(preferred), entry(3 - preferred)])
+    host.at(host.now / SECOND + 60)
+    send_hops("a minute later")
+    call(preferred, False)
+    send_hops("back, cold")
+    assert host.balancer.came_up[host.balancer.index[preferred]] == restarted_at
+    host.at(host.now / SECOND + 60)
+    call(preferred, True)
+    call(preferred, False)
+    update_servers(host.now, Listing.CHANGES, [entry(preferred, came_up=restarted_at + SECOND)])
+    send_hops("out and back, an old start listed since")
+    host.at(host.now / SECOND + 60)
+    send_hops("warm")
+    call(preferred, False)
+    assert not host.balancer.by_hand
+    check("by_hand", host)
+
+
+def test_a_server_put_back_while_not_listed_is_cold_too() -> None:
+    host = Bench(settings(cold_for=20 * SECOND), [entry(1), entry(2)])
+    host.balancer.hand(host.now, 1, True)
+    host.balancer.listed(host.now, Listing.FULL, [entry(2)])
+    assert host.at(30).balancer.hand(host.now, 1, False)
+    host.balancer.listed(host.now, Listing.FULL, [entry(1), entry(2)])
+    assert host.balancer.warmth(host.now, host.balancer.index[1]) < 0.3
+
+
+def test_metrics_count_what_clients_and_servers_saw(tmp_path: Path) -> None:
+    deployment = admin_deployment(tmp_path, 1)
+    with deployment.running():
+        deployment.ask("read", answer(200, "a"))
+        deployment.ask("once", answer(500))
+        deployment.ask("once", answer(503, "", NEVER))
+        deployment.ask("read", answer(503, "", NEVER))
+        deployment.ask("once", "reset")
+        deployment.send("gold")
+        deployment.hear()
+        lines = [f"{name}={value}" for name, value in deployment.figures().items()]
+        deployment.send("read")
+        assert [deployment.servers[0].met.acquire(timeout=5) for _ in range(6)] == [True] * 6
+        lines.append(f"one under way: {deployment.figures()['edge_gw.current']}")
+        deployment.script.put(answer(200, "b"))
+        deployment.hear()
+        for told in (deployment.told, {}):
+            deployment.config.write_text(json.dumps(told))
+            deployment.process.send_signal(1)
+            deployment.event("reloaded" if told else "reload_failed")
+        lines += [f"{name}={value}" for name, value in deployment.figures().items() if "conf" in name]
     compare("counted", lines)
 
 
-def test_calls_out_and_back_hold_from_the_answer_on(tmp_path: Path) -> None:
-    around = admin_deployment(tmp_path, 2)
-    with around.running():
+def test_taking_out_and_putting_back_take_effect_with_the_answer(tmp_path: Path) -> None:
+    deployment = admin_deployment(tmp_path, 2)
+    with deployment.running():
         for path in ("servers/s-9/maint", "servers/s-0/maint", "servers/s-0/maint"):
-            around.lines.append(f"{path}: {around.call('PUT', '/' + path).status}")
+            deployment.lines.append(f"{path}: {deployment.call('PUT', '/' + path).status}")
         for number in range(3):
-            around.ask("read", answer(200, f"{number}"))
-        around.call("PUT", "/servers/s-1/maint")
-        around.ask("read")
-        around.lines.append(f"avoided: {around.figures()['edge_gw.cluster_unhealthy']}")
-        around.call("PUT", "/servers/s-0/ready")
-        around.call("PUT", "/servers/s-1/ready")
-        around.lines.append(f"avoided: {around.figures()['edge_gw.cluster_unhealthy']}")
-        around.ask("read", answer(200, "again"))
-    assert not any(line.startswith("s-0") for line in around.lines[:10])
+            deployment.ask("read", answer(200, f"{number}"))
+        deployment.call("PUT", "/servers/s-1/maint")
+        deployment.ask("read")
+        deployment.lines.append(f"avoided: {deployment.figures()['edge_gw.cluster_unhealthy']}")
+        deployment.call("PUT", "/servers/s-0/ready")
+        deployment.call("PUT", "/servers/s-1/ready")
+        deployment.lines.append(f"avoided: {deployment.figures()['edge_gw.cluster_unhealthy']}")
+        deployment.ask("read", answer(200, "again"))
+    assert not any(line.startswith("s-0") for line in deployment.lines[:10])
     compare(
         "out_and_back",
-        [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in around.lines],
+        [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in deployment.lines],
     )
 
 
-def test_callers_that_finish_nothing_hold_up_nobody(tmp_path: Path) -> None:
-    with admin_deployment(tmp_path, 1).running() as around:
-        silent = [socket.create_connection(around.operators) for _ in range(40)]
+def test_callers_that_never_finish_a_request_do_not_delay_others(tmp_path: Path) -> None:
+    with admin_deployment(tmp_path, 1).running() as deployment:
+        silent = [socket.create_connection(deployment.operators) for _ in range(40)]
         for sock in silent[:20]:
             sock.sendall(b"GET /healthcheck HTTP/1.1\r\nHost:")
-        assert around.call("GET", "/healthcheck").status == 200
-        with socket.create_connection(around.operators) as sock:
+        assert deployment.call("GET", "/healthcheck").status == 200
+        with socket.create_connection(deployment.operators) as sock:
             sock.sendall(b"\x16\x03\x01 what\r\n\r\n")
             assert sock.recv(99).startswith(b"HTTP/1.1 400")
-        assert around.call("PUT", "/nothing").status == 404
-        assert around.call("GET", "/stats").status == 200
+        assert deployment.call("PUT", "/nothing").status == 404
+        assert deployment.call("GET", "/stats").status == 200
         for sock in silent:
             sock.close()
 
 
-def test_clients_are_sent_away_and_taken_again(tmp_path: Path) -> None:
-    with admin_deployment(tmp_path, 1).running() as around:
+def test_clients_are_sent_away_and_accepted_again(tmp_path: Path) -> None:
+    with admin_deployment(tmp_path, 1).running() as deployment:
 
         def up() -> str:
-            with socket.create_connection(around.where) as sock:
+            with socket.create_connection(deployment.where) as sock:
                 sock.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                 return sock.recv(999).decode().replace("HTTP/1.1 ", "").split("\r\n")[-1].strip()
 
-        resting = socket.create_connection(around.where)
-        around.ask("read", answer(200, "before"))
+        idle_sock = socket.create_connection(deployment.where)
+        deployment.ask("read", answer(200, "before"))
         for call in ("fail", "fail"):
-            around.lines.append(f"{call}: {around.call('PUT', f'/healthcheck/{call}').status}, up {up()}")
-        around.lines.append(f"resting connections end with {around.client.recv(9)!r} {resting.recv(9)!r}")
-        around.client = socket.create_connection(around.where)
-        around.ask("read", answer(200, "of the last clients"))
+            deployment.lines.append(
+                f"{call}: {deployment.call('PUT', f'/healthcheck/{call}').status}, up {up()}"
+            )
+        deployment.lines.append(
+            f"resting connections end with {deployment.client.recv(9)!r} {idle_sock.recv(9)!r}"
+        )
+        deployment.client = socket.create_connection(deployment.where)
+        deployment.ask("read", answer(200, "of the last clients"))
         for call in ("ok", "ok"):
-            around.lines.append(f"{call}: {around.call('PUT', f'/healthcheck/{call}').status}, up {up()}")
-        around.client = socket.create_connection(around.where)
-        around.ask("read", answer(200, "after"))
-        around.ask("read", answer(200, "on the same connection"))
-    compare("emptied", around.lines)
+            deployment.lines.append(
+                f"{call}: {deployment.call('PUT', f'/healthcheck/{call}').status}, up {up()}"
+            )
+        deployment.client = socket.create_connection(deployment.where)
+        deployment.ask("read", answer(200, "after"))
+        deployment.ask("read", answer(200, "on the same connection"))
+    compare("emptied", deployment.lines)
 
 
 @pytest.mark.parametrize("how", ["environment", "file", "neither"])
-def test_the_second_address_is_named_by_environment_or_file_or_is_not_there(how: str, tmp_path: Path) -> None:
-    around = admin_deployment(tmp_path, 1) if how == "file" else Deployment(tmp_path, 1)
+def test_the_operators_address_comes_from_environment_or_file_or_is_absent(how: str, tmp_path: Path) -> None:
+    deployment = admin_deployment(tmp_path, 1) if how == "file" else Deployment(tmp_path, 1)
     if how == "environment":
-        around.environment = {"GW_ADMIN_ADDR": "127.0.0.1:0"}
-    with around.running():
-        assert bool(around.operators[1]) == (how != "neither")
+        deployment.environment = {"GW_ADMIN_ADDR": "127.0.0.1:0"}
+    with deployment.running():
+        assert bool(deployment.operators[1]) == (how != "neither")
--- a/tests/test_relay_keys.py
+++ b/tests/test_relay_keys.py
@@ -1,4 +1,4 @@
-"""The keys of a sidecar that follows relays: what can't be meant is one line that names the key."""
+"""The configuration keys for relays: an invalid value is reported in one line that names the key."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pumicepath.lab.loopback.scripted import Deployment
 from pumicepath.sidecar import config
 
-BAD = [
+INVALID = [
     ({"relays": []}, "relays: [] is no list of 1 to 64 addresses"),
     ({"relays": "127.0.0.1:1"}, "relays: '127.0.0.1:1' is no list of 1 to 64 addresses"),
     ({"relays": [f"127.0.0.1:{at}" for at in range(1, 66)]}, "relays: ["),
@@ -42,26 +42,29 @@
 ]
 
 
-@pytest.mark.parametrize("changed, says", BAD)
-def test_keys_that_cannot_be_meant_are_one_line_that_names_the_key(
-    changed: dict, says: str, tmp_path: Path
+@pytest.mark.parametrize("changed, expected", INVALID)
+def test_an_invalid_value_is_reported_in_one_line_that_names_the_key(
+    changed: dict, expected: str, tmp_path: Path
 ) -> None:
-    around = Deployment(tmp_path, 1, **changed)
-    with pytest.raises(config.ConfigError) as trouble:
-        config.read(str(around.config))
-    text = str(trouble.value)
-    assert text.startswith(f"{around.config}: {says}") and "\n" not in text
+    deployment = Deployment(tmp_path, 1, **changed)
+    with pytest.raises(config.ConfigError) as error:
+        config.read(str(deployment.config))
+    text = str(error.value)
+    assert text.startswith(f"{deployment.config}: {expected}") and "\n" not in text
 
 
 @pytest.mark.parametrize("command", ["check", "serve"])
-def test_a_bad_key_ends_the_program_with_two_and_a_good_one_is_told(command: str, tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 1, relays=["127.0.0.1:8601", "[::1]:8601"], services=["stock", "cart"])
-    started = [sys.executable, "-m", "pumicepath", command, "--config", str(around.config)]
+def test_an_invalid_key_exits_with_two_and_a_valid_one_is_printed(command: str, tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 1, relays=["127.0.0.1:8601", "[::1]:8601"], services=["stock", "cart"])
+    command_line = [sys.executable, "-m", "pumicepath", command, "--config", str(deployment.config)]
     if command == "check":
-        ran = subprocess.run(started, capture_output=True, text=True)
-        assert ran.returncode == 0
-        assert "follows relays: 127.0.0.1:8601, [::1]:8601; services: cart, stock\n" in ran.stdout
-    around.config.write_text(json.dumps({**around.told, "services": ["a b"]}))
-    ran = subprocess.run(started, capture_output=True, text=True, timeout=20)
-    assert ran.returncode == 2 and not ran.stdout
-    assert ran.stderr.count("\n") == 1 and f"{around.config}: services[0]: 'a b' is no name" in ran.stderr
+        completed = subprocess.run(command_line, capture_output=True, text=True)
+        assert completed.returncode == 0
+        assert "follows relays: 127.0.0.1:8601, [::1]:8601; services: cart, stock\n" in completed.stdout
+    deployment.config.write_text(json.dumps({**deployment.told, "services": ["a b"]}))
+    completed = subprocess.run(command_line, capture_output=True, text=True, timeout=20)
+    assert completed.returncode == 2 and not completed.stdout
+    assert (
+        completed.stderr.count("\n") == 1
+        and f"{deployment.config}: services[0]: 'a b' is no name" in completed.stderr
+    )
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Shutdown: what crosses SIGTERM, each order forced (docs/crossings.md)."""
+"""Shutdown: requests that cross SIGTERM or the end of a connection, in a forced order (docs/crossings.md)."""
 
 from __future__ import annotations
 
@@ -23,50 +23,50 @@
 from .rig import Rig, full_queue, held, status, until
 
 
-def test_half_a_request_that_crosses_the_end_of_a_resting_connection_is_answered(
+def test_a_request_half_read_when_its_idle_connection_expires_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path)
-    far, client = rig.connect()
+    client_sock, client = rig.connect()
     request = rig.asked("halves")
     rig.around.script.put(answer(200, "served"))
     client.state = IDLE
-    with held(monkeypatch, arrival, "receive", before=False) as (came, go):
-        far.sendall(request[:20])
+    with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
+        client_sock.sendall(request[:20])
         start(client.run)
-        assert came.acquire(timeout=20)  # the half is read, and nobody knows of it yet
+        assert reached.acquire(timeout=20)  # the half is read, and not processed yet
         assert client.expire(IDLE) and client.state == LAST
-        for _ in range(3):  # that nothing more is there is found, and found again
-            go.release()
-            assert came.acquire(timeout=20)
-        far.sendall(request[20:])
-        go.release(100)
-        response = next_of(far, ResponseParser())
+        for _ in range(3):  # the thread finds several times that nothing more has arrived
+            proceed.release()
+            assert reached.acquire(timeout=20)
+        client_sock.sendall(request[20:])
+        proceed.release(100)
+        response = next_of(client_sock, ResponseParser())
     assert response is not None and response.body == b"served" and not response.keeps()
-    far.close()
+    client_sock.close()
     until(lambda: client not in rig.clients.open)
     assert rig.around.lines == ["s-0: GET /halves halves"]
 
 
-def test_what_comes_late_is_answered_before_the_process_ends(tmp_path: Path) -> None:
-    """Found by the bench: half a request had come, and its end with a deadline past that of the process."""
+def test_late_requests_are_answered_before_the_process_ends(tmp_path: Path) -> None:
+    """Found by the test bench: the rest of a half-read request had a deadline past the end of the process."""
     rig = Rig(tmp_path)
-    (far, client), (halves, half) = rig.connect(), rig.connect()
+    (client_sock, client), (halves, half) = rig.connect(), rig.connect()
     start(client.run)
     start(half.run)
     halves.sendall(rig.asked("half")[:20])
     until(lambda: half.state == PARTIAL)
     rig.dispatcher.ends = clock.now() + 500_000
-    far.sendall(rig.asked("late", "read", expires=60_000))
-    assert status(far) in (502, 503)
+    client_sock.sendall(rig.asked("late", "read", expires=60_000))
+    assert status(client_sock) in (502, 503)
     until(lambda: clock.now() >= rig.dispatcher.ends)
     rig.clients.close_idle()
     assert status(halves) == 408
-    # And what still comes then is turned away at once, since nothing has gone out for it.
-    far, client = rig.connect()
-    far.sendall(rig.asked("later", expires=60_000))
+    # A request that arrives even later is rejected at once, as no hop has been sent for it.
+    client_sock, client = rig.connect()
+    client_sock.sendall(rig.asked("later", expires=60_000))
     start(client.run)
-    assert status(far) == 503
+    assert status(client_sock) == 503
     assert len(rig.around.lines) <= 1
 
 
@@ -74,81 +74,82 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path)
-    far, client = rig.connect()
+    client_sock, client = rig.connect()
     rig.around.script.put(answer(200, "served"))
-    with held(monkeypatch, Entrance, "enter") as (came, go):
-        far.sendall(rig.asked("waits"))
+    with held(monkeypatch, Entrance, "enter") as (reached, proceed):
+        client_sock.sendall(rig.asked("waits"))
         start(client.run)
-        assert came.acquire(timeout=20)
+        assert reached.acquire(timeout=20)
         rig.dispatcher.draining = True
         rig.clients.stop()
         assert rig.clients.empty_queue()
         rig.clients.close_idle()
-        assert client in rig.clients.open, "the end waits for it"
-        go.release()
-        response = next_of(far, ResponseParser())
+        assert client in rig.clients.open, "shutdown waits for it"
+        proceed.release()
+        response = next_of(client_sock, ResponseParser())
     assert response is not None and response.body == b"served" and not response.keeps()
-    far.close()
+    client_sock.close()
     until(lambda: not rig.clients.open)
 
 
-def test_bytes_behind_the_last_answer_do_not_take_it_along(
+def test_bytes_after_the_last_request_do_not_destroy_its_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path)
-    far, client = rig.connect()
+    client_sock, client = rig.connect()
     rig.around.script.put(answer(200, "served"))
     client.state = IDLE
-    with held(monkeypatch, arrival, "receive", before=False) as (came, go):
-        far.sendall(rig.asked("last"))
+    with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
+        client_sock.sendall(rig.asked("last"))
         start(client.run)
-        assert came.acquire(timeout=20)
+        assert reached.acquire(timeout=20)
         assert client.expire(IDLE)
-        go.release(100)
+        proceed.release(100)
         until(lambda: client.answered.is_set() and not rig.dispatcher.exchanges)
-        with contextlib.suppress(OSError):  # the kernel may reset it: the answer is there by then
+        # The kernel may reset the connection; the answer has arrived by then.
+        with contextlib.suppress(OSError):
             for _ in range(50):
-                far.sendall(b"bytes behind it")
-        assert status(far) == 200
-    far.close()
+                client_sock.sendall(b"bytes behind it")
+        assert status(client_sock) == 200
+    client_sock.close()
     until(lambda: not rig.clients.open)
 
 
 @pytest.mark.parametrize("crosses", [True, False])
-def test_what_crossed_the_end_of_a_connection_and_was_sent_on_is_answered_though_its_client_went(
+def test_a_request_that_crossed_the_end_of_its_connection_is_answered_after_the_client_has_half_closed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, crosses: bool
 ) -> None:
     rig = Rig(tmp_path)
-    far, client = rig.connect()
+    client_sock, client = rig.connect()
     client.state = IDLE
-    with held(monkeypatch, arrival, "receive", before=False) as (came, go):
-        far.sendall(rig.asked("crossed"))
+    with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
+        client_sock.sendall(rig.asked("crossed"))
         start(client.run)
-        assert came.acquire(timeout=20)
+        assert reached.acquire(timeout=20)
         assert not crosses or client.expire(IDLE) and client.state == LAST
-        go.release(100)
+        proceed.release(100)
         assert rig.around.servers[0].met.acquire(timeout=20)
-        far.shutdown(socket.SHUT_WR)  # it may still read
+        client_sock.shutdown(socket.SHUT_WR)  # the client may still read
         until(client.gone)
         rig.around.script.put("reset")
-        # One that crossed nothing is told nothing: by the protocol it has gone.
-        assert status(far) == (502 if crosses else 0)
-    far.close()
+        # A half-closed connection counts as left, with no answer, unless its request crossed our end of it.
+        assert status(client_sock) == (502 if crosses else 0)
+    client_sock.close()
     until(lambda: not rig.clients.open)
 
 
-def test_where_our_own_end_of_reading_looks_like_the_clients_what_crossed_it_is_carried_on(
+def test_a_request_is_retried_although_our_own_shutdown_of_reading_looks_like_the_clients_end(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen on the bench: the kernel's state is CLOSE_WAIT from our shutdown of reading on."""
+    """Found by the test bench: the kernel reports CLOSE_WAIT from our own shutdown of reading on."""
     real = arrival.gone
     rig = Rig(tmp_path, servers=2)
-    far, client = rig.connect()
+    client_sock, client = rig.connect()
     client.state = IDLE
-    with held(monkeypatch, arrival, "receive", before=False) as (came, go):
-        far.sendall(rig.asked("crossed", "read"))
+    with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
+        client_sock.sendall(rig.asked("crossed", "read"))
         start(client.run)
-        assert came.acquire(timeout=20)
+        assert reached.acquire(timeout=20)
         looks = iter([False])
         monkeypatch.setattr(
             arrival, "gone", lambda sock: next(looks, True) if sock is client.sock else real(sock)
@@ -156,61 +157,61 @@
         assert client.expire(IDLE) and client.state == LAST
         rig.around.script.put("reset")
         rig.around.script.put(answer(200, "served"))
-        go.release(100)
-        assert status(far) == 200
-    far.close()
+        proceed.release(100)
+        assert status(client_sock) == 200
+    client_sock.close()
     until(lambda: not rig.clients.open)
 
 
-def test_half_of_a_long_body_that_crosses_the_end_of_a_resting_connection_goes_on(
+def test_a_long_body_half_read_when_its_idle_connection_expires_is_sent_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("pumicepath.lab.loopback.scripted.RequestParser", lambda: RequestParser(1 << 20))
     rig = Rig(tmp_path)
-    far, client = rig.connect()
+    client_sock, client = rig.connect()
     headers = [("Host", "api"), ("X-Qos", "once"), ("X-Trace-Id", "long")]
     request = writing.request("POST", "/long", headers, b"x" * 200_000)
     rig.around.script.put(answer(200, "served"))
     client.state = IDLE
-    with held(monkeypatch, arrival, "receive", before=False) as (came, go):
-        far.sendall(request[:300])
+    with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
+        client_sock.sendall(request[:300])
         start(client.run)
-        assert came.acquire(timeout=20)
+        assert reached.acquire(timeout=20)
         assert client.expire(IDLE) and client.state == LAST
-        go.release(100_000)
-        far.sendall(request[300:100_000])
-        # More than is held of a body has come, and goes on while the rest is still to come.
+        proceed.release(100_000)
+        client_sock.sendall(request[300:100_000])
+        # More of the body has arrived than is buffered: it is sent on while the rest is still missing.
         until(lambda: client.upload is not None and client.upload.begun)
-        far.sendall(request[100_000:])
-        response = next_of(far, ResponseParser())
+        client_sock.sendall(request[100_000:])
+        response = next_of(client_sock, ResponseParser())
     assert response is not None and response.body == b"served" and len(rig.around.lines) == 1
-    far.close()
+    client_sock.close()
 
 
-def test_the_end_waits_for_a_connection_that_is_accepted_and_not_yet_among_the_open(
+def test_stop_waits_for_a_connection_that_is_accepted_and_not_yet_registered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path)
-    with held(monkeypatch, Clients, "admit") as (came, go):
+    with held(monkeypatch, Clients, "admit") as (reached, proceed):
         accepting = threading.Thread(target=rig.clients.accept)
         accepting.start()
-        far = socket.create_connection(rig.clients.listener.getsockname())
-        assert came.acquire(timeout=20)
+        client_sock = socket.create_connection(rig.clients.listener.getsockname())
+        assert reached.acquire(timeout=20)
         assert not rig.clients.open
         stopping = threading.Thread(target=rig.clients.stop)
         stopping.start()
         stopping.join(0.2)
-        assert stopping.is_alive(), "it is still in that thread's hands"
-        go.release()
+        assert stopping.is_alive(), "the accepting thread still has the connection"
+        proceed.release()
         stopping.join(20)
         accepting.join(20)
     assert not stopping.is_alive() and len(rig.clients.open) == 1
     assert rig.clients.accept() is None
-    far.close()
+    client_sock.close()
 
 
-def test_by_when_connections_stop_coming_whoever_accepts_looks_for_the_end_often(tmp_path: Path) -> None:
-    """Found by the bench: the end took 0.4 s to stop accepting, and had 0.3 s left for short deadlines."""
+def test_while_draining_the_accepting_thread_checks_often_for_the_end(tmp_path: Path) -> None:
+    """Found by the test bench: it took 0.4 s to stop accepting, which left 0.3 s for short deadlines."""
     assert clients.LISTENING_S <= clients.LISTENING_ALONE_S < running.ACCEPT_AFTER_SIGTERM_S
     rig = Rig(tmp_path)
     rig.clients.listener.settimeout(clients.LISTENING_ALONE_S)
@@ -223,7 +224,7 @@
     assert not accepting.is_alive() and rig.clients.empty_queue()
 
 
-def test_what_waits_in_the_listeners_queue_at_the_end_is_answered(
+def test_connections_in_the_listeners_queue_at_shutdown_are_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("pumicepath.sidecar.clients.SPARE", 0)
@@ -233,7 +234,7 @@
         rig.around.script.put(answer(200, "served"))
         sock.sendall(rig.asked(f"t{number}"))
     rig.clients.stop()
-    rig.clients.most = 3  # room for three: the others are taken as these end
+    rig.clients.most = 3  # capacity for three: the others are accepted as these end
     rig.dispatcher.draining = True
     rig.dispatcher.decide(rig.clients.woke)
     assert not rig.clients.empty_queue() and len(rig.clients.open) <= 3
@@ -245,66 +246,66 @@
     until(lambda: not rig.clients.open)
 
 
-def test_a_listener_that_another_process_accepts_from_is_left_alone_at_the_end(tmp_path: Path) -> None:
+def test_shutdown_leaves_a_listener_alone_that_another_process_accepts_from(tmp_path: Path) -> None:
     rig = Rig(tmp_path)
-    far = socket.create_connection(rig.clients.listener.getsockname())
+    client_sock = socket.create_connection(rig.clients.listener.getsockname())
     rig.clients.pause(True)
     rig.clients.stop()
     assert rig.clients.empty_queue() and not rig.clients.open and rig.clients.listener.fileno() >= 0
-    far.close()
+    client_sock.close()
 
 
-def test_at_sigterm_a_waiting_a_half_written_and_a_half_read_request_are_answered_and_sighup_does_nothing(
+def test_at_sigterm_a_waiting_and_a_half_read_request_are_answered_and_sighup_does_nothing(
     tmp_path: Path,
 ) -> None:
-    with Deployment(tmp_path, 1).running() as around:
-        halves, taken = socket.create_connection(around.where), around.client
+    with Deployment(tmp_path, 1).running() as deployment:
+        halves, taken = socket.create_connection(deployment.where), deployment.client
         request = writing.request("GET", "/half", [("Host", "a"), ("X-Qos", "once"), ("X-Trace-Id", "half")])
         halves.sendall(request[:30])
-        around.send("once")
-        assert around.servers[0].met.acquire(timeout=20)
-        around.process.send_signal(signal.SIGTERM)
-        around.event("draining")
-        around.process.send_signal(signal.SIGHUP)
-        around.process.send_signal(signal.SIGTERM)
+        deployment.send("once")
+        assert deployment.servers[0].met.acquire(timeout=20)
+        deployment.process.send_signal(signal.SIGTERM)
+        deployment.event("draining")
+        deployment.process.send_signal(signal.SIGHUP)
+        deployment.process.send_signal(signal.SIGTERM)
         halves.sendall(request[30:])
-        assert around.servers[0].met.acquire(timeout=20)
+        assert deployment.servers[0].met.acquire(timeout=20)
         data = answer(200, "in two pieces")
-        around.script.put((data, "end"))
-        around.script.put((data, "end"))
+        deployment.script.put((data, "end"))
+        deployment.script.put((data, "end"))
         assert [status(sock) for sock in (taken, halves)] == [200, 200]
         for sock in (taken, halves):
             assert sock.recv(1) == b""
             sock.close()
-        assert around.event("stopped")["broken"] == {} and around.process.wait(20) == 0
+        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
 
 
 def test_at_sigterm_a_request_that_waits_for_a_connection_is_answered_by_its_deadline(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 0)
-    late, full = full_queue(around)
-    around.told["settings"]["policyLimits"]["dialTimeoutS"] = 60.0
-    around.told["admin_addr"] = "127.0.0.1:0"
-    around.config.write_text(json.dumps(around.told))
-    with around.running():
-        around.send("once", 2500)
-        until(lambda: any(value for name, value in around.figures().items() if "current" in name))
-        around.process.send_signal(signal.SIGTERM)
-        around.event("draining")
-        assert status(around.client) in (502, 503)
-        assert around.client.recv(1) == b""
-        around.client.close()
-        assert around.event("stopped")["broken"] == {} and around.process.wait(20) == 0
+    deployment = Deployment(tmp_path, 0)
+    late, full = full_queue(deployment)
+    deployment.told["settings"]["policyLimits"]["dialTimeoutS"] = 60.0
+    deployment.told["admin_addr"] = "127.0.0.1:0"
+    deployment.config.write_text(json.dumps(deployment.told))
+    with deployment.running():
+        deployment.send("once", 2500)
+        until(lambda: any(value for name, value in deployment.figures().items() if "current" in name))
+        deployment.process.send_signal(signal.SIGTERM)
+        deployment.event("draining")
+        assert status(deployment.client) in (502, 503)
+        assert deployment.client.recv(1) == b""
+        deployment.client.close()
+        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
     late.close()
     assert len(full) == 2
 
 
-def test_half_a_line_of_a_server_at_shutdown_is_no_answer(tmp_path: Path) -> None:
-    with Deployment(tmp_path, 1).running() as around:
-        around.script.put((b"HTTP/1.1 20", "wait"))
-        around.send("once", 1500)
-        assert around.servers[0].met.acquire(timeout=20)
-        around.process.send_signal(signal.SIGTERM)
-        around.event("draining")
-        assert status(around.client) == 502
-        around.client.close()
-        assert around.event("stopped")["broken"] == {} and around.process.wait(20) == 0
+def test_half_a_status_line_of_a_server_at_shutdown_is_answered_502(tmp_path: Path) -> None:
+    with Deployment(tmp_path, 1).running() as deployment:
+        deployment.script.put((b"HTTP/1.1 20", "wait"))
+        deployment.send("once", 1500)
+        assert deployment.servers[0].met.acquire(timeout=20)
+        deployment.process.send_signal(signal.SIGTERM)
+        deployment.event("draining")
+        assert status(deployment.client) == 502
+        deployment.client.close()
+        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
