--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -24,7 +24,7 @@
 SPARE_MEMORY_FRACTION = 1 / 16  # for the allocator and data that grows
 TOP_LEVEL_KEYS = ("name", "seed", "limits", "listen", "discovery", "peers", "relays", "services")
 MIN_CONNECTIONS = 8  # with fewer nothing can be served
-CONNECTION_KB = 140  # a connection with its thread and full bodies in both directions takes 132
+CONNECTION_KB = 140  # a connection with its thread and full bodies in both directions takes 132 KB
 
 
 class ConfigError(Exception):
@@ -36,7 +36,8 @@
     """The decoded configuration of one sidecar.
 
     `known_list` is the server list to start with, as it stands in the file. `request_classes` maps names to
-    the positions in `settings`. `pushed`: whatever is on discovery's list binds, read or not.
+    their positions in `settings`. `pushed`: this sidecar counts as notified of whatever is on discovery's
+    list, whether or not it has read it.
     """
 
     name: str
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -137,10 +137,10 @@
         lines.append(f"one under way: {deployment.figures()['edge_gw.current']}")
         deployment.script.put(answer(200, "b"))
         deployment.hear()
-        for told in (deployment.told, {}):
-            deployment.config.write_text(json.dumps(told))
+        for raw_config in (deployment.told, {}):
+            deployment.config.write_text(json.dumps(raw_config))
             deployment.process.send_signal(1)
-            deployment.event("reloaded" if told else "reload_failed")
+            deployment.event("reloaded" if raw_config else "reload_failed")
         lines += [f"{name}={value}" for name, value in deployment.figures().items() if "conf" in name]
     compare("counted", lines)
 
