--- a/pumicepath/admin/calls.py
+++ b/pumicepath/admin/calls.py
@@ -1,4 +1,4 @@
-"""Which call of the operators a request is: `understood` gives the call, and the server that it names."""
+"""The calls of the operators' address: `parse_call` maps a request to a call and its target."""
 
 from __future__ import annotations
 
@@ -9,46 +9,56 @@
 from ..http1.messages import Malformed, Request
 
 
-class Call(Enum):
-    CHECK = "check"
+class AdminCall(Enum):
+    """What an operator can ask of a sidecar; the values are the words in the paths."""
+
+    HEALTH_CHECK = "check"
     STATS = "stats"
     PEERS = "peers"
-    OUT = "maint"
-    IN = "ready"
-    FAIL = "fail"
-    OK = "ok"
+    TAKE_OUT = "maint"
+    PUT_BACK = "ready"
+    FAIL_HEALTH_CHECK = "fail"
+    PASS_HEALTH_CHECK = "ok"
     RESIGN = "resign"
 
 
-class Asked(NamedTuple):
-    call: Call
-    server: str = ""  # or duty
+class ParsedCall(NamedTuple):
+    """A call and, for some, the name that the path gives."""
+
+    call: AdminCall
+    target: str = ""  # a server or a duty
 
 
-# By path; what stands there is changed by PUT, and read by GET or HEAD.
-READ: dict[tuple[str, ...], Call] = {
-    ("healthcheck",): Call.CHECK,
-    ("stats",): Call.STATS,
-    ("peers",): Call.PEERS,
+# Calls by path; state is changed by PUT and read by GET or HEAD.
+READ_CALLS: dict[tuple[str, ...], AdminCall] = {
+    ("healthcheck",): AdminCall.HEALTH_CHECK,
+    ("stats",): AdminCall.STATS,
+    ("peers",): AdminCall.PEERS,
 }
-CHANGE: dict[tuple[str, ...], Call] = {("healthcheck", "fail"): Call.FAIL, ("healthcheck", "ok"): Call.OK}
-SERVER = {"maint": Call.OUT, "ready": Call.IN}
+CHANGE_CALLS: dict[tuple[str, ...], AdminCall] = {
+    ("healthcheck", "fail"): AdminCall.FAIL_HEALTH_CHECK,
+    ("healthcheck", "ok"): AdminCall.PASS_HEALTH_CHECK,
+}
+SERVER_CALLS = {"maint": AdminCall.TAKE_OUT, "ready": AdminCall.PUT_BACK}
+
 
+def parse_call(request: Request) -> ParsedCall:
+    """Return the call that a request makes.
 
-def understood(request: Request) -> Asked:
-    """Raises Malformed for what is no call."""
+    Raises Malformed with status 404 for an unknown path, 405 for a method that the path does not allow.
+    """
     allowed: tuple[str, ...] = ("PUT",)
     path = tuple(urlsplit(request.target).path.split("/")[1:])
-    if path in READ:
-        allowed, asked = ("GET", "HEAD"), Asked(READ[path])
-    elif path in CHANGE:
-        asked = Asked(CHANGE[path])
-    elif len(path) == 3 and path[0] == "servers" and path[1] and path[2] in SERVER:
-        asked = Asked(SERVER[path[2]], unquote(path[1]))
+    if path in READ_CALLS:
+        allowed, parsed = ("GET", "HEAD"), ParsedCall(READ_CALLS[path])
+    elif path in CHANGE_CALLS:
+        parsed = ParsedCall(CHANGE_CALLS[path])
+    elif len(path) == 3 and path[0] == "servers" and path[1] and path[2] in SERVER_CALLS:
+        parsed = ParsedCall(SERVER_CALLS[path[2]], unquote(path[1]))
     elif len(path) == 4 and path[:2] == ("peers", "duties") and path[2] and path[3] == "resign":
-        asked = Asked(Call.RESIGN, unquote(path[2]))
+        parsed = ParsedCall(AdminCall.RESIGN, unquote(path[2]))
     else:
         raise Malformed(404, "no such call")
     if request.method not in allowed:
         raise Malformed(405, f"{request.method} is not {' or '.join(allowed)}")
-    return asked
+    return parsed
--- /dev/null
+++ b/tests/test_hot_restart.py
@@ -0,0 +1,289 @@
+"""Hot restart on loopback: under load, with changes by operators, and with processes that fail."""
+
+import json
+import os
+import queue
+import signal
+import socket
+import subprocess
+import threading
+from collections import Counter
+from pathlib import Path
+
+import pytest
+
+from pumicepath.discovery.roster import Address
+from pumicepath.http1 import writing
+from pumicepath.http1.parsing import RequestParser, ResponseParser
+from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
+from pumicepath.sidecar.hot_restart import SOCKET_NAME, Channel, HotRestart, ShortPath, request_handover
+
+from .helpers import compare
+from .rig import Rig, held, until
+
+
+class EchoServer(Peer):
+    """Records the trace id of each hop, and answers with it."""
+
+    def serve(self, sock: socket.socket) -> None:
+        parser = RequestParser()
+        with sock:
+            while (request := next_of(sock, parser)) is not None:
+                self.lines.append(request.header("X-Trace-Id"))
+                sock.sendall(answer(200, request.header("X-Trace-Id")))
+
+
+def restartable_deployment(folder: Path, servers: int) -> Deployment:
+    deployment = Deployment(folder, servers, admin_addr="127.0.0.1:0")
+    with socket.create_server(("127.0.0.1", 0)) as free:
+        deployment.told["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
+    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.environment = {"TMPDIR": str(folder)}
+    return deployment
+
+
+def start_replacement(deployment: Deployment) -> tuple[subprocess.Popen, tuple[str, int]]:
+    """Start a new process, and return the old one, still running, with its operators' address.
+
+    From then on the deployment's own attributes stand for the new process.
+    """
+    old = deployment.process, deployment.operators
+    deployment.process = deployment.begun()
+    started = deployment.event("started")
+    host, port = started["operators"].rsplit(":", 1)
+    deployment.operators = (host, int(port))
+    deployment.event("succeeding")
+    return old
+
+
+def test_ten_replacements_under_load_lose_no_request(tmp_path: Path) -> None:
+    deployment, hops, correct, again = restartable_deployment(tmp_path, 0), [], [], []  # type: ignore[var-annotated]
+    deployment.servers = [EchoServer(f"c-{at}", queue.SimpleQueue(), hops) for at in range(3)]
+    deployment.told["known"] = deployment.listing(1, True, "active")
+    deployment.config.write_text(json.dumps(deployment.told))
+    done = threading.Event()
+
+    def client(first: int, keep_alive: bool) -> None:
+        """Send requests on one connection until the sidecar closes it, or on a new one each time."""
+        sock, parser, number = socket.create_connection(deployment.where), ResponseParser(), first
+        while not done.is_set():
+            number += 1
+            sending = writing.request(
+                "POST" if number % 2 else "GET",
+                "/api",
+                [
+                    ("Host", "api"),
+                    ("X-Trace-Id", str(number)),
+                    ("X-Object", f"lot {number % 40}"),
+                    ("X-Qos", "once" if number % 2 else "read"),
+                ],
+                b"",
+            )
+            try:
+                sock.sendall(sending)
+            except OSError:
+                again.append(number)
+            response = next_of(sock, parser)
+            if response is None:  # it crossed the sidecar's end of the connection: sent again on a new one
+                again.append(number)
+                sock, parser = socket.create_connection(deployment.where), ResponseParser()
+                sock.sendall(sending)
+                response = next_of(sock, parser)
+            correct.append(response is not None and response.status == 200 and int(response.body) == number)
+            if response is None or not response.keeps() or not keep_alive:
+                sock.close()
+                sock, parser = socket.create_connection(deployment.where), ResponseParser()
+        sock.close()
+
+    with deployment.running():
+        threads = [
+            threading.Thread(target=client, args=(100_000 * at, at % 2 > 0), daemon=True)
+            for at in range(1, 7)
+        ]
+        for thread in threads:
+            thread.start()
+        for _ in range(10):
+            old, _ = start_replacement(deployment)
+            old.send_signal(signal.SIGTERM)
+            assert old.wait(timeout=6) == 0
+        done.set()
+        for thread in threads:
+            thread.join()
+    assert len(correct) > 1000 and all(correct)
+    assert not [trace for trace, count in Counter(hops).items() if int(trace) % 2 and count > 1]
+    assert len(again) <= 2, f"{len(again)} sent again of {len(correct)}"
+
+
+def test_an_operators_change_applies_to_both_processes_and_outlives_the_old_one(tmp_path: Path) -> None:
+    deployment = restartable_deployment(tmp_path, 2)
+    with deployment.running():
+
+        def put(path: str, where: tuple[str, int] | None = None) -> None:
+            deployment.lines.append(f"{path}: {deployment.call('PUT', path, where).status}")
+
+        def note_avoided(what: str, *where: tuple[str, int]) -> None:
+            for one, at in zip(("old", "new"), where):
+                response = deployment.call("GET", "/stats", at)
+                avoided = [line for line in response.body.decode().split() if "unhealthy" in line]
+                deployment.lines.append(f"{what}, {one}: {avoided[0]}")
+
+        put("/servers/s-0/maint")
+        old, first = start_replacement(deployment)
+        note_avoided("out before", first, deployment.operators)
+        put("/servers/s-1/maint", first)
+        note_avoided("out at the old", first, deployment.operators)
+        put("/servers/s-0/ready")
+        note_avoided("back at the new", first, deployment.operators)
+        put("/healthcheck/fail")
+        deployment.event("emptied", process=old)
+        old.send_signal(signal.SIGTERM)
+        assert old.wait(timeout=6) == 0
+        last, _ = start_replacement(deployment)
+        last.kill()
+        last.wait()
+        deployment.event("alone")
+        for path in ("/servers/s-1/ready", "/healthcheck/ok"):
+            put(path)
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "served by the third"))
+    compare(
+        "succession",
+        [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in deployment.lines],
+    )
+
+
+def test_the_old_process_serves_again_when_the_new_one_ends(tmp_path: Path) -> None:
+    deployment = restartable_deployment(tmp_path, 1)
+    with deployment.running():
+        old, where = start_replacement(deployment)
+        deployment.process.kill()
+        deployment.process.wait()
+        deployment.process, deployment.operators = old, where
+        deployment.event("alone")
+        deployment.config.write_text("{")
+        invalid = deployment.begun()
+        assert invalid.wait(timeout=20) == 2
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "by the old one"))
+    assert deployment.lines[-1] == "client: 200 by the old one"
+
+
+def test_the_old_process_is_notified_before_the_takeover_is_logged(tmp_path: Path) -> None:
+    """Whoever reads the log may end the new process at that event: the old one must know by then."""
+    rig, (own_end, other_end) = Rig(tmp_path), socket.socketpair()
+    other_end.settimeout(0)
+    messages = []
+
+    class RecordingLog:
+        def event(self, event: str, **figures: object) -> None:
+            if event == "succeeding":
+                messages.append(Channel(other_end).receive()[0])
+
+    rig.dispatcher.events = RecordingLog()  # type: ignore[assignment]
+    HotRestart(rig.dispatcher, rig.clients, dict, Address("127.0.0.1", 1)).take_over(Channel(own_end))
+    other_end.close()
+    assert messages == [{"taking": True}]
+
+
+def test_with_two_new_processes_at_once_one_may_end_and_the_other_serves(tmp_path: Path) -> None:
+    deployment = restartable_deployment(tmp_path, 1)
+    with deployment.running():
+        old = deployment.process
+        first, second = deployment.begun(), deployment.begun()
+        for process in (first, second):
+            deployment.event("succeeding", process=process)  # both got a handover
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "by one of them"))
+        first.kill()
+        first.wait()
+        old.send_signal(signal.SIGTERM)
+        assert old.wait(timeout=20) == 0
+        deployment.process = second
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "by the one that is left"))
+    assert [line for line in deployment.lines if line.startswith("client")] == [
+        "client: 200 by one of them",
+        "client: 200 by the one that is left",
+    ]
+
+
+def test_a_new_process_that_dies_holding_the_listener_does_not_stop_the_old_one(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    deployment = restartable_deployment(tmp_path, 1)
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    with deployment.running():
+        handover = request_handover(Address(*deployment.where))
+        assert handover is not None and handover.listener is not None
+        handover.listener.close()
+        handover.channel.close()
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "by the old one"))
+    assert deployment.lines[-1] == "client: 200 by the old one"
+
+
+def test_a_new_process_always_finds_a_socket_to_connect_to(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    with socket.socket(socket.AF_UNIX) as before:
+        with ShortPath(tmp_path / SOCKET_NAME) as short:
+            before.bind(short)
+        before.listen()
+        after = HotRestart(None, None, dict, Address("127.0.0.1", 1))
+        with held(monkeypatch, os, "replace") as (reached, proceed):
+            threading.Thread(target=after.open_socket, daemon=True).start()
+            assert reached.acquire(timeout=20)
+            with socket.socket(socket.AF_UNIX) as connected, ShortPath(tmp_path / SOCKET_NAME) as short:
+                connected.connect(short)
+            proceed.release()
+            until(lambda: not (tmp_path / f"{SOCKET_NAME}.{os.getpid()}").exists())
+        with socket.socket(socket.AF_UNIX) as connected, ShortPath(tmp_path / SOCKET_NAME) as short:
+            connected.connect(short)
+            before.setblocking(False)
+            before.accept()
+            with pytest.raises(BlockingIOError):
+                before.accept()
+
+
+@pytest.mark.parametrize("sent", [b"", b"{", b"[1]\n", b'{"version": 9}\n', b'{"version": 1}\n', None])
+def test_without_a_valid_answer_the_new_process_starts_from_nothing(
+    sent: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    assert request_handover(Address("127.0.0.1", 1)) is None
+    with socket.socket(socket.AF_UNIX) as listener, ShortPath(tmp_path / SOCKET_NAME) as short:
+        listener.bind(short)
+        if sent is None:
+            # The socket of a dead process, which nobody listens on.
+            assert request_handover(Address("127.0.0.1", 1)) is None
+            return
+        listener.listen()
+
+        def respond() -> None:
+            with listener.accept()[0] as sock:
+                sock.sendall(sent)
+                sock.recv(999)
+
+        threading.Thread(target=respond, daemon=True).start()
+        before = len(os.listdir("/proc/self/fd"))
+        assert request_handover(Address("127.0.0.1", 1)) is None
+        assert len(os.listdir("/proc/self/fd")) <= before + 1
+
+
+def test_a_listener_on_a_port_chosen_by_the_kernel_is_handed_over(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Without the handover the kernel spreads clients over the queues of two listeners.
+
+    Found by the lab: the files of the two processes differ, and only one of them names the actual port.
+    """
+    deployment = Deployment(tmp_path, 1, admin_addr="127.0.0.1:0")
+    deployment.environment = {"TMPDIR": str(tmp_path)}
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+    with deployment.running():
+        handover = request_handover(Address(*deployment.where))
+        assert handover is not None and handover.listener is not None
+        assert handover.listener.getsockname() == deployment.where
+        handover.listener.close()
+        handover.channel.close()
