--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from ...discovery.roster import Address, BadList, Roster, Update
+from ...discovery.server_list import Address, BadList, ServerList, ServerListUpdate
 from ...discovery.watch import Overtaxed, Watch
 from ...distribution.homes import Homes
 from ...http1.messages import Malformed
@@ -133,7 +133,7 @@
         """`places` are its relays, or the one discovery."""
         self.number, self.name, self.loop = number, f"n{number}", loop
         info = told(plan, number)
-        self.roster = Roster(info["dcs"], clock.since_unix_ms)
+        self.roster = ServerList(info["dcs"], clock.since_unix_ms)
         self.balancer = Balancer(decode(info), number + 1, MUTE)
         self.chance = Chance(random.Random(f"sidecar {plan.ask.seed} {number}").getrandbits(63))
         self.addresses: dict[int, Address] = {}
@@ -152,7 +152,7 @@
         self.bytes = 0  # both ways, payload alone
         self.updated_at = 0
         self.listed = False  # whether it has had a list
-        self.plant: Callable[[Update], Update] | None = None
+        self.plant: Callable[[ServerListUpdate], ServerListUpdate] | None = None
         self.watch = self.watching(plan)
 
     def watching(self, plan: Plan) -> Watch:
@@ -167,7 +167,7 @@
         if self.homes is not None:
             self.where = self.homes.at
             if self.step != CHANGING and self.watch.host != self.where:
-                self.watch.move(self.where)
+                self.watch.switch_to(self.where)
         host, _, port = self.where.rpartition(":")
         self.sock = sock = socket.socket(socket.AF_INET)
         sock.setblocking(False)
@@ -222,20 +222,20 @@
         if self.before is not None:
             self.before.close()
             self.before = None
-            self.watch.move(self.where)
-        self.watch.restart()
+            self.watch.switch_to(self.where)
+        self.watch.reset_connection()
         self.step = CALLING
         self.loop.expect(self, False)
         self.call(now)
 
     def call(self, now: int) -> None:
         assert self.sock is not None
-        request = self.watch.request()
+        request = self.watch.next_request()
         if self.sock.send(request) < len(request):
             raise OSError(errno.ENOBUFS, "no room for a request")
         self.bytes += len(request)
         self.begun = False
-        self.alarm(now + int(1e6 * self.watch.until_silent()))
+        self.alarm(now + int(1e6 * self.watch.answer_timeout_s()))
 
     def read(self, now: int) -> None:
         assert self.sock is not None
@@ -257,12 +257,12 @@
                 break
             if not count:
                 raise ConnectionResetError("discovery ended the connection")
-        self.take(now, self.watch.update(response))
+        self.take(now, self.watch.handle_response(response))
         if not response.keeps():
             self.close()
             self.begin(now)
         elif self.homes is not None and self.homes.answered(
-            clock.since_monotonic(now), *self.watch.standing()
+            clock.since_monotonic(now), *self.watch.region_counts()
         ):
             self.change(now)
         else:
@@ -285,11 +285,11 @@
             self.sock.close()
         self.sock, self.before = self.before, None
         self.where, self.step = self.homes.at, CALLING
-        self.watch.doubted = True
+        self.watch.ask_immediately = True
         self.loop.expect(self, False)
         return True
 
-    def take(self, now: int, update: Update) -> None:
+    def take(self, now: int, update: ServerListUpdate) -> None:
         if self.plant is not None:
             update = self.plant(update)
         first = not self.listed or self.failures > 0
@@ -318,7 +318,7 @@
             except OSError:
                 pass
         self.close()
-        self.watch.doubted = True
+        self.watch.ask_immediately = True
         self.failures += 1
         self.failed_calls += 1
         if self.homes is not None:
--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..discovery.roster import Address, BadList, Roster, address
+from ..discovery.server_list import Address, BadList, ServerList, parse_address
 from ..interface import Settings
 from ..settings import check, decode, present, without_effect
 
@@ -89,7 +89,7 @@
 def second(told: dict[str, Any]) -> Address | None:
     """The operators' address.  The environment is the process's own: two that share a file differ in it."""
     text = os.environ.get("GW_ADMIN_ADDR") or told.get("admin_addr")
-    return address(str(text)) if text else None
+    return parse_address(str(text)) if text else None
 
 
 def peers(told: dict[str, Any]) -> PeerSettings | None:
@@ -162,11 +162,11 @@
     zones = tuple(str(zone) for zone in info.get("dcs", []))
     known = told.get("known") or {"seq": 0, "whole": True, "hosts": []}
     with named("known"):
-        Roster(zones, lambda born: born).read(known)
+        ServerList(zones, lambda born: born).apply(known)
     with named("listen"):
-        listen = address(told["listen"])
+        listen = parse_address(told["listen"])
     with named("discovery"):
-        discovery = address(told["discovery"])
+        discovery = parse_address(told["discovery"])
     with named("seed"):
         seed = int(str(told.get("seed", "0")), 16)
     followed, services = relays(told)
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -8,7 +8,7 @@
 from heapq import heappop, heappush
 
 from ..admin.figures import Figures
-from ..discovery.roster import Update, stable
+from ..discovery.server_list import ServerListUpdate, stable_id
 from ..http1 import writing
 from ..http1.messages import Response
 from ..http1.parsing import ResponseParser
@@ -343,8 +343,8 @@
         """Take a server out, or let it serve again; nothing more goes to it from the return on."""
 
         def call(now: int) -> None:
-            if self.balancer.hand(now, stable(name), out, certain):
-                self.pool.by_hand(stable(name), out)
+            if self.balancer.hand(now, stable_id(name), out, certain):
+                self.pool.by_hand(stable_id(name), out)
                 done.append(True)
 
         done: list[bool] = []
@@ -392,7 +392,7 @@
         self.decide(call)
         return told[0]
 
-    def listed(self, kind: Listing, update: Update, spent: int = 0) -> None:
+    def listed(self, kind: Listing, update: ServerListUpdate, spent: int = 0) -> None:
         def call(now: int) -> None:
             alone = self.balancer.settings.drain_alone
             if kind != Listing.FAILED:
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -9,7 +9,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from ..discovery.roster import Address, BadList, address
+from ..discovery.server_list import Address, BadList, parse_address
 from ..http1.messages import Malformed
 from . import clock
 from .watching import DIAL_S, opened
@@ -33,8 +33,8 @@
     def where(self) -> Address:
         """The relay to dial, which the watch is told of."""
         if self.watcher.watch.host != self.homes.at:
-            self.watcher.watch.move(self.homes.at)
-        return address(self.homes.at)
+            self.watcher.watch.switch_to(self.homes.at)
+        return parse_address(self.homes.at)
 
     def failed(self, trouble: Exception) -> None:
         """A relay has failed: the next, after a wait that grows with each failure in a row.
@@ -61,7 +61,7 @@
         now, events, watch = monotonic(), watcher.dispatcher.events, watcher.watch
         if homes.at != self.answering:
             why = homes.why or "start"
-            live, out = watch.standing()
+            live, out = watch.region_counts()
             events.event(
                 "relay_changed",
                 **{"from": self.answering},
@@ -76,7 +76,7 @@
                 watcher.dispatcher.figures.count("relay_changes")
             self.answering = homes.at
         self.heard = now
-        out_of_touch = watch.stale()
+        out_of_touch = watch.stale_regions()
         for region, seq in out_of_touch.items():
             if region not in self.stale:
                 self.stale[region] = now
@@ -89,7 +89,7 @@
         """Leave one relay that answers for another, once that can be dialled."""
         watcher, homes = self.watcher, self.homes
         try:
-            sock = dialled(address(homes.at))
+            sock = dialled(parse_address(homes.at))
         except OSError:
             if homes.before is None:
                 watcher.dialling = True
@@ -103,8 +103,8 @@
             old.close()
         if watcher.moved:
             raise ConnectionAbortedError("the relays are others")
-        watcher.watch.move(homes.at)
-        watcher.watch.restart()
+        watcher.watch.switch_to(homes.at)
+        watcher.watch.reset_connection()
 
 
 def dialled(where: Address) -> socket.socket:
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -15,7 +15,7 @@
 from time import monotonic, sleep, time_ns
 from typing import Any
 
-from ..discovery.roster import stable
+from ..discovery.server_list import stable_id
 from ..fleet import messages
 from ..fleet.fellow import Fellow
 from ..fleet.membership import Seen
@@ -147,7 +147,7 @@
                     self.companions.turns = fellow.trials.turns(clock.now())
                 put_offs, self.put_offs = self.put_offs, []
             for server, wait in put_offs:
-                self.on_put_off(stable(server), wait)
+                self.on_put_off(stable_id(server), wait)
             self.send()
             self.tell_log()
             now = monotonic()
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import compiled, invariants
-from ..discovery.roster import Address, BadList, Roster, Update, stable
+from ..discovery.server_list import Address, BadList, ServerList, ServerListUpdate, stable_id
 from ..discovery.watch import Watch
 from ..interface import Listing
 from ..logic import Chance
@@ -57,7 +57,7 @@
     # short time takes the whole core, and none is needed, as all of them soon wait for a socket.
     sys.setswitchinterval(SWITCH)
     log = Log(config.name)
-    roster = Roster(config.zones, clock.since_unix_ms, config.kinds)
+    roster = ServerList(config.zones, clock.since_unix_ms, config.kinds)
     config = localised(config, roster)
     before = reach(config.listen) if config.admin else None
     known, told = first_list(roster, config, before)
@@ -70,7 +70,7 @@
         Chance(config.seed).share,
         config.services,
     )
-    watch.inherit(told)
+    watch.import_state(told)
     watcher = Watcher(watch, config.discovery, config.pushed, homes)
     dispatcher = Dispatcher(config, log, watcher.follow)
     watcher.dispatcher = dispatcher
@@ -80,7 +80,7 @@
         raise BadConfig(f"cannot listen on {named(config.listen)}: {trouble.strerror}") from trouble
     # By the port that it has, which the file need not name: who comes after may only know that one.
     serving = config.listen._replace(port=clients.listener.getsockname()[1])
-    succession = Succession(dispatcher, clients, watch.known, serving)
+    succession = Succession(dispatcher, clients, watch.export_state, serving)
     peers = speaking(config, log, before is not None)
     try:
         operators = Operators(config.admin, dispatcher, clients, succession, peers) if config.admin else None
@@ -148,12 +148,12 @@
         raise BadConfig(f"peers.listen: cannot listen on {where}: {trouble.strerror}") from trouble
 
 
-def first_list(roster: Roster, config: Config, before: Inherited | None) -> tuple[Update, Any]:
+def first_list(roster: ServerList, config: Config, before: Inherited | None) -> tuple[ServerListUpdate, Any]:
     """What the process before this one was told last, or what the file knows; read, and as it came."""
     if before is not None:
         with suppress(BadList):
-            return roster.read(before.known), before.known
-    return roster.read(config.known), config.known
+            return roster.apply(before.known), before.known
+    return roster.apply(config.known), config.known
 
 
 def following(config: Config) -> Homes | None:
@@ -163,7 +163,7 @@
     from ..distribution.homes import Homes
 
     # Not by the seed alone: guards relays against sidecars that share one, and would wait alike.
-    return Homes(config.name, config.relays, Chance(config.seed ^ stable(config.name)).share)
+    return Homes(config.name, config.relays, Chance(config.seed ^ stable_id(config.name)).share)
 
 
 def named(where: Address | None) -> str:
@@ -211,7 +211,7 @@
         watcher.move(new.discovery, wait, new.pushed, homes, new.services)
     elif new.relays:
         # Waits at relays are short: guards them against all sidecars' asking for all when they are reloaded.
-        watcher.watch.waits(wait)
+        watcher.watch.set_max_wait(wait)
     elif changed or new.discovery != config.discovery:
         # Before long the old waits, and what the old discovery told, count for nothing.
         watcher.move(new.discovery, wait, new.pushed)
@@ -245,16 +245,16 @@
     return peers is not None and peers.voting is not None and peers.voting.trials
 
 
-def localised(config: Config, roster: Roster) -> Config:
+def localised(config: Config, roster: ServerList) -> Config:
     """With zones and kinds by the numbers that the roster has for them."""
     settings, zone = config.settings, config.settings.zone
     if config.zones:
-        zone = roster.zone(config.zones[zone])
+        zone = roster.zone_number(config.zones[zone])
     tariffs = tuple(
         replace(
             one,
-            zones=numbered(one.zones, config.zones, roster.zone),
-            kinds=numbered(one.kinds, config.kinds, roster.kind),
+            zones=numbered(one.zones, config.zones, roster.zone_number),
+            kinds=numbered(one.kinds, config.kinds, roster.kind_number),
         )
         for one in settings.tariffs
     )
--- a/pumicepath/sidecar/servers.py
+++ b/pumicepath/sidecar/servers.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from typing import NamedTuple
 
-from ..discovery.roster import Address, Update
+from ..discovery.server_list import Address, ServerListUpdate
 from ..http1 import writing
 from ..http1.messages import Malformed, Response
 from ..http1.parsing import MOST_BODY, MOST_HEAD, ResponseParser
@@ -302,7 +302,7 @@
         else:
             self.barred.discard(server)
 
-    def listed(self, update: Update, drain_alone: bool = False) -> None:
+    def listed(self, update: ServerListUpdate, drain_alone: bool = False) -> None:
         """Forget servers that want nothing new, and the connections to processes that have ended.
 
         Where only draining binds those that the list drops are kept, until `prune` says which are used.
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -8,7 +8,7 @@
 from time import monotonic, sleep
 from typing import TYPE_CHECKING
 
-from ..discovery.roster import NOTHING, Address, BadList
+from ..discovery.server_list import EMPTY_UPDATE, Address, BadList
 from ..discovery.watch import Overtaxed, Watch
 from ..http1.messages import Malformed, Response
 from ..interface import Listing
@@ -80,7 +80,7 @@
         """The list is to be had elsewhere from now on, or waits are others; all is asked for at once."""
         with self.gate:
             self.where, self.pushed, self.coming = where, pushed, (homes, services)
-            self.watch.waits(wait_us)
+            self.watch.set_max_wait(wait_us)
             self.moved_at = monotonic()
             self.moved = True
             if self.sock is not None:
@@ -101,7 +101,7 @@
     def failed(self, trouble: Exception) -> None:
         """Ask again: at once, after a step, or when the balancer wants it."""
         self.close()
-        self.watch.doubted = True
+        self.watch.ask_immediately = True
         if self.following is not None and not self.moved:
             self.following.failed(trouble)
             return
@@ -131,14 +131,14 @@
             # Guards what has changed since this call began, which counts as told 6 s later, against a call
             # that was given up late and a long pause after it.
             spent = max(0.0, monotonic() - self.began)
-            self.dispatcher.listed(Listing.FAILED, NOTHING, int(spent * 1e6))
+            self.dispatcher.listed(Listing.FAILED, EMPTY_UPDATE, int(spent * 1e6))
 
     def follow_until_it_fails(self) -> None:
         first = True
         while True:
             self.began = monotonic()
             response = self.call(self.sock if self.sock is not None else self.connect())
-            update = self.watch.update(response)
+            update = self.watch.handle_response(response)
             if first or update.whole or update.entries:
                 self.dispatcher.listed(Listing.FULL if update.whole else Listing.CHANGES, update)
             first = False
@@ -151,7 +151,7 @@
             self.failures = 0
             if not response.keeps():
                 self.close()
-            if following is not None and following.homes.answered(clock.now(), *self.watch.standing()):
+            if following is not None and following.homes.answered(clock.now(), *self.watch.region_counts()):
                 following.change()
 
     # -- connections
@@ -164,8 +164,8 @@
                 self.hurry.clear()
                 homes, services = self.coming
                 self.follows(homes)
-                self.watch.wants(services)
-                self.watch.move(f"{where.host}:{where.port}")
+                self.watch.set_services(services)
+                self.watch.switch_to(f"{where.host}:{where.port}")
             if self.following is not None:
                 where = self.following.where()
             self.dialling = False
@@ -177,16 +177,16 @@
         sock.connect(where)
         self.dial, self.dialling = DIAL_S, False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.watch.restart()
+        self.watch.reset_connection()
         if self.moved:
             raise ConnectionAbortedError("discovery has moved")
         return sock
 
     def call(self, sock: socket.socket) -> Response:
         """Raises TimeoutError where discovery is silent, whether it has begun its answer or not."""
-        request = self.watch.request()
+        request = self.watch.next_request()
         self.began += self.watch.wait_ms / 1000
-        until = monotonic() + self.watch.until_silent()
+        until = monotonic() + self.watch.answer_timeout_s()
         parser = self.watch.parser
         begun = False
         while True:
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -7,10 +7,10 @@
 from types import SimpleNamespace
 from typing import Any
 
-from pumicepath.discovery.roster import BadList
+from pumicepath.discovery.server_list import BadList
 from pumicepath.distribution.origins import LIVE
 
-from .test_never_back import SECOND, Clock, line, target, told, watching
+from .test_never_back import SECOND, Clock, line, request_target, relay_answer, make_watch
 
 LAG = LIVE + SECOND // 4  # of a relay that says it is in touch: its word's age, and a turn of its loop
 STATE = frozenset[tuple[str, str, str, int]]
@@ -99,9 +99,9 @@
         since = int(question.partition("since=")[2].partition("&")[0] or -1)
         if not self.first <= since <= self.seq:
             lines = [one for held in self.held.values() for one in held.values()]
-            return told(self.seq, self.told, *lines, whole=True)
+            return relay_answer(self.seq, self.told, *lines, whole=True)
         news = {one["host"]: one for seq, one in self.log if seq > since}
-        return told(self.seq, self.told, *news.values())
+        return relay_answer(self.seq, self.told, *news.values())
 
 
 class History:
@@ -116,7 +116,7 @@
             for _ in range(5):
                 origin.change(0)
         self.relays = [Relay(self.origins, chance) for _ in range(3)]
-        self.watch = watching(clock=self.clock)
+        self.watch = make_watch(clock=self.clock)
         self.at = 0
         self.seen: dict[str, tuple[int, int]] = {}
         self.counts = Counter[str]()
@@ -125,7 +125,7 @@
         relay = self.relays[self.at]
         held = dict(self.watch.roster.lines)
         try:
-            update = self.watch.update(relay.answer(target(self.watch)))
+            update = self.watch.handle_response(relay.answer(request_target(self.watch)))
         except BadList:
             self.counts["refused"] += 1
             self.move()
@@ -160,7 +160,7 @@
 
     def move(self) -> None:
         self.at = (self.at + 1) % len(self.relays)
-        self.watch.move(f"r{self.at}:1")
+        self.watch.switch_to(f"r{self.at}:1")
         self.counts["moves"] += 1
 
     def trouble(self, restarts: bool) -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Address, Roster, Update, address
+from pumicepath.discovery.server_list import Address, ServerList, ServerListUpdate, parse_address
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
@@ -375,8 +375,8 @@
     around = Deployment(tmp_path, 1)
     for step in (around.listing(7, False, "active"), None, around.listing(8, False, "leaving")):
         around.lists.put("wait" if step is None else answer(200, json.dumps(step)))
-    where = address(around.discovery.address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 1, 1000), where)
+    where = parse_address(around.discovery.address)
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 1, 1000), where)
     watcher.dispatcher = Owner()
     watcher.follow()
     threading.Thread(target=watcher.run, daemon=True).start()
@@ -394,7 +394,7 @@
 
 def test_idle_connection_that_is_closed_or_brings_bytes_unasked_is_not_used(tmp_path: Path) -> None:
     pool = Pool(Owner(), config.config(Deployment(tmp_path, 0).told), None)
-    pool.listed(Update(1, True, [entry(10)], [Address("127.0.0.1", 1)]))
+    pool.listed(ServerListUpdate(1, True, [entry(10)], [Address("127.0.0.1", 1)]))
     hop = Hop(Exchange(None, "t", None, 0, None), 0, 10, 0, 0)
     used = []
     for trouble in (b"", b"HTTP/1.1 200 OK\r\n\r\n", None, "gone"):
@@ -406,7 +406,7 @@
         if trouble is None:
             peer.close()
         elif trouble == "gone":
-            pool.listed(Update(2, True, [entry(10, came_up=7)], [Address("127.0.0.1", 1)]))
+            pool.listed(ServerListUpdate(2, True, [entry(10, came_up=7)], [Address("127.0.0.1", 1)]))
         else:
             peer.sendall(trouble)
         used.append(pool.link_for(0, hop) is link)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Address
+from pumicepath.discovery.server_list import Address
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
