--- a/pumicepath/discovery/relayed.py
+++ b/pumicepath/discovery/relayed.py
@@ -19,7 +19,7 @@
     Of a whole list the differences from the one held, with all that it does not speak of: when relays die
     all sidecars get whole lists at once, of which hardly a line is new.
     """
-    held = watch.roster.lines
+    held = watch.server_list.lines
     try:
         told, whole, version = understood(data["regions"]), bool(data["whole"]), int(data["seq"])
         judged = regions.judge(watch.clock(), told, whole, watch.asked_at)
@@ -40,7 +40,7 @@
     anew = whole and bool(judged.taken) and not held
     if whole and judged.taken and held:
         lines = list_differences(held, lines)
-    update = watch.roster.apply({"seq": version, "whole": anew, "hosts": lines})
+    update = watch.server_list.apply({"seq": version, "whole": anew, "hosts": lines})
     regions.take(told, judged)
     watch.version = -1 if judged.again else version
     watch.ask_immediately = False
--- a/pumicepath/discovery/server_list.py
+++ b/pumicepath/discovery/server_list.py
@@ -59,7 +59,7 @@
         self.zone_counter = count()
         self.zones = {name: next(self.zone_counter) for name in zones}
         self.kinds = {name: at for at, name in enumerate(kinds)}
-        self.since_unix_ms = from_unix_ms
+        self.from_unix_ms = from_unix_ms
         self.start_times: dict[str, tuple[int, int]] = {}
         self.lines: dict[str, Any] = {}  # as they came
 
@@ -72,8 +72,8 @@
             starts = {name: self.start_time(name, line) for name, line in lines.items()}
             entries = [self.entry(name, line, starts[name][1]) for name, line in lines.items()]
             addresses = [
-                parse_address(str(line["dial"])) if make_entry.phase != Phase.GONE else NO_ADDRESS
-                for make_entry, line in zip(entries, lines.values())
+                parse_address(str(line["dial"])) if entry.phase != Phase.GONE else NO_ADDRESS
+                for entry, line in zip(entries, lines.values())
             ]
             update = ServerListUpdate(int(data["seq"]), bool(data["whole"]), entries, addresses)
         except (KeyError, TypeError, ValueError, ArithmeticError, AttributeError) as trouble:
@@ -112,7 +112,7 @@
         born, kept = int(line.get("born_ms", 0)), self.start_times.get(name)
         if kept is not None and kept[0] == born:
             return kept
-        return born, self.since_unix_ms(born) if born > 0 else 0
+        return born, self.from_unix_ms(born) if born > 0 else 0
 
     def entry(self, name: str, line: dict[str, Any], started_at: int) -> Entry:
         zone = self.zone_number(str(line.get("site", "")))
--- a/pumicepath/discovery/watch.py
+++ b/pumicepath/discovery/watch.py
@@ -56,10 +56,10 @@
         services: Sequence[str] | None = None,
         clock: Callable[[], int] = lambda: monotonic_ns() // 1000,
     ) -> None:
-        self.roster = server_list
+        self.server_list = server_list
         self.host = host
         self.version = version
-        self.share = random_fraction
+        self.random_fraction = random_fraction
         self.clock = clock
         self.services: str | None = None
         self.region_versions: Regions | None = None
@@ -110,7 +110,7 @@
 
     def export_state(self) -> dict[str, Any]:
         """All that is known, for `inherit` at the process that comes after this one."""
-        known = self.roster.snapshot(self.version)
+        known = self.server_list.snapshot(self.version)
         if self.region_versions is not None:
             known["regions"] = dict(self.region_versions.kept)
         return known
@@ -141,7 +141,7 @@
         self.wait_ms = 0
         self.asked_at = self.clock()
         if self.version >= 0:
-            part = MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * self.share()
+            part = MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * self.random_fraction()
             longest = self.max_wait_ms if self.services is None else min(self.max_wait_ms, self.max_relay_wait_ms())
             self.wait_ms = IMMEDIATE_WAIT_MS if self.ask_immediately else max(IMMEDIATE_WAIT_MS, int(longest * part))
             target += f"?since={self.version}&timeout_ms={self.wait_ms}"
@@ -175,7 +175,7 @@
             raise BadList(str(trouble)) from trouble
         if self.region_versions is not None and isinstance(data, dict) and "regions" in data:
             return self.merge_relay_answer(self, self.region_versions, data)
-        update = self.roster.apply(data, self.check_update)
+        update = self.server_list.apply(data, self.check_update)
         self.version = update.version
         self.ask_immediately = False
         return update
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -48,7 +48,7 @@
     def __init__(self, config: Config, log: Log, version: int, random_fraction: Callable[[], float]) -> None:
         self.config = config
         self.log = log
-        self.share = random_fraction
+        self.random_fraction = random_fraction
         self.store = Held(version, config.sources, config.history_changes)
         self.subscriptions = Subscriptions(config.batch_us, random_fraction)
         self.whole_list_pacer = Pace(config.whole_bytes_per_s)
--- a/pumicepath/relay/upstreams.py
+++ b/pumicepath/relay/upstreams.py
@@ -38,7 +38,7 @@
 class Upstream:
     def __init__(self, region: str, address: Address, origin: Origin, relay: Relay) -> None:
         self.region = region
-        self.where = address
+        self.address = address
         self.origin = origin
         self.relay = relay
         self.sock: socket.socket | None = None
@@ -64,7 +64,7 @@
 
     def connect(self, now: int) -> None:
         try:
-            sock = socket.socket(socket.AF_INET6 if ":" in self.where.host else socket.AF_INET)
+            sock = socket.socket(socket.AF_INET6 if ":" in self.address.host else socket.AF_INET)
         except OSError as trouble:
             self.fail(now, str(trouble))
             return
@@ -77,7 +77,7 @@
         self.dial_timeout = min(MAX_DIAL_TIMEOUT_US, 2 * self.dial_timeout)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            code = sock.connect_ex(self.where)
+            code = sock.connect_ex(self.address)
             if code not in (0, errno.EINPROGRESS):
                 raise OSError(code, errno.errorcode.get(code, "?"))
             self.relay.selector.register(sock, selectors.EVENT_WRITE, self)
@@ -86,7 +86,7 @@
 
     def send_request(self) -> None:
         assert self.sock is not None
-        host = f"{self.where.host}:{self.where.port}"
+        host = f"{self.address.host}:{self.address.port}"
         request = writing.request("GET", self.origin.target(), [("Host", host)])
         self.answer_started = False
         # By the clock: guards an origin against the time that its own long list took us to read.
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -201,7 +201,7 @@
     if peers is not None and new.peers is not None and new.peers != config.peers:
         peers.adopt(new.peers.voting)
         dispatcher.accompany(peers.companions if trying(new.peers) else None)
-    before, after = config.settings, localised(new, watcher.watch.roster).settings
+    before, after = config.settings, localised(new, watcher.watch.server_list).settings
     changed = after != before or (new.zones, new.idle, new.dial) != (config.zones, config.idle, config.dial)
     if changed:
         dispatcher.adopt(replace(new, settings=after))
--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -195,7 +195,7 @@
             self.events.append(json.loads(text))
 
     def events_named(self, name: str) -> list[dict[str, Any]]:
-        return [wait_for_event for wait_for_event in list(self.events) if wait_for_event["event"] == name]
+        return [event for event in list(self.events) if event["event"] == name]
 
     def event(self, name: str, count: int = 1) -> dict[str, Any]:
         """The so-many-eth such event, waited for."""
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -123,7 +123,7 @@
 
     def call(self) -> None:
         relay = self.relays[self.at]
-        held = dict(self.watch.roster.lines)
+        held = dict(self.watch.server_list.lines)
         try:
             update = self.watch.handle_response(relay.answer(request_target(self.watch)))
         except BadList:
@@ -133,13 +133,13 @@
         # The balancer, which is told only this, has to hold the same.
         names = {name for name in held if not update.whole} | {entry.name for entry in update.entries}
         gone = {entry.name for entry in update.entries if entry.phase == 0}
-        assert names - gone == set(self.watch.roster.lines)
+        assert names - gone == set(self.watch.server_list.lines)
         self.counts["whole" if update.whole else "changes"] += 1
         self.check()
 
     def check(self) -> None:
         for origin in self.origins:
-            lines = state(one for one in self.watch.roster.lines.values() if one["region"] == origin.region)
+            lines = state(one for one in self.watch.server_list.lines.values() if one["region"] == origin.region)
             if not lines and origin.region not in self.seen:
                 continue
             versions = origin.states.get(lines)
@@ -210,7 +210,7 @@
             self.call()
             self.clock.now += 1_500_000
         for origin in self.origins:
-            mine = state(one for one in self.watch.roster.lines.values() if one["region"] == origin.region)
+            mine = state(one for one in self.watch.server_list.lines.values() if one["region"] == origin.region)
             assert mine == state(origin.lines.values()), origin.region
 
 
--- a/tests/test_never_back.py
+++ b/tests/test_never_back.py
@@ -59,7 +59,7 @@
 
 
 def healths(watch: Watch) -> dict[str, str]:
-    return {name: one["health"] for name, one in watch.roster.lines.items()}
+    return {name: one["health"] for name, one in watch.server_list.lines.items()}
 
 
 def request_target(watch: Watch) -> str:
@@ -101,7 +101,7 @@
     waits = [watch.next_request() and watch.wait_ms for _ in range(3)]
     assert waits == [1500, MAX_RELAY_WAIT_MS, 2250]
     watch.set_max_wait(SECOND)
-    watch.share = lambda: 1.0
+    watch.random_fraction = lambda: 1.0
     assert watch.next_request() and watch.wait_ms == 1000
 
 
@@ -158,8 +158,8 @@
 
 def test_a_whole_list_takes_out_what_it_lacks_of_its_regions_and_nothing_of_others() -> None:
     watch = make_watch()
-    watch.roster.apply({"seq": 3, "whole": True, "hosts": [line("old"), line("older")]})
-    del watch.roster.lines["old"]["region"], watch.roster.lines["older"]["region"]
+    watch.server_list.apply({"seq": 3, "whole": True, "hosts": [line("old"), line("older")]})
+    del watch.server_list.lines["old"]["region"], watch.server_list.lines["older"]["region"]
     watch.handle_response(
         relay_answer(10, {"eu": (5, True), "us": (5, True)}, line("s1"), line("s2"), line("u1", "us"), whole=True)
     )
@@ -169,7 +169,7 @@
     assert not update.whole
     assert [(entry.name, entry.phase.name) for entry in update.entries] == [("s1", "GONE")]
     assert watch.region_counts() == (1, 1), "a region that the relay has not heard of is not in touch"
-    assert set(watch.roster.start_times) == {"s2", "u1"}
+    assert set(watch.server_list.start_times) == {"s2", "u1"}
 
 
 def test_origins_whose_versions_began_anew_are_believed_of_a_relay_in_touch_after_three_seconds() -> None:
@@ -315,7 +315,7 @@
     watch.handle_response(relay_answer(10, {"eu": (5, True)}, line("s1", health="leaving"), whole=True))
     known = json.loads(json.dumps(watch.export_state()))
     after = make_watch()
-    after.roster.apply(known)
+    after.server_list.apply(known)
     after.import_state(known)
     after.handle_response(relay_answer(7, {"eu": (4, True)}, line("s1"), whole=True))
     assert healths(after) == {"s1": "leaving"}
@@ -328,12 +328,12 @@
     both = {"eu": (5, True), "us": (5, True)}
     watch.handle_response(relay_answer(10, both, line("s1"), line("u1", "us"), whole=True))
     watch.handle_response(relay_answer(11, both, line("s1", "us", born_ms=7)))
-    assert watch.roster.lines["s1"]["region"] == "us"
+    assert watch.server_list.lines["s1"]["region"] == "us"
     watch.handle_response(relay_answer(12, both, line("s1", health="left")))
     assert healths(watch) == {"s1": "active", "u1": "active"}, "it has left the other one"
     watch.handle_response(relay_answer(13, both, line("s1", health="left"), line("s1", "us", "leaving")))
     watch.handle_response(relay_answer(14, both, line("u1", "us"), line("u1", "eu", born_ms=9), whole=True))
-    assert watch.roster.lines["u1"]["region"] == "eu" and set(healths(watch)) == {"u1"}
+    assert watch.server_list.lines["u1"]["region"] == "eu" and set(healths(watch)) == {"u1"}
 
 
 def test_what_is_no_answer_of_a_relay_changes_nothing() -> None:
@@ -402,7 +402,7 @@
         ("s49", "GONE"),
         ("new", "READY"),
     }
-    assert set(watch.roster.lines) == set(watch.roster.start_times) == {one["host"] for one in lines}
+    assert set(watch.server_list.lines) == set(watch.server_list.start_times) == {one["host"] for one in lines}
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -441,8 +441,8 @@
                 held[entry.name] = (entry.phase.name, entry.scale, entry.came_up)
         names = {"active": "READY", "leaving": "DRAINING"}
         assert held == {
-            name: (names[one["health"]], one["share"], watch.roster.start_times[name][1])
-            for name, one in watch.roster.lines.items()
+            name: (names[one["health"]], one["share"], watch.server_list.start_times[name][1])
+            for name, one in watch.server_list.lines.items()
         }
         if watch.version >= 0:
             assert healths(watch) == {name: one["health"] for name, one in servers.items()}
@@ -451,11 +451,11 @@
 def test_of_a_server_nothing_more_is_kept_than_its_line_and_region() -> None:
     watch = make_watch()
     watch.handle_response(relay_answer(10, {"eu": (5, True)}, *[line(f"s{at}") for at in range(100)], whole=True))
-    kept = [one for one in watch.roster.lines.values()]
+    kept = [one for one in watch.server_list.lines.values()]
     assert all("service" not in one for one in kept)
     assert len({id(one["region"]) for one in kept}) == 1
     watch.handle_response(relay_answer(11, {"eu": (6, True)}, *[line(f"s{at}", health="left") for at in range(100)]))
-    assert not watch.roster.lines and not watch.roster.start_times
+    assert not watch.server_list.lines and not watch.server_list.start_times
 
 
 def test_an_answer_that_names_no_regions_is_treated_as_discoverys() -> None:
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -81,7 +81,7 @@
         around.servers[0].script = AlwaysServing()  # type: ignore[assignment]
         around.told["settings"]["membershipMode"] = mode
         around.told["seed"] = f"{SEED:x}"
-        self.trouble = fault
+        self.fault = fault
         self.listener = socket.socket()
         if fault == "is refused":
             self.listener.bind(("127.0.0.1", 0))  # nobody listens yet
@@ -94,11 +94,11 @@
     def play_fault(self) -> None:
         """Have discovery go through its trouble, and tell of the drain from the call after it on."""
         around, change = self.deployment, answer(200, json.dumps(self.deployment.listing(2, False, "leaving")))
-        for step in DISCOVERY_FAULTS[self.trouble]:
+        for step in DISCOVERY_FAULTS[self.fault]:
             around.lists.put(step)
-        for _ in DISCOVERY_FAULTS[self.trouble]:
+        for _ in DISCOVERY_FAULTS[self.fault]:
             assert around.discovery.met.acquire(timeout=20)
-        if self.trouble == "is refused":
+        if self.fault == "is refused":
             peer = Peer.__new__(Peer)
             peer.name, peer.script, peer.lines = "discovery", around.lists, []
             peer.met, peer.closed = threading.Semaphore(0), threading.Semaphore(0)
