--- a/pumicepath/discovery/server_list.py
+++ b/pumicepath/discovery/server_list.py
@@ -70,7 +70,7 @@
             if len(lines) < len(data["hosts"]):
                 raise ValueError("a server twice")
             starts = {name: self.start_time(name, line) for name, line in lines.items()}
-            entries = [self.entry(name, line, starts[name][1]) for name, line in lines.items()]
+            entries = [self.make_entry(name, line, starts[name][1]) for name, line in lines.items()]
             addresses = [
                 parse_address(str(line["dial"])) if entry.phase != Phase.GONE else NO_ADDRESS
                 for entry, line in zip(entries, lines.values())
@@ -114,7 +114,7 @@
             return kept
         return born, self.from_unix_ms(born) if born > 0 else 0
 
-    def entry(self, name: str, line: dict[str, Any], started_at: int) -> Entry:
+    def make_entry(self, name: str, line: dict[str, Any], started_at: int) -> Entry:
         zone = self.zone_number(str(line.get("site", "")))
         if not math.isfinite(float(line.get("share", 1.0))):
             raise ValueError(f"share of {name} is no number")
--- a/pumicepath/discovery/watch.py
+++ b/pumicepath/discovery/watch.py
@@ -122,7 +122,9 @@
         """
         kept = known.get("regions")
         if self.region_versions is not None and isinstance(kept, dict):
-            self.region_versions.kept.update((region, seq) for region, seq in kept.items() if type(seq) is int)
+            self.region_versions.kept.update(
+                (region, seq) for region, seq in kept.items() if type(seq) is int
+            )
 
     def reset_connection(self) -> None:
         """A new connection: whatever came on the old one no longer counts."""
@@ -142,8 +144,12 @@
         self.asked_at = self.clock()
         if self.version >= 0:
             part = MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * self.random_fraction()
-            longest = self.max_wait_ms if self.services is None else min(self.max_wait_ms, self.max_relay_wait_ms())
-            self.wait_ms = IMMEDIATE_WAIT_MS if self.ask_immediately else max(IMMEDIATE_WAIT_MS, int(longest * part))
+            longest = (
+                self.max_wait_ms if self.services is None else min(self.max_wait_ms, self.max_relay_wait_ms())
+            )
+            self.wait_ms = (
+                IMMEDIATE_WAIT_MS if self.ask_immediately else max(IMMEDIATE_WAIT_MS, int(longest * part))
+            )
             target += f"?since={self.version}&timeout_ms={self.wait_ms}"
         if self.services is not None:
             target += f"{'&' if self.version >= 0 else '?'}services={self.services}"
--- a/pumicepath/relay/followers.py
+++ b/pumicepath/relay/followers.py
@@ -101,7 +101,9 @@
             self.keep_alive = request.keeps()
             self.relay.handle_request(self, request, now)
 
-    def respond(self, status: int, body: bytes, now: int, headers: list[tuple[str, str]] = JSON_HEADERS) -> None:
+    def respond(
+        self, status: int, body: bytes, now: int, headers: list[tuple[str, str]] = JSON_HEADERS
+    ) -> None:
         """The whole answer to the call that is out."""
         head = writing.response(status, headers, b"", self.keep_alive, len(body))
         self.state = WRITING
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -26,7 +26,7 @@
 from .clock import now_us
 from .config import Config
 from .followers import PENDING, READING, TEXT_HEADERS, Follower, parse_list_request
-from .listeners import open_listener, local_address, send_best_effort
+from .listeners import local_address, open_listener, send_best_effort
 from .log import Log
 from .upstreams import Upstream
 
@@ -55,7 +55,9 @@
         self.selector = selectors.DefaultSelector()
         self.followers: dict[int, Follower] = {}
         self.admin_connections: dict[int, Follower] = {}
-        self.slow_followers: dict[int, Follower] = {}  # those with unsent bytes, the first to fall behind first
+        self.slow_followers: dict[
+            int, Follower
+        ] = {}  # those with unsent bytes, the first to fall behind first
         self.unsent_bytes = 0
         self.resume_queue: deque[Follower | Upstream] = deque()
         self.counters: Counter[str] = Counter()
@@ -74,7 +76,8 @@
         if self.admin_listener is not None:
             self.selector.register(self.admin_listener, selectors.EVENT_READ, self.accept_admin)
         self.upstreams = [
-            Upstream(region, where, Origin(region, random_fraction), self) for region, where in config.sources.items()
+            Upstream(region, where, Origin(region, random_fraction), self)
+            for region, where in config.sources.items()
         ]
         self.started_at = now_us()
         log.event(
@@ -325,7 +328,9 @@
         first = self.store.regions[name].seq < 0
         change = self.store.take(name, seq, whole, lines)
         if previous_seq is not None:
-            self.log.event("origin_restarted", region=name, before=previous_seq, seq=seq, changed=change.servers)
+            self.log.event(
+                "origin_restarted", region=name, before=previous_seq, seq=seq, changed=change.servers
+            )
         if whole and HALVED_FACTOR * len(lines) < known:
             self.log.event("list_halved", region=name, seq=seq, before=known, servers=len(lines))
         if change.servers:
--- a/pumicepath/relay/upstreams.py
+++ b/pumicepath/relay/upstreams.py
@@ -175,7 +175,9 @@
         self.connecting = False
 
 
-def decode_answer(body: bytes, region: str) -> Generator[None, None, tuple[dict[str, Any], dict[str, Line | None]]]:
+def decode_answer(
+    body: bytes, region: str
+) -> Generator[None, None, tuple[dict[str, Any], dict[str, Line | None]]]:
     """An origin's answer and its lines, checked as each sidecar will check them; in parts of `PART` lines.
 
     Guards followers against a line that they would refuse together with all others of the answer.
--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -25,7 +25,9 @@
 TIMEOUT_S = 20
 
 
-def list_line(host: str, service: str | None = None, health: str = "active", port: int = 9000) -> dict[str, Any]:
+def list_line(
+    host: str, service: str | None = None, health: str = "active", port: int = 9000
+) -> dict[str, Any]:
     told = {
         "host": host,
         "dial": f"127.0.0.9:{port}",
@@ -184,7 +186,7 @@
         )
         self.reader = threading.Thread(target=self.read_log, args=(self.process.stdout,), daemon=True)
         self.reader.start()
-        started = self.event("started")
+        started = self.wait_for_event("started")
         host, _, port = started["listen"].rpartition(":")
         self.socket_address = (host, int(port))
         host, _, port = started["admin"].rpartition(":")
@@ -197,7 +199,7 @@
     def events_named(self, name: str) -> list[dict[str, Any]]:
         return [event for event in list(self.events) if event["event"] == name]
 
-    def event(self, name: str, count: int = 1) -> dict[str, Any]:
+    def wait_for_event(self, name: str, count: int = 1) -> dict[str, Any]:
         """The so-many-eth such event, waited for."""
         wait_until(lambda: len(self.events_named(name)) >= count)
         return self.events_named(name)[count - 1]
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -259,7 +259,9 @@
 
 
 @contextmanager
-def following_watcher(*relays: ScriptedRelay) -> Iterator[tuple[Watcher, list[ScriptedRelay], RecordingDispatcher]]:
+def following_watcher(
+    *relays: ScriptedRelay,
+) -> Iterator[tuple[Watcher, list[ScriptedRelay], RecordingDispatcher]]:
     homes = Homes("n", [relay.address for relay in relays], lambda: 0.5)
     by = {relay.address: relay for relay in relays}
     heard = RecordingDispatcher()
@@ -342,7 +344,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(deciding, "HOME_US", 500_000)
-    monkeypatch.setattr("pumicepath.discovery.watch.ANSWER_S", 0.5)
+    monkeypatch.setattr("pumicepath.discovery.watch.IMMEDIATE_TIMEOUT_S", 0.5)
     relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, line("s-1")) for at in (1, 2, 3)]
     with following_watcher(*relays) as (watcher, (first, second, third), heard):
         until(first.is_caught_up)
@@ -360,7 +362,8 @@
 ) -> None:
     monkeypatch.setattr(deciding, "LOOK_US", 400_000)
     relays = [
-        ScriptedRelay(1000 * at).publish("eu", 5, True, line("s-1")).publish("us", 5, True, line("u-1")) for at in (1, 2, 3)
+        ScriptedRelay(1000 * at).publish("eu", 5, True, line("s-1")).publish("us", 5, True, line("u-1"))
+        for at in (1, 2, 3)
     ]
     with following_watcher(*relays) as (watcher, (first, second, third), heard):
         until(first.is_caught_up)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -10,7 +10,7 @@
 from pumicepath.discovery.server_list import BadList
 from pumicepath.distribution.origins import LIVE
 
-from .test_never_back import SECOND, Clock, line, request_target, relay_answer, make_watch
+from .test_never_back import SECOND, Clock, line, make_watch, relay_answer, request_target
 
 LAG = LIVE + SECOND // 4  # of a relay that says it is in touch: its word's age, and a turn of its loop
 STATE = frozenset[tuple[str, str, str, int]]
@@ -139,7 +139,9 @@
 
     def check(self) -> None:
         for origin in self.origins:
-            lines = state(one for one in self.watch.server_list.lines.values() if one["region"] == origin.region)
+            lines = state(
+                one for one in self.watch.server_list.lines.values() if one["region"] == origin.region
+            )
             if not lines and origin.region not in self.seen:
                 continue
             versions = origin.states.get(lines)
@@ -210,7 +212,9 @@
             self.call()
             self.clock.now += 1_500_000
         for origin in self.origins:
-            mine = state(one for one in self.watch.server_list.lines.values() if one["region"] == origin.region)
+            mine = state(
+                one for one in self.watch.server_list.lines.values() if one["region"] == origin.region
+            )
             assert mine == state(origin.lines.values()), origin.region
 
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -212,7 +212,8 @@
         assert response is not None
         try:
             lines.append(
-                f"{len(watch.handle_response(response).entries)} changed, then {watch.next_request()[:46].decode()}"
+                f"{len(watch.handle_response(response).entries)} changed, "
+                f"then {watch.next_request()[:46].decode()}"
             )
         except BadList as trouble:
             lines.append(f"no list: {trouble}")
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -102,7 +102,7 @@
 def play(name: str, steps: list, monkeypatch: pytest.MonkeyPatch, pushed: bool = False) -> list[str]:
     # Where discovery is to be silent that is found soon; elsewhere never, however slow the machine is.
     silences = iter([0.1 if step == "wait" or step[-1] == "wait" else 60.0 for step in steps])
-    monkeypatch.setattr(Watch, "until_silent", lambda watch: next(silences, 60.0))
+    monkeypatch.setattr(Watch, "answer_timeout_s", lambda watch: next(silences, 60.0))
     monkeypatch.setattr("pumicepath.sidecar.watching.WHOLE_S", 0.1)
     lines = [f"{name}{', pushed' if pushed else ''}:"]
     heard, script = Heard(lines), queue.SimpleQueue()
@@ -187,7 +187,7 @@
 
 
 def test_an_answer_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watching, "ANSWER_S", 0.2)
+    monkeypatch.setattr(watching, "IMMEDIATE_TIMEOUT_S", 0.2)
     monkeypatch.setattr("pumicepath.sidecar.watching.WHOLE_S", 0.2)
     watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), parse_address("127.0.0.1:1"))
     near, far = socket.socketpair()
--- a/tests/test_never_back.py
+++ b/tests/test_never_back.py
@@ -124,9 +124,9 @@
     assert not update.whole and {entry.name: entry.phase.name for entry in update.entries} == {"u1": "READY"}
     assert watch.reported_regions == {"eu": (5, False), "us": (1, True)} and watch.region_counts() == (1, 1)
     # Nothing of it counts: nothing is said.
-    assert watch.handle_response(relay_answer(901, {"eu": (5, False), "us": (0, True)}, line("s1"), whole=True)) == ServerListUpdate(
-        901, False, [], []
-    )
+    assert watch.handle_response(
+        relay_answer(901, {"eu": (5, False), "us": (0, True)}, line("s1"), whole=True)
+    ) == ServerListUpdate(901, False, [], [])
     # Come as far as what is held, the relay is asked for all, and followed by its changes again.
     watch.handle_response(relay_answer(902, {"eu": (6, True), "us": (1, True)}, line("s1", health="leaving")))
     assert "since" not in request_target(watch)
@@ -150,7 +150,9 @@
     watch.switch_to("r2:1")
     watch.handle_response(relay_answer(20, {"eu": (5, True)}, line("s1"), whole=True))
     # Where `s2` came at 6 and left at 7, this relay has never known it.
-    assert not watch.handle_response(relay_answer(21, {"eu": (7, True)}, line("s1", health="leaving"))).entries
+    assert not watch.handle_response(
+        relay_answer(21, {"eu": (7, True)}, line("s1", health="leaving"))
+    ).entries
     assert healths(watch) == {"s1": "active", "s2": "active"} and "since" not in request_target(watch)
     watch.handle_response(relay_answer(21, {"eu": (7, True)}, line("s1", health="leaving"), whole=True))
     assert healths(watch) == {"s1": "leaving"}
@@ -161,7 +163,9 @@
     watch.server_list.apply({"seq": 3, "whole": True, "hosts": [line("old"), line("older")]})
     del watch.server_list.lines["old"]["region"], watch.server_list.lines["older"]["region"]
     watch.handle_response(
-        relay_answer(10, {"eu": (5, True), "us": (5, True)}, line("s1"), line("s2"), line("u1", "us"), whole=True)
+        relay_answer(
+            10, {"eu": (5, True), "us": (5, True)}, line("s1"), line("s2"), line("u1", "us"), whole=True
+        )
     )
     assert set(healths(watch)) == {"s1", "s2", "u1"}, "the list of the start is in force until then"
     watch.switch_to("r2:1")
@@ -182,7 +186,9 @@
     ):
         clock = Clock()
         watch = make_watch(clock=clock)
-        watch.handle_response(relay_answer(10, {"eu": (500, True)}, line("s1", health="leaving"), line("s2"), whole=True))
+        watch.handle_response(
+            relay_answer(10, {"eu": (500, True)}, line("s1", health="leaving"), line("s2"), whole=True)
+        )
         seen = []
         for number in range(11, 20):
             clock.now += gap * SECOND
@@ -267,20 +273,28 @@
     # In touch with the origin again it has to say all: its changes begin at the old life's list.
     watch.handle_response(relay_answer(78, {"eu": (4, True)}, line("s9")))
     assert healths(watch) == {"s1": "leaving"} and "since" not in request_target(watch)
-    watch.handle_response(relay_answer(79, {"eu": (4, True)}, line("s1", health="leaving"), line("s9"), whole=True))
+    watch.handle_response(
+        relay_answer(79, {"eu": (4, True)}, line("s1", health="leaving"), line("s9"), whole=True)
+    )
     assert healths(watch) == {"s1": "leaving", "s9": "active"}
     watch.handle_response(relay_answer(80, {"eu": (5, False)}, line("s9", health="left")))
-    assert healths(watch) == {"s1": "leaving"}, "what it was told last before it lost touch is of the new life"
+    assert healths(watch) == {"s1": "leaving"}, (
+        "what it was told last before it lost touch is of the new life"
+    )
 
 
 def test_a_region_that_comes_up_at_a_relay_is_asked_for_whole_where_something_of_it_is_held() -> None:
     watch = make_watch()
-    watch.handle_response(relay_answer(10, {"eu": (5, True), "us": (5, True)}, line("s1"), line("u1", "us"), whole=True))
+    watch.handle_response(
+        relay_answer(10, {"eu": (5, True), "us": (5, True)}, line("s1"), line("u1", "us"), whole=True)
+    )
     watch.switch_to("r2:1")
     watch.handle_response(relay_answer(20, {"eu": (5, True)}, line("s1"), whole=True))
     # What is new to the relay is new in its changes: who has left meanwhile is not among them.
     watch.handle_response(
-        relay_answer(21, {"eu": (5, True), "us": (8, True), "asia": (3, True)}, line("u2", "us"), line("x1", "asia"))
+        relay_answer(
+            21, {"eu": (5, True), "us": (8, True), "asia": (3, True)}, line("u2", "us"), line("x1", "asia")
+        )
     )
     assert set(healths(watch)) == {"s1", "u1", "x1"} and "since" not in request_target(watch)
     watch.handle_response(
@@ -306,7 +320,9 @@
     assert set(healths(watch)) == {"s1"}
     watch.handle_response(relay_answer(21, {"eu": (6, True)}, line("s1", health="leaving")))
     assert "since" not in request_target(watch)
-    watch.handle_response(relay_answer(22, {"eu": (6, True)}, line("s1", health="leaving"), line("t1"), whole=True))
+    watch.handle_response(
+        relay_answer(22, {"eu": (6, True)}, line("s1", health="leaving"), line("t1"), whole=True)
+    )
     assert healths(watch) == {"s1": "leaving", "t1": "active"}
 
 
@@ -370,7 +386,9 @@
 
 def test_an_empty_list_is_believed_only_when_it_comes_again_and_again() -> None:
     watch = make_watch()
-    assert not watch.handle_response(relay_answer(9, {"eu": (4, True)}, whole=True)).entries, "nothing to lose"
+    assert not watch.handle_response(relay_answer(9, {"eu": (4, True)}, whole=True)).entries, (
+        "nothing to lose"
+    )
     watch.handle_response(relay_answer(10, {"eu": (5, True)}, line("s1"), whole=True))
     for number in range(2):
         with pytest.raises(BadList):
@@ -386,7 +404,9 @@
     lines = [line(f"s{at}") for at in range(50)]
     assert len(watch.handle_response(relay_answer(10, {"eu": (5, True)}, *lines, whole=True)).entries) == 50
     watch.switch_to("r2:1")
-    assert watch.handle_response(relay_answer(90, {"eu": (5, True)}, *lines, whole=True)) == ServerListUpdate(90, False, [], [])
+    assert watch.handle_response(relay_answer(90, {"eu": (5, True)}, *lines, whole=True)) == ServerListUpdate(
+        90, False, [], []
+    )
     lines = [
         line("s0", health="leaving"),
         line("s1", share=1.5),
@@ -402,7 +422,9 @@
         ("s49", "GONE"),
         ("new", "READY"),
     }
-    assert set(watch.server_list.lines) == set(watch.server_list.start_times) == {one["host"] for one in lines}
+    assert (
+        set(watch.server_list.lines) == set(watch.server_list.start_times) == {one["host"] for one in lines}
+    )
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -432,7 +454,9 @@
         said = {region: (seq, True) for region, seq in seqs.items()}
         if whole and not servers:
             continue
-        update = watch.handle_response(relay_answer(number, said, *(servers.values() if whole else changed), whole=whole))
+        update = watch.handle_response(
+            relay_answer(number, said, *(servers.values() if whole else changed), whole=whole)
+        )
         if update.whole:
             held.clear()
         for entry in update.entries:
@@ -450,11 +474,15 @@
 
 def test_of_a_server_nothing_more_is_kept_than_its_line_and_region() -> None:
     watch = make_watch()
-    watch.handle_response(relay_answer(10, {"eu": (5, True)}, *[line(f"s{at}") for at in range(100)], whole=True))
+    watch.handle_response(
+        relay_answer(10, {"eu": (5, True)}, *[line(f"s{at}") for at in range(100)], whole=True)
+    )
     kept = [one for one in watch.server_list.lines.values()]
     assert all("service" not in one for one in kept)
     assert len({id(one["region"]) for one in kept}) == 1
-    watch.handle_response(relay_answer(11, {"eu": (6, True)}, *[line(f"s{at}", health="left") for at in range(100)]))
+    watch.handle_response(
+        relay_answer(11, {"eu": (6, True)}, *[line(f"s{at}", health="left") for at in range(100)])
+    )
     assert not watch.server_list.lines and not watch.server_list.start_times
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -155,7 +155,9 @@
     plain.poll_until(lambda: len(plain.lines) == 3)
     whole = Follower(relay.socket_address, None).call()
     assert whole is not None and set(whole) == {"seq", "whole", "hosts"}
-    assert sorted(map(str, whole["hosts"])) == sorted(map(str, (list_line("a"), list_line("b"), list_line("c"))))
+    assert sorted(map(str, whole["hosts"])) == sorted(
+        map(str, (list_line("a"), list_line("b"), list_line("c")))
+    )
     origin.drop("a")
     plain.poll_until(lambda: "a" not in plain.lines)
     assert plain.regions == {}
@@ -209,7 +211,7 @@
     relay.signal(signal.SIGTERM)
     assert relay.process.wait(20) == 0
     assert follower.receive() is None
-    assert relay.event("stopped")["followers"] == 1
+    assert relay.wait_for_event("stopped")["followers"] == 1
 
 
 # Its own troubles
@@ -220,7 +222,7 @@
     us.stop_listening()
     relay = relays({"us": us})
     assert Follower(relay.socket_address).call() is None
-    assert relay.event("region_lost")["region"] == "us"
+    assert relay.wait_for_event("region_lost")["region"] == "us"
     other = relays({"us": us, "eu": eu})
     follower = Follower(other.socket_address)
     follower.poll_until(lambda: set(follower.lines) == {"a", "b", "c"})
@@ -345,7 +347,10 @@
         assert len(relay.store.regions["eu"].lines) == 1 and upstream.sock is None
         assert relay.counters["lists_refused"] == (spoilt != "the end")
     else:
-        assert len(relay.store.regions["eu"].lines) == 3 * DECODE_BATCH_LINES and relay.store.regions["eu"].seq == 41
+        assert (
+            len(relay.store.regions["eu"].lines) == 3 * DECODE_BATCH_LINES
+            and relay.store.regions["eu"].seq == 41
+        )
         assert there.recv(4096).startswith(b"GET /discovery/hosts?since=41&")
         upstream.close()
     for sock in (relay.listener, relay.selector, there):
@@ -389,7 +394,7 @@
     crowd = [Follower(relay.socket_address, "cart") for _ in range(30)]
     for one in crowd:
         one.send_request()
-    relay.event("whole_paced")
+    relay.wait_for_event("whole_paced")
     assert relay.stats()["whole_waiting"] <= 10
     origin.put(list_line("n", "pay"))
     told = follower.receive()
@@ -406,7 +411,7 @@
 def test_a_full_descriptor_table_turns_away_the_next_and_serves_those_there_are(relays: MakeRelay) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin}, files=64)
-    most = relay.event("started")["most_followers"]
+    most = relay.wait_for_event("started")["most_followers"]
     assert most < 30
     followers = [Follower(relay.socket_address) for _ in range(most)]
     for one in followers:
@@ -416,14 +421,14 @@
     for one in turned:
         one.sock.settimeout(20)
         assert one.sock.recv(100)[:12] in (b"HTTP/1.1 503", b"")
-    assert relay.event("followers_full")["followers"] == most
+    assert relay.wait_for_event("followers_full")["followers"] == most
     origin.reset_connections()  # the way to the origin has room
     origin.put(list_line("n", "cart"))
     for one in followers:
         one.receive()
         one.poll_until(lambda one=one: "n" in one.lines)
     followers.pop().close()
-    relay.event("followers_room")
+    relay.wait_for_event("followers_room")
     late = Follower(relay.socket_address)
     late.poll_until(lambda: "n" in late.lines)
 
@@ -443,7 +448,7 @@
     resource.prlimit(pid, resource.RLIMIT_NOFILE, (used, before[1]))
     late = Follower(relay.socket_address)
     late.send_request()
-    assert "open files" in relay.event("followers_full")["why"]
+    assert "open files" in relay.wait_for_event("followers_full")["why"]
 
     time.sleep(1)
     assert len(relay.events_named("followers_full")) == 1 and not relay.events_named("followers_room")
@@ -451,7 +456,7 @@
     follower.poll_until(lambda: "n" in follower.lines)
     resource.prlimit(pid, resource.RLIMIT_NOFILE, before)
     assert late.receive() is not None and "n" in late.lines
-    relay.event("followers_room")
+    relay.wait_for_event("followers_room")
     # Each 10 ms at most, and one more where calls came ahead of that.
     assert relay.stats()["turns"] - turns < 110 * (time.monotonic() - then)
 
@@ -517,7 +522,7 @@
     origin.restart(3, [list_line("b", "stock"), list_line("n", "cart")])
     follower.poll_until(lambda: "n" in follower.lines)
     assert follower.regions["eu"]["seq"] == 3 and set(follower.lines) == {"b", "n"}
-    told = relay.event("origin_restarted")
+    told = relay.wait_for_event("origin_restarted")
     assert told["before"] == 41 and told["seq"] == 3
     origin.drop("b")
     follower.poll_until(lambda: set(follower.lines) == {"n"})
@@ -545,12 +550,18 @@
 
     def refuses(count: int, bad: Any, why: str) -> None:
         # Else the script meets a call that is on its way.
-        wait_until(lambda: f"since={origin.seq}" in origin.requests[-1] and "timeout_ms=1&" not in origin.requests[-1])
+        wait_until(
+            lambda: (
+                f"since={origin.seq}" in origin.requests[-1] and "timeout_ms=1&" not in origin.requests[-1]
+            )
+        )
         origin.scripted_bodies.append(json.dumps(bad).encode())
         calls = len(origin.requests)
         origin.reset_connections()
-        assert why in relay.event("list_refused", count)["why"]
-        wait_until(lambda: len(origin.requests) > calls + 2)  # it was asked anew, and that is answered as well
+        assert why in relay.wait_for_event("list_refused", count)["why"]
+        wait_until(
+            lambda: len(origin.requests) > calls + 2
+        )  # it was asked anew, and that is answered as well
         origin.put(list_line(f"m{count}", "cart"))
         names.add(f"m{count}")
         follower.poll_until(lambda: f"m{count}" in follower.lines)
@@ -567,7 +578,7 @@
     follower.poll_until(lambda: is_live(follower))
     origin.restart(50, [list_line("b", "stock")])
     follower.poll_until(lambda: set(follower.lines) == {"b"})
-    halved = relay.event("list_halved")
+    halved = relay.wait_for_event("list_halved")
     assert (halved["before"], halved["servers"]) == (3, 1)
 
 
@@ -579,7 +590,7 @@
     relay = loop.Relay(told, Quiet(), 0, random.Random(1).random)  # type: ignore[arg-type]
     far, other = (socket.create_connection(relay.listener.getsockname()) for _ in range(2))
     wait_until(lambda: relay.accept_followers(0) or len(relay.followers) == 2)
-    monkeypatch.setattr(loop, "call_of", fault)
+    monkeypatch.setattr(loop, "parse_list_request", fault)
     far.sendall(writing.request("GET", "/discovery/hosts", [("Host", "r")]))
     mine = next(one for one in relay.followers.values() if one.sock.getpeername() == far.getsockname())
     wait_until(lambda: relay.handle_io_safely(mine, selectors.EVENT_READ, 0) or relay.counters["faults"])
@@ -590,6 +601,6 @@
     wait_until(lambda: relay.handle_io_safely(left, selectors.EVENT_READ, 0) or relay.counters["calls"])
     assert next_of(other, ResponseParser()).status == 503
     upstream = relay.upstreams[0]
-    monkeypatch.setattr(upstream, "ready", fault)
+    monkeypatch.setattr(upstream, "handle_io", fault)
     relay.handle_io_safely(upstream, 0, 0)
     assert relay.counters["faults"] == 2 and upstream.origin.failures == 1
--- a/tests/test_relayed_sidecars.py
+++ b/tests/test_relayed_sidecars.py
@@ -201,7 +201,9 @@
         }
 
     def wait_until_all_send_to(self, name: str, since: float) -> None:
-        wait_until(lambda: self.servers[name].senders_since(since) == set(self.sidecars.served), IN_FORCE_LIMIT_S)
+        wait_until(
+            lambda: self.servers[name].senders_since(since) == set(self.sidecars.served), IN_FORCE_LIMIT_S
+        )
 
     def change(self) -> float:
         """One server drains, and another begins; tells when discovery had it."""
@@ -213,7 +215,9 @@
         self.wait_until_all_send_to("late", 0.0)
         wait_until(lambda: time.monotonic() > told + NOTIFY_LIMIT_S + SLACK_S + 1.0)
         late = [
-            (round(at - told, 2), name) for at, name in self.servers["s0"].received if at > told + NOTIFY_LIMIT_S + SLACK_S
+            (round(at - told, 2), name)
+            for at, name in self.servers["s0"].received
+            if at > told + NOTIFY_LIMIT_S + SLACK_S
         ]
         assert not late, f"sent to a draining server, s after discovery had it: {late[:5]}"
         now = time.monotonic()
@@ -261,7 +265,7 @@
     made.origins["eu"].stop_listening()
     made.change()
     for relay in made.relays:
-        relay.event("region_lost")
+        relay.wait_for_event("region_lost")
     made.origins["eu"].listen_again()
     return time.monotonic()
 
@@ -271,7 +275,7 @@
         relay.kill()
     made.change()
     for relay in made.relays:
-        relay.again()
+        relay.restart()
     # With no relay there is no way from discovery: it can be reached from here on.
     return time.monotonic()
 
@@ -282,7 +286,10 @@
     return time.monotonic()
 
 
-@pytest.mark.parametrize("fault", [relay_killed, relay_stopped, relay_cut_off, discovery_down, all_relays_restarted, origin_restarted])
+@pytest.mark.parametrize(
+    "fault",
+    [relay_killed, relay_stopped, relay_cut_off, discovery_down, all_relays_restarted, origin_restarted],
+)
 def test_a_drain_is_in_force_everywhere_in_time(tmp_path: Path, fault: Callable[[Fleet], float]) -> None:
     with fleet(tmp_path) as made:
         made.check(fault(made))
@@ -297,10 +304,10 @@
         taken = []
         for _ in range(2 * files):
             with suppress(OSError):
-                taken.append(socket.create_connection(made.relays[0].where, 5))
-        made.relays[0].event("followers_full")
+                taken.append(socket.create_connection(made.relays[0].socket_address, 5))
+        made.relays[0].wait_for_event("followers_full")
         # One relay has no room and the other one dies and comes back: whoever was there goes somewhere.
-        made.relays[1].again()
+        made.relays[1].restart()
         made.check(made.change())
         for sock in taken:
             sock.close()
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -93,7 +93,10 @@
 
     def play_fault(self) -> None:
         """Have discovery go through its trouble, and tell of the drain from the call after it on."""
-        around, change = self.deployment, answer(200, json.dumps(self.deployment.listing(2, False, "leaving")))
+        around, change = (
+            self.deployment,
+            answer(200, json.dumps(self.deployment.listing(2, False, "leaving"))),
+        )
         for step in DISCOVERY_FAULTS[self.fault]:
             around.lists.put(step)
         for _ in DISCOVERY_FAULTS[self.fault]:
@@ -124,7 +127,9 @@
                 if response is None or response.status != 200:
                     break
                 time.sleep(0.02)
-            self.last_sent_s = max(self.request_times, default=0.0) - self.changed_at - (stalls.total_s - stalled)
+            self.last_sent_s = (
+                max(self.request_times, default=0.0) - self.changed_at - (stalls.total_s - stalled)
+            )
             served = len(self.request_times)
             for _ in range(5):
                 self.deployment.ask("read")
