--- a/pumicepath/discovery/__init__.py
+++ b/pumicepath/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The list of servers and the watch on it, without sockets."""
+"""The list of servers as discovery reports it, and the watch on it, without sockets."""
--- a/pumicepath/discovery/relayed.py
+++ b/pumicepath/discovery/relayed.py
@@ -1,4 +1,4 @@
-"""What a relay's answer changes of the list held; only watches on relays import this."""
+"""Merges a relay's answer into the server list; imported only where a watch follows relays."""
 
 from __future__ import annotations
 
@@ -14,41 +14,45 @@
 
 
 def merge_relay_answer(watch: Watch, regions: Regions, data: dict[str, Any]) -> ServerListUpdate:
-    """What a relay's answer says, without what is older than what was taken.
+    """Apply a relay's answer to the list of `watch`, without what is older than what is held already.
 
-    Of a whole list the differences from the one held, with all that it does not speak of: when relays die
-    all sidecars get whole lists at once, of which hardly a line is new.
+    A whole list is reduced to its differences from the list held, together with the lines held of regions
+    that the answer does not mention: when relays die, all sidecars get whole lists at once in which hardly
+    a line is new.
+
+    Raises BadList for an answer that is malformed or that must not replace the list held.
     """
     held = watch.server_list.lines
     try:
-        told, whole, version = understood(data["regions"]), bool(data["whole"]), int(data["seq"])
-        judged = regions.judge(watch.clock(), told, whole, watch.asked_at)
-        lines = regions.merge(judged, told, whole, data["hosts"], held)
-    except (KeyError, TypeError, ValueError, AttributeError) as trouble:
-        raise BadList(f"{type(trouble).__name__}: {trouble}") from trouble
+        reported, whole, version = understood(data["regions"]), bool(data["whole"]), int(data["seq"])
+        judged = regions.judge(watch.clock(), reported, whole, watch.asked_at)
+        lines = regions.merge(judged, reported, whole, data["hosts"], held)
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise BadList(f"{type(error).__name__}: {error}") from error
     if not whole and version < watch.version or not whole and watch.version < 0:
         raise BadList(f"changes up to {version} after {watch.version}")
     if not judged.taken:
         lines = []
     elif whole and held and not lines:
-        # Guards all servers against one empty list; a service that has none left is believed in the end.
+        # One empty list must not take all servers out of use. After several in a row it is accepted, since
+        # a service may really have no server left.
         watch.empty_lists += 1
         if watch.empty_lists < REQUIRED_CONFIRMATIONS:
             raise BadList("an empty list")
     if lines:
         watch.empty_lists = 0
-    anew = whole and bool(judged.taken) and not held
+    replaces = whole and bool(judged.taken) and not held
     if whole and judged.taken and held:
         lines = list_differences(held, lines)
-    update = watch.server_list.apply({"seq": version, "whole": anew, "hosts": lines})
-    regions.take(told, judged)
+    update = watch.server_list.apply({"seq": version, "whole": replaces, "hosts": lines})
+    regions.take(reported, judged)
     watch.version = -1 if judged.again else version
     watch.ask_immediately = False
     return update
 
 
 def list_differences(held: Mapping[str, Any], lines: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
-    """What has to be told so that what is held becomes these lines, by servers that each stand there once."""
-    here = {line["host"] for line in lines}
-    gone = [{**line, "health": "left"} for name, line in held.items() if name not in here]
+    """The changes that turn the lines held into `lines`, which name each server at most once."""
+    present = {line["host"] for line in lines}
+    gone = [{**line, "health": "left"} for name, line in held.items() if name not in present]
     return gone + [line for line in lines if held.get(line["host"]) != line]
--- a/pumicepath/discovery/server_list.py
+++ b/pumicepath/discovery/server_list.py
@@ -1,4 +1,4 @@
-"""Discovery's lines as entries of the list, and the addresses that belong to them."""
+"""Parses the lines that discovery sends into entries of the server list and their addresses."""
 
 from __future__ import annotations
 
@@ -10,20 +10,22 @@
 
 from ..interface import Entry, Phase
 
-MAX_MACHINE_KINDS = 1024  # kinds of machine that are told apart: bounds what odd lists can fill
+MAX_MACHINE_KINDS = 1024  # kinds that get a number: bounds the memory that malformed lists can fill
 STATES_BY_HEALTH = {"active": Phase.READY, "leaving": Phase.DRAINING, "left": Phase.GONE}
 
 
-class BadList(Exception):
-    """Discovery answered with something that is no list."""
+class BadList(Exception):  # noqa: N818 (log events contain the name)
+    """Discovery's answer is not a valid server list, or must not replace the list in force."""
 
 
 def stable_id(name: str) -> int:
-    """A number above 0 that is the same at every sidecar and after every restart."""
+    """A positive id of a name, the same at every sidecar and after every restart."""
     return int.from_bytes(blake2b(name.encode("utf-8", "replace"), digest_size=8).digest()) | 1
 
 
 class Address(NamedTuple):
+    """An IP address, without the brackets of IPv6, and a port."""
+
     host: str
     port: int
 
@@ -32,6 +34,7 @@
 
 
 def parse_address(text: str) -> Address:
+    """Parse `host:port` or `[host]:port`; raises BadList for anything else."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise BadList(f"{text!r} is no address")
@@ -39,7 +42,7 @@
 
 
 class ServerListUpdate(NamedTuple):
-    """What has changed, or the whole list; each entry has its address."""
+    """The changed entries, or all of them if `whole`; `addresses` has one address for each entry."""
 
     version: int
     whole: bool
@@ -51,7 +54,11 @@
 
 
 class ServerList:
-    """What the list has said so far of the servers on it: their starts by the sidecar's own clock."""
+    """The servers listed so far, with their start times by the sidecar's own clock.
+
+    `zones` and `kinds` are the configured names, which get the first numbers. `from_unix_ms` converts Unix
+    milliseconds to the sidecar's clock.
+    """
 
     def __init__(
         self, zones: Sequence[str], from_unix_ms: Callable[[int], int], kinds: Sequence[str] = ()
@@ -60,11 +67,15 @@
         self.zones = {name: next(self.zone_counter) for name in zones}
         self.kinds = {name: at for at, name in enumerate(kinds)}
         self.from_unix_ms = from_unix_ms
+        # By server: when it started, as reported in Unix milliseconds and by the sidecar's clock.
         self.start_times: dict[str, tuple[int, int]] = {}
-        self.lines: dict[str, Any] = {}  # as they came
+        self.lines: dict[str, Any] = {}  # by server: its line as received
 
     def apply(self, data: Any, check: Callable[[ServerListUpdate], None] | None = None) -> ServerListUpdate:
-        """Raises BadList, as `believed` may, for what is no list; then nothing of it is kept."""
+        """Parse an answer of discovery and add it to the list.
+
+        Raises BadList if the answer is malformed, and whatever `check` raises; the list is then unchanged.
+        """
         try:
             lines = {str(line["host"]): line for line in data["hosts"]}
             if len(lines) < len(data["hosts"]):
@@ -76,55 +87,60 @@
                 for entry, line in zip(entries, lines.values())
             ]
             update = ServerListUpdate(int(data["seq"]), bool(data["whole"]), entries, addresses)
-        except (KeyError, TypeError, ValueError, ArithmeticError, AttributeError) as trouble:
-            raise BadList(f"{type(trouble).__name__}: {trouble}") from trouble
+        except (KeyError, TypeError, ValueError, ArithmeticError, AttributeError) as error:
+            raise BadList(f"{type(error).__name__}: {error}") from error
         if check is not None:
             check(update)
-        # Servers come and go for as long as the sidecar runs: nothing is kept of those that are gone.
-        here = {name for (name, _), entry in zip(lines.items(), entries) if entry.phase != Phase.GONE}
-        for name in (set(self.start_times) if update.whole else set(lines)) - here:
+        # Servers come and go for as long as the sidecar runs, so nothing is kept of those that have left.
+        present = {name for (name, _), entry in zip(lines.items(), entries) if entry.phase != Phase.GONE}
+        for name in (set(self.start_times) if update.whole else set(lines)) - present:
             self.start_times.pop(name, None)
             self.lines.pop(name, None)
-        self.start_times.update((name, starts[name]) for name in lines if name in here)
-        self.lines.update((name, line) for name, line in lines.items() if name in here)
+        self.start_times.update((name, starts[name]) for name in lines if name in present)
+        self.lines.update((name, line) for name, line in lines.items() if name in present)
         return update
 
     def snapshot(self, version: int) -> dict[str, Any]:
-        """All that is known, in discovery's form."""
+        """The whole list in discovery's format."""
         return {"seq": version, "whole": True, "hosts": list(self.lines.values())}
 
     def zone_number(self, name: str) -> int:
-        """Its number, which it keeps whatever a later configuration names: hops out know it by that."""
+        """The number of a zone, given out at its first use.
+
+        It stays the same whatever a later configuration names, since hops in flight refer to it.
+        """
         known = self.zones.get(name)
         return self.zones.setdefault(name, next(self.zone_counter)) if known is None else known
 
     def kind_number(self, name: str) -> int:
-        """Its number; -1 for a line that names none, and past the bound."""
+        """The number of a kind of machine; -1 for an empty name and for kinds past MAX_MACHINE_KINDS."""
         if name and name not in self.kinds and len(self.kinds) < MAX_MACHINE_KINDS:
             self.kinds[name] = len(self.kinds)
         return self.kinds.get(name, -1)
 
     def start_time(self, name: str, line: dict[str, Any]) -> tuple[int, int]:
-        """When it was born by its own word, and by the sidecar's clock.
+        """When the server started: as reported in Unix milliseconds, and by the sidecar's clock.
 
-        Once for each start: guards against a clock that was set since, which would look like a new one.
+        Each start is converted only once: after the wall clock has been set, a second conversion would
+        yield another time and make the server look restarted.
         """
-        born, kept = int(line.get("born_ms", 0)), self.start_times.get(name)
-        if kept is not None and kept[0] == born:
+        reported, kept = int(line.get("born_ms", 0)), self.start_times.get(name)
+        if kept is not None and kept[0] == reported:
             return kept
-        return born, self.from_unix_ms(born) if born > 0 else 0
+        return reported, self.from_unix_ms(reported) if reported > 0 else 0
 
     def make_entry(self, name: str, line: dict[str, Any], started_at: int) -> Entry:
+        """Build the entry of one line; raises KeyError, TypeError or ValueError for a malformed line."""
         zone = self.zone_number(str(line.get("site", "")))
         if not math.isfinite(float(line.get("share", 1.0))):
             raise ValueError(f"share of {name} is no number")
-        cell, share = int(line.get("block", 0)), float(line.get("share", 1.0))
+        cell, scale = int(line.get("block", 0)), float(line.get("share", 1.0))
         return Entry(
             stable_id(name),
             zone,
             cell,
             STATES_BY_HEALTH[line["health"]],
-            share,
+            scale,
             started_at,
             name,
             self.kind_number(str(line.get("class", ""))),
--- a/pumicepath/discovery/watch.py
+++ b/pumicepath/discovery/watch.py
@@ -1,11 +1,13 @@
-"""The watch on the list: what to ask next, and what an answer means.
+"""The watch on the server list: what to request next, and what an answer means.
 
-A watch on which nothing comes looks like one on which nothing happens.  What a silent one misses counts as
-told 2 s after the wait that was asked for is over, and no sooner than 6 s after it fell silent.  So each call
-has its bound (`until_silent`), and the first call after any doubt does not wait: its answer comes at once.
+The watch is a long poll. A connection on which nothing arrives looks the same as one on which nothing
+happens. A change that a silent connection misses counts as reported to the sidecar 2 s after the requested
+wait is over, and no sooner than 6 s after the connection fell silent. So each request has a timeout
+(`answer_timeout_s`), and the first request after a failure or a switch asks for an immediate answer.
 
-With `services` the watch is on relays (`pumicepath/distribution`): it names what it wants lines of, waits
-less long, and takes of each region only what is not older than what it has taken, whichever relay told it.
+With `services` the watch follows relays (`pumicepath/distribution`): it names the services whose lines it
+wants, waits for less time, and takes of each region only what is not older than what it has taken before,
+whichever relay reported it.
 """
 
 from __future__ import annotations
@@ -26,24 +28,26 @@
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
 MAX_WAIT_MS = 20_000
-MAX_RELAY_WAIT_MS = 3_000  # with `services`: of the 6 s in which what a silent relay misses has to be had
-MAX_RESTART_CHECK_WAIT_MS = 1_000  # the same, while it is open whether an origin has begun anew
-MIN_WAIT_FRACTION = 0.5  # of the wait: guards discovery against all sidecars' waits ending together
+# With `services`: part of the 6 s within which a change that a silent relay misses has to be received.
+MAX_RELAY_WAIT_MS = 3_000
+MAX_RESTART_CHECK_WAIT_MS = 1_000  # the same, while an origin may have restarted with new versions
+MIN_WAIT_FRACTION = 0.5  # of the wait: random, so that the waits of all sidecars don't end together
 IMMEDIATE_WAIT_MS = 1
-WAIT_SLACK_S = 0.4  # past a wait, of the 2 s in which the call after it has to be answered too
-IMMEDIATE_TIMEOUT_S = 3.0  # for a call that does not wait, of the 6 s: a second one has time as well
-REQUIRED_CONFIRMATIONS = 3  # answers in a row that are older than the list in force, until one is believed
+WAIT_SLACK_S = 0.4  # past a wait, of the 2 s in which the request after it has to be answered too
+IMMEDIATE_TIMEOUT_S = 3.0  # of a request without a wait; leaves time for a second one within the 6 s
+REQUIRED_CONFIRMATIONS = 3  # answers in a row older than the list in force, until one is accepted
 
 
 class Overtaxed(BadList):
-    """Discovery turns the call away: more calls would not help it."""
+    """Discovery is overloaded and rejects the request; more requests would not help it."""
 
 
 class Watch:
-    """One watch; `parser` takes the bytes of each answer, `restart` begins on a new connection.
+    """One watch on discovery or on a relay; `parser` takes the bytes of each answer.
 
-    `share` draws from 0 to 1, so that no two sidecars wait alike.  `services` are names, `("*",)` for all;
-    None where the list comes straight from discovery.  `clock` gives microseconds.
+    `random_fraction` draws from 0 to 1, so that no two sidecars wait for the same time. `services` are names,
+    `("*",)` for all of them, or None where the list comes straight from discovery. `clock` returns
+    microseconds.
     """
 
     def __init__(
@@ -64,25 +68,26 @@
         self.services: str | None = None
         self.region_versions: Regions | None = None
         self.merge_relay_answer: Callable[[Watch, Regions, dict[str, Any]], ServerListUpdate]
-        self.empty_lists = 0  # whole lists in a row that would leave nothing
-        self.ask_immediately = True  # whether the next call is not to wait
-        self.older_answers = 0
-        self.wait_ms = 0  # of the call that is out
-        self.asked_at = 0  # when, by `clock`
+        self.empty_lists = 0  # whole lists in a row that would leave no server
+        self.ask_immediately = True  # whether the next request asks for an answer without a wait
+        self.older_answers = 0  # in a row
+        self.wait_ms = 0  # of the pending request
+        self.asked_at = 0  # when the pending request was made, by `clock`
         self.set_max_wait(wait_us)
         self.set_services(services)
         self.reset_connection()
 
     def set_max_wait(self, wait_us: int) -> None:
+        """Set the longest wait of a request; MAX_WAIT_MS bounds it."""
         self.max_wait_ms = max(IMMEDIATE_WAIT_MS, min(MAX_WAIT_MS, wait_us // 1000))
 
     def set_services(self, services: Sequence[str] | None) -> None:
-        """Other services; followed by `move`, as what is held may lack lines of them."""
+        """Follow other services; call `switch_to` next, since the list held may lack lines of them."""
         self.services = None if services is None else ",".join(sorted(set(services)))
         if services is None:
             self.region_versions = None
         elif self.region_versions is None:
-            # Here, not at the first answer: guards that against a module that can't be opened any more.
+            # Imported here and not at the first answer, when no descriptor may be left to open the module.
             from ..distribution.regions import Regions
             from .relayed import merge_relay_answer
 
@@ -90,35 +95,37 @@
 
     @property
     def reported_regions(self) -> Told:
-        """What the relay has said last: each region's version, and whether it is in touch with its origin."""
+        """By region: its version in the relay's last report, and whether the relay is in touch with it."""
         return self.region_versions.told if self.region_versions is not None else {}
 
     def region_counts(self) -> tuple[int, int]:
-        """How many regions the relay is in touch with, and how many that are known of it is not."""
+        """The number of regions that the relay is in touch with, and of known regions that it is not."""
         if self.region_versions is None:
             return 0, 0
         return sum(live for _, live in self.region_versions.told.values()), self.region_versions.out()
 
     def stale_regions(self) -> dict[str, int]:
-        """The regions known of that the relay is not in touch with, and the version held of each."""
+        """The known regions that the relay is not in touch with, each with the version held of it."""
         if self.region_versions is None:
             return {}
-        told, kept = self.region_versions.told, self.region_versions.kept
+        reported, kept = self.region_versions.told, self.region_versions.kept
         return {
-            region: kept.get(region, -1) for region in {**kept, **told} if not told.get(region, (0, False))[1]
+            region: kept.get(region, -1)
+            for region in {**kept, **reported}
+            if not reported.get(region, (0, False))[1]
         }
 
     def export_state(self) -> dict[str, Any]:
-        """All that is known, for `inherit` at the process that comes after this one."""
+        """Everything known, for `import_state` in the new process of a hot restart."""
         known = self.server_list.snapshot(self.version)
         if self.region_versions is not None:
             known["regions"] = dict(self.region_versions.kept)
         return known
 
     def import_state(self, known: Any) -> None:
-        """Before the first call: the versions that the process before this one has taken.
+        """Take over the region versions of the old process; to be called before the first request.
 
-        Guards what it was told last against a relay that is behind.
+        Without them a relay that is behind could undo what was reported to the old process last.
         """
         kept = known.get("regions")
         if self.region_versions is not None and isinstance(kept, dict):
@@ -127,11 +134,11 @@
             )
 
     def reset_connection(self) -> None:
-        """A new connection: whatever came on the old one no longer counts."""
+        """Start on a new connection; partial input of the old one is discarded."""
         self.parser = ResponseParser(MAX_LIST_BYTES)
 
     def switch_to(self, host: str) -> None:
-        """Another discovery, whose versions need not be those of the one before: the whole list first."""
+        """Follow another host. Its versions may be unrelated, so the whole list is requested first."""
         self.host = host
         self.version = -1
         self.older_answers = 0
@@ -139,16 +146,17 @@
             self.region_versions.moved()
 
     def next_request(self) -> bytes:
+        """The bytes of the next request, whose wait is random between half and all of the longest one."""
         target = "/discovery/hosts"
         self.wait_ms = 0
         self.asked_at = self.clock()
         if self.version >= 0:
-            part = MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * self.random_fraction()
+            fraction = MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * self.random_fraction()
             longest = (
                 self.max_wait_ms if self.services is None else min(self.max_wait_ms, self.max_relay_wait_ms())
             )
             self.wait_ms = (
-                IMMEDIATE_WAIT_MS if self.ask_immediately else max(IMMEDIATE_WAIT_MS, int(longest * part))
+                IMMEDIATE_WAIT_MS if self.ask_immediately else max(IMMEDIATE_WAIT_MS, int(longest * fraction))
             )
             target += f"?since={self.version}&timeout_ms={self.wait_ms}"
         if self.services is not None:
@@ -158,27 +166,34 @@
     def max_relay_wait_ms(self) -> int:
         """The longest wait at a relay.
 
-        Guards what an origin that has begun anew tells, which counts 6 s later, against waits behind which
-        it stays open for long whether the relay is only behind.
+        It is shorter while a region's version is older than the one held: either the relay is behind or the
+        origin has restarted with new versions. What a restarted origin reports counts 6 s later, so longer
+        waits would leave that question open for too long.
         """
-        settled = self.region_versions.in_doubt() if self.region_versions is not None else None
-        if settled is None:
+        settled_at = self.region_versions.in_doubt() if self.region_versions is not None else None
+        if settled_at is None:
             return MAX_RELAY_WAIT_MS
-        return min(MAX_RESTART_CHECK_WAIT_MS, max(IMMEDIATE_WAIT_MS, -(-(settled - self.asked_at) // 1000)))
+        return min(
+            MAX_RESTART_CHECK_WAIT_MS, max(IMMEDIATE_WAIT_MS, -(-(settled_at - self.asked_at) // 1000))
+        )
 
     def answer_timeout_s(self) -> float:
-        """For how many seconds the call that is out may bring nothing."""
+        """The seconds after which the connection counts as silent if the pending request has no answer."""
         return self.wait_ms / 1000 + WAIT_SLACK_S if self.wait_ms > IMMEDIATE_WAIT_MS else IMMEDIATE_TIMEOUT_S
 
     def handle_response(self, response: Response) -> ServerListUpdate:
-        """What an answer says.  One that can't be meant raises BadList, and the list in force stays."""
+        """Apply an answer to the list and return the changes.
+
+        Raises BadList for an answer that is malformed or must not replace the list in force, which then
+        stays, and Overtaxed for a 503.
+        """
         if response.status != 200:
             raise (Overtaxed if response.status == 503 else BadList)(f"answered {response.status}")
         try:
-            # Not the standard library's parser: guards a thread's small stack against deep nesting.
+            # Not the standard library's parser: deep nesting would overflow a thread's small stack there.
             data = orjson.loads(response.body)
-        except ValueError as trouble:
-            raise BadList(str(trouble)) from trouble
+        except ValueError as error:
+            raise BadList(str(error)) from error
         if self.region_versions is not None and isinstance(data, dict) and "regions" in data:
             return self.merge_relay_answer(self, self.region_versions, data)
         update = self.server_list.apply(data, self.check_update)
@@ -187,10 +202,11 @@
         return update
 
     def check_update(self, update: ServerListUpdate) -> None:
-        """Raises BadList for what would undo the list in force.
+        """Raise BadList for an update that would undo the list in force.
 
-        Guards servers that drain against an older list, which has them ready, and all of them against an
-        empty one.  Where discovery has lost its versions a whole list is believed in the end.
+        An older list has servers ready that drain by now, and an empty one would take out all of them. A
+        whole list with an older version is accepted after several in a row, since discovery may have lost
+        its versions.
         """
         if update.whole and not update.entries:
             raise BadList("an empty list")
