--- a/pumicepath/relay/config.py
+++ b/pumicepath/relay/config.py
@@ -15,7 +15,7 @@
 MAX_NAME_BYTES = 128
 
 
-class BadConfig(Exception):
+class ConfigError(Exception):
     """The configuration can't be used; the text says why in one line."""
 
 
@@ -34,15 +34,15 @@
     try:
         told = json.loads(Path(path).read_bytes())
     except OSError as trouble:
-        raise BadConfig(f"{path}: {trouble.strerror}") from trouble
+        raise ConfigError(f"{path}: {trouble.strerror}") from trouble
     except RecursionError as trouble:
-        raise BadConfig(f"{path}: nested too deeply") from trouble
+        raise ConfigError(f"{path}: nested too deeply") from trouble
     except ValueError as trouble:
-        raise BadConfig(f"{path}: {trouble}".replace("\n", " ")) from trouble
+        raise ConfigError(f"{path}: {trouble}".replace("\n", " ")) from trouble
     try:
         return parse_config(told)
     except ValueError as trouble:
-        raise BadConfig(f"{path}: {trouble}".replace("\n", " ")) from trouble
+        raise ConfigError(f"{path}: {trouble}".replace("\n", " ")) from trouble
 
 
 def parse_config(told: Any) -> Config:
