--- a/pumicepath/relay/__init__.py
+++ b/pumicepath/relay/__init__.py
@@ -1,1 +1,1 @@
-"""A relay of the server list: takes it from discovery, hands it to many sidecars; decides nothing."""
+"""The relay: takes server lists from discovery and passes them on to many sidecars; it makes no decisions."""
--- a/pumicepath/relay/clock.py
+++ b/pumicepath/relay/clock.py
@@ -1,4 +1,4 @@
-"""Whole microseconds of the monotonic clock."""
+"""The clock of a relay."""
 
 from __future__ import annotations
 
@@ -6,4 +6,5 @@
 
 
 def now_us() -> int:
+    """The monotonic clock in whole microseconds."""
     return time.monotonic_ns() // 1000
--- a/pumicepath/relay/followers.py
+++ b/pumicepath/relay/followers.py
@@ -1,8 +1,12 @@
-"""One connection of a follower, or of an operator: what it asks and what is still to be written to it.
+"""One connection of a follower (a sidecar that polls the relay) or of an operator.
 
-    follower = Follower(number, sock, loop, now); follower.ready(mask, now); follower.tell(200, body, now)
-A connection carries one call at a time: the next is taken up once the answer is written.  Of an answer that
-its socket does not take only a view, which others share, is held, for so long and no longer.
+    follower = Follower(number, sock, relay, now)
+    follower.handle_io(mask, now)
+    follower.respond(200, body, now)
+
+A connection handles one request at a time; the next is taken up once the answer is written. If the socket
+does not take all of an answer, the rest is kept as a view of the body, which other followers share, until it
+is written or its time limit is over.
 """
 
 from __future__ import annotations
@@ -21,19 +25,26 @@
     from .loop import Relay
 
 MAX_WAIT_MS = 60_000
-MAX_PIPELINED_BYTES = 16 * 1024  # bytes that may come while a call is out
+MAX_PIPELINED_BYTES = 16 * 1024  # received while a request is pending
 JSON_HEADERS = [("Content-Type", "application/json")]
 TEXT_HEADERS = [("Content-Type", "text/plain; charset=utf-8")]
-READING, PENDING, WRITING, CLOSED = range(4)
+READING, PENDING, WRITING, CLOSED = range(4)  # states of a Follower
 
 
 class ListRequest(NamedTuple):
+    """A request for the changes after version `since`, with the services of interest."""
+
     since: int  # -1 for the whole list
-    wait_us: int  # microseconds
+    wait_us: int  # for the first change
     interest: Interest
 
 
 class Follower:
+    """One connection, driven by the relay's loop; `admin` marks those of operators.
+
+    All times are microseconds of the relay's clock.
+    """
+
     __slots__ = (
         "number",
         "sock",
@@ -55,14 +66,14 @@
         self.admin = admin
         self.parser = RequestParser(0)
         self.state = READING
-        self.state_since = now  # when its state began
-        self.unsent: memoryview | None = None
+        self.state_since = now
+        self.unsent: memoryview | None = None  # rest of an answer that the socket has not taken
         self.interest: Interest = PLAIN
         self.keep_alive = True
         self.pipelined_bytes = 0
 
     def handle_io(self, mask: int, now: int) -> None:
-        """What its socket allows, and with no mask the next call that has come already."""
+        """Read and write as far as the socket is ready; mask 0: take up a pipelined request."""
         try:
             if mask & selectors.EVENT_WRITE and self.unsent is not None:
                 self.write(now)
@@ -70,15 +81,16 @@
                 self.read(now)
             if not mask and self.state == READING:
                 self.next_request(now)
-        except Malformed as trouble:
+        except Malformed as error:
             self.keep_alive = False
-            self.respond(trouble.status, f"{trouble}\n".encode(), now, TEXT_HEADERS)
+            self.respond(error.status, f"{error}\n".encode(), now, TEXT_HEADERS)
         except BlockingIOError:
             return
         except OSError:
             self.close()
 
     def read(self, now: int) -> None:
+        """Read what has been received; closes the connection at its end or if too much is pipelined."""
         data = self.sock.recv(4096)
         if not data:
             self.close()
@@ -93,6 +105,7 @@
             self.next_request(now)
 
     def next_request(self, now: int) -> None:
+        """Pass the next complete request, if there is one, to the relay; raises Malformed."""
         request = self.parser.next()
         if request is not None:
             self.state = PENDING
@@ -104,7 +117,7 @@
     def respond(
         self, status: int, body: bytes, now: int, headers: list[tuple[str, str]] = JSON_HEADERS
     ) -> None:
-        """The whole answer to the call that is out."""
+        """Answer the pending request."""
         head = writing.response(status, headers, b"", self.keep_alive, len(body))
         self.state = WRITING
         self.state_since = now
@@ -125,6 +138,7 @@
         self.relay.selector.modify(self.sock, selectors.EVENT_WRITE, self)
 
     def write(self, now: int) -> None:
+        """Go on with an answer that the socket did not take at once; raises OSError."""
         assert self.unsent is not None
         sent = self.sock.send(self.unsent)
         self.relay.unsent_bytes -= sent
@@ -136,16 +150,19 @@
             self.response_written(now)
 
     def response_written(self, now: int) -> None:
+        """Wait for the next request, or close the connection if it is not to be kept."""
         if not self.keep_alive:
             self.close()
             return
         self.state = READING
         self.state_since = now
         if not self.parser.idle():
-            # Guards the stack, and the others, against a follower that sends many calls ahead.
+            # Handled in a later iteration: a follower that pipelines many requests must neither cause
+            # deep recursion nor hold up the others.
             self.relay.resume_queue.append(self)
 
     def close(self) -> None:
+        """Close the connection and have the relay forget it; a second call does nothing."""
         if self.state != CLOSED:
             self.state = CLOSED
             self.relay.remove_connection(self)
@@ -153,7 +170,7 @@
 
 
 def parse_list_request(request: Request) -> ListRequest:
-    """Raises Malformed for what is no call of discovery's protocol."""
+    """Parse a request of discovery's protocol; raises Malformed for any other."""
     path, _, query = request.target.partition("?")
     if path != "/discovery/hosts":
         raise Malformed(404, "no such call")
@@ -172,5 +189,5 @@
             elif name == "services":
                 services = value
         return ListRequest(since, wait * 1000, interest_of(services))
-    except ValueError as trouble:
-        raise Malformed(400, str(trouble)) from trouble
+    except ValueError as error:
+        raise Malformed(400, str(error)) from error
--- a/pumicepath/relay/listeners.py
+++ b/pumicepath/relay/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets, and what is sent to those that find no room."""
+"""Listening sockets, and the answer to connections beyond their capacity."""
 
 from __future__ import annotations
 
@@ -6,24 +6,26 @@
 
 from ..discovery.server_list import Address
 
-SEND_BUFFER_BYTES = 64 << 10  # bytes of a connection; the kernel doubles it
+SEND_BUFFER_BYTES = 64 << 10  # of a connection; the kernel doubles it
 RECEIVE_BUFFER_BYTES = 16 << 10
 
 
-def open_listener(where: Address) -> socket.socket:
-    listener = socket.socket(socket.AF_INET6 if ":" in where.host else socket.AF_INET)
+def open_listener(address: Address) -> socket.socket:
+    """Open a non-blocking listening socket; raises OSError."""
+    listener = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # Guards the kernel's memory as well against followers that ask and do not read: else it takes 4 MB for
-    # each.  What it accepts has the same.
+    # Otherwise the kernel buffers up to 4 MB for each follower that sends requests and does not read the
+    # answers. Accepted sockets inherit the sizes.
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-    listener.bind(where)
+    listener.bind(address)
     listener.listen(4096)
     listener.setblocking(False)
     return listener
 
 
 def local_address(listener: socket.socket | None) -> str:
+    """The address that a socket listens at as `host:port`, empty for None."""
     if listener is None:
         return ""
     host, port = listener.getsockname()[:2]
@@ -31,8 +33,9 @@
 
 
 def send_best_effort(sock: socket.socket, data: bytes) -> None:
+    """Send as much as the socket takes without waiting; errors are ignored."""
     try:
         sock.setblocking(False)
         sock.send(data)
     except OSError:
-        pass  # it has gone already
+        pass  # the peer has closed the connection already
--- a/pumicepath/relay/log.py
+++ b/pumicepath/relay/log.py
@@ -1,4 +1,4 @@
-"""One JSON line an event on standard output, written by the loop itself, which never waits for a reader."""
+"""The event log: one JSON line per event on standard output, written without ever waiting for a reader."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 import orjson
 
 MAX_QUEUED_LINES = 500
-MAX_LINE_BYTES = 4096  # what a pipe that can be written takes without a wait (PIPE_BUF)
+MAX_LINE_BYTES = 4096  # PIPE_BUF: a writable pipe takes as much without blocking
 
 
 class Log:
+    """The log of one relay; `descriptor` is where it writes."""
+
     def __init__(self, name: str, descriptor: int = 1) -> None:
         self.name = name
         self.descriptor = descriptor
@@ -24,6 +26,7 @@
         self.poll.register(descriptor, select.POLLOUT)
 
     def event(self, event: str, **fields: Any) -> None:
+        """Log an event; a full queue drops it, and the number of dropped lines is logged later."""
         if len(self.queue) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
@@ -36,15 +39,15 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what can be written now.  Guards followers against a reader of the log that has stopped."""
+        """Write what the pipe takes now: a reader that has stopped must not block the followers' loop."""
         while self.queue:
-            found = self.poll.poll(0)
-            if not found or not found[0][1] & select.POLLOUT:
+            ready = self.poll.poll(0)
+            if not ready or not ready[0][1] & select.POLLOUT:
                 return
             try:
                 os.write(self.descriptor, self.queue.popleft())
             except OSError:
-                return  # nobody reads the log any more; that must not end the relay
+                return  # nobody reads the log any more; the relay goes on without it
         if self.dropped:
             dropped, self.dropped = self.dropped, 0
             self.event("log_dropped", lines=dropped)
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -1,10 +1,11 @@
-"""The relay's one thread: a selector loop for its listener, followers, operators and origins.
+"""The relay's single thread: a selector loop for its listeners, followers, operators and origins.
 
-    relay = Relay(config, log, version, share); relay.run()     # until relay.stop is set by a signal
+    relay = Relay(config, log, version, random_fraction)
+    relay.run()     # until relay.stop is set by a signal handler
 
-A loop and not a thread for each follower: they are thousands, nearly all of them waiting; a thread each would
-cost memory, and a change that concerns all of them as many switches.  The platform's rule of threads is for
-the program that `run` starts, of which this is no part.
+A loop instead of a thread for each follower: there are thousands of followers, nearly all of them waiting. A
+thread each would cost memory, and a change for all of them as many context switches. The platform's rule on
+threads applies to the program that `run` starts, which the relay is not part of.
 """
 
 from __future__ import annotations
@@ -31,20 +32,27 @@
 from .upstreams import Upstream
 
 MAX_ADMIN_CONNECTIONS = 16
-RESERVED_DESCRIPTORS = 24  # descriptors for listeners, the loop, files, operators; and two for each origin
-MAX_BATCH = 256  # answers, and connections taken, between two looks at all the rest
-MAX_UNSENT_BYTES = 32 << 20  # bytes that sockets have not taken, of all followers together
-MIN_ITERATION_US = 10_000  # between two looks at what has come, at least
-SWEEP_INTERVAL_US = 250_000  # between two looks for connections whose time is up
-REQUEST_TIMEOUT_US = 3_000_000  # from a connection, or from an answer, until the next call is whole
-WRITE_TIMEOUT_US = 3_000_000  # from an answer's first byte until its socket has taken the last
-FULL_CLEAR_US = 1_000_000  # without one turned away, until there is room again
-LATE_ITERATION_US = 400_000  # a loop that comes so late has stood still
+RESERVED_DESCRIPTORS = 24  # for listeners, the selector and files; two more for each origin
+MAX_BATCH = 256  # answers, or connections accepted, before the loop attends to everything else
+MAX_UNSENT_BYTES = 32 << 20  # that sockets have not taken, of all followers together
+MIN_ITERATION_US = 10_000  # least time between two iterations while nothing is queued
+SWEEP_INTERVAL_US = 250_000  # between two searches for connections that have timed out
+REQUEST_TIMEOUT_US = 3_000_000  # from a connection's start, or an answer, until the next complete request
+WRITE_TIMEOUT_US = 3_000_000  # from an answer's first byte until the socket has taken the last
+FULL_CLEAR_US = 1_000_000  # without a rejected connection, until the relay no longer counts as full
+LATE_ITERATION_US = 400_000  # past its timer, an iteration counts as late: the process was stalled
 FULL_RESPONSE = writing.response(503, [], b"", keep=False)
-HALVED_FACTOR = 2  # a list with less than one in so many left is told in the log
+HALVED_FACTOR = 2  # a new list with fewer than 1 in 2 of the servers before is logged
 
 
 class Relay:
+    """The state of a relay and its loop.
+
+    `version` is the first version of the list, taken from the clock to be above those of earlier processes;
+    `random_fraction` draws from 0 to 1. All times are microseconds of the relay's clock. Raises OSError if an
+    address can't be listened at.
+    """
+
     def __init__(self, config: Config, log: Log, version: int, random_fraction: Callable[[], float]) -> None:
         self.config = config
         self.log = log
@@ -55,9 +63,7 @@
         self.selector = selectors.DefaultSelector()
         self.followers: dict[int, Follower] = {}
         self.admin_connections: dict[int, Follower] = {}
-        self.slow_followers: dict[
-            int, Follower
-        ] = {}  # those with unsent bytes, the first to fall behind first
+        self.slow_followers: dict[int, Follower] = {}  # with unsent bytes, the first to fall behind first
         self.unsent_bytes = 0
         self.resume_queue: deque[Follower | Upstream] = deque()
         self.counters: Counter[str] = Counter()
@@ -68,7 +74,7 @@
         self.swept_at = 0
         descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         spare = descriptors - RESERVED_DESCRIPTORS - MAX_ADMIN_CONNECTIONS - 2 * len(config.sources)
-        # Guards the connections to origins against followers that take all descriptors.
+        # Followers must not use up the descriptors that connections to origins need.
         self.max_followers = max(1, min(config.max_followers, spare))
         self.listener = open_listener(config.listen)
         self.selector.register(self.listener, selectors.EVENT_READ, self.accept_followers)
@@ -76,8 +82,8 @@
         if self.admin_listener is not None:
             self.selector.register(self.admin_listener, selectors.EVENT_READ, self.accept_admin)
         self.upstreams = [
-            Upstream(region, where, Origin(region, random_fraction), self)
-            for region, where in config.sources.items()
+            Upstream(region, address, Origin(region, random_fraction), self)
+            for region, address in config.sources.items()
         ]
         self.started_at = now_us()
         log.event(
@@ -90,21 +96,22 @@
         )
 
     def run(self) -> None:
+        """Serve until `stop` is set."""
         while not self.stop:
             now = now_us()
             at = max(now, min(self.next_timer(now), self.swept_at + SWEEP_INTERVAL_US))
-            found = self.selector.select((at - now) / 1e6)
+            ready = self.selector.select((at - now) / 1e6)
             now = now_us()
             self.counters["turns"] += 1
             self.counters["late"] += now > at + LATE_ITERATION_US
-            # Origins first, and their silence before what came of them meanwhile: guards followers against
-            # being told that a region is in touch by word as old as this process stood still.
+            # Origins first, and their timeouts before the data received: after this process was stalled, an
+            # answer in the socket may be as old as the stall, and must not prove that a region is in touch.
             for upstream in self.upstreams:
                 upstream.on_timer(now)
-            for key, mask in found:
+            for key, mask in ready:
                 if isinstance(key.data, Upstream) and key.fileobj is key.data.sock:
                     self.handle_io_safely(key.data, mask, now)
-            for key, mask in found:
+            for key, mask in ready:
                 if isinstance(key.data, Follower):
                     self.handle_io_safely(key.data, mask, now)
                 elif not isinstance(key.data, Upstream):
@@ -116,8 +123,8 @@
             if now >= self.swept_at + SWEEP_INTERVAL_US:
                 self.sweep(now)
             if not self.resume_queue and not self.subscriptions.ready:
-                # Guards the core against a turn for each call, and against a listener that can't be accepted
-                # from: what comes meanwhile is taken up together.
+                # Requests that arrive meanwhile are handled together. Without the pause each of them, and a
+                # listener whose connections can't be accepted, would cost an iteration of its own.
                 time.sleep(max(0, now + MIN_ITERATION_US - now_us()) / 1e6)
         self.log.event(
             "stopped",
@@ -128,14 +135,14 @@
         self.log.flush()
 
     def handle_io_safely(self, peer: Follower | Upstream, mask: int, now: int) -> None:
-        """Guards all others against a fault of our own that what one of them sent brings out."""
+        """Handle one connection; an exception closes it alone, logged as an internal fault."""
         try:
             peer.handle_io(mask, now)
-        except Exception as trouble:
+        except Exception as error:
             self.counters["faults"] += 1
             self.log.event(
                 "fault",
-                text=f"{type(trouble).__name__}: {trouble}",
+                text=f"{type(error).__name__}: {error}",
                 whose=peer.region if isinstance(peer, Upstream) else "follower",
             )
             if isinstance(peer, Upstream):
@@ -144,6 +151,7 @@
                 peer.close()
 
     def next_timer(self, now: int) -> int:
+        """When the loop has to act next if nothing is received."""
         if self.resume_queue:
             return 0
         return min(
@@ -155,6 +163,7 @@
     # Followers
 
     def accept_followers(self, now: int) -> None:
+        """Accept connections of followers; those beyond the limit are answered 503 and closed."""
         for _ in range(MAX_BATCH):
             sock = self.accept_one(self.listener, now)
             if sock is None:
@@ -162,13 +171,14 @@
             if len(self.followers) >= self.max_followers:
                 self.counters["refused_full"] += 1
                 self.report_full(now, f"{self.max_followers} followers")
-                # At once: guards a follower against a connection that is taken and never served.
+                # Answered at once: the follower would otherwise wait on a connection that is never served.
                 send_best_effort(sock, FULL_RESPONSE)
                 sock.close()
                 continue
             self.add_connection(sock, now, self.followers)
 
     def accept_admin(self, now: int) -> None:
+        """Accept a connection of an operator; at the limit the oldest one is closed for it."""
         assert self.admin_listener is not None
         sock = self.accept_one(self.admin_listener, now)
         if sock is not None:
@@ -177,29 +187,33 @@
             self.add_connection(sock, now, self.admin_connections)
 
     def accept_one(self, listener: socket.socket, now: int) -> socket.socket | None:
+        """The next connection; None if there is none or no descriptor for it."""
         try:
             return listener.accept()[0]
         except (BlockingIOError, ConnectionAbortedError):
             return None
-        except OSError as trouble:
-            self.report_full(now, str(trouble))  # no descriptor or memory: tried again at the next turn
+        except OSError as error:
+            self.report_full(now, str(error))  # no descriptor or memory: tried again in the next iteration
             return None
 
     def report_full(self, now: int, why: str) -> None:
+        """Log that connections are rejected, once until there is capacity again."""
         self.last_full_at = now
         if not self.full:
             self.full = True
             self.log.event("followers_full", followers=len(self.followers), why=why)
 
-    def add_connection(self, sock: socket.socket, now: int, among: dict[int, Follower]) -> None:
+    def add_connection(self, sock: socket.socket, now: int, connections: dict[int, Follower]) -> None:
+        """Serve an accepted connection of a follower or an operator."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.last_number += 1
-        follower = Follower(self.last_number, sock, self, now, admin=among is self.admin_connections)
-        among[self.last_number] = follower
+        follower = Follower(self.last_number, sock, self, now, admin=connections is self.admin_connections)
+        connections[self.last_number] = follower
         self.selector.register(sock, selectors.EVENT_READ, follower)
 
     def remove_connection(self, follower: Follower) -> None:
+        """Forget a connection that is being closed."""
         self.followers.pop(follower.number, None)
         self.admin_connections.pop(follower.number, None)
         self.subscriptions.leave(follower.number)
@@ -210,19 +224,20 @@
         self.selector.unregister(follower.sock)
 
     def add_slow(self, follower: Follower, size: int) -> None:
-        """Its socket has not taken all of an answer."""
+        """Note a follower whose socket has not taken `size` bytes of an answer."""
         self.unsent_bytes += size
         self.slow_followers[follower.number] = follower
         while self.unsent_bytes > MAX_UNSENT_BYTES:
-            # Guards the memory against followers that ask and do not read.
+            # Bounds the memory that followers take which send requests and do not read the answers.
             self.close_slow(next(iter(self.slow_followers.values())))
 
     def close_slow(self, follower: Follower) -> None:
+        """Close the connection of a follower that reads too slowly."""
         self.counters["cut_slow"] += 1
         follower.close()
 
     def handle_request(self, follower: Follower, request: Request, now: int) -> None:
-        """Raises Malformed for what is no call."""
+        """Answer a request, or keep it until there is a change; raises Malformed for an invalid one."""
         if follower.admin:
             self.handle_admin_request(follower, request, now)
             return
@@ -248,6 +263,7 @@
             self.send_changes(follower, -1, now)
 
     def answer_due(self, now: int) -> None:
+        """Answer followers for which there are changes, or whose wait is over."""
         for number, since in self.subscriptions.due(now, MAX_BATCH):
             follower = self.followers.get(number)
             if follower is None or follower.state != PENDING:
@@ -258,7 +274,7 @@
                 self.send_changes(follower, since, now)
 
     def send_changes(self, follower: Follower, since: int, now: int) -> None:
-        """The changes from a version on, or with -1 that there are none."""
+        """Answer with the changes after a version, or with none for -1."""
         self.counters["answers"] += 1
         body = (
             self.store.nothing(follower.interest)
@@ -269,25 +285,28 @@
         follower.respond(200, body, now)
 
     def queue_whole_list(self, follower: Follower, now: int) -> None:
+        """Queue a whole list under the rate limit; 503 if the queue is too long."""
         if not self.whole_list_pacer.admit(follower.number, self.store.size(follower.interest), now):
             self.report_pacing()
             self.counters["refused_whole"] += 1
             self.reject(follower, b"too many whole lists\n", now)
 
     def reject(self, follower: Follower, why: bytes, now: int) -> None:
+        """Answer 503; the follower may try again."""
         self.counters["refused"] += 1
         follower.respond(503, why, now, TEXT_HEADERS)
 
     def send_whole_lists(self, now: int) -> None:
+        """Send queued whole lists as the rate limit allows, and reject those that waited too long."""
         for number in self.whole_list_pacer.overdue(now):
             self.report_pacing()
             self.counters["refused_whole"] += 1
             self.reject(self.followers[number], b"too many whole lists\n", now)
         for _ in range(MAX_BATCH):
-            turn = self.whole_list_pacer.turn(now)
-            if turn is None:
+            next_number = self.whole_list_pacer.turn(now)
+            if next_number is None:
                 break
-            follower = self.followers[turn]
+            follower = self.followers[next_number]
             if follower.state != PENDING:
                 continue
             body = self.store.answer(follower.interest, -1)[0]
@@ -300,6 +319,7 @@
             self.report_pacing()
 
     def report_pacing(self) -> None:
+        """Log that whole lists are delayed by the rate limit, once until the queue has been served."""
         if not self.paced:
             self.paced = True
             self.counters["refused_then"] = self.counters["refused_whole"]
@@ -321,7 +341,10 @@
         previous_seq: int | None,
         now: int,
     ) -> None:
-        """An origin has answered, and is believed; `before` is its version where that has begun anew."""
+        """Apply an accepted answer of an origin.
+
+        `previous_seq` is the origin's version before if it has restarted with new versions, else None.
+        """
         name = upstream.region
         upstream.refusal_reported = False
         known = len(self.store.regions[name].lines)
@@ -348,12 +371,13 @@
         self.update_liveness(upstream, "", now)
 
     def update_liveness(self, upstream: Upstream, why: str, now: int) -> None:
+        """Publish whether a region is in touch with its origin, and log once that it is lost."""
         origin = upstream.origin
-        turned = self.store.turned(upstream.region, origin.live)
-        if turned:
+        changed = self.store.turned(upstream.region, origin.live)
+        if changed:
             self.subscriptions.turned(now)
-        never = origin.seq < 0 and origin.failures >= FAILURES
-        if not origin.live and not upstream.loss_reported and (turned or never):
+        never_reached = origin.seq < 0 and origin.failures >= FAILURES
+        if not origin.live and not upstream.loss_reported and (changed or never_reached):
             upstream.loss_reported = True
             since = upstream.answered_at or self.started_at
             self.log.event(
@@ -366,7 +390,7 @@
             )
 
     def report_refused_list(self, upstream: Upstream, why: str) -> None:
-        """A list that can't be meant; told once in a row of failures."""
+        """Log a list that was not accepted, once in a row of failures."""
         self.counters["lists_refused"] += 1
         if not upstream.refusal_reported:
             upstream.refusal_reported = True
@@ -378,9 +402,10 @@
                 servers=len(self.store.regions[upstream.region].lines),
             )
 
-    # All the rest
+    # Everything else
 
     def sweep(self, now: int) -> None:
+        """Close connections that have timed out, and log the end of overload."""
         self.swept_at = now
         self.log.flush()
         for follower in list(self.slow_followers.values()):
@@ -388,7 +413,7 @@
                 self.close_slow(follower)
         for follower in [*self.followers.values(), *self.admin_connections.values()]:
             if follower.state == READING and now - follower.state_since > REQUEST_TIMEOUT_US:
-                # Guards descriptors against those that connect and ask nothing, or vanish without a word.
+                # Clients that connect and send no request, or vanish without closing, would keep descriptors.
                 self.counters["idle"] += 1
                 follower.close()
         if self.full and now > self.last_full_at + FULL_CLEAR_US and len(self.followers) < self.max_followers:
@@ -405,6 +430,7 @@
             )
 
     def handle_admin_request(self, follower: Follower, request: Request, now: int) -> None:
+        """Answer an operator's request with the metrics; raises Malformed for any other than `/stats`."""
         if request.target.partition("?")[0] != "/stats":
             raise Malformed(404, "no such call")
         if request.method != "GET":
--- a/pumicepath/relay/metrics.py
+++ b/pumicepath/relay/metrics.py
@@ -1,4 +1,4 @@
-"""What `/stats` says: `written(relay, now)`, one line `name=value` a figure."""
+"""The metrics of a relay as `/stats` shows them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 
 def render(relay: Relay, now: int) -> str:
-    held = relay.store
+    """All metrics at `now` (microseconds), a line `name=value` each."""
+    store = relay.store
     names = (
         "calls",
         "answers",
@@ -29,14 +30,14 @@
         "faults",
         "turns",
     )
-    figures: dict[str, int] = {name: relay.counters[name] for name in names}
-    figures |= {
-        "version": held.version,
-        "floor": held.floor,
-        "history": len(held.log),
-        "servers": len(held.shown),
-        "services": len(held.services),
-        "live": held.live(),
+    values: dict[str, int] = {name: relay.counters[name] for name in names}
+    values |= {
+        "version": store.version,
+        "floor": store.floor,
+        "history": len(store.log),
+        "servers": len(store.shown),
+        "services": len(store.services),
+        "live": store.live(),
         "followers": len(relay.followers),
         "most_followers": relay.max_followers,
         "waiting": relay.subscriptions.waiting(),
@@ -46,10 +47,10 @@
         "unsent": relay.unsent_bytes,
         "up_s": (now - relay.started_at) // 1_000_000,
     }
-    for name, region in held.regions.items():
-        figures |= {
+    for name, region in store.regions.items():
+        values |= {
             f"region.{name}.seq": region.seq,
             f"region.{name}.live": int(region.live),
             f"region.{name}.servers": len(region.lines),
         }
-    return "".join(f"{PREFIX}.relay.{name}={value}\n" for name, value in figures.items())
+    return "".join(f"{PREFIX}.relay.{name}={value}\n" for name, value in values.items())
--- a/pumicepath/relay/running.py
+++ b/pumicepath/relay/running.py
@@ -1,4 +1,4 @@
-"""One relay as a process: `run(config)` until SIGTERM or SIGINT."""
+"""Runs a relay as a process."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 def run(config: Config) -> None:
-    """Raises OSError where an address can't be listened at."""
+    """Run a relay until SIGTERM or SIGINT; raises OSError if it can't listen at an address."""
     log = Log(config.name)
     relay = Relay(config, log, time.time_ns() // 1_000_000 * 1000, random.Random(config.name).random)
     near, far = socket.socketpair()
     near.setblocking(False)
     far.setblocking(False)
-    # The loop is woken by a signal as by any socket.
+    # A signal writes to this socket pair, which wakes the selector.
     relay.selector.register(near, selectors.EVENT_READ, lambda now: None)
     signal.set_wakeup_fd(far.fileno())
 
-    def ends(number: int, frame: object) -> None:
+    def request_stop(number: int, frame: object) -> None:
         relay.stop = True
 
-    signal.signal(signal.SIGTERM, ends)
-    signal.signal(signal.SIGINT, ends)
+    signal.signal(signal.SIGTERM, request_stop)
+    signal.signal(signal.SIGINT, request_stop)
     relay.run()
