--- a/pumicepath/commands/lab.py
+++ b/pumicepath/commands/lab.py
@@ -1,4 +1,4 @@
-"""Experiments: `lab run`, `list`, `show` and `compare`."""
+"""The commands `lab run`, `judge`, `list`, `show` and `compare` for experiments."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
 
 
 def read_experiment(file: Path, seeds: int = 0, host: str = "") -> Read:
+    """Read an experiment file; ends the command if it is invalid or packages of the lab are missing."""
     try:
         from ..lab.experiments import files
-    except ImportError as trouble:
-        fail(MISSING_PACKAGE.format(trouble))
+    except ImportError as error:
+        fail(MISSING_PACKAGE.format(error))
     try:
         return files.read(file, seeds, host)
-    except files.BadExperiment as trouble:
-        fail(trouble)
+    except files.BadExperiment as error:
+        fail(error)
 
 
 @click.group()
 def lab() -> None:
-    """Rehearse failures and loads, in virtual time or with real processes on loopback."""
+    """Simulate failures and loads, in virtual time or with real processes on loopback."""
 
 
 @lab.command()
@@ -42,15 +43,15 @@
     "folder",
     type=click.Path(path_type=Path),
     metavar="DIR",
-    help="Where results and the page go; by default found/<name>.",
+    help="Folder for the results and the report; by default found/<name>.",
 )
-@click.option("--seeds", type=click.IntRange(1), help="Instead of the file's number of seeds.")
+@click.option("--seeds", type=click.IntRange(1), help="Number of seeds, instead of the file's.")
 @click.option(
     "--workers",
     type=click.IntRange(1),
     default=os.cpu_count() or 1,
     show_default=True,
-    help="Processes that play runs.",
+    help="Number of processes that execute runs.",
 )
 @click.option(
     "--on",
@@ -58,10 +59,10 @@
     type=click.Choice(["virtual", "loopback"]),
     default="virtual",
     show_default=True,
-    help="Whether sidecars are simulated or real processes; on loopback the plan is played once.",
+    help="Whether sidecars are simulated or real processes; on loopback the plan is executed once.",
 )
-@click.option("--seed", type=click.IntRange(0), help="On loopback: of the load and what goes wrong.")
-@click.option("--json", "as_json", is_flag=True, help="On loopback: end with one object.")
+@click.option("--seed", type=click.IntRange(0), help="On loopback: seed of the load and the faults.")
+@click.option("--json", "as_json", is_flag=True, help="On loopback: print one JSON object at the end.")
 def run(
     file: Path,
     folder: Path | None,
@@ -71,28 +72,28 @@
     seed: int | None,
     as_json: bool,
 ) -> None:
-    """Play an experiment, and write its report.  Ends with 1 if a rule was broken by our decisions."""
-    made = read_experiment(file, seeds or 0, host)
+    """Run an experiment and write its report.  Exits with 1 if our decisions broke a rule."""
+    loaded = read_experiment(file, seeds or 0, host)
     if host != "loopback" and (seed is not None or as_json):
         fail("--seed and --json go with --on loopback")
     from ..lab.experiments.folders import Taken, owned
 
-    where = folder or Path("found") / made.name
-    with ExitStack() as until_it_ends:
+    where = folder or Path("found") / loaded.name
+    with ExitStack() as until_done:
         try:
-            until_it_ends.enter_context(owned(where))
-        except Taken as trouble:
-            fail(trouble)
-        except OSError as trouble:
-            fail(f"{where}: {trouble.strerror}")
+            until_done.enter_context(owned(where))
+        except Taken as error:
+            fail(error)
+        except OSError as error:
+            fail(f"{where}: {error.strerror}")
         if host == "loopback":
-            play_loopback(made, where, made.experiment.first_seed if seed is None else seed, as_json)
+            play_loopback(loaded, where, loaded.experiment.first_seed if seed is None else seed, as_json)
         else:
-            play_virtual(made, where, workers)
+            play_virtual(loaded, where, workers)
 
 
-def play_virtual(made: Read, where: Path, workers: int) -> None:
-    """Play all runs in virtual time, and write the report."""
+def play_virtual(loaded: Read, where: Path, workers: int) -> None:
+    """Execute all runs in virtual time and write the report."""
     from rich.console import Console
     from rich.progress import Progress
 
@@ -101,25 +102,27 @@
 
     console = Console(stderr=True)
     with Progress(console=console, disable=not console.is_terminal) as progress:
-        task = progress.add_task(made.name, total=len(made.runs))
+        task = progress.add_task(loaded.name, total=len(loaded.runs))
         try:
-            whole = running.run(made, where, workers, lambda count, _: progress.update(task, completed=count))
-        except OSError as trouble:
-            fail(f"{where}: {trouble.strerror}")
+            complete = running.run(
+                loaded, where, workers, lambda count, _: progress.update(task, completed=count)
+            )
+        except OSError as error:
+            fail(f"{where}: {error.strerror}")
     head, runs = running.results(where)
     if not runs:
         fail("interrupted before the first run had ended", 130)
     rows = comparing.rows(head, runs)
     click.echo("\n".join(comparing.table(head, rows)))
     click.echo(f"report: {report.write(where, head, runs)}")
-    if not whole:
+    if not complete:
         fail(f"interrupted after {len(runs)} of {head['runs']} runs; the report holds these", 130)
     if any(run["policy"] == OURS and any(run["rules"].values()) for run in runs):
         fail("a rule was broken", 1)
 
 
-def play_loopback(made: Read, folder: Path, seed: int, as_json: bool) -> None:
-    """Play with real processes; the history and the page about it go into the folder."""
+def play_loopback(loaded: Read, folder: Path, seed: int, as_json: bool) -> None:
+    """Execute the plan with real processes; the history and the report go into the folder."""
     import orjson
 
     from ..lab.experiments import fleet
@@ -128,93 +131,93 @@
     history = folder / fleet.HISTORY
     try:
         result = world.play(
-            made.plan, seed, None if as_json else lambda each: click.echo(demo.line(each)), history
+            loaded.plan, seed, None if as_json else lambda each: click.echo(demo.line(each)), history
         )
-    except world.Void as trouble:
-        fail(f"void: {trouble}", 3)
-    except OSError as trouble:
-        fail(f"loopback: {trouble.strerror or trouble}")
+    except world.Void as error:
+        fail(f"void: {error}", 3)
+    except OSError as error:
+        fail(f"loopback: {error.strerror or error}")
     except KeyboardInterrupt:
         fail(f"interrupted; no process is left, and {history} holds what was seen", 130)
-    found = fleet.judged(history)
-    page = fleet.write(folder, made.experiment.title, found)
+    checked = fleet.judged(history)
+    page = fleet.write(folder, loaded.experiment.title, checked)
     if as_json:
-        click.echo(orjson.dumps({**demo.totals(result), **found.figures()}).decode())
+        click.echo(orjson.dumps({**demo.totals(result), **checked.figures()}).decode())
     else:
         click.echo(
-            "\n".join([*demo.verdict(result), *found.lines(), f"history: {history}", f"report: {page}"])
+            "\n".join([*demo.verdict(result), *checked.lines(), f"history: {history}", f"report: {page}"])
         )
-    if found.violations:
+    if checked.violations:
         raise SystemExit(1)
 
 
 @lab.command()
 @click.argument("history", type=click.Path(path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="Only one object.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object only.")
 def judge(history: Path, as_json: bool) -> None:
-    """Check a history of real processes, without the run.  Ends with 1 if something was broken."""
+    """Check the recorded history of a run with real processes.  Exits with 1 if a rule was broken."""
     try:
         import orjson
 
         from ..lab.experiments import fleet
         from ..lab.faults.history import BadHistory
-    except ImportError as trouble:
-        fail(MISSING_PACKAGE.format(trouble))
+    except ImportError as error:
+        fail(MISSING_PACKAGE.format(error))
     try:
-        found = fleet.judged(history)
-    except BadHistory as trouble:
-        fail(trouble)
-    click.echo(orjson.dumps(found.figures()).decode() if as_json else "\n".join(found.lines()))
-    if found.violations:
+        checked = fleet.judged(history)
+    except BadHistory as error:
+        fail(error)
+    click.echo(orjson.dumps(checked.figures()).decode() if as_json else "\n".join(checked.lines()))
+    if checked.violations:
         raise SystemExit(1)
 
 
 @lab.command("list")
 @click.argument("folder", type=click.Path(path_type=Path), default=Path("experiments"))
 def list_experiments(folder: Path) -> None:
-    """Name the experiments in a folder, by default experiments/."""
-    found = sorted(folder.glob("*.toml"))
-    if not found:
+    """List the experiments in a folder, by default experiments/."""
+    paths = sorted(folder.glob("*.toml"))
+    if not paths:
         fail(f"{folder}: no experiments there")
-    for file in found:
-        made = read_experiment(file)
-        click.echo(f"{file.stem:<22} {len(made.runs):4d} runs  {made.experiment.title}")
+    for file in paths:
+        loaded = read_experiment(file)
+        click.echo(f"{file.stem:<22} {len(loaded.runs):4d} runs  {loaded.experiment.title}")
 
 
 @lab.command()
 @FILE_ARGUMENT
 def show(file: Path) -> None:
-    """Check an experiment, and say what it would run."""
-    made = read_experiment(file)
-    plan, own = made.plan, made.experiment
-    click.echo(f"{own.title}\n{own.why}".rstrip())
+    """Check an experiment file and print what it would run."""
+    loaded = read_experiment(file)
+    plan, experiment = loaded.plan, loaded.experiment
+    click.echo(f"{experiment.title}\n{experiment.why}".rstrip())
     click.echo(
         f"  {plan.fleet.servers} servers in {plan.fleet.halls} halls, {plan.sidecars.count} sidecars, "
         f"{plan.rate():.0f} submissions/s, {plan.lasts_s:g} s"
     )
-    for trouble in plan.troubles:
-        click.echo(f"  {trouble.at_s:g} s: {trouble.kind} for {trouble.for_s:g} s")
-    click.echo(f"  arms: {'; '.join(made.arms)}")
-    if own.sweep:
-        click.echo(f"  points: {'; '.join(made.points)}")
-    click.echo(f"  {len(made.runs)} runs")
+    for fault in plan.troubles:
+        click.echo(f"  {fault.at_s:g} s: {fault.kind} for {fault.for_s:g} s")
+    click.echo(f"  arms: {'; '.join(loaded.arms)}")
+    if experiment.sweep:
+        click.echo(f"  points: {'; '.join(loaded.points)}")
+    click.echo(f"  {len(loaded.runs)} runs")
 
 
 @lab.command()
 @click.argument("one", type=click.Path(path_type=Path))
 @click.argument("other", type=click.Path(path_type=Path))
 def compare(one: Path, other: Path) -> None:
-    """Hold the second report against the first, in pairs with the same seed."""
+    """Compare the second report with the first, in pairs of runs with the same seed."""
     try:
         from ..lab.experiments import comparing, running
-    except ImportError as trouble:
-        fail(MISSING_PACKAGE.format(trouble))
+    except ImportError as error:
+        fail(MISSING_PACKAGE.format(error))
     both = []
     for path in (one, other):
         try:
             both.append(running.results(path))
-        except (OSError, ValueError, KeyError) as trouble:
-            fail(f"{path}: {getattr(trouble, 'strerror', None) or trouble}")
+        except (OSError, ValueError, KeyError) as error:
+            fail(f"{path}: {getattr(error, 'strerror', None) or error}")
     click.echo("\n".join(comparing.compared(both[0], both[1])))
 
 
--- a/pumicepath/commands/relay.py
+++ b/pumicepath/commands/relay.py
@@ -1,4 +1,4 @@
-"""`relay`: lists and changes from each region's discovery to many sidecars."""
+"""The command `relay`, which passes server lists from discovery on to many sidecars."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     help="The relay's configuration, JSON; $GW_RELAY_CONFIG names it too.",
 )
 def relay(path: str) -> None:
-    """Hand the lists of each region's discovery on to many sidecars, until SIGTERM."""
+    """Pass the server lists of each region's discovery on to many sidecars, until SIGTERM."""
     from ..relay import config, running
 
     if not path:
         fail("no configuration: name it by --config or $GW_RELAY_CONFIG")
     try:
-        told = config.read(path)
-    except config.ConfigError as trouble:
-        fail(trouble)
+        settings = config.read(path)
+    except config.ConfigError as error:
+        fail(error)
     try:
-        running.run(told)
-    except OSError as trouble:
-        fail(f"{path}: listen or admin: {trouble.strerror}")
+        running.run(settings)
+    except OSError as error:
+        fail(f"{path}: listen or admin: {error.strerror}")
--- a/pumicepath/commands/scale.py
+++ b/pumicepath/commands/scale.py
@@ -1,4 +1,4 @@
-"""`lab scale`: many hollow sidecars, against what carries lists and changes to them."""
+"""The command `lab scale`: many hollow sidecars against the discovery or relays that serve them lists."""
 
 from __future__ import annotations
 
@@ -13,11 +13,18 @@
 
 
 @click.command()
-@click.option("--sidecars", type=int, required=True, help="Servers, each with its own sidecar.")
-@click.option("--services", type=int, required=True, help="What they belong to, a long tail of sizes.")
+@click.option("--sidecars", type=int, required=True, help="Number of servers, each with its own sidecar.")
+@click.option(
+    "--services",
+    type=int,
+    required=True,
+    help="Number of services that the servers belong to; a long tail of sizes.",
+)
 @click.option("--regions", type=int, default=1, show_default=True)
-@click.option("--zones", type=int, help="At least one a region, which is the default.")
-@click.option("--changes-per-s", type=float, default=1.0, show_default=True, help="Of the whole fleet.")
+@click.option("--zones", type=int, help="At least one per region, which is the default.")
+@click.option(
+    "--changes-per-s", type=float, default=1.0, show_default=True, help="Changes of the whole fleet."
+)
 @click.option(
     "--for",
     "seconds",
@@ -25,7 +32,7 @@
     default=30.0,
     show_default=True,
     metavar="SECONDS",
-    help="How long changes are made.",
+    help="Duration of the changes.",
 )
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option(
@@ -33,16 +40,18 @@
     type=click.Choice(["direct", "relayed"]),
     default="direct",
     show_default=True,
-    help="Whether sidecars ask the one discovery, or relays.",
+    help="Whether sidecars poll discovery directly, or relays.",
 )
 @click.option("--relays-per-region", type=int, default=2, show_default=True)
-@click.option("--calls", type=int, default=5, show_default=True, help="Services that a sidecar calls.")
+@click.option(
+    "--calls", type=int, default=5, show_default=True, help="Number of services that a sidecar calls."
+)
 @click.option(
     "--popular",
     type=float,
     default=0.0,
     show_default=True,
-    help="A service of size n is called as often as n to this power; 0: all alike.",
+    help="A service of size n is called in proportion to n to this power; 0: all equally often.",
 )
 @click.option(
     "--play-regions",
@@ -52,16 +61,20 @@
     metavar="N",
     help="Start the sidecars and relays of the first N regions only, beside all origins.",
 )
-@click.option("--whole-bytes-per-s", type=int, default=0, metavar="N", help="A relay's pace of whole lists.")
+@click.option(
+    "--whole-bytes-per-s", type=int, default=0, metavar="N", help="Rate limit of a relay for whole lists."
+)
 @click.option("--fault", "faults", multiple=True, metavar="NAME", help="May be given again; see docs/lab.md.")
 @click.option("--fault-for", "fault_s", type=float, default=6.0, show_default=True, metavar="SECONDS")
-@click.option("--processes", type=int, default=0, help="Of sidecars; by default half of the cores.")
+@click.option(
+    "--processes", type=int, default=0, help="Processes that run sidecars; by default half of the cores."
+)
 @click.option(
     "--report",
     "folder",
     type=click.Path(path_type=Path),
     metavar="DIR",
-    help="Where the truth and what was seen go; by default found/scale.",
+    help="Folder for the records of the run; by default found/scale.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Only the last line, no progress.")
 def scale(
@@ -84,10 +97,10 @@
     folder: Path | None,
     as_json: bool,
 ) -> None:
-    """Run many hollow sidecars in few processes, and judge what their balancers go by.
+    """Run many hollow sidecars in few processes, and check the lists that their balancers use.
 
-    Ends with one line of JSON, and with 1 if something was violated, 2 if it can't be run as asked, 3 if the
-    rig itself failed.
+    Prints one line of JSON at the end. Exits with 1 if a rule was violated, 2 if the run is not possible as
+    requested, 3 if the test harness itself failed.
     """
     import orjson
 
@@ -135,12 +148,12 @@
                 result = Run(plan, where.resolve(), hosts, progress).play()
         finally:
             signal.signal(signal.SIGTERM, before)
-    except (BadAsk, Taken) as trouble:
-        fail(trouble)
-    except Void as trouble:
-        fail(f"void: {trouble}", 3)
-    except OSError as trouble:
-        fail(f"{where}: {trouble.strerror or trouble}")
+    except (BadAsk, Taken) as error:
+        fail(error)
+    except Void as error:
+        fail(f"void: {error}", 3)
+    except OSError as error:
+        fail(f"{where}: {error.strerror or error}")
     except KeyboardInterrupt:
         fail("interrupted; no process is left", 130)
     click.echo(orjson.dumps(result).decode())
@@ -149,5 +162,5 @@
 
 
 def on_sigterm(number: int, frame: object) -> NoReturn:
-    """SIGTERM ends a run as ctrl-C does, with all that it started."""
+    """Handle SIGTERM like ctrl-C, so that the run ends all processes that it started."""
     raise KeyboardInterrupt
