--- a/tests/following_rig.py
+++ b/tests/following_rig.py
@@ -1,4 +1,4 @@
-"""Relays that follow a script, and a real sidecar that follows them."""
+"""Scripted relays, and a real sidecar that follows them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ScriptedRelay:
-    """A stand-in that answers as relays do, for as long as it is to: `state` is serving, busy or silent."""
+    """A stand-in for a relay; `state` is "serving", "busy" (answers 503) or "silent" (answers nothing)."""
 
     def __init__(self, seq: int, *regions: str) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -59,10 +59,10 @@
         sock.close()
 
     def answer(self, target: str) -> bytes:
-        given = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
-        since = int(given.get("since", -1))
+        query = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
+        since = int(query.get("since", -1))
         if self.first <= since:
-            wait = int(given["timeout_ms"]) / 1000
+            wait = int(query["timeout_ms"]) / 1000
             self.changed.wait_for(lambda: self.seq > since or self.state != "serving", wait)
         if self.state == "silent":
             return b""
@@ -96,12 +96,12 @@
             sock.shutdown(socket.SHUT_RDWR)
 
     def is_caught_up(self) -> bool:
-        """Whether the newest that it has told has been taken."""
+        """Whether the last request asks for changes after the newest version, which has thus been applied."""
         return f"since={self.seq}&" in (self.requests[-1][1] if self.requests else "")
 
 
 class AnsweringServer(Peer):
-    """A server that answers whatever comes."""
+    """A server that answers 200 to every request."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
@@ -113,7 +113,7 @@
 
 
 class RelayDeployment(Deployment):
-    """One real sidecar, servers that answer whatever comes, and relays in the order that it has of them."""
+    """One real sidecar, servers that answer every request, and relays in the order that it prefers them."""
 
     def __init__(
         self, folder: Path, count: int, max_wait: float = 0.6, servers: int = 2, **changed: Any
@@ -140,7 +140,7 @@
         ]
 
     def servers_used(self, requests: int) -> set[str]:
-        """Which servers are sent anything until so many requests are served, however slow the machine is."""
+        """The servers that receive anything until `requests` are served, however slow the machine is."""
         del self.lines[:]
         end = time.monotonic() + 20
         while requests:
--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -1,4 +1,4 @@
-"""Real relays, an origin that does as it is told, and followers that speak to relays from the test itself."""
+"""Relay processes, a scripted origin, and followers that poll relays from the test itself."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 def list_line(
     host: str, service: str | None = None, health: str = "active", port: int = 9000
 ) -> dict[str, Any]:
-    told = {
+    fields = {
         "host": host,
         "dial": f"127.0.0.9:{port}",
         "site": "a",
@@ -38,18 +38,18 @@
         "share": 1.0,
         "born_ms": 0,
     }
-    return told if service is None else {**told, "service": service}
+    return fields if service is None else {**fields, "service": service}
 
 
 def wait_until(condition: Callable[[], object], seconds: float = TIMEOUT_S) -> None:
     end = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, "it did not come"
+        assert time.monotonic() < end, "timed out"
         time.sleep(0.002)
 
 
 class Origin:
-    """A region's discovery: `put` and `drop` are changes; it may fall silent, refuse, or begin anew."""
+    """A region's discovery: `put` and `drop` change the list; it can be silent, unreachable or restarted."""
 
     def __init__(self, lines: Iterable[dict[str, Any]] = (), seq: int = 1) -> None:
         self.changed = threading.Condition()
@@ -57,7 +57,7 @@
         self.seq = self.first = seq
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self.silent = False
-        self.scripted_bodies: list[bytes] = []  # bodies that are answered first, whatever is asked
+        self.scripted_bodies: list[bytes] = []  # answered first, whatever is requested
         self.requests: list[str] = []
         self.connections: list[socket.socket] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -80,7 +80,7 @@
         self.put(*({**self.lines[host], "health": "left"} for host in hosts))
 
     def restart(self, seq: int, lines: Iterable[dict[str, Any]]) -> None:
-        """Its versions and its list begin anew."""
+        """Restart with a new list and new versions."""
         with self.changed:
             self.lines = {str(one["host"]): one for one in lines}
             self.seq = self.first = seq
@@ -88,7 +88,7 @@
         self.reset_connections()
 
     def set_silent(self, silent: bool) -> None:
-        """Connections come up and stay open; nothing is answered."""
+        """While silent, connections are accepted and stay open, but nothing is answered."""
         with self.changed:
             self.silent = silent
             self.changed.notify_all()
@@ -133,16 +133,16 @@
         sock.close()
 
     def answer(self, target: str) -> bytes:
-        asked = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
+        query = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
         with self.changed:
             self.requests.append(target)
             if self.scripted_bodies and not self.silent:
                 return self.scripted_bodies.pop(0)
-            since = int(asked.get("since", -1))
+            since = int(query.get("since", -1))
             whole = not self.first <= since <= self.seq
             if not whole:
                 self.changed.wait_for(
-                    lambda: self.seq != since or self.silent, int(asked.get("timeout_ms", 0)) / 1000
+                    lambda: self.seq != since or self.silent, int(query.get("timeout_ms", 0)) / 1000
                 )
             self.changed.wait_for(lambda: not self.silent)
             if whole or not self.first <= since <= self.seq:
@@ -155,7 +155,7 @@
 
 
 class RelayProcess:
-    """A relay as a process of its own."""
+    """A relay as a process of its own, with its log; `files` limits its descriptors."""
 
     def __init__(
         self, folder: Path, sources: dict[str, Origin], name: str = "r0", files: int = 0, **changed: Any
@@ -200,12 +200,12 @@
         return [event for event in list(self.events) if event["event"] == name]
 
     def wait_for_event(self, name: str, count: int = 1) -> dict[str, Any]:
-        """The so-many-eth such event, waited for."""
+        """Wait for the `count`-th event of that name."""
         wait_until(lambda: len(self.events_named(name)) >= count)
         return self.events_named(name)[count - 1]
 
     def restart(self) -> None:
-        """Killed, and started anew at the same addresses."""
+        """Kill the process and start a new one at the same address."""
         self.kill()
         self.config["listen"] = f"{self.socket_address[0]}:{self.socket_address[1]}"
         self.events.clear()
@@ -230,7 +230,7 @@
 
 
 class Follower:
-    """Follows services at a relay by hand: `call` asks once, `follow` until something holds."""
+    """Polls a relay for services: `call` once, `poll_until` until a condition holds."""
 
     def __init__(self, where: tuple[str, int], services: str | None = "*") -> None:
         self.services = services
@@ -255,29 +255,29 @@
         response = next_of(self.sock, self.parser)
         if response is None or response.status != 200:
             return None
-        told: dict[str, Any] = orjson.loads(response.body)
-        names = [one["host"] for one in told["hosts"]]
+        data: dict[str, Any] = orjson.loads(response.body)
+        names = [one["host"] for one in data["hosts"]]
         assert len(set(names)) == len(names), "a server twice"
-        if told["whole"]:
+        if data["whole"]:
             self.lines = {}
-        for one in told["hosts"]:
+        for one in data["hosts"]:
             if one["health"] == "left":
                 self.lines.pop(one["host"], None)
             else:
                 self.lines[one["host"]] = one
-        self.seq = told["seq"]
-        self.regions = told.get("regions", {})
-        return told
+        self.seq = data["seq"]
+        self.regions = data.get("regions", {})
+        return data
 
     def call(self, wait_ms: int = 3000) -> dict[str, Any] | None:
         self.send_request(wait_ms)
         return self.receive()
 
-    def poll_until(self, holds: Callable[[], object], wait_ms: int = 500) -> None:
-        """Until that holds; a 503 is asked again."""
+    def poll_until(self, condition: Callable[[], object], wait_ms: int = 500) -> None:
+        """Poll until the condition holds; a 503 is repeated."""
         end = time.monotonic() + TIMEOUT_S
-        while not holds():
-            assert time.monotonic() < end, "it did not come"
+        while not condition():
+            assert time.monotonic() < end, "timed out"
             if self.call(wait_ms) is None:
                 time.sleep(0.02)
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Sidecars that follow relays: which one, by when the next, what is asked, and how often."""
+"""Sidecars that follow relays: which relay they use, when they switch, what they request and how often."""
 
 from __future__ import annotations
 
@@ -29,42 +29,42 @@
 from .rig import until
 
 
-def test_a_drain_told_by_one_relay_holds_at_the_next_that_is_behind(tmp_path: Path) -> None:
-    around = RelayDeployment(tmp_path, 2, max_wait=20)
-    first, second = around.relays
-    first.publish("eu", 5, True, *around.lines_with_health("active", "active"))
-    second.publish("eu", 5, False, *around.lines_with_health("active", "active"))
-    with around.running():
+def test_a_drain_survives_the_switch_to_a_relay_that_is_behind(tmp_path: Path) -> None:
+    deployment = RelayDeployment(tmp_path, 2, max_wait=20)
+    first, second = deployment.relays
+    first.publish("eu", 5, True, *deployment.lines_with_health("active", "active"))
+    second.publish("eu", 5, False, *deployment.lines_with_health("active", "active"))
+    with deployment.running():
         until(first.is_caught_up)
-        assert around.servers_used(20) == {"s-0", "s-1"}
-        first.publish("eu", 6, True, around.lines_with_health("leaving")[0])
+        assert deployment.servers_used(20) == {"s-0", "s-1"}
+        first.publish("eu", 6, True, deployment.lines_with_health("leaving")[0])
         until(first.is_caught_up)
-        assert around.servers_used(10) == {"s-1"}
-        # No answer comes any more, while the connection is open: it is left for the next.
+        assert deployment.servers_used(10) == {"s-1"}
+        # The connection stays open without answers: the sidecar switches to the next relay.
         first.set_state("silent")
         began = time.monotonic()
         until(second.is_caught_up)
-        # A wait of 3 s at most, 0.4 s of silence, a drawn 0.5 s: the bound for slow machines is wide.
+        # A wait of 3 s at most, 0.4 s of silence, a random 0.5 s: the bound is wide for slow machines.
         assert time.monotonic() - began < 15
-        assert around.servers_used(30) == {"s-1"}
-        # The line on the first relay comes before or after the one on the start.
-        failed, changed = around.event("watch_failed"), around.event("relay_changed")
+        assert deployment.servers_used(30) == {"s-1"}
+        # The log line on the first relay precedes or follows the one on the start.
+        failed, changed = deployment.event("watch_failed"), deployment.event("relay_changed")
         assert failed["relay"] == first.address and "TimeoutError" in changed["why"]
         assert (changed["from"], changed["to"]) == (first.address, second.address)
-        stale = around.event("region_stale")
+        stale = deployment.event("region_stale")
         assert (stale["region"], stale["seq"], stale["relay"]) == ("eu", 6, second.address)
-        # What is newer than the drain is believed of it as of any other.
-        second.publish("eu", 7, True, around.lines_with_health("active")[0])
-        until(lambda: second.is_caught_up() and "s-0" in around.servers_used(10))
-        assert around.event("region_back")["region"] == "eu"
-
-
-def test_silent_and_killed_relays_are_left_for_the_next_and_the_list_goes_on(tmp_path: Path) -> None:
-    around = RelayDeployment(tmp_path, 3)
-    for relay in around.relays:
-        relay.publish("eu", 5, True, *around.lines_with_health("active", "active"))
-    first, second, third = around.relays
-    with around.running():
+        # A change that is newer than the drain is accepted from the second relay as well.
+        second.publish("eu", 7, True, deployment.lines_with_health("active")[0])
+        until(lambda: second.is_caught_up() and "s-0" in deployment.servers_used(10))
+        assert deployment.event("region_back")["region"] == "eu"
+
+
+def test_silent_and_killed_relays_are_replaced_by_the_next_one(tmp_path: Path) -> None:
+    deployment = RelayDeployment(tmp_path, 3)
+    for relay in deployment.relays:
+        relay.publish("eu", 5, True, *deployment.lines_with_health("active", "active"))
+    first, second, third = deployment.relays
+    with deployment.running():
         until(first.is_caught_up)
         first.set_state("silent")
         until(second.is_caught_up)
@@ -72,140 +72,142 @@
         second.kill()
         until(lambda: third.requests)
         assert time.monotonic() - began < 10
-        third.publish("eu", 6, True, around.lines_with_health("leaving")[0])
+        third.publish("eu", 6, True, deployment.lines_with_health("leaving")[0])
         until(third.is_caught_up)
-        assert around.servers_used(10) == {"s-1"}
-        assert all("services=*" in target for relay in around.relays for _, target in relay.requests)
-        assert not around.discovery.met.acquire(blocking=False), "discovery is not called at all"
+        assert deployment.servers_used(10) == {"s-1"}
+        assert all("services=*" in target for relay in deployment.relays for _, target in relay.requests)
+        assert not deployment.discovery.met.acquire(blocking=False), "discovery receives no request at all"
 
 
-def test_relays_that_turn_calls_away_are_called_less_and_less_often(tmp_path: Path) -> None:
-    around = RelayDeployment(tmp_path, 2)
-    for relay in around.relays:
+def test_overloaded_relays_are_asked_with_growing_pauses(tmp_path: Path) -> None:
+    deployment = RelayDeployment(tmp_path, 2)
+    for relay in deployment.relays:
         relay.set_state("busy")
-        relay.publish("eu", 5, True, *around.lines_with_health("leaving", "active"))
-    with around.running():
-        asked = [relay.requests for relay in around.relays]
-        until(lambda: asked[0] and asked[1])
-        began = asked[0][0][0]
+        relay.publish("eu", 5, True, *deployment.lines_with_health("leaving", "active"))
+    with deployment.running():
+        requests = [relay.requests for relay in deployment.relays]
+        until(lambda: requests[0] and requests[1])
+        began = requests[0][0][0]
         time.sleep(2)
-        calls = sum(when < began + 2 for calls in asked for when, _ in calls)
-        # Between them lie 0 s, 0.5, 1 and 2 s at least: a storm would be hundreds.
+        calls = sum(when < began + 2 for calls in requests for when, _ in calls)
+        # The pauses are at least 0, 0.5, 1 and 2 s; without pauses there would be hundreds of requests.
         assert calls <= 4
-        # The list that it has is used on meanwhile.
-        assert around.servers_used(4) <= {"s-0", "s-1"} and around.servers_used(4)
-        for relay in around.relays:
+        # The list held stays in use meanwhile.
+        assert deployment.servers_used(4) <= {"s-0", "s-1"} and deployment.servers_used(4)
+        for relay in deployment.relays:
             relay.set_state("serving")
-        until(lambda: any(relay.is_caught_up() for relay in around.relays))
-        assert around.servers_used(10) == {"s-1"}
+        until(lambda: any(relay.is_caught_up() for relay in deployment.relays))
+        assert deployment.servers_used(10) == {"s-1"}
 
 
-def test_relays_and_services_are_taken_up_at_sighup_and_bad_ones_change_nothing(tmp_path: Path) -> None:
-    around = RelayDeployment(tmp_path, 2, services=["cart"])
-    first, second = around.relays
-    first.publish("eu", 5, True, *around.lines_with_health("active", "active"))
-    second.publish("eu", 6, True, *around.lines_with_health("active", "leaving"))
-    around.write_config(relays=[first.address])
-    with around.running():
+def test_sighup_applies_relays_and_services_and_invalid_ones_change_nothing(tmp_path: Path) -> None:
+    deployment = RelayDeployment(tmp_path, 2, services=["cart"])
+    first, second = deployment.relays
+    first.publish("eu", 5, True, *deployment.lines_with_health("active", "active"))
+    second.publish("eu", 6, True, *deployment.lines_with_health("active", "leaving"))
+    deployment.write_config(relays=[first.address])
+    with deployment.running():
         until(first.is_caught_up)
         assert all(target.endswith("services=cart") for _, target in first.requests)
 
         def reload(event: str, **changed: Any) -> dict:
-            around.write_config(**changed)
-            around.process.send_signal(signal.SIGHUP)
-            return around.event(event)
+            deployment.write_config(**changed)
+            deployment.process.send_signal(signal.SIGHUP)
+            return deployment.event(event)
 
         assert "relays[0]: 'here'" in reload("reload_failed", relays=["here"])["text"]
         assert "services[0]" in reload("reload_failed", relays=[first.address], services=["a b"])["text"]
-        del around.told["services"]
+        del deployment.told["services"]
         assert "services is missing" in reload("reload_failed")["text"]
         calls = len(first.requests)
         until(lambda: len(first.requests) > calls + 1)
-        assert all("since=" in target for _, target in first.requests[calls:]), "as if nothing had been"
+        assert all("since=" in target for _, target in first.requests[calls:]), "the watch goes on unchanged"
 
-        told = reload("reloaded", services=["stock", "cart"])
-        assert told["services"] == ["cart", "stock"] and told["needs_restart"] == []
+        event = reload("reloaded", services=["stock", "cart"])
+        assert event["services"] == ["cart", "stock"] and event["needs_restart"] == []
         until(lambda: first.requests[-1][1].endswith("&services=cart,stock"))
-        assert "/discovery/hosts?services=cart,stock" in [target for _, target in first.requests], "all of it"
+        assert "/discovery/hosts?services=cart,stock" in [target for _, target in first.requests], (
+            "the whole list"
+        )
         assert reload("reloaded", relays=[second.address])["relays"] == [second.address]
         until(second.is_caught_up)
-        assert around.servers_used(10) == {"s-0"}
+        assert deployment.servers_used(10) == {"s-0"}
         calls = len(first.requests)
         reload("reloaded", relays=None, services=None)
-        assert around.discovery.met.acquire(timeout=20) and len(first.requests) == calls
-        assert around.discovery.lines == ["discovery: GET /discovery/hosts"], "versions are others"
+        assert deployment.discovery.met.acquire(timeout=20) and len(first.requests) == calls
+        assert deployment.discovery.lines == ["discovery: GET /discovery/hosts"], "versions are others"
 
 
 def replaceable_deployment(folder: Path, count: int) -> RelayDeployment:
-    around = RelayDeployment(folder, count, admin_addr="127.0.0.1:0")
+    deployment = RelayDeployment(folder, count, admin_addr="127.0.0.1:0")
     with socket.create_server(("127.0.0.1", 0)) as free:
-        around.write_config(listen=f"127.0.0.1:{free.getsockname()[1]}")
-    around.environment = {"TMPDIR": str(folder)}
-    return around
+        deployment.write_config(listen=f"127.0.0.1:{free.getsockname()[1]}")
+    deployment.environment = {"TMPDIR": str(folder)}
+    return deployment
 
 
-def test_the_process_that_takes_a_sidecars_place_goes_back_to_nothing(tmp_path: Path) -> None:
-    around = replaceable_deployment(tmp_path, 2)
-    first, second = around.relays
-    first.publish("eu", 6, True, *around.lines_with_health("leaving", "active"))
-    second.publish("eu", 5, True, *around.lines_with_health("active", "active"))
-    with around.running():
+def test_a_hot_restart_keeps_the_region_versions(tmp_path: Path) -> None:
+    deployment = replaceable_deployment(tmp_path, 2)
+    first, second = deployment.relays
+    first.publish("eu", 6, True, *deployment.lines_with_health("leaving", "active"))
+    second.publish("eu", 5, True, *deployment.lines_with_health("active", "active"))
+    with deployment.running():
         until(first.is_caught_up)
         first.set_state("busy")
-        after = around.begun()
+        after = deployment.begun()
         try:
-            around.event("started", process=after)
-            around.event("succeeding", process=after)
-            around.process.kill()
-            around.process.wait()
+            deployment.event("started", process=after)
+            deployment.event("succeeding", process=after)
+            deployment.process.kill()
+            deployment.process.wait()
             calls = len(second.requests)
             until(lambda: any("since=" in target for _, target in second.requests[calls:]))
-            assert around.servers_used(20) == {"s-1"}
+            assert deployment.servers_used(20) == {"s-1"}
         finally:
             after.kill()
             after.wait()
 
 
-def test_a_process_without_relays_that_takes_the_place_of_one_with_asks_discovery_for_all(
+def test_a_hot_restart_from_relays_to_discovery_requests_the_whole_list(
     tmp_path: Path,
 ) -> None:
-    around = replaceable_deployment(tmp_path, 1)
-    (relay,) = around.relays
-    relay.publish("eu", 6, True, *around.lines_with_health("leaving", "active"))
-    with around.running():
+    deployment = replaceable_deployment(tmp_path, 1)
+    (relay,) = deployment.relays
+    relay.publish("eu", 6, True, *deployment.lines_with_health("leaving", "active"))
+    with deployment.running():
         until(relay.is_caught_up)
-        around.write_config(relays=None)
-        after = around.begun()
+        deployment.write_config(relays=None)
+        after = deployment.begun()
         try:
-            around.event("started", process=after)
-            assert around.discovery.met.acquire(timeout=20)
-            assert around.discovery.lines == ["discovery: GET /discovery/hosts"], "versions are others"
+            deployment.event("started", process=after)
+            assert deployment.discovery.met.acquire(timeout=20)
+            assert deployment.discovery.lines == ["discovery: GET /discovery/hosts"], "versions are others"
         finally:
             after.kill()
             after.wait()
 
 
-def test_without_relays_nothing_of_them_is_imported_and_the_same_bytes_are_asked(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 1)
+def test_without_relays_no_relay_code_is_imported_and_requests_are_unchanged(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 1)
     asked: list[str] = []
     listener = socket.create_server(("127.0.0.1", 0))
     where = f"127.0.0.1:{listener.getsockname()[1]}"
-    around.told["discovery"] = where
-    around.config.write_text(json.dumps(around.told))
+    deployment.told["discovery"] = where
+    deployment.config.write_text(json.dumps(deployment.told))
 
     def serve() -> None:
         sock = listener.accept()[0]
         for number in range(8, 11):
             asked.append(sock.recv(65536).decode())
-            sock.sendall(answer(200, json.dumps(around.listing(number, False, "active"))))
+            sock.sendall(answer(200, json.dumps(deployment.listing(number, False, "active"))))
         asked.append(sock.recv(65536).decode())
         done.set()
 
     done = threading.Event()
     threading.Thread(target=serve, daemon=True).start()
-    with around.running():
+    with deployment.running():
         assert done.wait(20)
-    # As the program of before asked with this seed, recorded.
+    # Recorded with this seed before relays were added.
     expected = [
         "since=1&timeout_ms=1",
         "since=8&timeout_ms=17406",
@@ -217,7 +219,7 @@
         "import sys; from pumicepath.command import main; main.get_command(None, 'serve');"
         "from pumicepath.sidecar import config, running;"
         "from pumicepath.discovery.watch import Watch;"
-        f"c = config.read({str(around.config)!r}); Watch(None, '', 1, 1);"
+        f"c = config.read({str(deployment.config)!r}); Watch(None, '', 1, 1);"
         "assert running.following(c) is None;"
         "print([name for name in sys.modules if 'distribution' in name or 'relay' in name"
         " or name == 'pumicepath.sidecar.following'"
@@ -227,21 +229,21 @@
     assert ran.stdout == "[]\n", ran.stderr
 
 
-def test_sidecars_that_share_a_seed_wait_and_choose_unlike_each_other(tmp_path: Path) -> None:
+def test_sidecars_with_the_same_seed_draw_different_waits(tmp_path: Path) -> None:
     drawn = set()
     for at in range(8):
-        around = Deployment(tmp_path, 0, name=f"n{at}", relays=["127.0.0.1:1"])
-        homes = running.following(config.read(str(around.config)))
+        deployment = Deployment(tmp_path, 0, name=f"n{at}", relays=["127.0.0.1:1"])
+        homes = running.following(config.read(str(deployment.config)))
         assert homes is not None
         drawn.add(homes.failed(0))
     assert len(drawn) == 8
 
 
-# -- the way home, in the test's own process and time
+# -- the return to the first relay, in the test's own process
 
 
 class RecordingDispatcher:
-    """In the dispatcher's place."""
+    """Records what the watcher sends to the dispatcher."""
 
     def __init__(self) -> None:
         self.events = self.figures = self
@@ -263,19 +265,19 @@
     *relays: ScriptedRelay,
 ) -> Iterator[tuple[Watcher, list[ScriptedRelay], RecordingDispatcher]]:
     homes = Homes("n", [relay.address for relay in relays], lambda: 0.5)
-    by = {relay.address: relay for relay in relays}
-    heard = RecordingDispatcher()
-    watch = Watch(ServerList(["a"], lambda born: 1), homes.at, -1, 100_000, services=("*",))
+    by_address = {relay.address: relay for relay in relays}
+    recorder = RecordingDispatcher()
+    watch = Watch(ServerList(["a"], lambda unix_ms: 1), homes.at, -1, 100_000, services=("*",))
     watcher = Watcher(watch, parse_address("127.0.0.1:1"), homes=homes)
-    watcher.dispatcher = heard  # type: ignore[assignment]
+    watcher.dispatcher = recorder  # type: ignore[assignment]
     watcher.follow()
     threading.Thread(target=watcher.run, daemon=True).start()
-    yield watcher, [by[at] for at in homes.order], heard
+    yield watcher, [by_address[at] for at in homes.order], recorder
     for relay in relays:
         relay.set_state("busy")
 
 
-def line(name: str) -> dict:
+def list_line(name: str) -> dict:
     return {
         "host": name,
         "dial": "127.0.0.1:1",
@@ -288,17 +290,18 @@
     }
 
 
-def test_back_at_the_first_once_it_can_be_dialled_and_no_call_lost_to_one_that_cannot(
+def test_the_watch_returns_to_the_first_relay_without_losing_a_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(deciding, "HOME_US", 500_000)
-    relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, line("s-1")) for at in (1, 2)]
-    with following_watcher(*relays) as (watcher, (first, second), heard):
+    relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, list_line("s-1")) for at in (1, 2)]
+    with following_watcher(*relays) as (watcher, (first, second), recorder):
         until(first.is_caught_up)
         host, port = first.address.split(":")
         first.kill()
         until(second.is_caught_up)
-        # The first is dialled in vain meanwhile: the watch at the second goes on, with no list asked anew.
+        # Attempts to connect to the first fail meanwhile; the watch on the second goes on, without another
+        # whole list.
         until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
         until(lambda: sum("since" in target for _, target in second.requests) > 5)
         assert sum("since" not in target for _, target in second.requests) == 1 == second.accepted
@@ -308,7 +311,7 @@
         calls = len(first.requests)
         until(lambda: len(first.requests) > calls and first.is_caught_up())
         until(lambda: not second.connections)
-        changes = [each for each in heard.lines if each.startswith("relay")]
+        changes = [each for each in recorder.lines if each.startswith("relay")]
         assert changes[0] == f"relay_changed {first.address} start"
         assert changes[1].startswith(f"relay_changed {second.address} Connection")
         assert changes[2:] == [
@@ -316,10 +319,10 @@
             f"relay_changed {first.address} back to the first",
             "relay_changes",
         ]
-        assert not any(each.startswith("FAILED") for each in heard.lines)
+        assert not any(each.startswith("FAILED") for each in recorder.lines)
 
 
-def test_without_a_descriptor_for_another_relay_the_watch_that_works_goes_on(
+def test_without_a_descriptor_for_another_relay_the_working_watch_continues(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(deciding, "HOME_US", 500_000)
@@ -327,7 +330,7 @@
     def none_left(where: object) -> socket.socket:
         raise OSError(24, "Too many open files")
 
-    relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, line("s-1")) for at in (1, 2)]
+    relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, list_line("s-1")) for at in (1, 2)]
     with following_watcher(*relays) as (watcher, (first, second), _):
         until(first.is_caught_up)
         first.set_state("busy")
@@ -340,13 +343,13 @@
         assert second.accepted == 1
 
 
-def test_a_first_that_takes_connections_and_says_nothing_is_left_for_the_one_before(
+def test_a_first_relay_that_accepts_but_never_answers_is_left_for_the_previous_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(deciding, "HOME_US", 500_000)
     monkeypatch.setattr("pumicepath.discovery.watch.IMMEDIATE_TIMEOUT_S", 0.5)
-    relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, line("s-1")) for at in (1, 2, 3)]
-    with following_watcher(*relays) as (watcher, (first, second, third), heard):
+    relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, list_line("s-1")) for at in (1, 2, 3)]
+    with following_watcher(*relays) as (watcher, (first, second, third), recorder):
         until(first.is_caught_up)
         first.set_state("silent")
         until(second.is_caught_up)
@@ -354,25 +357,27 @@
         until(lambda: len(first.requests) > calls)  # tried
         calls = len(second.requests)
         until(lambda: len(second.requests) > calls + 2 and second.is_caught_up())
-        assert not third.requests, "back to the one that answered, not on to the next"
+        assert not third.requests, "back to the relay that answered, not on to the next"
 
 
-def test_where_a_region_is_out_of_touch_another_relay_is_looked_at_and_kept_if_it_is_better(
+def test_a_relay_in_touch_with_more_regions_is_found_and_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(deciding, "LOOK_US", 400_000)
     relays = [
-        ScriptedRelay(1000 * at).publish("eu", 5, True, line("s-1")).publish("us", 5, True, line("u-1"))
+        ScriptedRelay(1000 * at)
+        .publish("eu", 5, True, list_line("s-1"))
+        .publish("us", 5, True, list_line("u-1"))
         for at in (1, 2, 3)
     ]
-    with following_watcher(*relays) as (watcher, (first, second, third), heard):
+    with following_watcher(*relays) as (watcher, (first, second, third), recorder):
         until(first.is_caught_up)
         second.publish("us", 5, False).publish("eu", 5, False)
         first.publish("us", 5, False)
-        until(lambda: second.requests)  # looked at, and left at once as it has fewer
+        until(lambda: second.requests)  # tried, and left at once since it is in touch with fewer regions
         until(lambda: third.requests and third.is_caught_up())
         calls = len(third.requests)
         until(lambda: len(third.requests) > calls + 3)
         until(lambda: not first.connections and not second.connections)
-        assert f"relay_changed {third.address} a region is out of touch" in heard.lines
-        assert heard.lines.count("region_stale") <= 4 and "region_back" in heard.lines
+        assert f"relay_changed {third.address} a region is out of touch" in recorder.lines
+        assert recorder.lines.count("region_stale") <= 4 and "region_back" in recorder.lines
--- a/tests/test_never_back.py
+++ b/tests/test_never_back.py
@@ -1,4 +1,4 @@
-"""What a sidecar makes of relays' answers: nothing older ever comes back, whatever histories they have."""
+"""Answers of relays at a sidecar: no older state is ever restored, whatever versions the relays have."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 def make_watch(*services: str, clock: Clock | None = None) -> Watch:
     return Watch(
-        ServerList(["a"], lambda born: 1),
+        ServerList(["a"], lambda unix_ms: 1),
         "r1:1",
         -1,
         20 * SECOND,
@@ -67,22 +67,22 @@
 
 
 def ask(watch: Watch, answer: Any) -> ServerListUpdate:
-    """Ask, and be answered at once."""
+    """Make a request and receive this answer at once."""
     request_target(watch)
     return watch.handle_response(answer)
 
 
-# -- what is asked
+# -- requests
 
 
-def test_without_services_each_request_is_what_it_was() -> None:
+def test_requests_with_and_without_services() -> None:
     for services, added in (
         (None, ""),
         (("stock", "cart", "stock"), "services=cart,stock"),
         (("*",), "services=*"),
         ((), "services="),
     ):
-        watch = Watch(ServerList(["a"], lambda born: 1), "d", -1, 20 * SECOND, lambda: 1.0, services)
+        watch = Watch(ServerList(["a"], lambda unix_ms: 1), "d", -1, 20 * SECOND, lambda: 1.0, services)
         question, more = (f"?{added}", f"&{added}") if services is not None else ("", "")
         head = "GET /discovery/hosts{} HTTP/1.1\r\nHost: d\r\n\r\n"
         assert watch.next_request().decode() == head.format(question)
@@ -94,9 +94,9 @@
         assert watch.answer_timeout_s() == longest / 1000 + 0.4
 
 
-def test_waits_at_a_relay_are_drawn_from_half_to_all_of_three_seconds_or_of_the_shorter_wait() -> None:
+def test_relay_waits_are_random_between_half_and_all_of_the_longest_wait() -> None:
     shares = iter([0.0, 1.0, 0.5])
-    watch = Watch(ServerList([], lambda born: 1), "d", 1, 20 * SECOND, lambda: next(shares), ("*",))
+    watch = Watch(ServerList([], lambda unix_ms: 1), "d", 1, 20 * SECOND, lambda: next(shares), ("*",))
     watch.ask_immediately = False
     waits = [watch.next_request() and watch.wait_ms for _ in range(3)]
     assert waits == [1500, MAX_RELAY_WAIT_MS, 2250]
@@ -105,10 +105,10 @@
     assert watch.next_request() and watch.wait_ms == 1000
 
 
-# -- what is made of an answer
+# -- answers
 
 
-def test_a_server_that_drains_is_not_brought_back_by_a_relay_that_is_behind() -> None:
+def test_a_relay_that_is_behind_does_not_undo_a_drain() -> None:
     watch = make_watch()
     watch.handle_response(relay_answer(10, {"eu": (5, True)}, line("s1"), line("s2"), whole=True))
     assert request_target(watch) == "/discovery/hosts?since=10&timeout_ms=3000&services=*"
@@ -119,15 +119,15 @@
     update = watch.handle_response(
         relay_answer(900, {"eu": (5, False), "us": (1, True)}, line("s1"), line("u1", "us"), whole=True)
     )
-    # The part of the other region counts, and with it comes what is held of this one.
+    # The lines of the other region are applied; what is held of this one stays.
     assert healths(watch) == {"s1": "leaving", "s2": "active", "u1": "active"}
     assert not update.whole and {entry.name: entry.phase.name for entry in update.entries} == {"u1": "READY"}
     assert watch.reported_regions == {"eu": (5, False), "us": (1, True)} and watch.region_counts() == (1, 1)
-    # Nothing of it counts: nothing is said.
+    # No region of the answer counts: the update is empty.
     assert watch.handle_response(
         relay_answer(901, {"eu": (5, False), "us": (0, True)}, line("s1"), whole=True)
     ) == ServerListUpdate(901, False, [], [])
-    # Come as far as what is held, the relay is asked for all, and followed by its changes again.
+    # Once the relay has the version held, the whole list is requested, and then its changes again.
     watch.handle_response(relay_answer(902, {"eu": (6, True), "us": (1, True)}, line("s1", health="leaving")))
     assert "since" not in request_target(watch)
     watch.handle_response(
@@ -144,12 +144,12 @@
     assert healths(watch) == {"s2": "active", "u1": "active"} and watch.version == 903
 
 
-def test_changes_on_an_older_list_than_the_one_held_are_not_put_to_it() -> None:
+def test_changes_to_an_older_list_than_the_one_held_are_not_applied() -> None:
     watch = make_watch()
     watch.handle_response(relay_answer(10, {"eu": (6, True)}, line("s1"), line("s2"), whole=True))
     watch.switch_to("r2:1")
     watch.handle_response(relay_answer(20, {"eu": (5, True)}, line("s1"), whole=True))
-    # Where `s2` came at 6 and left at 7, this relay has never known it.
+    # If `s2` joined at 6 and left at 7, this relay has never known it.
     assert not watch.handle_response(
         relay_answer(21, {"eu": (7, True)}, line("s1", health="leaving"))
     ).entries
@@ -158,7 +158,7 @@
     assert healths(watch) == {"s1": "leaving"}
 
 
-def test_a_whole_list_takes_out_what_it_lacks_of_its_regions_and_nothing_of_others() -> None:
+def test_a_whole_list_removes_missing_servers_of_its_own_regions_only() -> None:
     watch = make_watch()
     watch.server_list.apply({"seq": 3, "whole": True, "hosts": [line("old"), line("older")]})
     del watch.server_list.lines["old"]["region"], watch.server_list.lines["older"]["region"]
@@ -167,16 +167,16 @@
             10, {"eu": (5, True), "us": (5, True)}, line("s1"), line("s2"), line("u1", "us"), whole=True
         )
     )
-    assert set(healths(watch)) == {"s1", "s2", "u1"}, "the list of the start is in force until then"
+    assert set(healths(watch)) == {"s1", "s2", "u1"}, "the first list stays in force until then"
     watch.switch_to("r2:1")
     update = watch.handle_response(relay_answer(7, {"eu": (6, True)}, line("s2"), whole=True))
     assert not update.whole
     assert [(entry.name, entry.phase.name) for entry in update.entries] == [("s1", "GONE")]
-    assert watch.region_counts() == (1, 1), "a region that the relay has not heard of is not in touch"
+    assert watch.region_counts() == (1, 1), "a region unknown to the relay is not in touch"
     assert set(watch.server_list.start_times) == {"s2", "u1"}
 
 
-def test_origins_whose_versions_began_anew_are_believed_of_a_relay_in_touch_after_three_seconds() -> None:
+def test_a_restarted_origin_is_accepted_from_a_relay_in_touch_after_three_seconds() -> None:
     for live, gap, expected in (
         (True, 1, 15),
         (True, 3, 14),
@@ -199,33 +199,33 @@
                 break
             watch.handle_response(relay_answer(number, {"eu": (3, live)}, line("s1")))
             assert healths(watch) == {"s1": "leaving", "s2": "active"}
-        # Asked for 3 s after the first at the earliest, the third at least; changes can't be put to the other
-        # life's list.
+        # Requested at the earliest 3 s after the first such answer, and at the third one. Changes can't be
+        # applied to a list from before the restart.
         assert seen == ([expected] if expected else []), (live, gap, seen)
 
 
-def test_relay_is_asked_more_often_while_an_origin_may_have_begun_anew_and_at_once_when_known() -> None:
+def test_waits_are_shorter_while_an_origin_may_have_restarted() -> None:
     clock = Clock()
     watch = make_watch(clock=clock)
     watch.handle_response(relay_answer(10, {"eu": (500, True)}, line("s1"), whole=True))
     assert "timeout_ms=3000" in request_target(watch)
     ask(watch, relay_answer(11, {"eu": (3, True)}))
-    for spent, wait in ((0.0, 1000), (1.0, 1000), (2.5, 500), (2.9995, 1), (3.0, 1)):
-        clock.now = int(spent * SECOND)
+    for elapsed, wait in ((0.0, 1000), (1.0, 1000), (2.5, 500), (2.9995, 1), (3.0, 1)):
+        clock.now = int(elapsed * SECOND)
         assert f"timeout_ms={wait}&" in request_target(watch)
-    # What was asked before counts for nothing, however late its answer comes; the next one does.
+    # An answer to an earlier request proves nothing, however late it arrives; the next one does.
     clock.now = 2 * SECOND
     request_target(watch)
     clock.now = int(3.5 * SECOND)
     watch.handle_response(relay_answer(12, {"eu": (3, True)}))
-    assert "since=12&timeout_ms=1&" in request_target(watch), "the second one that says so"
+    assert "since=12&timeout_ms=1&" in request_target(watch), "the second such answer"
     watch.handle_response(relay_answer(13, {"eu": (3, True)}))
-    assert "since" not in request_target(watch), "the third"
+    assert "since" not in request_target(watch), "the third such answer"
     ask(watch, relay_answer(14, {"eu": (3, True)}, line("s2"), whole=True))
     assert set(healths(watch)) == {"s2"} and "timeout_ms=3000" in request_target(watch)
 
 
-def test_an_answer_that_was_asked_for_too_early_does_not_prove_that_an_origin_has_begun_anew() -> None:
+def test_an_answer_requested_too_early_does_not_prove_that_an_origin_has_restarted() -> None:
     clock = Clock()
     watch = make_watch(clock=clock)
     watch.handle_response(relay_answer(10, {"eu": (500, True)}, line("s1", health="leaving"), whole=True))
@@ -233,33 +233,33 @@
         ask(watch, relay_answer(11, {"eu": (3, True)}, line("s1"), whole=True))
     clock.now = int(2.9 * SECOND)
     request_target(watch)
-    clock.now = 4 * SECOND  # it has come late, and may be as old as its question
+    clock.now = 4 * SECOND  # the answer arrives late, and may be as old as its request
     watch.handle_response(relay_answer(12, {"eu": (3, True)}, line("s1"), whole=True))
     assert healths(watch) == {"s1": "leaving"}
     ask(watch, relay_answer(12, {"eu": (3, True)}, line("s1"), whole=True))
     assert healths(watch) == {"s1": "active"}
 
 
-def test_one_answer_between_that_is_not_older_begins_the_three_seconds_anew() -> None:
+def test_an_answer_in_between_that_is_not_older_restarts_the_three_seconds() -> None:
     for between in ({"eu": (500, True)}, {"eu": (3, False)}, {"us": (3, True)}, None):
         clock = Clock()
         watch = make_watch(clock=clock)
         watch.handle_response(relay_answer(10, {"eu": (500, True)}, line("s1", health="leaving"), whole=True))
         for number in range(5):
             clock.now += 2 * SECOND
-            if number == 2 and between is None:  # another relay has to say so as well
+            if number == 2 and between is None:  # another relay has to report it as well
                 watch.switch_to("r2:1")
             clock.now -= 2 * SECOND if number == 3 and between is None else 0
             regions = between if number == 2 and between else {"eu": (3, True)}
             lines = [line("s1", health="leaving" if regions == {"eu": (500, True)} else "active")]
             ask(watch, relay_answer(11 + number, regions, *(lines if "eu" in regions else []), whole=True))
-            assert healths(watch) == {"s1": "leaving"}, "3 s are over at the third of either half"
+            assert healths(watch) == {"s1": "leaving"}, "3 s are over only at the third answer of either half"
         clock.now += 2 * SECOND
         ask(watch, relay_answer(30, {"eu": (3, True)}, line("s1"), whole=True))
         assert healths(watch) == {"s1": "active"}
 
 
-def test_a_relay_that_knows_only_the_old_life_of_an_origin_brings_nothing_of_it_back() -> None:
+def test_a_relay_that_knows_only_versions_before_the_origins_restart_is_ignored() -> None:
     clock = Clock()
     watch = make_watch(clock=clock)
     watch.handle_response(relay_answer(10, {"eu": (500, True)}, line("s1"), whole=True))
@@ -270,7 +270,8 @@
     watch.switch_to("r2:1")
     assert not watch.handle_response(relay_answer(77, {"eu": (500, False)}, line("s1"), whole=True)).entries
     assert healths(watch) == {"s1": "leaving"}
-    # In touch with the origin again it has to say all: its changes begin at the old life's list.
+    # In touch with the origin again, the relay is asked for the whole list: its changes continue a list
+    # from before the restart.
     watch.handle_response(relay_answer(78, {"eu": (4, True)}, line("s9")))
     assert healths(watch) == {"s1": "leaving"} and "since" not in request_target(watch)
     watch.handle_response(
@@ -279,18 +280,18 @@
     assert healths(watch) == {"s1": "leaving", "s9": "active"}
     watch.handle_response(relay_answer(80, {"eu": (5, False)}, line("s9", health="left")))
     assert healths(watch) == {"s1": "leaving"}, (
-        "what it was told last before it lost touch is of the new life"
+        "its last answer before it lost touch is from after the restart"
     )
 
 
-def test_a_region_that_comes_up_at_a_relay_is_asked_for_whole_where_something_of_it_is_held() -> None:
+def test_a_region_new_at_a_relay_is_requested_whole_if_lines_of_it_are_held() -> None:
     watch = make_watch()
     watch.handle_response(
         relay_answer(10, {"eu": (5, True), "us": (5, True)}, line("s1"), line("u1", "us"), whole=True)
     )
     watch.switch_to("r2:1")
     watch.handle_response(relay_answer(20, {"eu": (5, True)}, line("s1"), whole=True))
-    # What is new to the relay is new in its changes: who has left meanwhile is not among them.
+    # The relay reports a region new to it as changes: servers that left before are not among them.
     watch.handle_response(
         relay_answer(
             21, {"eu": (5, True), "us": (8, True), "asia": (3, True)}, line("u2", "us"), line("x1", "asia")
@@ -310,7 +311,7 @@
     assert set(healths(watch)) == {"s1", "u2", "x1"}
 
 
-def test_other_services_are_asked_for_whole_until_a_relay_tells_them_as_new_as_what_is_held() -> None:
+def test_new_services_are_requested_whole_until_a_relay_is_as_new_as_the_list_held() -> None:
     watch = make_watch("cart")
     watch.handle_response(relay_answer(10, {"eu": (5, True)}, line("s1"), whole=True))
     watch.set_services(("cart", "stock"))
@@ -326,7 +327,7 @@
     assert healths(watch) == {"s1": "leaving", "t1": "active"}
 
 
-def test_the_process_that_comes_after_this_one_goes_back_to_nothing_either() -> None:
+def test_exported_region_versions_hold_in_the_new_process() -> None:
     watch = make_watch()
     watch.handle_response(relay_answer(10, {"eu": (5, True)}, line("s1", health="leaving"), whole=True))
     known = json.loads(json.dumps(watch.export_state()))
@@ -335,24 +336,24 @@
     after.import_state(known)
     after.handle_response(relay_answer(7, {"eu": (4, True)}, line("s1"), whole=True))
     assert healths(after) == {"s1": "leaving"}
-    plain = Watch(ServerList(["a"], lambda born: 1), "d", 5, SECOND)
+    plain = Watch(ServerList(["a"], lambda unix_ms: 1), "d", 5, SECOND)
     assert plain.export_state() == {"seq": 5, "whole": True, "hosts": []}
 
 
-def test_a_server_that_goes_over_to_another_region_is_held_once() -> None:
+def test_a_server_that_changes_its_region_is_held_once() -> None:
     watch = make_watch()
     both = {"eu": (5, True), "us": (5, True)}
     watch.handle_response(relay_answer(10, both, line("s1"), line("u1", "us"), whole=True))
     watch.handle_response(relay_answer(11, both, line("s1", "us", born_ms=7)))
     assert watch.server_list.lines["s1"]["region"] == "us"
     watch.handle_response(relay_answer(12, both, line("s1", health="left")))
-    assert healths(watch) == {"s1": "active", "u1": "active"}, "it has left the other one"
+    assert healths(watch) == {"s1": "active", "u1": "active"}, "it has left the other region"
     watch.handle_response(relay_answer(13, both, line("s1", health="left"), line("s1", "us", "leaving")))
     watch.handle_response(relay_answer(14, both, line("u1", "us"), line("u1", "eu", born_ms=9), whole=True))
     assert watch.server_list.lines["u1"]["region"] == "eu" and set(healths(watch)) == {"u1"}
 
 
-def test_what_is_no_answer_of_a_relay_changes_nothing() -> None:
+def test_malformed_relay_answers_change_nothing() -> None:
     watch = make_watch()
     eu = {"eu": (5, True)}
     watch.handle_response(relay_answer(10, eu, line("s1"), whole=True))
@@ -378,16 +379,16 @@
         assert watch.region_versions and watch.region_versions.kept == {"eu": 5}
     with pytest.raises(Overtaxed):
         watch.handle_response(SimpleNamespace(status=503, body=b""))
-    # Changes without a whole list to put them to.
+    # Changes without a whole list to apply them to.
     watch.switch_to("r2:1")
     with pytest.raises(BadList):
         watch.handle_response(relay_answer(12, eu, line("s2")))
 
 
-def test_an_empty_list_is_believed_only_when_it_comes_again_and_again() -> None:
+def test_an_empty_list_is_accepted_only_after_several_in_a_row() -> None:
     watch = make_watch()
     assert not watch.handle_response(relay_answer(9, {"eu": (4, True)}, whole=True)).entries, (
-        "nothing to lose"
+        "no servers are lost by it"
     )
     watch.handle_response(relay_answer(10, {"eu": (5, True)}, line("s1"), whole=True))
     for number in range(2):
@@ -399,7 +400,7 @@
     assert not update.whole and not healths(watch)
 
 
-def test_of_a_whole_list_only_the_differences_from_the_one_held_are_told() -> None:
+def test_a_whole_list_yields_only_its_differences_from_the_list_held() -> None:
     watch = make_watch()
     lines = [line(f"s{at}") for at in range(50)]
     assert len(watch.handle_response(relay_answer(10, {"eu": (5, True)}, *lines, whole=True)).entries) == 50
@@ -428,7 +429,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_who_applies_what_is_told_holds_what_the_list_holds(seed: int) -> None:
+def test_applying_all_updates_reproduces_the_list(seed: int) -> None:
     draw, watch = random.Random(seed), make_watch()
     seqs, held = {"eu": 1, "us": 1}, dict[str, tuple[str, float, int]]()
     servers: dict[str, dict] = {}
@@ -472,7 +473,7 @@
             assert healths(watch) == {name: one["health"] for name, one in servers.items()}
 
 
-def test_of_a_server_nothing_more_is_kept_than_its_line_and_region() -> None:
+def test_only_line_and_region_of_a_server_are_kept() -> None:
     watch = make_watch()
     watch.handle_response(
         relay_answer(10, {"eu": (5, True)}, *[line(f"s{at}") for at in range(100)], whole=True)
@@ -486,7 +487,7 @@
     assert not watch.server_list.lines and not watch.server_list.start_times
 
 
-def test_an_answer_that_names_no_regions_is_treated_as_discoverys() -> None:
+def test_an_answer_without_regions_is_treated_as_discoverys() -> None:
     watch = make_watch()
     body = {"seq": 7, "whole": True, "hosts": [{**line("s1"), "region": ""}]}
     watch.handle_response(SimpleNamespace(status=200, body=json.dumps(body).encode()))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Real relay processes between an origin that does as it is told and followers that ask by hand."""
+"""Relay processes between scripted origins and followers that the tests drive."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     return bool(follower.regions.get(region, {}).get("live"))
 
 
-# The file
+# The configuration file
 
 VALID_CONFIG = {"name": "r", "listen": "127.0.0.1:0", "sources": {"eu": "127.0.0.1:9"}}
 
@@ -90,17 +90,19 @@
         ("batchMS", 50),
     ],
 )
-def test_a_bad_file_is_named_with_its_key_in_one_line(tmp_path: Path, key: str, value: object) -> None:
+def test_an_invalid_value_is_reported_with_file_and_key_in_one_line(
+    tmp_path: Path, key: str, value: object
+) -> None:
     path = tmp_path / "relay.json"
-    told: dict[str, Any] = {**VALID_CONFIG, key: value}
-    path.write_text(json.dumps(told))
+    raw: dict[str, Any] = {**VALID_CONFIG, key: value}
+    path.write_text(json.dumps(raw))
     result = CliRunner().invoke(main, ["relay", "--config", str(path)])
     assert result.exit_code == 2
     assert result.output.startswith(f"pumicepath: {path}: {key}") and result.output.count("\n") == 1
 
 
 @pytest.mark.parametrize("text", ("", "[]", "{", '{"a":' * 9000), ids=("empty", "list", "cut", "deep"))
-def test_a_file_that_is_none(tmp_path: Path, text: str) -> None:
+def test_an_unreadable_file_is_reported_in_one_line(tmp_path: Path, text: str) -> None:
     path = tmp_path / "relay.json"
     path.write_text(text)
     for given in (["--config", str(path)], ["--config", str(tmp_path / "none")], []):
@@ -109,25 +111,25 @@
 
 
 @pytest.mark.parametrize("key", ("listen", "sources"))
-def test_a_key_that_is_missing(tmp_path: Path, key: str) -> None:
+def test_a_missing_key_is_reported(tmp_path: Path, key: str) -> None:
     path = tmp_path / "relay.json"
     path.write_text(json.dumps({name: value for name, value in VALID_CONFIG.items() if name != key}))
     result = CliRunner().invoke(main, ["relay", "--config", str(path)])
     assert result.exit_code == 2 and result.output == f"pumicepath: {path}: {key} is missing\n"
 
 
-def test_an_address_that_is_taken(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
+def test_an_address_in_use_is_reported(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as in_use:
         path = tmp_path / "relay.json"
-        path.write_text(json.dumps({**VALID_CONFIG, "listen": f"127.0.0.1:{taken.getsockname()[1]}"}))
+        path.write_text(json.dumps({**VALID_CONFIG, "listen": f"127.0.0.1:{in_use.getsockname()[1]}"}))
         result = CliRunner().invoke(main, ["relay", "--config", str(path)])
     assert result.exit_code == 2 and "listen" in result.output and result.output.count("\n") == 1
 
 
-# What it hands on
+# What followers receive
 
 
-def test_each_follower_gets_its_services_of_all_regions_and_nothing_else(relays: MakeRelay) -> None:
+def test_each_follower_receives_its_services_of_all_regions_and_no_others(relays: MakeRelay) -> None:
     eu, us = origin_of_three(), Origin([list_line("x", "cart"), list_line("y", "pay")], seq=7)
     relay = relays({"eu": eu, "us": us})
     cart, every = Follower(relay.socket_address, "cart"), Follower(relay.socket_address)
@@ -142,13 +144,15 @@
     eu.drop("b")
     every.poll_until(lambda: "b" not in every.lines)
     eu.put(list_line("a", "cart", "leaving"))
-    told = cart.receive()
-    assert told is not None and [one["host"] for one in told["hosts"]] == ["a"] and not told["whole"]
-    assert told["regions"]["eu"]["seq"] == 43 and cart.lines["a"]["health"] == "leaving"
+    received = cart.receive()
+    assert (
+        received is not None and [one["host"] for one in received["hosts"]] == ["a"] and not received["whole"]
+    )
+    assert received["regions"]["eu"]["seq"] == 43 and cart.lines["a"]["health"] == "leaving"
     assert not any("since=" in call and "services=*" not in call for call in eu.requests)
 
 
-def test_without_the_parameter_the_answer_is_discoverys_own(relays: MakeRelay) -> None:
+def test_without_the_services_parameter_the_answer_is_discoverys_own(relays: MakeRelay) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin})
     plain = Follower(relay.socket_address, None)
@@ -163,7 +167,7 @@
     assert plain.regions == {}
 
 
-def test_changes_of_a_short_while_go_in_one_answer(relays: MakeRelay) -> None:
+def test_changes_within_a_batch_interval_are_sent_in_one_answer(relays: MakeRelay) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin}, batchMs=1000)
     follower = Follower(relay.socket_address, "cart")
@@ -172,11 +176,13 @@
     wait_until(lambda: relay.stats()["waiting"] == 1)
     for at in range(5):
         origin.put(list_line(f"n{at}", "cart"))
-    told = follower.receive()
-    assert told is not None and {one["host"] for one in told["hosts"]} == {f"n{at}" for at in range(5)}
+    received = follower.receive()
+    assert received is not None and {one["host"] for one in received["hosts"]} == {
+        f"n{at}" for at in range(5)
+    }
 
 
-def test_what_is_no_call_is_told_so_and_calls_sent_ahead_are_answered_in_turn(relays: MakeRelay) -> None:
+def test_invalid_requests_are_rejected_and_pipelined_ones_are_answered_in_order(relays: MakeRelay) -> None:
     relay = relays({"eu": origin_of_three()})
     follower = Follower(relay.socket_address)
     follower.poll_until(lambda: is_live(follower))
@@ -203,7 +209,7 @@
     assert relay.process.poll() is None
 
 
-def test_sigterm_ends_it_at_once_with_0(relays: MakeRelay) -> None:
+def test_sigterm_ends_the_relay_at_once_with_status_0(relays: MakeRelay) -> None:
     relay = relays({"eu": origin_of_three()})
     follower = Follower(relay.socket_address)
     follower.poll_until(lambda: is_live(follower))
@@ -214,10 +220,10 @@
     assert relay.wait_for_event("stopped")["followers"] == 1
 
 
-# Its own troubles
+# Failures of the relay itself
 
 
-def test_before_any_list_it_says_so_and_one_region_that_is_out_holds_nothing_up(relays: MakeRelay) -> None:
+def test_without_any_list_requests_are_rejected_and_a_lost_region_delays_no_other(relays: MakeRelay) -> None:
     eu, us = origin_of_three(), Origin([list_line("x", "cart")])
     us.stop_listening()
     relay = relays({"us": us})
@@ -231,7 +237,7 @@
     follower.poll_until(lambda: "x" in follower.lines and is_live(follower, "us"))
 
 
-def test_killed_and_started_anew_it_gives_the_whole_list_for_its_old_versions(relays: MakeRelay) -> None:
+def test_a_restarted_relay_sends_the_whole_list_for_its_old_versions(relays: MakeRelay) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin})
     follower = Follower(relay.socket_address)
@@ -244,12 +250,12 @@
     relay.restart()
     follower.connect(relay.socket_address)
     wait_until(lambda: relay.stats()["servers"] == 2)
-    told = follower.call(3000)
-    assert told is not None and told["whole"] and told["seq"] > before
-    assert set(follower.lines) == {"b", "c"} and told["regions"]["eu"]["seq"] == 42
+    received = follower.call(3000)
+    assert received is not None and received["whole"] and received["seq"] > before
+    assert set(follower.lines) == {"b", "c"} and received["regions"]["eu"]["seq"] == 42
 
 
-def test_two_relays_continue_their_own_versions_only(relays: MakeRelay) -> None:
+def test_a_relay_continues_only_its_own_versions(relays: MakeRelay) -> None:
     origin = origin_of_three()
     one, other = relays({"eu": origin}), relays({"eu": origin})
     follower, keeper = Follower(one.socket_address), Follower(other.socket_address)
@@ -261,12 +267,16 @@
     follower.poll_until(lambda: "n0" not in follower.lines)
     keeper.poll_until(lambda: "n0" not in keeper.lines)
     follower.connect(other.socket_address)
-    told = follower.call(3000)
-    assert told is not None and told["whole"] and follower.lines == keeper.lines
+    received = follower.call(3000)
+    assert received is not None and received["whole"] and follower.lines == keeper.lines
+
 
+def test_a_relay_that_was_stalled_does_not_claim_touch_by_an_old_answer(relays: MakeRelay) -> None:
+    """After SIGSTOP an answer of the origin waits in the socket and is older than it seems.
 
-def test_after_standing_still_it_claims_no_touch_by_old_word(relays: MakeRelay) -> None:
-    """What the origin has answered meanwhile lies in the socket, older than it looks."""
+    The relay must not report the region as in touch by it: sidecars would take its old version for that of a
+    restarted origin.
+    """
     origin = origin_of_three()
     relay = relays({"eu": origin})
     follower = Follower(relay.socket_address)
@@ -274,26 +284,28 @@
     wait_until(lambda: "since=41" in origin.requests[-1])
     relay.signal(signal.SIGSTOP)
     origin.put(list_line("n", "cart"))
-    time.sleep(3.5)  # longer than any call to an origin may take
+    time.sleep(3.5)  # longer than any request to an origin may take
     origin.drop("a")
     follower.send_request(0)
     relay.signal(signal.SIGCONT)
-    told = follower.receive()
-    assert told is not None
-    assert not is_live(follower) or told["regions"]["eu"]["seq"] == 43
+    received = follower.receive()
+    assert received is not None
+    assert not is_live(follower) or received["regions"]["eu"]["seq"] == 43
     follower.poll_until(lambda: is_live(follower))
     assert set(follower.lines) == {"b", "c", "n"} and follower.regions["eu"]["seq"] == 43
 
 
-def test_by_word_of_more_than_2_4_s_it_is_not_in_touch_though_the_call_that_is_out_has_longer() -> None:
-    told = config.parse_config({**VALID_CONFIG, "listen": "127.0.0.1:0", "sources": {"eu": "127.0.0.1:1"}})
+def test_a_region_is_out_of_touch_after_2_4_s_even_if_the_pending_request_has_longer() -> None:
+    settings = config.parse_config(
+        {**VALID_CONFIG, "listen": "127.0.0.1:0", "sources": {"eu": "127.0.0.1:1"}}
+    )
     log = Quiet()
-    relay = loop.Relay(told, log, 0, random.Random(1).random)  # type: ignore[arg-type]
+    relay = loop.Relay(settings, log, 0, random.Random(1).random)  # type: ignore[arg-type]
     upstream = relay.upstreams[0]
     upstream.origin.answered(41)
     upstream.answered_at = 1_000
     relay.apply_answer(upstream, 41, True, encoded("eu", [list_line("a", "cart")]), None, 1_000)
-    upstream.fail(2_000_000, "reset")  # dialled anew at once, and asked without a wait
+    upstream.fail(2_000_000, "reset")  # reconnects at once, and asks without a wait
     upstream.due_at = 2_000_000 + ANSWER
     upstream.on_timer(1_000 + LIVE)
     assert relay.store.regions["eu"].live
@@ -310,42 +322,44 @@
     return writing.response(200, [], json.dumps({"seq": seq, "whole": True, "hosts": hosts}).encode(), True)
 
 
-@pytest.mark.parametrize("spoilt", ["", "a server twice", "is no address", "the end"])
-def test_a_long_list_is_read_in_parts_between_which_others_are_served(spoilt: str) -> None:
-    told = config.parse_config({**VALID_CONFIG, "listen": "127.0.0.1:0", "sources": {"eu": "127.0.0.1:1"}})
-    relay = loop.Relay(told, Quiet(), 0, random.Random(1).random)  # type: ignore[arg-type]
+@pytest.mark.parametrize("defect", ["", "a server twice", "is no address", "the end"])
+def test_a_long_list_is_decoded_in_batches_between_which_others_are_served(defect: str) -> None:
+    settings = config.parse_config(
+        {**VALID_CONFIG, "listen": "127.0.0.1:0", "sources": {"eu": "127.0.0.1:1"}}
+    )
+    relay = loop.Relay(settings, Quiet(), 0, random.Random(1).random)  # type: ignore[arg-type]
     upstream, (here, there) = relay.upstreams[0], socket.socketpair()
     here.setblocking(False)
     hosts = [list_line(f"h{at}", "cart") for at in range(3 * DECODE_BATCH_LINES)]
-    if spoilt.endswith("twice"):
+    if defect.endswith("twice"):
         hosts[-1] = hosts[0]
-    elif spoilt.endswith("address"):
+    elif defect.endswith("address"):
         hosts[-1] = {**hosts[-1], "dial": "here"}
     there.sendall(whole_list_response(hosts[:1], 40))
     upstream.sock = here
     relay.selector.register(here, selectors.EVENT_READ, upstream)
     upstream.handle_io(selectors.EVENT_READ, 1_000)
-    assert relay.store.regions["eu"].seq == 40 and not relay.resume_queue, "a short one is read at once"
+    assert relay.store.regions["eu"].seq == 40 and not relay.resume_queue, "a short list is decoded at once"
     reader = threading.Thread(target=there.sendall, args=(whole_list_response(hosts),), daemon=True)
     reader.start()
     wait_until(lambda: upstream.handle_io(selectors.EVENT_READ, 2_000) or relay.resume_queue)
     reader.join(TIMEOUT_S)
-    there.recv(4096)  # what it asked before
-    turns = 0
+    there.recv(4096)  # the earlier requests
+    batches = 0
     while relay.resume_queue:
-        # Between two parts the loop goes on with all others, and nothing of the list is in force.
-        turns += 1
+        # Between two batches the loop serves everything else, and nothing of the list is in force.
+        batches += 1
         assert len(relay.store.regions["eu"].lines) == 1 and relay.store.regions["eu"].seq == 40
         assert relay.next_timer(3_000) == 0
-        if spoilt == "the end":
+        if defect == "the end":
             upstream.fail(3_000, "ended")
-        upstream.handle_io(selectors.EVENT_READ, 3_000)  # what else comes meanwhile is not read
+        upstream.handle_io(selectors.EVENT_READ, 3_000)  # data received meanwhile is not read
         assert relay.resume_queue.popleft() is upstream
         upstream.handle_io(0, 3_000)
-    assert turns == (1 if spoilt == "the end" else 2)
-    if spoilt:
+    assert batches == (1 if defect == "the end" else 2)
+    if defect:
         assert len(relay.store.regions["eu"].lines) == 1 and upstream.sock is None
-        assert relay.counters["lists_refused"] == (spoilt != "the end")
+        assert relay.counters["lists_refused"] == (defect != "the end")
     else:
         assert (
             len(relay.store.regions["eu"].lines) == 3 * DECODE_BATCH_LINES
@@ -357,7 +371,9 @@
         sock.close()
 
 
-def test_who_never_reads_or_never_asks_is_cut_off_and_the_others_are_served(relays: MakeRelay) -> None:
+def test_followers_that_never_read_or_never_ask_are_closed_and_the_others_are_served(
+    relays: MakeRelay,
+) -> None:
     origin = Origin([list_line(f"h{at:05}", "cart") for at in range(15_000)])
     relay = relays({"eu": origin}, wholeBytesPerS=10**10)
     follower = Follower(relay.socket_address, "pay")
@@ -385,7 +401,7 @@
     assert found["cut_slow"] == 30 and found["idle"] >= 3 and found["unsent"] == 0
 
 
-def test_whole_lists_are_paced_and_those_that_follow_are_not_slowed(relays: MakeRelay) -> None:
+def test_whole_lists_are_rate_limited_without_delaying_changes(relays: MakeRelay) -> None:
     origin = Origin([list_line(f"h{at:03}", "cart") for at in range(300)])
     relay = relays({"eu": origin}, wholeBytesPerS=200_000)
     follower = Follower(relay.socket_address, "pay")
@@ -397,18 +413,20 @@
     relay.wait_for_event("whole_paced")
     assert relay.stats()["whole_waiting"] <= 10
     origin.put(list_line("n", "pay"))
-    told = follower.receive()
-    assert told is not None and [one["host"] for one in told["hosts"]] == ["n"]
+    received = follower.receive()
+    assert received is not None and [one["host"] for one in received["hosts"]] == ["n"]
     answers = [one.receive() for one in crowd]
     served = sum(answer is not None for answer in answers)
     assert 1 <= served < 30 and all(answer is None or answer["whole"] for answer in answers)
     wait_until(lambda: sum(one["refused"] for one in relay.events_named("whole_done")) == 30 - served)
     refused = next(one for one, answer in zip(crowd, answers) if answer is None)
-    refused.connect(relay.socket_address)  # who asks again gets it
+    refused.connect(relay.socket_address)  # the whole list is sent to a rejected follower that asks again
     refused.poll_until(lambda: len(refused.lines) == 300)
 
 
-def test_a_full_descriptor_table_turns_away_the_next_and_serves_those_there_are(relays: MakeRelay) -> None:
+def test_with_all_descriptors_in_use_new_followers_are_rejected_and_the_others_served(
+    relays: MakeRelay,
+) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin}, files=64)
     most = relay.wait_for_event("started")["most_followers"]
@@ -422,7 +440,7 @@
         one.sock.settimeout(20)
         assert one.sock.recv(100)[:12] in (b"HTTP/1.1 503", b"")
     assert relay.wait_for_event("followers_full")["followers"] == most
-    origin.reset_connections()  # the way to the origin has room
+    origin.reset_connections()  # descriptors for connections to the origin are reserved
     origin.put(list_line("n", "cart"))
     for one in followers:
         one.receive()
@@ -433,7 +451,7 @@
     late.poll_until(lambda: "n" in late.lines)
 
 
-def test_when_no_descriptor_is_left_accepting_rests_and_goes_on(relays: MakeRelay) -> None:
+def test_accepting_pauses_without_descriptors_and_resumes(relays: MakeRelay) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin})
     follower = Follower(relay.socket_address)
@@ -441,7 +459,8 @@
     pid = relay.process.pid
     open_before = set(os.listdir(f"/proc/{pid}/fd"))
     then, turns = time.monotonic(), relay.stats()["turns"]
-    # Else the descriptor of this call, closed a moment later, would be one for the late follower.
+    # Otherwise the descriptor of the /stats request, closed a moment later, would be free for the late
+    # follower.
     wait_until(lambda: set(os.listdir(f"/proc/{pid}/fd")) == open_before)
     used = max(map(int, open_before)) + 1
     before = resource.prlimit(pid, resource.RLIMIT_NOFILE)
@@ -457,14 +476,14 @@
     resource.prlimit(pid, resource.RLIMIT_NOFILE, before)
     assert late.receive() is not None and "n" in late.lines
     relay.wait_for_event("followers_room")
-    # Each 10 ms at most, and one more where calls came ahead of that.
+    # At most one iteration every 10 ms, and some more for pipelined requests.
     assert relay.stats()["turns"] - turns < 110 * (time.monotonic() - then)
 
 
-# Its origins' troubles
+# Failures of origins
 
 
-def test_a_region_that_is_cut_off_keeps_its_last_list_and_the_other_goes_on(relays: MakeRelay) -> None:
+def test_a_silent_region_keeps_its_last_list_and_the_other_continues(relays: MakeRelay) -> None:
     eu, us = origin_of_three(), Origin([list_line("x", "cart")])
     relay = relays({"eu": eu, "us": us})
     follower = Follower(relay.socket_address)
@@ -486,7 +505,7 @@
     wait_until(lambda: [one["region"] for one in relay.events_named("region_back")].count("us") == 2)
 
 
-def test_an_origin_that_refuses_is_dialled_until_it_is_back(relays: MakeRelay) -> None:
+def test_an_origin_that_refuses_connections_is_retried_until_it_is_back(relays: MakeRelay) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin})
     follower = Follower(relay.socket_address)
@@ -500,7 +519,7 @@
     assert set(follower.lines) == {"b", "c"}
 
 
-def test_one_broken_connection_to_an_origin_is_no_loss_of_the_region(relays: MakeRelay) -> None:
+def test_one_broken_connection_to_an_origin_does_not_lose_the_region(relays: MakeRelay) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin})
     follower = Follower(relay.socket_address)
@@ -510,11 +529,11 @@
     wait_until(lambda: len(origin.requests) > calls + 1)
     origin.drop("a")
     follower.poll_until(lambda: "a" not in follower.lines)
-    # A machine that stands still for half a second makes silence, by either clock; nothing else is a loss.
+    # If the machine stalls for half a second, the origin looks silent; no other reason may lose the region.
     assert all(one["why"] in ("silent", "late") for one in relay.events_named("region_lost"))
 
 
-def test_an_origin_whose_versions_begin_anew_is_believed_in_the_end(relays: MakeRelay) -> None:
+def test_a_restarted_origin_with_lower_versions_is_accepted_in_the_end(relays: MakeRelay) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin})
     follower = Follower(relay.socket_address)
@@ -522,8 +541,8 @@
     origin.restart(3, [list_line("b", "stock"), list_line("n", "cart")])
     follower.poll_until(lambda: "n" in follower.lines)
     assert follower.regions["eu"]["seq"] == 3 and set(follower.lines) == {"b", "n"}
-    told = relay.wait_for_event("origin_restarted")
-    assert told["before"] == 41 and told["seq"] == 3
+    event = relay.wait_for_event("origin_restarted")
+    assert event["before"] == 41 and event["seq"] == 3
     origin.drop("b")
     follower.poll_until(lambda: set(follower.lines) == {"n"})
 
@@ -541,7 +560,7 @@
 )
 
 
-def test_a_list_that_can_not_be_meant_goes_no_further(relays: MakeRelay) -> None:
+def test_invalid_lists_are_not_passed_on(relays: MakeRelay) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin})
     follower = Follower(relay.socket_address)
@@ -549,7 +568,7 @@
     names = {"a", "b", "c"}
 
     def refuses(count: int, bad: Any, why: str) -> None:
-        # Else the script meets a call that is on its way.
+        # Otherwise the scripted body would answer a request that is already on its way.
         wait_until(
             lambda: (
                 f"since={origin.seq}" in origin.requests[-1] and "timeout_ms=1&" not in origin.requests[-1]
@@ -559,9 +578,7 @@
         calls = len(origin.requests)
         origin.reset_connections()
         assert why in relay.wait_for_event("list_refused", count)["why"]
-        wait_until(
-            lambda: len(origin.requests) > calls + 2
-        )  # it was asked anew, and that is answered as well
+        wait_until(lambda: len(origin.requests) > calls + 2)  # asked again, and answered as well
         origin.put(list_line(f"m{count}", "cart"))
         names.add(f"m{count}")
         follower.poll_until(lambda: f"m{count}" in follower.lines)
@@ -571,7 +588,7 @@
         refuses(count, bad, why)
 
 
-def test_a_list_that_halves_is_passed_on_and_told(relays: MakeRelay) -> None:
+def test_a_list_that_halves_is_passed_on_and_logged(relays: MakeRelay) -> None:
     origin = origin_of_three()
     relay = relays({"eu": origin})
     follower = Follower(relay.socket_address)
@@ -582,19 +599,19 @@
     assert (halved["before"], halved["servers"]) == (3, 1)
 
 
-def test_a_fault_of_its_own_ends_the_one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fault(*given: object) -> None:
-        raise ZeroDivisionError("planted")
+def test_an_internal_fault_closes_only_the_connection_concerned(monkeypatch: pytest.MonkeyPatch) -> None:
+    def fault(*args: object) -> None:
+        raise ZeroDivisionError("injected")
 
-    told = config.parse_config({**VALID_CONFIG, "listen": "127.0.0.1:0"})
-    relay = loop.Relay(told, Quiet(), 0, random.Random(1).random)  # type: ignore[arg-type]
+    settings = config.parse_config({**VALID_CONFIG, "listen": "127.0.0.1:0"})
+    relay = loop.Relay(settings, Quiet(), 0, random.Random(1).random)  # type: ignore[arg-type]
     far, other = (socket.create_connection(relay.listener.getsockname()) for _ in range(2))
     wait_until(lambda: relay.accept_followers(0) or len(relay.followers) == 2)
     monkeypatch.setattr(loop, "parse_list_request", fault)
     far.sendall(writing.request("GET", "/discovery/hosts", [("Host", "r")]))
-    mine = next(one for one in relay.followers.values() if one.sock.getpeername() == far.getsockname())
-    wait_until(lambda: relay.handle_io_safely(mine, selectors.EVENT_READ, 0) or relay.counters["faults"])
-    assert far.recv(100) == b"" and len(relay.followers) == 1 and mine.number not in relay.followers
+    own = next(one for one in relay.followers.values() if one.sock.getpeername() == far.getsockname())
+    wait_until(lambda: relay.handle_io_safely(own, selectors.EVENT_READ, 0) or relay.counters["faults"])
+    assert far.recv(100) == b"" and len(relay.followers) == 1 and own.number not in relay.followers
     monkeypatch.undo()
     other.sendall(writing.request("GET", "/discovery/hosts", [("Host", "r")]))
     left = next(iter(relay.followers.values()))
--- a/tests/test_relayed_sidecars.py
+++ b/tests/test_relayed_sidecars.py
@@ -1,7 +1,7 @@
-"""Real relays and real sidecars under faults, judged by what reached servers: rule 3 from the origin's word.
+"""Relay and sidecar processes under faults: drains (rule 3) have to take effect in time from the origin on.
 
-Two origins, each of a region; relays between them and three `serve` processes, whose clients never rest.  A
-server is drained and another begins while the fault lasts; what each sidecar sent, and when, the servers say.
+There are two origins, each of a region, relays, and three `serve` processes with busy clients. While a fault
+lasts one server is drained and another starts; the servers record which sidecar sent requests, and when.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from .relay_rig import Origin, RelayProcess, list_line, wait_until
 
 SIDECAR_COUNT = 3
-NOTIFY_LIMIT_S = 6.0  # after which a change counts as told, once discovery had it and could be reached
-SLACK_S = 1.5  # of a busy machine, between a sidecar's choice and the stand-in's stamp
-IN_FORCE_LIMIT_S = 30.0  # nobody is left on an old list for longer, on the slowest machine
+NOTIFY_LIMIT_S = 6.0  # until a change counts as reported, from when discovery had it and was reachable
+SLACK_S = 1.5  # on a busy machine, between a sidecar's choice and the server's time stamp
+IN_FORCE_LIMIT_S = 30.0  # until every sidecar uses the new list, on the slowest machine
 
 
 class Server:
-    """Answers 200 to all, and keeps when which sidecar's request came."""
+    """Answers 200 to every request, and records its time and sidecar."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -61,7 +61,7 @@
 
 
 class Proxy:
-    """Forwards both ways; while `cut`, what the origin says is swallowed and what it is asked goes on."""
+    """Forwards requests and answers; while `drops_answers` is set, answers of the origin are dropped."""
 
     def __init__(self, to: tuple[str, int]) -> None:
         self.to = to
@@ -76,7 +76,7 @@
             near = self.listener.accept()[0]
             try:
                 far = socket.create_connection(self.to)
-            except OSError:  # it refuses
+            except OSError:  # the origin refuses connections
                 near.close()
                 continue
             for one, other, back in ((near, far, False), (far, near, True)):
@@ -93,7 +93,7 @@
 
 
 class Sidecars:
-    """`serve` processes that follow these relays, each with a client that asks on end."""
+    """`serve` processes that follow the relays, each with a client that sends requests without a pause."""
 
     def __init__(self, folder: Path, relays: list[RelayProcess]) -> None:
         self.stopped = False
@@ -101,7 +101,7 @@
         self.served = dict.fromkeys((f"n{number}" for number in range(SIDECAR_COUNT)), 0)
         self.processes = []
         for number, name in enumerate(self.served):
-            told = {
+            config = {
                 "name": name,
                 "listen": "127.0.0.1:0",
                 "discovery": "127.0.0.1:1",
@@ -129,7 +129,7 @@
                 },
             }
             path = folder / f"{name}.json"
-            path.write_text(json.dumps(told))
+            path.write_text(json.dumps(config))
             process = subprocess.Popen(
                 [sys.executable, "-m", "pumicepath", "serve"],
                 stdout=subprocess.PIPE,
@@ -138,7 +138,7 @@
             self.processes.append(process)
             assert process.stdout is not None
             started = next(event for event in map(json.loads, process.stdout) if event["event"] == "started")
-            # The log must be read on: nobody may wait for its pipe.
+            # The log has to be read: a full pipe must not hold up the sidecar.
             threading.Thread(target=lambda pipe=process.stdout: [None for _ in pipe], daemon=True).start()
             host, _, port = started["listen"].rpartition(":")
             threading.Thread(target=self.send_requests, args=(name, (host, int(port))), daemon=True).start()
@@ -159,13 +159,13 @@
             try:
                 sock.sendall(writing.request("GET", "/", headers))
                 response = next_of(sock, parser)
-            except OSError as trouble:
+            except OSError as error:
                 response = None
-                self.failures.append(f"{name}-{number}: {trouble}")
+                self.failures.append(f"{name}-{number}: {error}")
             if response is None:
                 self.failures.append(f"{name}-{number}: no answer")
                 return
-            # Before the first list there are no servers: turned away, and asked again.
+            # Before the first list there are no servers: the request is rejected and tried again.
             if response.status != 200 and self.served[name]:
                 self.failures.append(f"{name}-{number}: {response.status} {response.body!r}")
             self.served[name] += response.status == 200
@@ -190,7 +190,7 @@
         for number in range(relays):
             sources: dict[str, Any] = dict(self.origins)
             if number == 0:
-                sources = self.proxies  # only the first one's ways to the origins can be cut
+                sources = self.proxies  # only the first relay is connected through proxies
             self.relays.append(RelayProcess(folder, sources, f"r{number}", files=files if number == 0 else 0))
         self.sidecars = Sidecars(folder, self.relays)
 
@@ -206,18 +206,18 @@
         )
 
     def change(self) -> float:
-        """One server drains, and another begins; tells when discovery had it."""
+        """Drain one server and add another; returns the time when discovery had the change."""
         self.origins["eu"].put(self.line("s0", "leaving"), self.line("late"))
         return time.monotonic()
 
-    def check(self, told: float) -> None:
-        """All go by the change, nobody sent on old word for too long, and nothing was lost."""
+    def check(self, changed_at: float) -> None:
+        """All sidecars use the change, none used the old list for too long, and no request failed."""
         self.wait_until_all_send_to("late", 0.0)
-        wait_until(lambda: time.monotonic() > told + NOTIFY_LIMIT_S + SLACK_S + 1.0)
+        wait_until(lambda: time.monotonic() > changed_at + NOTIFY_LIMIT_S + SLACK_S + 1.0)
         late = [
-            (round(at - told, 2), name)
+            (round(at - changed_at, 2), name)
             for at, name in self.servers["s0"].received
-            if at > told + NOTIFY_LIMIT_S + SLACK_S
+            if at > changed_at + NOTIFY_LIMIT_S + SLACK_S
         ]
         assert not late, f"sent to a draining server, s after discovery had it: {late[:5]}"
         now = time.monotonic()
@@ -232,57 +232,57 @@
 
 
 @contextmanager
-def fleet(folder: Path, **kinds: int) -> Iterator[Fleet]:
-    made = Fleet(folder, **kinds)
+def running_fleet(folder: Path, **kinds: int) -> Iterator[Fleet]:
+    fleet = Fleet(folder, **kinds)
     try:
-        made.wait_until_all_send_to("s0", 0.0)
-        made.wait_until_all_send_to("s2", 0.0)
-        yield made
+        fleet.wait_until_all_send_to("s0", 0.0)
+        fleet.wait_until_all_send_to("s2", 0.0)
+        yield fleet
     finally:
-        made.end()
+        fleet.end()
 
 
-def relay_killed(made: Fleet) -> float:
-    made.relays[0].kill()
-    return made.change()
+def relay_killed(fleet: Fleet) -> float:
+    fleet.relays[0].kill()
+    return fleet.change()
 
 
-def relay_stopped(made: Fleet) -> float:
-    made.relays[0].signal(signal.SIGSTOP)
-    told = made.change()
-    threading.Timer(7.0, made.relays[0].signal, (signal.SIGCONT,)).start()
-    return told
+def relay_stopped(fleet: Fleet) -> float:
+    fleet.relays[0].signal(signal.SIGSTOP)
+    changed_at = fleet.change()
+    threading.Timer(7.0, fleet.relays[0].signal, (signal.SIGCONT,)).start()
+    return changed_at
 
 
-def relay_cut_off(made: Fleet) -> float:
-    """The first relay hears nothing of either origin, which the other one does: discovery can be reached."""
-    for cut in made.proxies.values():
-        cut.drops_answers = True
-    return made.change()
+def relay_cut_off(fleet: Fleet) -> float:
+    """The first relay receives no answers of origins; the other does, so discovery is reachable."""
+    for proxy in fleet.proxies.values():
+        proxy.drops_answers = True
+    return fleet.change()
 
 
-def discovery_down(made: Fleet) -> float:
-    made.origins["eu"].stop_listening()
-    made.change()
-    for relay in made.relays:
+def discovery_down(fleet: Fleet) -> float:
+    fleet.origins["eu"].stop_listening()
+    fleet.change()
+    for relay in fleet.relays:
         relay.wait_for_event("region_lost")
-    made.origins["eu"].listen_again()
+    fleet.origins["eu"].listen_again()
     return time.monotonic()
 
 
-def all_relays_restarted(made: Fleet) -> float:
-    for relay in made.relays:
+def all_relays_restarted(fleet: Fleet) -> float:
+    for relay in fleet.relays:
         relay.kill()
-    made.change()
-    for relay in made.relays:
+    fleet.change()
+    for relay in fleet.relays:
         relay.restart()
-    # With no relay there is no way from discovery: it can be reached from here on.
+    # Without any relay discovery was not reachable; it is from here on.
     return time.monotonic()
 
 
-def origin_restarted(made: Fleet) -> float:
-    """The origin has lost its versions, as after a restore; what it has from then on counts all the same."""
-    made.origins["eu"].restart(3, [made.line("s0", "leaving"), made.line("s1"), made.line("late")])
+def origin_restarted(fleet: Fleet) -> float:
+    """The origin has lost its versions, as after a restore; its changes count all the same."""
+    fleet.origins["eu"].restart(3, [fleet.line("s0", "leaving"), fleet.line("s1"), fleet.line("late")])
     return time.monotonic()
 
 
@@ -290,24 +290,27 @@
     "fault",
     [relay_killed, relay_stopped, relay_cut_off, discovery_down, all_relays_restarted, origin_restarted],
 )
-def test_a_drain_is_in_force_everywhere_in_time(tmp_path: Path, fault: Callable[[Fleet], float]) -> None:
-    with fleet(tmp_path) as made:
-        made.check(fault(made))
+def test_a_drain_takes_effect_at_all_sidecars_in_time(
+    tmp_path: Path, fault: Callable[[Fleet], float]
+) -> None:
+    with running_fleet(tmp_path) as fleet:
+        fleet.check(fault(fleet))
 
 
-def test_a_relay_whose_descriptors_are_taken_serves_those_there_are_and_sends_the_rest_elsewhere(
+def test_a_relay_without_free_descriptors_serves_its_followers_and_the_others_go_elsewhere(
     tmp_path: Path,
 ) -> None:
     files = 64
     assert resource.getrlimit(resource.RLIMIT_NOFILE)[0] > 4 * files
-    with fleet(tmp_path, files=files) as made:
-        taken = []
+    with running_fleet(tmp_path, files=files) as fleet:
+        clients = []
         for _ in range(2 * files):
             with suppress(OSError):
-                taken.append(socket.create_connection(made.relays[0].socket_address, 5))
-        made.relays[0].wait_for_event("followers_full")
-        # One relay has no room and the other one dies and comes back: whoever was there goes somewhere.
-        made.relays[1].restart()
-        made.check(made.change())
-        for sock in taken:
+                clients.append(socket.create_connection(fleet.relays[0].socket_address, 5))
+        fleet.relays[0].wait_for_event("followers_full")
+        # One relay has no capacity, and the other one is killed and restarted: its followers have to find
+        # a relay.
+        fleet.relays[1].restart()
+        fleet.check(fleet.change())
+        for sock in clients:
             sock.close()
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -1,4 +1,4 @@
-"""The operators' five terms of the standing test, forced on loopback sockets (docs/crossings.md)."""
+"""The operators' five terms of the standing test, provoked on loopback sockets (docs/crossings.md)."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 
 RESET = struct.pack("ii", 1, 0)
 NEVER = ("X-Never-Ran", "1")
-NOTIFY_LIMIT_S = 6.0  # after discovery had a change and could be reached, it counts as told
+NOTIFY_LIMIT_S = 6.0  # until a change counts as reported, from when discovery had it and was reachable
 
 
 class AlwaysServing:
-    """A script without end: each request is served."""
+    """An endless script: every request is answered 200."""
 
     def get(self) -> bytes:
         return answer(200, "served")
 
 
 class RequestTimes(list):
-    """When each request came, in the place of the lines."""
+    """Records the times of requests instead of their lines."""
 
     def append(self, line: object) -> None:
         super().append(time.monotonic())
 
 
 class StallMeter:
-    """How long the machine kept this process from running: that must not count as the sidecar's time."""
+    """Measures how long the machine kept this process from running, which is not the sidecar's delay."""
 
     def __init__(self) -> None:
         self.total_s = 0.0
@@ -57,9 +57,9 @@
             last = now
 
 
-# -- 1: a change counts as told 6 s after discovery had it and could be reached
+# -- 1: a change counts as reported 6 s after discovery had it and was reachable
 
-# What discovery does with the first calls; with the last of them it has the change, and could be reached.
+# What discovery does with the first requests; at the last of them it has the change and is reachable.
 DISCOVERY_FAULTS: dict[str, list] = {
     "fails": [answer(503)],
     "is reset": ["reset"] * 2,
@@ -68,59 +68,59 @@
     "stops in an answer": [(answer(200, "{}")[:-1], "wait")] * 2,
     "is refused": [],
 }
-# The longest pause that a sidecar can draw.
+# A seed with nearly the longest random pause of a sidecar.
 SEED = next(seed for seed in range(10_000) if Chance(seed).bits() % 3_000_000 > 2_950_000)
 
 
 class DrainCase:
-    """A sidecar whose first calls to discovery go wrong, just as its only server begins to drain."""
+    """A sidecar whose first requests to discovery fail just as its only server begins to drain."""
 
     def __init__(self, folder: Path, mode: str, fault: str) -> None:
-        self.deployment = around = Deployment(folder, 1)
-        self.request_times = around.servers[0].lines = RequestTimes()
-        around.servers[0].script = AlwaysServing()  # type: ignore[assignment]
-        around.told["settings"]["membershipMode"] = mode
-        around.told["seed"] = f"{SEED:x}"
+        self.deployment = deployment = Deployment(folder, 1)
+        self.request_times = deployment.servers[0].lines = RequestTimes()
+        deployment.servers[0].script = AlwaysServing()  # type: ignore[assignment]
+        deployment.told["settings"]["membershipMode"] = mode
+        deployment.told["seed"] = f"{SEED:x}"
         self.fault = fault
         self.listener = socket.socket()
         if fault == "is refused":
-            self.listener.bind(("127.0.0.1", 0))  # nobody listens yet
-            around.told["discovery"] = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        around.config.write_text(json.dumps(around.told))
+            self.listener.bind(("127.0.0.1", 0))  # does not listen yet
+            deployment.told["discovery"] = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        deployment.config.write_text(json.dumps(deployment.told))
         self.started = threading.Event()
         self.status_before, self.last_sent_s, self.sent_after = 0, -1.0, 0
         self.finished = False
 
     def play_fault(self) -> None:
-        """Have discovery go through its trouble, and tell of the drain from the call after it on."""
-        around, change = (
+        """Play the fault, and report the drain from the next request to discovery on."""
+        deployment, change = (
             self.deployment,
             answer(200, json.dumps(self.deployment.listing(2, False, "leaving"))),
         )
         for step in DISCOVERY_FAULTS[self.fault]:
-            around.lists.put(step)
+            deployment.lists.put(step)
         for _ in DISCOVERY_FAULTS[self.fault]:
-            assert around.discovery.met.acquire(timeout=20)
+            assert deployment.discovery.met.acquire(timeout=20)
         if self.fault == "is refused":
             peer = Peer.__new__(Peer)
-            peer.name, peer.script, peer.lines = "discovery", around.lists, []
+            peer.name, peer.script, peer.lines = "discovery", deployment.lists, []
             peer.met, peer.closed = threading.Semaphore(0), threading.Semaphore(0)
             peer.listener = self.listener
-            assert self.started.wait(20)  # by when the sidecar has been refused, most likely twice
+            assert self.started.wait(20)  # the sidecar has been refused by then, most likely twice
             self.listener.listen()
             threading.Thread(target=peer.accept, daemon=True).start()
         self.changed_at = time.monotonic()
-        around.lists.put(change)
+        deployment.lists.put(change)
 
     def run(self, stalls: StallMeter) -> None:
-        troubled = threading.Thread(target=self.play_fault)
-        troubled.start()
+        fault_thread = threading.Thread(target=self.play_fault)
+        fault_thread.start()
         with self.deployment.running():
             self.started.set()
             if self.deployment.told["settings"]["membershipMode"] == "on_request":
                 response = self.deployment.ask("read")
                 self.status_before = response.status if response else 0
-            troubled.join()
+            fault_thread.join()
             stalled = stalls.total_s
             while time.monotonic() < self.changed_at + NOTIFY_LIMIT_S + 1.5:
                 response = self.deployment.ask("read")
@@ -141,13 +141,13 @@
 
 
 @pytest.fixture(scope="module")
-def drained(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, str], DrainCase]:
-    """All cases at once, as each takes seconds in which little happens."""
+def drain_cases(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, str], DrainCase]:
+    """Run all cases at once, since each takes seconds in which little happens."""
     stalls = StallMeter()
     cases = {
-        (mode, trouble): DrainCase(tmp_path_factory.mktemp("drained"), mode, trouble)
+        (mode, fault): DrainCase(tmp_path_factory.mktemp("drained"), mode, fault)
         for mode in MODES
-        for trouble in DISCOVERY_FAULTS
+        for fault in DISCOVERY_FAULTS
     }
     threads = [threading.Thread(target=case.run, args=(stalls,)) for case in cases.values()]
     for thread in threads:
@@ -158,18 +158,20 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-@pytest.mark.parametrize("trouble", DISCOVERY_FAULTS)
-def test_a_change_counts_as_told_6_s_after_discovery_had_it_whatever_became_of_the_call(
-    mode: str, trouble: str, drained: dict[tuple[str, str], DrainCase]
+@pytest.mark.parametrize("fault", DISCOVERY_FAULTS)
+def test_a_change_is_in_force_6_s_after_discovery_had_it_whatever_became_of_the_request(
+    mode: str, fault: str, drain_cases: dict[tuple[str, str], DrainCase]
 ) -> None:
-    case = drained[mode, trouble]
-    print(f"{mode}, discovery {trouble}: the last was sent after {case.last_sent_s:.2f} s")
-    assert case.status_before == 200 or mode == "pushed", "by the list of the file, until the drain counts"
+    case = drain_cases[mode, fault]
+    print(f"{mode}, discovery {fault}: the last was sent after {case.last_sent_s:.2f} s")
+    assert case.status_before == 200 or mode == "pushed", (
+        "the list of the file is used until the drain counts"
+    )
     assert case.last_sent_s <= NOTIFY_LIMIT_S
-    assert case.finished and case.sent_after == 0, "it is in force and stays so"
+    assert case.finished and case.sent_after == 0, "the drain is in force and stays so"
 
 
-# -- 2: who closes or cancels has gone, and no attempt begins more than 0.1 s later
+# -- 2: a client that closes or cancels has left, and no hop begins more than 0.1 s later
 
 
 def reset(far: socket.socket) -> None:
@@ -197,13 +199,13 @@
 
 
 class LeavingClient:
-    """A request whose client leaves, in its way or not at all, and what has been sent of it."""
+    """A request whose client may leave before the answer, and the hops that were sent for it."""
 
     def __init__(self, rig: Rig, far: socket.socket, client: Any) -> None:
         self.rig, self.far, self.client = rig, far, client
 
     def leave(self, way: str) -> None:
-        """0.1 s after the client has gone, as far as the kernel knows."""
+        """Have the client leave, and return 0.1 s after the kernel knows of it."""
         if way:
             DEPARTURES[way](self.far)
             until(self.client.gone)
@@ -219,23 +221,23 @@
 
 
 @pytest.mark.parametrize("way", ["", *DEPARTURES])
-@pytest.mark.parametrize("trouble", ["reset", "end", "full", "late dial"])
-def test_no_further_attempt_begins_once_the_client_left_while_the_first_hung(
-    way: str, trouble: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("fault", ["reset", "end", "full", "late dial"])
+def test_no_retry_begins_once_the_client_left_during_the_first_hop(
+    way: str, fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path, 2)
     far, client = rig.connect()
     one = LeavingClient(rig, far, client)
-    first = answer(503, "", NEVER) if trouble == "full" else "reset" if trouble == "late dial" else trouble
+    first = answer(503, "", NEVER) if fault == "full" else "reset" if fault == "late dial" else fault
     with held(monkeypatch, Link, "connect", before=False) as (came, go):
         far.sendall(rig.asked("hangs", "read"))
         start(client.run)
         assert came.acquire(timeout=20)
         go.release()
-        until(lambda: rig.around.lines)  # the first attempt hangs
-        if trouble == "late dial":
+        until(lambda: rig.around.lines)  # the first hop hangs
+        if fault == "late dial":
             rig.around.script.put(first)
-            assert came.acquire(timeout=20)  # the further one has been dialled for, and is not written yet
+            assert came.acquire(timeout=20)  # the retry is connected and not written yet
             one.leave(way)
         else:
             one.leave(way)
@@ -250,7 +252,7 @@
 @pytest.mark.parametrize(
     "where", ["behind another request", "at the entrance", "before it is read", "in the hands of its thread"]
 )
-def test_no_first_attempt_begins_once_the_client_left(
+def test_no_first_hop_begins_once_the_client_left(
     way: str, where: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path, 2)
@@ -286,24 +288,24 @@
 
 
 @pytest.mark.parametrize("way", ["", "closes", "resets", "closes behind a whole one"])
-def test_the_program_begins_no_further_attempt_for_a_client_that_left(way: str, tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 2)
-    around.told["admin_addr"] = "127.0.0.1:0"
-    around.config.write_text(json.dumps(around.told))
+def test_the_sidecar_process_begins_no_retry_for_a_client_that_left(way: str, tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 2)
+    deployment.told["admin_addr"] = "127.0.0.1:0"
+    deployment.config.write_text(json.dumps(deployment.told))
 
     def under_way() -> bool:
-        return any(value for name, value in around.figures().items() if "current" in name)
+        return any(value for name, value in deployment.figures().items() if "current" in name)
 
-    with around.running():
-        around.send("read", 20_000)
-        until(lambda: around.lines)
+    with deployment.running():
+        deployment.send("read", 20_000)
+        until(lambda: deployment.lines)
         if way:
-            DEPARTURES[way](around.client)
+            DEPARTURES[way](deployment.client)
             gone = time.monotonic()
             until(lambda: time.monotonic() - gone > 0.1)
-        around.script.put("reset")
+        deployment.script.put("reset")
         if not way:
-            around.script.put(answer(200, "served"))
-            assert status(around.client) == 200
+            deployment.script.put(answer(200, "served"))
+            assert status(deployment.client) == 200
         until(lambda: not under_way())
-        assert len(around.lines) == (1 if way else 2)
+        assert len(deployment.lines) == (1 if way else 2)
