--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -32,7 +32,7 @@
 from .upstreams import Upstream
 
 MAX_ADMIN_CONNECTIONS = 16
-RESERVED_DESCRIPTORS = 24  # for listeners, the selector and files; two more for each origin
+RESERVED_DESCRIPTORS = 24  # for listeners, the selector, files and operators; two more for each origin
 MAX_BATCH = 256  # answers, or connections accepted, before the loop attends to everything else
 MAX_UNSENT_BYTES = 32 << 20  # that sockets have not taken, of all followers together
 MIN_ITERATION_US = 10_000  # least time between two iterations while nothing is queued
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -135,7 +135,9 @@
         calls = len(first.requests)
         reload("reloaded", relays=None, services=None)
         assert deployment.discovery.met.acquire(timeout=20) and len(first.requests) == calls
-        assert deployment.discovery.lines == ["discovery: GET /discovery/hosts"], "versions are others"
+        assert deployment.discovery.lines == ["discovery: GET /discovery/hosts"], (
+            "the versions of discovery differ"
+        )
 
 
 def replaceable_deployment(folder: Path, count: int) -> RelayDeployment:
@@ -181,7 +183,9 @@
         try:
             deployment.event("started", process=after)
             assert deployment.discovery.met.acquire(timeout=20)
-            assert deployment.discovery.lines == ["discovery: GET /discovery/hosts"], "versions are others"
+            assert deployment.discovery.lines == ["discovery: GET /discovery/hosts"], (
+                "the versions of discovery differ"
+            )
         finally:
             after.kill()
             after.wait()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -271,7 +271,7 @@
     assert received is not None and received["whole"] and follower.lines == keeper.lines
 
 
-def test_a_relay_that_was_stalled_does_not_claim_touch_by_an_old_answer(relays: MakeRelay) -> None:
+def test_a_stalled_relay_does_not_report_touch_by_an_old_answer(relays: MakeRelay) -> None:
     """After SIGSTOP an answer of the origin waits in the socket and is older than it seems.
 
     The relay must not report the region as in touch by it: sidecars would take its old version for that of a
