--- a/pumicepath/commands/lab.py
+++ b/pumicepath/commands/lab.py
@@ -10,7 +10,7 @@
 import click
 
 from . import scale
-from .ends import fail
+from .errors import fail
 
 if TYPE_CHECKING:
     from ..lab.experiments.files import Read
--- a/pumicepath/commands/scale.py
+++ b/pumicepath/commands/scale.py
@@ -9,7 +9,7 @@
 
 import click
 
-from .ends import fail
+from .errors import fail
 
 
 @click.command()
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -23,7 +23,7 @@
 from ...logic import Balancer, Chance
 from ...settings import decode
 from ...sidecar import clock
-from ...sidecar.watching import DIAL_S, LONGEST_DIAL_S, STEP_S, WHOLE_S
+from ...sidecar.watching import CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S, RETRY_INTERVAL_S
 from .plan import Plan
 
 IP_BIND_ADDRESS_NO_PORT = 24  # linux/in.h: the port is chosen at connect, so that each pair can use all
@@ -146,7 +146,7 @@
             self.homes = Homes(self.name, places, Chance(self.chance.bits()).share)
         self.where = self.homes.at if self.homes else places[0]
         self.begun = False
-        self.dial = DIAL_S
+        self.dial = CONNECT_TIMEOUT_S
         self.failures = 0  # in a row
         self.failed_calls = 0  # in all
         self.bytes = 0  # both ways, payload alone
@@ -179,11 +179,11 @@
             return
         self.loop.expect(self, True)
         if self.step == CHANGING:
-            self.alarm(now + int(1e6 * DIAL_S))
+            self.alarm(now + int(1e6 * CONNECT_TIMEOUT_S))
             return
         self.step = DIALLING
         self.alarm(now + int(1e6 * self.dial))
-        self.dial = min(LONGEST_DIAL_S, 2 * self.dial)
+        self.dial = min(MAX_CONNECT_TIMEOUT_S, 2 * self.dial)
 
     def alarm(self, at: int) -> None:
         self.due = at
@@ -217,7 +217,7 @@
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             raise OSError(error, "dial")
-        self.dial = DIAL_S
+        self.dial = CONNECT_TIMEOUT_S
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.before is not None:
             self.before.close()
@@ -249,7 +249,7 @@
             self.bytes += count
             if not self.begun:
                 self.begun = True
-                self.alarm(max(self.due, now + int(1e6 * WHOLE_S)))
+                self.alarm(max(self.due, now + int(1e6 * RESPONSE_TIMEOUT_S)))
             if not count:
                 parser.end()
             response = parser.next()
@@ -326,7 +326,7 @@
         elif self.failures == 1 and not isinstance(trouble, Overtaxed):
             self.begin(now)
         else:
-            self.alarm(now + int(1e6 * STEP_S))
+            self.alarm(now + int(1e6 * RETRY_INTERVAL_S))
 
     def close(self) -> None:
         self.step = RESTING
--- a/pumicepath/relay/metrics.py
+++ b/pumicepath/relay/metrics.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..admin.figures import PREFIX
+from ..admin.metrics import PREFIX
 
 if TYPE_CHECKING:
     from .loop import Relay
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 
-from ..admin.figures import Figures
+from ..admin.metrics import Metrics
 from ..discovery.server_list import ServerListUpdate, stable_id
 from ..http1 import writing
 from ..http1.messages import Response
@@ -74,7 +74,7 @@
         self.draining = False  # since SIGTERM
         self.ends = FOREVER  # by when all that is taken has to be answered, known from then on
         self.emptied = False  # by an operator, until it is called back
-        self.figures = Figures()
+        self.figures = Metrics()
         self.loaded = self.invalid = 0
         self.pool = Pool(self, config, log)
         self.traces: set[str] = set()
--- a/pumicepath/sidecar/entrance.py
+++ b/pumicepath/sidecar/entrance.py
@@ -29,7 +29,7 @@
     def __init__(self, config: Config) -> None:
         settings = config.settings
         self.intake: Intake[Waiting] = Intake(
-            settings.tariffs, settings.most_retry_in, config.from_clients, config.seed
+            settings.tariffs, settings.most_retry_in, config.max_client_connections, config.seed
         )
         self.gate = threading.Lock()
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -40,7 +40,7 @@
         told = self.around.told
         for key, value in settings.items():
             told["settings"][key] = value
-        self.config = config.config(told)
+        self.config = config.decode_config(told)
         self.dispatcher = Dispatcher(self.config, Quiet(), lambda: None)  # type: ignore[arg-type]
         self.clients = Clients(self.dispatcher)
         self.clients.listener.settimeout(20)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -224,7 +224,7 @@
         "from pumicepath.sidecar import config, running;"
         "from pumicepath.discovery.watch import Watch;"
         f"c = config.read({str(deployment.config)!r}); Watch(None, '', 1, 1);"
-        "assert running.following(c) is None;"
+        "assert running.create_relay_selector(c) is None;"
         "print([name for name in sys.modules if 'distribution' in name or 'relay' in name"
         " or name == 'pumicepath.sidecar.following'"
         " or name in ('pumicepath.commands.' + each for each in ('lab', 'scale', 'demo', 'peers'))])"
@@ -237,7 +237,7 @@
     drawn = set()
     for at in range(8):
         deployment = Deployment(tmp_path, 0, name=f"n{at}", relays=["127.0.0.1:1"])
-        homes = running.following(config.read(str(deployment.config)))
+        homes = running.create_relay_selector(config.read(str(deployment.config)))
         assert homes is not None
         drawn.add(homes.failed(0))
     assert len(drawn) == 8
@@ -272,9 +272,9 @@
     by_address = {relay.address: relay for relay in relays}
     recorder = RecordingDispatcher()
     watch = Watch(ServerList(["a"], lambda unix_ms: 1), homes.at, -1, 100_000, services=("*",))
-    watcher = Watcher(watch, parse_address("127.0.0.1:1"), homes=homes)
+    watcher = Watcher(watch, parse_address("127.0.0.1:1"), relay_selector=homes)
     watcher.dispatcher = recorder  # type: ignore[assignment]
-    watcher.follow()
+    watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
     yield watcher, [by_address[at] for at in homes.order], recorder
     for relay in relays:
@@ -306,7 +306,7 @@
         until(second.is_caught_up)
         # Attempts to connect to the first fail meanwhile; the watch on the second goes on, without another
         # whole list.
-        until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
+        until(lambda: watcher.relay_selector and watcher.relay_selector.home_span > 500_000)
         until(lambda: sum("since" in target for _, target in second.requests) > 5)
         assert sum("since" not in target for _, target in second.requests) == 1 == second.accepted
         first.listener = socket.create_server((host, int(port)))
@@ -339,9 +339,9 @@
         until(first.is_caught_up)
         first.set_state("busy")
         until(second.is_caught_up)
-        monkeypatch.setattr("pumicepath.sidecar.following.opened", none_left)
+        monkeypatch.setattr("pumicepath.sidecar.following.new_socket", none_left)
         first.set_state("serving")
-        until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
+        until(lambda: watcher.relay_selector and watcher.relay_selector.home_span > 500_000)
         calls = len(second.requests)
         until(lambda: len(second.requests) > calls + 3)
         assert second.accepted == 1
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -111,7 +111,7 @@
     where = parse_address(peer.address)
     watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), where, pushed)
     watcher.dispatcher = heard
-    watcher.follow()
+    watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
     for number, step in enumerate(steps):
         assert peer.met.acquire(timeout=20), (name, number, lines)
@@ -121,7 +121,7 @@
         while len(asked) == number + 1:
             time.sleep(0.001)
             if lines[-1].startswith("    told: failed"):
-                watcher.follow()
+                watcher.request_list()
                 assert peer.met.acquire(timeout=20)
                 peer.met.release()
     assert peer.met.acquire(timeout=20), (name, lines)
@@ -158,7 +158,7 @@
     watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), parse_address(peer.address))
     watcher.dispatcher = heard
     script.put(told(8))
-    watcher.follow()
+    watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
     assert heard.some.acquire(timeout=20)
     watcher.move(away, 100_000, False)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -187,9 +187,9 @@
     def said(what: str, data: str) -> None:
         around.config.write_text(data)
         try:
-            config.follow(str(around.config), before)
+            config.read_replacement(str(around.config), before)
             lines.append(f"{what}: taken")
-        except config.BadConfig as trouble:
+        except config.ConfigError as trouble:
             lines.append(f"{what}: {str(trouble).replace(str(around.config), 'FILE')[:70]}")
 
     said("the same", text)
