--- a/pumicepath/relay/log.py
+++ b/pumicepath/relay/log.py
@@ -1,4 +1,4 @@
-"""One JSON line an event on standard output, written by the loop itself, which never waits for a reader."""
+"""The event log: one JSON line per event on standard output, written without ever waiting for a reader."""
 
 from __future__ import annotations
 
@@ -10,41 +10,44 @@
 
 import orjson
 
-MOST_WAITING = 500
-MOST_LINE = 4096  # what a pipe that can be written takes without a wait (PIPE_BUF)
+MAX_QUEUED_LINES = 500
+MAX_LINE_BYTES = 4096  # PIPE_BUF: a writable pipe takes as much without blocking
 
 
 class Log:
+    """The log of one relay; `descriptor` is where it writes."""
+
     def __init__(self, name: str, descriptor: int = 1) -> None:
         self.name = name
         self.descriptor = descriptor
-        self.waiting: deque[bytes] = deque()
+        self.queue: deque[bytes] = deque()
         self.dropped = 0
         self.poll = select.poll()
         self.poll.register(descriptor, select.POLLOUT)
 
-    def event(self, event: str, **figures: Any) -> None:
-        if len(self.waiting) >= MOST_WAITING:
+    def event(self, event: str, **fields: Any) -> None:
+        """Log an event; a full queue drops it, and the number of dropped lines is logged later."""
+        if len(self.queue) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
-        line = {"time": round(time.time(), 3), "relay": self.name, "event": event, **figures}
+        line = {"time": round(time.time(), 3), "relay": self.name, "event": event, **fields}
         data = orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
-        if len(data) > MOST_LINE:
+        if len(data) > MAX_LINE_BYTES:
             line = {"time": line["time"], "relay": self.name, "event": event, "cut": len(data)}
             data = orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE)
-        self.waiting.append(data)
+        self.queue.append(data)
         self.flush()
 
     def flush(self) -> None:
-        """Write what can be written now.  Guards followers against a reader of the log that has stopped."""
-        while self.waiting:
-            found = self.poll.poll(0)
-            if not found or not found[0][1] & select.POLLOUT:
+        """Write what the pipe takes now: a reader that has stopped must not block the followers' loop."""
+        while self.queue:
+            ready = self.poll.poll(0)
+            if not ready or not ready[0][1] & select.POLLOUT:
                 return
             try:
-                os.write(self.descriptor, self.waiting.popleft())
+                os.write(self.descriptor, self.queue.popleft())
             except OSError:
-                return  # nobody reads the log any more; that must not end the relay
+                return  # nobody reads the log any more; the relay goes on without it
         if self.dropped:
             dropped, self.dropped = self.dropped, 0
             self.event("log_dropped", lines=dropped)
--- a/pumicepath/relay/figures.py
+++ b/pumicepath/relay/metrics.py
@@ -1,4 +1,4 @@
-"""What `/stats` says: `written(relay, now)`, one line `name=value` a figure."""
+"""The metrics of a relay as `/stats` shows them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
     from .loop import Relay
 
 
-def written(relay: Relay, now: int) -> str:
-    held = relay.held
+def render(relay: Relay, now: int) -> str:
+    """All metrics at `now` (microseconds), a line `name=value` each."""
+    store = relay.store
     names = (
         "calls",
         "answers",
@@ -29,27 +30,27 @@
         "faults",
         "turns",
     )
-    figures: dict[str, int] = {name: relay.counts[name] for name in names}
-    figures |= {
-        "version": held.version,
-        "floor": held.floor,
-        "history": len(held.log),
-        "servers": len(held.shown),
-        "services": len(held.services),
-        "live": held.live(),
+    values: dict[str, int] = {name: relay.counters[name] for name in names}
+    values |= {
+        "version": store.version,
+        "floor": store.floor,
+        "history": len(store.log),
+        "servers": len(store.shown),
+        "services": len(store.services),
+        "live": store.live(),
         "followers": len(relay.followers),
-        "most_followers": relay.most,
+        "most_followers": relay.max_followers,
         "waiting": relay.subscriptions.waiting(),
         "interests": len(relay.subscriptions.groups),
-        "whole_waiting": len(relay.pace.queue),
-        "slow": len(relay.slowed),
-        "unsent": relay.unsent,
-        "up_s": (now - relay.started) // 1_000_000,
+        "whole_waiting": len(relay.whole_list_pacer.queue),
+        "slow": len(relay.slow_followers),
+        "unsent": relay.unsent_bytes,
+        "up_s": (now - relay.started_at) // 1_000_000,
     }
-    for name, region in held.regions.items():
-        figures |= {
+    for name, region in store.regions.items():
+        values |= {
             f"region.{name}.seq": region.seq,
             f"region.{name}.live": int(region.live),
             f"region.{name}.servers": len(region.lines),
         }
-    return "".join(f"{PREFIX}.relay.{name}={value}\n" for name, value in figures.items())
+    return "".join(f"{PREFIX}.relay.{name}={value}\n" for name, value in values.items())
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -15,7 +15,7 @@
 from time import monotonic, sleep, time_ns
 from typing import Any
 
-from ..discovery.roster import stable
+from ..discovery.server_list import stable_id
 from ..fleet import messages
 from ..fleet.fellow import Fellow
 from ..fleet.membership import Seen
@@ -162,7 +162,7 @@
                     self.shared_trials.may_try_until = node.trials.turns(clock.now())
                 postponed, self.postponed_trials = self.postponed_trials, []
             for server, wait in postponed:
-                self.on_trial_postponed(stable(server), wait)
+                self.on_trial_postponed(stable_id(server), wait)
             self.send_outbox()
             self.log_changes()
             now = monotonic()
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import compiled, invariants
-from ..discovery.roster import Address, BadList, Roster, Update, stable
+from ..discovery.server_list import Address, BadList, ServerList, ServerListUpdate, stable_id
 from ..discovery.watch import Watch
 from ..interface import Listing
 from ..logic import Chance
@@ -70,7 +70,7 @@
     # of threads a short interval uses up a whole core, and is not needed: all of them soon wait for a socket.
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     log = Log(config.name)
-    server_list = Roster(config.zones, clock.since_unix_ms, config.kinds)
+    server_list = ServerList(config.zones, clock.since_unix_ms, config.kinds)
     config = with_list_numbers(config, server_list)
     handover = request_handover(config.listen) if config.admin else None
     known, raw_list = initial_list(server_list, config, handover)
@@ -83,7 +83,7 @@
         Chance(config.seed).share,
         config.services,
     )
-    watch.inherit(raw_list)
+    watch.import_state(raw_list)
     watcher = Watcher(watch, config.discovery, config.pushed, relay_selector)
     dispatcher = Dispatcher(config, log, watcher.request_list)
     watcher.dispatcher = dispatcher
@@ -93,7 +93,7 @@
         raise ConfigError(f"cannot listen on {format_address(config.listen)}: {error.strerror}") from error
     # With the actual port, which the file may leave to the kernel (port 0): a new process may know only this.
     serving = config.listen._replace(port=clients.listener.getsockname()[1])
-    hot_restart = HotRestart(dispatcher, clients, watch.known, serving)
+    hot_restart = HotRestart(dispatcher, clients, watch.export_state, serving)
     peers = create_peers(config, log, handover is not None)
     try:
         admin_server = (
@@ -169,12 +169,14 @@
         raise ConfigError(f"peers.listen: cannot listen on {where}: {error.strerror}") from error
 
 
-def initial_list(server_list: Roster, config: Config, handover: Handover | None) -> tuple[Update, Any]:
+def initial_list(
+    server_list: ServerList, config: Config, handover: Handover | None
+) -> tuple[ServerListUpdate, Any]:
     """Return the list to start with, decoded and raw: the old process's last one, or the one in the file."""
     if handover is not None:
         with suppress(BadList):
-            return server_list.read(handover.known_list), handover.known_list
-    return server_list.read(config.known_list), config.known_list
+            return server_list.apply(handover.known_list), handover.known_list
+    return server_list.apply(config.known_list), config.known_list
 
 
 def create_relay_selector(config: Config) -> Homes | None:
@@ -185,7 +187,7 @@
 
     # Not seeded by the configured seed alone: sidecars that share one would all wait equally long and reach
     # the relays at the same moments.
-    return Homes(config.name, config.relays, Chance(config.seed ^ stable(config.name)).share)
+    return Homes(config.name, config.relays, Chance(config.seed ^ stable_id(config.name)).share)
 
 
 def format_address(address: Address | None) -> str:
@@ -233,7 +235,7 @@
     if peers is not None and new.peers is not None and new.peers != config.peers:
         peers.apply_voting(new.peers.voting)
         dispatcher.accompany(peers.shared_trials if shares_trials(new.peers) else None)
-    before, after = config.settings, with_list_numbers(new, watcher.watch.roster).settings
+    before, after = config.settings, with_list_numbers(new, watcher.watch.server_list).settings
     changed = after != before or (new.zones, new.idle_timeout_us, new.connect_timeout_us) != (
         config.zones,
         config.idle_timeout_us,
@@ -248,7 +250,7 @@
     elif new.relays:
         # The call in progress goes on, as waits at relays are short.  If it were broken off, all sidecars
         # that are reloaded together would request the whole list from the relays.
-        watcher.watch.waits(wait_us)
+        watcher.watch.set_max_wait(wait_us)
     elif changed or new.discovery != config.discovery:
         # The old wait, and what the old discovery reported, will soon no longer be valid.
         watcher.move(new.discovery, wait_us, new.pushed)
@@ -284,16 +286,16 @@
     return peers is not None and peers.voting is not None and peers.voting.trials
 
 
-def with_list_numbers(config: Config, server_list: Roster) -> Config:
+def with_list_numbers(config: Config, server_list: ServerList) -> Config:
     """Return the configuration with zones and kinds by the numbers that the server list has for them."""
     settings, zone = config.settings, config.settings.zone
     if config.zones:
-        zone = server_list.zone(config.zones[zone])
+        zone = server_list.zone_number(config.zones[zone])
     request_classes = tuple(
         replace(
             request_class,
-            zones=list_numbers(request_class.zones, config.zones, server_list.zone),
-            kinds=list_numbers(request_class.kinds, config.kinds, server_list.kind),
+            zones=list_numbers(request_class.zones, config.zones, server_list.zone_number),
+            kinds=list_numbers(request_class.kinds, config.kinds, server_list.kind_number),
         )
         for request_class in settings.tariffs
     )
