--- a/benchmarks/hearing.py
+++ b/benchmarks/hearing.py
@@ -19,10 +19,10 @@
 
 from pumicepath.discovery.roster import Roster
 from pumicepath.discovery.watch import Watch
-from pumicepath.interface import Listing, Outcome
+from pumicepath.interface import ListKind, Outcome
 from pumicepath.lab.loopback.process import Sidecar
 from pumicepath.lab.spec import told as settings_of
-from pumicepath.logic import Balancer
+from pumicepath.balancer import Balancer
 from pumicepath.settings import decode
 
 NEAR = "zone-00"
@@ -49,7 +49,9 @@
         assert response is not None
         update = self.watch.update(response)
         self.now += 1_000
-        self.balancer.listed(self.now, Listing.FULL if update.whole else Listing.CHANGES, update.entries)
+        self.balancer.update_servers(
+            self.now, ListKind.FULL if update.whole else ListKind.CHANGES, update.entries
+        )
 
 
 def heard(servers: int) -> dict[str, float]:
@@ -96,8 +98,8 @@
         state[0] += 6_667  # microseconds: 150 calls a second
         state[1] += 1
         key = 10**6 + state[1] if new else 1 + state[1] % 50
-        one = balancer.take(state[0], state[1], 0, key, False, state[0] + 2_000_000)
-        one.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
+        one = balancer.submit(state[0], state[1], 0, key, False, state[0] + 2_000_000)
+        one.hop_finished(state[0] + 5000, 0, Outcome.OK, 5000, True)
 
     times = max(50, min(5000, 400_000 // servers))
     for _ in range(50):
--- a/pumicepath/discovery/roster.py
+++ b/pumicepath/discovery/roster.py
@@ -8,10 +8,10 @@
 from itertools import count
 from typing import Any, NamedTuple
 
-from ..interface import Entry, Phase
+from ..interface import ServerEntry, ServerState
 
 MOST_KINDS = 1024  # kinds of machine that are told apart: bounds what odd lists can fill
-PHASES = {"active": Phase.READY, "leaving": Phase.DRAINING, "left": Phase.GONE}
+PHASES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 
 
 class BadList(Exception):
@@ -43,7 +43,7 @@
 
     version: int
     whole: bool
-    entries: list[Entry]
+    entries: list[ServerEntry]
     addresses: list[Address]
 
 
@@ -72,7 +72,7 @@
             starts = {name: self.start(name, line) for name, line in lines.items()}
             entries = [self.entry(name, line, starts[name][1]) for name, line in lines.items()]
             addresses = [
-                address(str(line["dial"])) if entry.phase != Phase.GONE else NOWHERE
+                address(str(line["dial"])) if entry.state != ServerState.GONE else NOWHERE
                 for entry, line in zip(entries, lines.values())
             ]
             update = Update(int(data["seq"]), bool(data["whole"]), entries, addresses)
@@ -81,7 +81,7 @@
         if believed is not None:
             believed(update)
         # Servers come and go for as long as the sidecar runs: nothing is kept of those that are gone.
-        here = {name for (name, _), entry in zip(lines.items(), entries) if entry.phase != Phase.GONE}
+        here = {name for (name, _), entry in zip(lines.items(), entries) if entry.state != ServerState.GONE}
         for name in (set(self.starts) if update.whole else set(lines)) - here:
             self.starts.pop(name, None)
             self.lines.pop(name, None)
@@ -114,12 +114,12 @@
             return kept
         return born, self.since_unix_ms(born) if born > 0 else 0
 
-    def entry(self, name: str, line: dict[str, Any], came_up: int) -> Entry:
+    def entry(self, name: str, line: dict[str, Any], came_up: int) -> ServerEntry:
         zone = self.zone(str(line.get("site", "")))
         if not math.isfinite(float(line.get("share", 1.0))):
             raise ValueError(f"share of {name} is no number")
         cell, share = int(line.get("block", 0)), float(line.get("share", 1.0))
-        return Entry(
+        return ServerEntry(
             stable(name),
             zone,
             cell,
--- a/pumicepath/intake/queue.py
+++ b/pumicepath/intake/queue.py
@@ -12,8 +12,8 @@
 from enum import IntEnum
 from typing import Generic, TypeVar
 
-from ..interface import Tariff
-from ..logic import Chance
+from ..interface import RequestClass
+from ..balancer import SeededRandom
 
 Whom = TypeVar("Whom")
 
@@ -42,9 +42,11 @@
     Times are whole microseconds.  What a call costs grows with nothing, but for those that `left` turns away.
     """
 
-    def __init__(self, tariffs: tuple[Tariff, ...], most_back: int, most_waiting: int, seed: int) -> None:
+    def __init__(
+        self, tariffs: tuple[RequestClass, ...], most_back: int, most_waiting: int, seed: int
+    ) -> None:
         self.most_waiting = most_waiting
-        self.chance = Chance(seed)
+        self.chance = SeededRandom(seed)
         self.adopt(tariffs, most_back)
         self.waiting: deque[tuple[int, Whom]] = deque()
         self.returning: deque[Whom] = deque()
@@ -61,16 +63,16 @@
         self.told_turned = 0
         self.turned_at = 0
 
-    def adopt(self, tariffs: tuple[Tariff, ...], most_back: int) -> None:
+    def adopt(self, tariffs: tuple[RequestClass, ...], most_back: int) -> None:
         """Judge by other tariffs from now on; what waits keeps the limit that it was given."""
         self.tariffs = tariffs
         self.most_back = most_back
-        dearest = max(one.gain for one in tariffs)
+        dearest = max(one.value for one in tariffs)
         self.part = [
-            CHEAP_PART + (1.0 - CHEAP_PART) * (one.gain / dearest if dearest > 0 else 1.0) for one in tariffs
+            CHEAP_PART + (1.0 - CHEAP_PART) * (one.value / dearest if dearest > 0 else 1.0) for one in tariffs
         ]
-        self.late_part = [min(1.0, one.late_gain / one.gain) if one.gain > 0 else 0.0 for one in tariffs]
-        self.longest_pause = int(PAUSE_PART * min(one.patience for one in tariffs))
+        self.late_part = [min(1.0, one.late_value / one.value) if one.value > 0 else 0.0 for one in tariffs]
+        self.longest_pause = int(PAUSE_PART * min(one.deadline for one in tariffs))
 
     def full(self) -> bool:
         """Whether the next one would have to wait."""
@@ -82,10 +84,10 @@
         tariff = min(tariff, len(self.tariffs) - 1)
         one = self.tariffs[tariff]
         rest = usual + self.out
-        agreed = max(FLOOR_PART * one.agreed, (1.0 - SPARE_PART) * one.agreed - rest)
+        agreed = max(FLOOR_PART * one.latency_target, (1.0 - SPARE_PART) * one.latency_target - rest)
         late = self.late_part[tariff]
         part = self.part[tariff] * (max(RETRY_PART, late) if retry else 1.0)
-        span = agreed * part + late * max(0.0, one.patience - one.agreed - rest)
+        span = agreed * part + late * max(0.0, one.deadline - one.latency_target - rest)
         return min(arrived + int(span), until - int(rest))
 
     def came(
@@ -151,9 +153,9 @@
 
     def back(self, tariff: int) -> int:
         """When a client that is turned away should come back: spread, and later the longer others wait."""
-        agreed = self.tariffs[min(tariff, len(self.tariffs) - 1)].agreed
+        agreed = self.tariffs[min(tariff, len(self.tariffs) - 1)].latency_target
         times = min(MOST_BACK, 1.0 + 2.0 * len(self.waiting) * self.interval / max(1, agreed))
-        return min(self.most_back, int(agreed * times * (0.5 + self.chance.share())))
+        return min(self.most_back, int(agreed * times * (0.5 + self.chance.next_float())))
 
     def beat(self, now: int) -> str:
         """At even times: sets the pause, and tells what has changed of the mode, if anything.
--- a/pumicepath/lab/hollow/host.py
+++ b/pumicepath/lab/hollow/host.py
@@ -21,7 +21,7 @@
 
 from ... import compiled
 from ...discovery.roster import Update
-from ...interface import Phase
+from ...interface import ServerState
 from . import processes, truth
 from .plan import Ask, Plan
 from .sidecar import Hollow
@@ -179,7 +179,7 @@
 
 def ignores_drain(update: Update) -> Update:
     """What drains stays as it was: a fault planted for a test."""
-    kept = [at for at, entry in enumerate(update.entries) if entry.phase != Phase.DRAINING]
+    kept = [at for at, entry in enumerate(update.entries) if entry.state != ServerState.DRAINING]
     return update._replace(
         entries=[update.entries[at] for at in kept], addresses=[update.addresses[at] for at in kept]
     )
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -19,8 +19,8 @@
 from ...discovery.watch import Overtaxed, Watch
 from ...distribution.homes import Homes
 from ...http1.messages import Malformed
-from ...interface import Listing, Phase, Wakeable
-from ...logic import Balancer, Chance
+from ...interface import ListKind, ServerState, TimerHandler
+from ...balancer import Balancer, SeededRandom
 from ...settings import decode
 from ...sidecar import clock
 from ...sidecar.watching import DIAL_S, LONGEST_DIAL_S, STEP_S, WHOLE_S
@@ -62,21 +62,21 @@
 
     def send(self, submission: int, server: int, timeout: int) -> None: ...
 
-    def defer(self, submission: int, retry_in: int) -> None: ...
+    def reject(self, submission: int, retry_in: int) -> None: ...
 
-    def forfeit(self, submission: int) -> None: ...
+    def fail(self, submission: int) -> None: ...
 
     def cancel(self, submission: int, hop: int) -> None: ...
 
     def probe(self, server: int) -> None: ...
 
-    def tell(self, peer: int, data: bytes) -> None: ...
+    def send_to_peer(self, peer: int, data: bytes) -> None: ...
 
-    def free_links(self, server: int) -> None: ...
+    def close_idle_connections(self, server: int) -> None: ...
 
-    def follow(self) -> None: ...
+    def request_server_list(self) -> None: ...
 
-    def wake(self, at: int, whom: Wakeable) -> None: ...
+    def set_timer(self, at: int, whom: TimerHandler) -> None: ...
 
     def log(self, text: str) -> None: ...
 
@@ -135,7 +135,7 @@
         info = told(plan, number)
         self.roster = Roster(info["dcs"], clock.since_unix_ms)
         self.balancer = Balancer(decode(info), number + 1, MUTE)
-        self.chance = Chance(random.Random(f"sidecar {plan.ask.seed} {number}").getrandbits(63))
+        self.chance = SeededRandom(random.Random(f"sidecar {plan.ask.seed} {number}").getrandbits(63))
         self.addresses: dict[int, Address] = {}
         self.sock: socket.socket | None = None
         self.step = RESTING
@@ -143,7 +143,7 @@
         self.homes: Homes | None = None
         self.before: socket.socket | None = None  # to the relay that is left once another is dialled
         if plan.ask.form == "relayed":
-            self.homes = Homes(self.name, places, Chance(self.chance.bits()).share)
+            self.homes = Homes(self.name, places, SeededRandom(self.chance.next_bits()).next_float)
         self.where = self.homes.at if self.homes else places[0]
         self.begun = False
         self.dial = DIAL_S
@@ -158,7 +158,7 @@
     def watching(self, plan: Plan) -> Watch:
         wait_us = int(2e6 * SETTINGS["rules"]["askEveryS"])
         services = [plan.service_name(service) for service in plan.calls[self.number]] if self.homes else None
-        return Watch(self.roster, self.where, -1, wait_us, self.chance.share, services)
+        return Watch(self.roster, self.where, -1, wait_us, self.chance.next_float, services)
 
     # -- the socket
 
@@ -299,12 +299,14 @@
             if update.whole:
                 self.addresses.clear()
             for entry, where in zip(update.entries, update.addresses):
-                if entry.phase == Phase.GONE:
+                if entry.state == ServerState.GONE:
                     self.addresses.pop(entry.server, None)
                 else:
                     self.addresses[entry.server] = where
-            self.balancer.listed(
-                clock.since_monotonic(now), Listing.FULL if update.whole else Listing.CHANGES, update.entries
+            self.balancer.update_servers(
+                clock.since_monotonic(now),
+                ListKind.FULL if update.whole else ListKind.CHANGES,
+                update.entries,
             )
             self.updated_at = now
             self.loop.updated(self, update.whole)
--- a/pumicepath/settings.py
+++ b/pumicepath/settings.py
@@ -5,55 +5,55 @@
 import math
 from typing import Any
 
-from .interface import Effect, Group, Settings, Tariff
+from .interface import Effect, DedupGroup, Settings, RequestClass
 
 EFFECTS = {
     "idempotent": Effect.IDEMPOTENT,
     "deduplicated": Effect.DEDUPLICATED,
-    "at_most_once": Effect.UNREPEATABLE,
+    "at_most_once": Effect.NON_IDEMPOTENT,
 }
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+GROUPS = {"all": DedupGroup.ALL, "zone": DedupGroup.ZONE, "cell": DedupGroup.CELL}
 DAY = 86_400.0
 
 
 def decode(info: dict[str, Any]) -> Settings:
     limits, rules = info.get("policyLimits", {}), info.get("rules", {})
     return Settings(
-        me=info.get("me", 0),
-        fleet=max(1, info.get("fleetSize", 1)),
+        sidecar_index=info.get("me", 0),
+        fleet_size=max(1, info.get("fleetSize", 1)),
         zone=info.get("zone", 0),
-        tariffs=tuple(tariff(entry, info) for entry in info.get("tariffs", [])),
-        crossing_price=info.get("prices", {}).get("crossZone", 0.0),
-        must_ask=info.get("membershipMode") == "on_request",
-        ask_every=down(rules.get("askEveryS", DAY)),
-        most_hops=limits.get("mostHops", 1),
-        most_retry_in=down(limits.get("maxRetryAfterS", 0.0)) if limits.get("retryAfter") else 0,
-        cold_from=rules.get("coldFrom", 1.0),
-        cold_for=math.ceil(rules.get("coldS", 0.0) * 1e6),
-        fall_multiple=rules.get("fallMultiple", 1.0),
-        fall_window=math.ceil(rules.get("overloadForS", 1.0) * 1e6),
-        live=info.get("weights") == "live",
-        connection_price=info.get("prices", {}).get("connection", 0.0),
-        marked=bool((info.get("clientHabits") or {}).get("marksRetry", False)),
-        copies=bool(limits.get("secondCopies", False)),
-        full_unproven=bool(rules.get("fullUnproven", False)),
-        drain_alone=bool(rules.get("drainBindsAlone", False)),
-        may_tell=bool(limits.get("mayTell", False)),
-        quotas=tuple(float(entry.get("quotaPerS", 0.0)) for entry in info.get("tenants", [])),
+        request_classes=tuple(tariff(entry, info) for entry in info.get("tariffs", [])),
+        cross_zone_cost=info.get("prices", {}).get("crossZone", 0.0),
+        polls_list=info.get("membershipMode") == "on_request",
+        poll_interval=down(rules.get("askEveryS", DAY)),
+        max_hops=limits.get("mostHops", 1),
+        max_retry_after=down(limits.get("maxRetryAfterS", 0.0)) if limits.get("retryAfter") else 0,
+        cold_fraction=rules.get("coldFrom", 1.0),
+        cold_duration=math.ceil(rules.get("coldS", 0.0) * 1e6),
+        overload_multiple=rules.get("fallMultiple", 1.0),
+        overload_window=math.ceil(rules.get("overloadForS", 1.0) * 1e6),
+        live_weights=info.get("weights") == "live",
+        connection_cost=info.get("prices", {}).get("connection", 0.0),
+        clients_mark_retries=bool((info.get("clientHabits") or {}).get("marksRetry", False)),
+        hedging_allowed=bool(limits.get("secondCopies", False)),
+        full_may_have_run=bool(rules.get("fullUnproven", False)),
+        only_draining_removes=bool(rules.get("drainBindsAlone", False)),
+        peer_messages_allowed=bool(limits.get("mayTell", False)),
+        tenant_quotas=tuple(float(entry.get("quotaPerS", 0.0)) for entry in info.get("tenants", [])),
     )
 
 
-def tariff(entry: dict[str, Any], info: dict[str, Any]) -> Tariff:
+def tariff(entry: dict[str, Any], info: dict[str, Any]) -> RequestClass:
     patience = entry.get("patienceS", DAY)
-    return Tariff(
-        agreed=down(min(patience, entry.get("agreedTimeS", patience))),
-        patience=down(patience),
-        gain=entry.get("gain", 1.0),
-        late_gain=entry.get("lateGain", 0.0),
+    return RequestClass(
+        latency_target=down(min(patience, entry.get("agreedTimeS", patience))),
+        deadline=down(patience),
+        value=entry.get("gain", 1.0),
+        late_value=entry.get("lateGain", 0.0),
         # A word not known here is taken as the strictest, so that nothing is repeated by mistake.
-        effect=EFFECTS.get(entry.get("effect", ""), Effect.UNREPEATABLE),
-        group=GROUPS.get(entry.get("group", "cell"), Group.CELL),
-        window=down(entry.get("windowS", 0.0)),
+        effect=EFFECTS.get(entry.get("effect", ""), Effect.NON_IDEMPOTENT),
+        dedup_group=GROUPS.get(entry.get("group", "cell"), DedupGroup.CELL),
+        dedup_window=down(entry.get("windowS", 0.0)),
         stream=bool(entry.get("stream", False)),
         name=str(entry.get("name", "")),
         zones=numbers(entry.get("allowedIn"), info.get("dcs")),
--- a/pumicepath/sidecar/entrance.py
+++ b/pumicepath/sidecar/entrance.py
@@ -29,13 +29,13 @@
     def __init__(self, config: Config) -> None:
         settings = config.settings
         self.intake: Intake[Waiting] = Intake(
-            settings.tariffs, settings.most_retry_in, config.from_clients, config.seed
+            settings.request_classes, settings.max_retry_after, config.from_clients, config.seed
         )
         self.gate = threading.Lock()
 
     def adopt(self, config: Config) -> None:
         with self.gate:
-            self.intake.adopt(config.settings.tariffs, config.settings.most_retry_in)
+            self.intake.adopt(config.settings.request_classes, config.settings.max_retry_after)
 
     def enter(self, arrived: int, until: int, tariff: int, retry: bool, usual: float) -> bool:
         """Wait to be taken up; False if the request is turned away.  True must be followed by `leave`."""
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -44,16 +44,16 @@
         self.said: deque[Callable[[Trials], None]] = deque(maxlen=MOST_WORDS)
         self.turns: dict[str, int] = {}  # until when, by the servers' names; replaced as one
 
-    def turn(self, name: str) -> bool:
+    def may_try(self, name: str) -> bool:
         return clock.now() < self.turns.get(name, 0)
 
-    def opened(self, name: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, name: str, cooldown: int, often: bool) -> None:
         now = clock.now()
-        self.said.append(lambda trials: trials.opened(now, name, cooldown, often))
+        self.said.append(lambda trials: trials.breaker_opened(now, name, cooldown, often))
 
-    def tried(self, name: str, failed: bool) -> None:
+    def trial_finished(self, name: str, failed: bool) -> None:
         now = clock.now()
-        self.said.append(lambda trials: trials.tried(now, name, failed))
+        self.said.append(lambda trials: trials.trial_finished(now, name, failed))
 
 
 class Peers:
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -17,8 +17,8 @@
 from .. import compiled, invariants
 from ..discovery.roster import Address, BadList, Roster, Update, stable
 from ..discovery.watch import Watch
-from ..interface import Listing
-from ..logic import Chance
+from ..interface import ListKind
+from ..balancer import SeededRandom
 from . import clock
 from . import config as settings
 from .clients import Clients
@@ -66,8 +66,8 @@
         roster,
         homes.at if homes else f"{config.discovery.host}:{config.discovery.port}",
         -1 if homes or "regions" in told else known.version,
-        2 * config.settings.ask_every,
-        Chance(config.seed).share,
+        2 * config.settings.poll_interval,
+        SeededRandom(config.seed).next_float,
         config.services,
     )
     watch.inherit(told)
@@ -97,15 +97,15 @@
     if before is not None:
         dispatcher.inherit(before.by_hand, before.returned)
         dispatcher.emptied = before.emptied
-    dispatcher.listed(Listing.CACHED, known)
+    dispatcher.listed(ListKind.CACHED, known)
     if config.pushed:
         watcher.follow()
         # Guards servers that drain: what discovery has counts as told from here on; the file's list is old.
         watcher.asked.wait(FIRST_S)
-    dispatcher.decide(dispatcher.pool.woke)
-    dispatcher.decide(clients.woke)
-    dispatcher.decide(dispatcher.pace.woke)
-    dispatcher.decide(Watchman(dispatcher, clients).woke)
+    dispatcher.decide(dispatcher.pool.on_timer)
+    dispatcher.decide(clients.on_timer)
+    dispatcher.decide(dispatcher.pace.on_timer)
+    dispatcher.decide(Watchman(dispatcher, clients).on_timer)
     gc.collect()
     gc.freeze()
     gc.set_threshold(10_000)  # what ends with a submission is freed with it; little is left to collect
@@ -163,7 +163,7 @@
     from ..distribution.homes import Homes
 
     # Not by the seed alone: guards relays against sidecars that share one, and would wait alike.
-    return Homes(config.name, config.relays, Chance(config.seed ^ stable(config.name)).share)
+    return Homes(config.name, config.relays, SeededRandom(config.seed ^ stable(config.name)).next_float)
 
 
 def named(where: Address | None) -> str:
@@ -205,7 +205,7 @@
     changed = after != before or (new.zones, new.idle, new.dial) != (config.zones, config.idle, config.dial)
     if changed:
         dispatcher.adopt(replace(new, settings=after))
-    wait = 2 * min(before.ask_every, after.ask_every)
+    wait = 2 * min(before.poll_interval, after.poll_interval)
     if (new.relays, new.services) != (config.relays, config.services):
         homes = watcher.homes if new.relays == config.relays else following(new)
         watcher.move(new.discovery, wait, new.pushed, homes, new.services)
@@ -256,7 +256,7 @@
             zones=numbered(one.zones, config.zones, roster.zone),
             kinds=numbered(one.kinds, config.kinds, roster.kind),
         )
-        for one in settings.tariffs
+        for one in settings.request_classes
     )
     return replace(config, settings=replace(settings, zone=zone, tariffs=tariffs))
 
@@ -278,7 +278,7 @@
         self.clients = clients
         self.told = 0
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         self.dispatcher.figures.sum()
         count = sum(invariants.broken.values())
         if count > self.told:
@@ -289,7 +289,7 @@
             if counts:
                 self.dispatcher.events.event(event, counts=dict(counts))
                 counts.clear()
-        self.dispatcher.wake(now + 1_000_000, self)
+        self.dispatcher.set_timer(now + 1_000_000, self)
 
 
 def drain(dispatcher: Dispatcher, clients: Clients, log: Log, peers: Peers | None) -> None:
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -11,7 +11,7 @@
 from ..discovery.roster import NOTHING, Address, BadList
 from ..discovery.watch import Overtaxed, Watch
 from ..http1.messages import Malformed, Response
-from ..interface import Listing
+from ..interface import ListKind
 from . import clock
 from .dispatch import Dispatcher
 
@@ -131,7 +131,7 @@
             # Guards what has changed since this call began, which counts as told 6 s later, against a call
             # that was given up late and a long pause after it.
             spent = max(0.0, monotonic() - self.began)
-            self.dispatcher.listed(Listing.FAILED, NOTHING, int(spent * 1e6))
+            self.dispatcher.listed(ListKind.FAILED, NOTHING, int(spent * 1e6))
 
     def follow_until_it_fails(self) -> None:
         first = True
@@ -140,7 +140,7 @@
             response = self.call(self.sock if self.sock is not None else self.connect())
             update = self.watch.update(response)
             if first or update.whole or update.entries:
-                self.dispatcher.listed(Listing.FULL if update.whole else Listing.CHANGES, update)
+                self.dispatcher.listed(ListKind.FULL if update.whole else ListKind.CHANGES, update)
             first = False
             self.asked.set()
             following = self.following
--- a/pumicepath/wirehost/host.py
+++ b/pumicepath/wirehost/host.py
@@ -6,8 +6,8 @@
 import math
 from typing import Any, BinaryIO
 
-from ..interface import Entry, Listing, Outcome, Phase, Wakeable
-from ..logic import Balancer, Submission
+from ..interface import ServerEntry, ListKind, Outcome, ServerState, TimerHandler
+from ..balancer import Balancer, Submission
 from ..settings import decode
 from . import frames
 from .frames import Malformed, Reply
@@ -36,17 +36,17 @@
         self.number = number
         self.host = host
         self.handles: dict[int, Submission] = {}
-        self.alarms: dict[int, Wakeable] = {}
+        self.alarms: dict[int, TimerHandler] = {}
         self.next_alarm = 0
         self.balancer = Balancer(decode(info), seed, self)
 
     def send(self, submission: int, server: int, timeout: int) -> None:
         self.host.reply.add(TRANSMIT, "HIdI", self.number, submission, timeout / 1e6, server)
 
-    def defer(self, submission: int, retry_in: int) -> None:
+    def reject(self, submission: int, retry_in: int) -> None:
         self.host.reply.add(SHED, "HId", self.number, submission, retry_in / 1e6)
 
-    def forfeit(self, submission: int) -> None:
+    def fail(self, submission: int) -> None:
         self.host.reply.add(FAIL, "HI", self.number, submission)
 
     def cancel(self, submission: int, hop: int) -> None:
@@ -55,17 +55,17 @@
     def probe(self, server: int) -> None:
         self.host.reply.add(PROBE, "HI", self.number, server)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         self.host.reply.add(TELL, "HIII", self.number, peer, len(self.host.reply.tail), len(data))
         self.host.reply.tail += data
 
-    def free_links(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         self.host.reply.add(FREE, "HI", self.number, server)
 
-    def follow(self) -> None:
+    def request_server_list(self) -> None:
         self.host.reply.add(FOLLOW, "HB", self.number, 1)
 
-    def wake(self, at: int, whom: Wakeable) -> None:
+    def set_timer(self, at: int, whom: TimerHandler) -> None:
         self.next_alarm += 1
         self.alarms[self.next_alarm] = whom
         self.host.reply.add(WAKE, "HdQ", self.number, at / 1e6, self.next_alarm)
@@ -77,7 +77,7 @@
 class Host:
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.sheets: dict[int, list[Entry]] = {}
+        self.sheets: dict[int, list[ServerEntry]] = {}
         self.reply = Reply()
 
     def batch(self, batch: frames.Batch) -> Reply:
@@ -100,9 +100,9 @@
         data = frames.part(tail, offset, count * frames.ENTRY)
         entries = []
         for server, zone, kind, cell, phase, scale, up in frames.ENTRY_FIELDS.iter_unpack(data):
-            if phase > Phase.DRAINING:
+            if phase > ServerState.DRAINING:
                 raise Malformed(f"unknown phase {phase} of a server")
-            entries.append(Entry(server, zone, cell, Phase(phase), scale, micros(up), "", kind))
+            entries.append(ServerEntry(server, zone, cell, ServerState(phase), scale, micros(up), "", kind))
         self.sheets[number] = entries
 
     def event(self, now: int, code: int, tail: memoryview, fields: tuple) -> None:
@@ -123,7 +123,7 @@
             return
         if code == frames.INGRESS:
             _, name, _, key, marks, _, until, tariff = fields
-            instance.handles[name] = instance.balancer.take(
+            instance.handles[name] = instance.balancer.submit(
                 now, name, tariff, key, bool(marks & 2), micros(until)
             )
         elif code == frames.REPORT:
@@ -132,38 +132,38 @@
                 raise Malformed(f"unknown outcome {status}")
             handle = instance.handles.get(name)
             if handle is not None:
-                handle.ended(now, hop, OUTCOMES[status], micros(spent), bool(complete))
+                handle.hop_finished(now, hop, OUTCOMES[status], micros(spent), bool(complete))
                 self.forget(instance, name, handle)
         elif code == frames.TICK:
             whom = instance.alarms.pop(fields[1], None)
             if whom is not None:
-                whom.woke(now)
+                whom.on_timer(now)
                 if isinstance(whom, Submission):
-                    self.forget(instance, whom.name, whom)
+                    self.forget(instance, whom.id, whom)
         elif code == frames.CHANGED:
             _, _, form, sheet = fields
-            if form > Listing.FAILED or form != Listing.FAILED and sheet not in self.sheets:
+            if form > ListKind.FAILED or form != ListKind.FAILED and sheet not in self.sheets:
                 raise Malformed(f"list of form {form} names sheet {sheet}")
-            entries = [] if form == Listing.FAILED else self.sheets[sheet]
-            instance.balancer.listed(now, Listing(form), entries)
+            entries = [] if form == ListKind.FAILED else self.sheets[sheet]
+            instance.balancer.update_servers(now, ListKind(form), entries)
         elif code == frames.VANISHED:
             handle = instance.handles.get(fields[1])
             if handle is not None:
-                handle.left(now)
+                handle.client_left(now)
                 self.forget(instance, fields[1], handle)
         elif code == frames.STARTED:
             handle = instance.handles.get(fields[1])
             if handle is not None:
-                handle.started(now, fields[2])
+                handle.response_started(now, fields[2])
         elif code == frames.DATAGRAM:
             _, _, offset, size = fields
-            instance.balancer.told(now, bytes(frames.part(tail, offset, size)))
+            instance.balancer.receive_peer_message(now, bytes(frames.part(tail, offset, size)))
         elif code == frames.PROBED and fields[2] not in OUTCOMES:
             raise Malformed(f"unknown outcome {fields[2]}")
 
     @staticmethod
     def forget(instance: Instance, name: int, handle: Submission) -> None:
-        if handle.over():
+        if handle.is_finished():
             instance.handles.pop(name, None)
 
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -15,7 +15,7 @@
 from pumicepath.discovery.roster import Roster
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.interface import Listing
+from pumicepath.interface import ListKind
 from pumicepath.lab.loopback.scripted import Deployment, Peer, next_of
 from pumicepath.sidecar import config
 from pumicepath.sidecar.client import Client
@@ -45,7 +45,7 @@
         self.clients = Clients(self.dispatcher)
         self.clients.listener.settimeout(20)
         update = Roster(["a"], lambda born: 0).read(self.around.listing(1, True, "active"))
-        self.dispatcher.listed(Listing.FULL, update)
+        self.dispatcher.listed(ListKind.FULL, update)
         start(self.dispatcher.run_timers)
 
     def connect(self) -> tuple[socket.socket, Client]:
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -4,10 +4,10 @@
 from hashlib import sha256
 from pathlib import Path
 
-from pumicepath import compiled, logic
+from pumicepath import compiled, balancer
 from pumicepath.http1 import parsing
 
-from .helpers import compare
+from .helpers import check_trace
 
 
 def test_only_a_whole_build_of_the_files_as_they_are_runs(tmp_path: Path) -> None:
@@ -34,7 +34,7 @@
     look("half of it gone")
     record.write_text("{")
     look("record torn")
-    compare("compiled", lines)
+    check_trace("compiled", lines)
 
 
 def test_the_form_that_is_told_is_the_one_that_runs() -> None:
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -132,7 +132,7 @@
             return
         # The balancer, which is told only this, has to hold the same.
         names = {name for name in held if not update.whole} | {entry.name for entry in update.entries}
-        gone = {entry.name for entry in update.entries if entry.phase == 0}
+        gone = {entry.name for entry in update.entries if entry.state == 0}
         assert names - gone == set(self.watch.roster.lines)
         self.counts["whole" if update.whole else "changes"] += 1
         self.check()
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,20 +1,20 @@
 """What is taken up, waits or is turned away when the sidecar itself is short of time; no threads."""
 
 from pumicepath.intake.queue import PLACES, Intake, Verdict
-from pumicepath.interface import Effect, Group, Tariff
+from pumicepath.interface import Effect, DedupGroup, RequestClass
 
-from .helpers import compare
+from .helpers import check_trace
 
 MS = 1000
-CHEAP = Tariff(150 * MS, 600 * MS, 1.0, 0.0, Effect.IDEMPOTENT, Group.ALL, 0)
-DEAR = Tariff(150 * MS, 600 * MS, 3.0, 0.0, Effect.UNREPEATABLE, Group.ALL, 0)
-LATE = Tariff(150 * MS, 600 * MS, 1.0, 0.5, Effect.IDEMPOTENT, Group.ALL, 0)
+CHEAP = RequestClass(150 * MS, 600 * MS, 1.0, 0.0, Effect.IDEMPOTENT, DedupGroup.ALL, 0)
+DEAR = RequestClass(150 * MS, 600 * MS, 3.0, 0.0, Effect.NON_IDEMPOTENT, DedupGroup.ALL, 0)
+LATE = RequestClass(150 * MS, 600 * MS, 1.0, 0.5, Effect.IDEMPOTENT, DedupGroup.ALL, 0)
 
 
 class Play:
     """An intake, a clock in milliseconds and a trace; requests are named in the order in which they come."""
 
-    def __init__(self, *tariffs: Tariff, most: int = 1000) -> None:
+    def __init__(self, *tariffs: RequestClass, most: int = 1000) -> None:
         self.intake: Intake[str] = Intake(tariffs or (CHEAP, DEAR), 2_000 * MS, most, 7)
         self.now = 0.0
         self.lines: list[str] = []
@@ -70,7 +70,7 @@
         play.leave()
     play.come()
     assert play.intake.active == 1 and not play.intake.waiting
-    compare("intake_order", play.lines)
+    check_trace("intake_order", play.lines)
 
 
 def test_time_bounds_the_queue_and_cheaper_work_and_retries_have_less_of_it() -> None:
@@ -90,7 +90,7 @@
     idle = Play()
     idle.come(0, waited=300.0)
     idle.come(0, waited=598.0)
-    compare("intake_bound", play.lines + idle.lines)
+    check_trace("intake_bound", play.lines + idle.lines)
 
 
 def test_late_answers_that_gain_something_may_wait_longer() -> None:
@@ -116,7 +116,7 @@
     play.come()
     play.leave(0.0)
     assert play.intake.interval < 600
-    compare("intake_stall", play.lines)
+    check_trace("intake_stall", play.lines)
 
 
 def test_servers_that_are_slow_do_not_close_the_door() -> None:
@@ -139,4 +139,4 @@
         pass
     for _ in range(45):
         play.beat()
-    compare("intake_modes", play.lines)
+    check_trace("intake_modes", play.lines)
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -19,7 +19,7 @@
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
 from pumicepath.sidecar.watching import Watcher
 
-from .helpers import compare
+from .helpers import check_trace
 
 
 def line(name: str, health: str = "active", **changed: object) -> dict:
@@ -135,7 +135,7 @@
     lines = []
     for name, steps in CASES.items():
         lines += play(name, steps, monkeypatch)
-    compare("crossed-list", lines)
+    check_trace("crossed-list", lines)
 
 
 def test_where_lists_are_pushed_a_watch_that_fails_is_tried_again_without_a_pause_of_the_balancer(
@@ -144,7 +144,7 @@
     lines = play("down for some calls", ["reset", answer(503), "reset", GOOD], monkeypatch, pushed=True)
     steps = [told(8), "reset", "reset", answer(503), told(9)]
     lines += play("down while a watch is open", steps, monkeypatch, pushed=True)
-    compare("crossed-pushed", lines)
+    check_trace("crossed-pushed", lines)
 
 
 def test_a_new_discovery_that_stays_away_is_told_of_once_the_move_is_over(
--- a/tests/test_never_back.py
+++ b/tests/test_never_back.py
@@ -12,7 +12,7 @@
 from pumicepath.discovery.roster import BadList, Roster, Update
 from pumicepath.discovery.watch import RELAYED_WAIT_MS, Overtaxed, Watch
 from pumicepath.distribution.regions import MOST_REGIONS
-from pumicepath.interface import Phase
+from pumicepath.interface import ServerState
 
 SECOND = 1_000_000
 
@@ -113,7 +113,7 @@
     watch.update(told(10, {"eu": (5, True)}, line("s1"), line("s2"), whole=True))
     assert target(watch) == "/discovery/hosts?since=10&timeout_ms=3000&services=*"
     update = watch.update(told(11, {"eu": (6, True)}, line("s1", health="leaving")))
-    assert [(entry.name, entry.phase.name) for entry in update.entries] == [("s1", "DRAINING")]
+    assert [(entry.name, entry.state.name) for entry in update.entries] == [("s1", "DRAINING")]
     watch.move("r2:1")
     assert target(watch) == "/discovery/hosts?services=*" and watch.regions == {}
     update = watch.update(
@@ -121,7 +121,7 @@
     )
     # The part of the other region counts, and with it comes what is held of this one.
     assert phases(watch) == {"s1": "leaving", "s2": "active", "u1": "active"}
-    assert not update.whole and {entry.name: entry.phase.name for entry in update.entries} == {"u1": "READY"}
+    assert not update.whole and {entry.name: entry.state.name for entry in update.entries} == {"u1": "READY"}
     assert watch.regions == {"eu": (5, False), "us": (1, True)} and watch.standing() == (1, 1)
     # Nothing of it counts: nothing is said.
     assert watch.update(told(901, {"eu": (5, False), "us": (0, True)}, line("s1"), whole=True)) == Update(
@@ -167,7 +167,7 @@
     watch.move("r2:1")
     update = watch.update(told(7, {"eu": (6, True)}, line("s2"), whole=True))
     assert not update.whole
-    assert [(entry.name, entry.phase.name) for entry in update.entries] == [("s1", "GONE")]
+    assert [(entry.name, entry.state.name) for entry in update.entries] == [("s1", "GONE")]
     assert watch.standing() == (1, 1), "a region that the relay has not heard of is not in touch"
     assert set(watch.roster.starts) == {"s2", "u1"}
 
@@ -377,7 +377,7 @@
             watch.update(told(11, {"eu": (6, True)}, whole=True))
         watch.move(f"r{number}:1")
     update = watch.update(told(12, {"eu": (6, True)}, whole=True))
-    assert [(entry.name, entry.phase.name) for entry in update.entries] == [("s1", "GONE")]
+    assert [(entry.name, entry.state.name) for entry in update.entries] == [("s1", "GONE")]
     assert not update.whole and not phases(watch)
 
 
@@ -395,7 +395,7 @@
         line("new"),
     ]
     update = watch.update(told(91, {"eu": (6, True)}, *lines, whole=True))
-    assert not update.whole and {(entry.name, entry.phase.name) for entry in update.entries} == {
+    assert not update.whole and {(entry.name, entry.state.name) for entry in update.entries} == {
         ("s0", "DRAINING"),
         ("s1", "READY"),
         ("s2", "READY"),
@@ -437,8 +437,8 @@
             held.clear()
         for entry in update.entries:
             held.pop(entry.name, None)
-            if entry.phase != Phase.GONE:
-                held[entry.name] = (entry.phase.name, entry.scale, entry.came_up)
+            if entry.state != ServerState.GONE:
+                held[entry.name] = (entry.state.name, entry.weight, entry.started_at)
         names = {"active": "READY", "leaving": "DRAINING"}
         assert held == {
             name: (names[one["health"]], one["share"], watch.roster.starts[name][1])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -235,7 +235,7 @@
     rig.clients.stop()
     rig.clients.most = 3  # room for three: the others are taken as these end
     rig.dispatcher.draining = True
-    rig.dispatcher.decide(rig.clients.woke)
+    rig.dispatcher.decide(rig.clients.on_timer)
     assert not rig.clients.empty_queue() and len(rig.clients.open) <= 3
     until(rig.clients.empty_queue)
     assert [status(sock) for sock in waiting] == [200] * 5
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -14,12 +14,20 @@
 from pumicepath.http1 import writing
 from pumicepath.http1.messages import Malformed
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.interface import Effect, Outcome, Tariff
+from pumicepath.interface import Effect, Outcome, RequestClass
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.logic import Submission
+from pumicepath.balancer import Submission
 from pumicepath.sidecar import upload
 
-from .helpers import ONCE, SECOND, Bench, check, compare, entry, settings
+from .helpers import (
+    ONCE_CLASS,
+    SECOND,
+    ScriptedHost,
+    check_host_trace,
+    check_trace,
+    make_entry,
+    make_settings,
+)
 
 LONG = random.Random(5).randbytes(6_000_000)
 
@@ -89,7 +97,7 @@
         with socket.create_connection(around.where) as sock:
             sock.sendall(b"GET /api HTTP/1.0\r\nX-Trace-Id: old\r\nX-Qos: once\r\n\r\n")
             around.lines.append(f"-- to HTTP/1.0: {read_all(sock, ResponseParser(9_000_000))}")
-    compare("long_answers", [line for line in around.lines if line.startswith("--")])
+    check_trace("long_answers", [line for line in around.lines if line.startswith("--")])
 
 
 def test_what_the_server_still_gives_is_not_cut_when_patience_ends(tmp_path: Path) -> None:
@@ -157,7 +165,7 @@
         around.client.sendall(begun.replace(b"cut", b"odd").replace(b"X-Qos: once", b"X-Qos: gold") + LONG)
         around.hear()
         send("after", body=b"", length=writing.WHOLE)
-    compare("long_bodies", around.lines)
+    check_trace("long_bodies", around.lines)
 
 
 def test_a_server_that_breaks_off_in_a_body_never_ran_it_and_its_client_is_told(tmp_path: Path) -> None:
@@ -172,7 +180,7 @@
         head = writing.request("POST", "/up", headers, b"", len(LONG))
         around.client.sendall(head + LONG)
         assert around.hear().header("Retry-After")
-    compare("broken_body", around.lines)
+    check_trace("broken_body", around.lines)
 
 
 def test_more_at_once_than_memory_holds_with_slow_readers(tmp_path: Path) -> None:
@@ -228,33 +236,36 @@
 
 
 def test_patience_and_the_hop_begin_with_the_last_byte_and_no_second_hop_has_the_body() -> None:
-    bench = Bench(
-        settings(Tariff(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, ONCE.group, 0)), [entry(1), entry(2)]
+    bench = ScriptedHost(
+        make_settings(
+            RequestClass(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, ONCE_CLASS.dedup_group, 0)
+        ),
+        [make_entry(1), make_entry(2)],
     )
 
     def taken(name: int) -> Submission:
         balancer, until = bench.balancer, bench.now + 900 * SECOND
-        return balancer.take_under(bench.now, name, balancer.terms[0], 1, False, until, True)
+        return balancer.submit_with(bench.now, name, balancer.class_states[0], 1, False, until, True)
 
     bench.note("a body comes for 20 s, and nothing is held against the server meanwhile")
     one = taken(1)
-    bench.at(20)
-    one.spent = True
-    one.whole(bench.now, 0, bench.now + 2 * SECOND)
-    bench.at(20.3).end(one, Outcome.OK)
+    bench.advance_to(20)
+    one.body_discarded = True
+    one.body_complete(bench.now, 0, bench.now + 2 * SECOND)
+    bench.advance_to(20.3).finish_hop(one, Outcome.OK)
     bench.note("a refused connection before a piece was let go: another hop")
     two = taken(2)
-    bench.end(two, Outcome.CONNECT_FAILED)
+    bench.finish_hop(two, Outcome.CONNECT_FAILED)
     bench.note("a break after that: none, and the client is told that it may try again")
-    two.spent = True
-    bench.end(two, Outcome.CONNECT_FAILED)
+    two.body_discarded = True
+    bench.finish_hop(two, Outcome.CONNECT_FAILED)
     bench.note("after the last byte the server is judged as ever, and nothing goes again")
     three = taken(3)
-    bench.at(21)
-    three.spent = True
-    three.whole(bench.now, 0, bench.now + 2 * SECOND)
-    bench.at(22).end(three, Outcome.RESET)
-    check("body_coming", bench)
+    bench.advance_to(21)
+    three.body_discarded = True
+    three.body_complete(bench.now, 0, bench.now + 2 * SECOND)
+    bench.advance_to(22).finish_hop(three, Outcome.RESET)
+    check_host_trace("body_coming", bench)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -22,11 +22,11 @@
 import pytest
 
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.interface import Entry, Listing, Outcome
+from pumicepath.interface import ServerEntry, ListKind, Outcome
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.logic import Balancer
+from pumicepath.balancer import Balancer
 
-from .helpers import SECOND, entry, settings
+from .helpers import SECOND, make_entry, make_settings
 from .rig import status, until
 from .test_standing_terms import MODES, Always
 
@@ -69,20 +69,20 @@
         parts = [10.0 if uneven and one % 10 == 0 else 1.0 for one in range(fleet)]
         self.rates = [load * RATE * SERVERS * part / sum(parts) / SECOND for part in parts]
         self.hits: dict[int, list[int]] = {server: [] for server in self.servers[:cold]}
-        self.given = settings(fleet=fleet, cold_for=8 * SECOND, **changed)
+        self.given = make_settings(fleet=fleet, cold_for=8 * SECOND, **changed)
         self.sidecars = [self.begun(0, me) for me in range(fleet)]
 
-    def entries(self, now: int, known: bool = True) -> list[Entry]:
+    def entries(self, now: int, known: bool = True) -> list[ServerEntry]:
         started = STARTED * SECOND if now >= STARTED * SECOND else 0
         return [
-            entry(server, came_up=started if at < self.cold else 0)
+            make_entry(server, started_at=started if at < self.cold else 0)
             for at, server in enumerate(self.servers)
             if at >= self.cold or started
         ]
 
     def begun(self, now: int, me: int) -> Balancer:
         sidecar = Balancer(replace(self.given, me=me), self.chance.getrandbits(32), Sent())
-        sidecar.listed(now, Listing.CACHED, self.entries(now))
+        sidecar.update_servers(now, ListKind.CACHED, self.entries(now))
         return sidecar
 
     def run(self) -> None:
@@ -105,18 +105,18 @@
             if not told and now >= STARTED * SECOND:
                 told = True
                 for sidecar in self.sidecars:
-                    sidecar.listed(now, Listing.CHANGES, self.entries(now)[: self.cold])
+                    sidecar.update_servers(now, ListKind.CHANGES, self.entries(now)[: self.cold])
             if isinstance(what, range):  # a part of the fleet at once
                 for me in what:
                     self.sidecars[me] = self.begun(now, me)
             elif isinstance(what, int):
                 put(now + self.chance.expovariate(self.rates[what]) + 1, what)
-                one = self.sidecars[what].take(
+                one = self.sidecars[what].submit(
                     now, number, 0, 1 + self.chance.randrange(500), False, now + 2 * SECOND
                 )
                 if one.hops:
                     put(now + self.chance.expovariate(1 / 50_000) + 5000, one)
-                    if (server := one.balancer.outlet.last) in self.hits:  # type: ignore[attr-defined]
+                    if (server := one.balancer.callbacks.last) in self.hits:  # type: ignore[attr-defined]
                         self.hits[server].append(now)
             else:
                 what.ended(now, 0, Outcome.OK, now - what.hops[0].at, True)
@@ -127,9 +127,9 @@
         given = self.given
         for hits in self.hits.values():
             for last, now in enumerate(hits):
-                warmth = given.cold_from + (1 - given.cold_from) * (now / SECOND - STARTED) / 8
-                budget = given.fall_multiple * warmth * RATE * given.fall_window / SECOND
-                sent = sum(then > now - given.fall_window for then in hits[: last + 1])
+                warmth = given.cold_fraction + (1 - given.cold_fraction) * (now / SECOND - STARTED) / 8
+                budget = given.overload_multiple * warmth * RATE * given.overload_window / SECOND
+                sent = sum(then > now - given.overload_window for then in hits[: last + 1])
                 worst = max(worst, (sent / (budget + 2 * math.sqrt(budget) + 2), sent, budget))
         return worst
 
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -14,7 +14,7 @@
 import pytest
 
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
-from pumicepath.logic import Chance
+from pumicepath.balancer import SeededRandom
 from pumicepath.sidecar import clock
 from pumicepath.sidecar.entrance import Entrance
 from pumicepath.sidecar.servers import Link, start
@@ -69,7 +69,7 @@
     "is refused": [],
 }
 # The longest pause that a sidecar can draw.
-SEED = next(seed for seed in range(10_000) if Chance(seed).bits() % 3_000_000 > 2_950_000)
+SEED = next(seed for seed in range(10_000) if SeededRandom(seed).next_bits() % 3_000_000 > 2_950_000)
 
 
 class Drained:
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -18,7 +18,7 @@
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
 from pumicepath.sidecar.succession import NAME, Line, Short, Succession, reach
 
-from .helpers import compare
+from .helpers import check_trace
 from .rig import Rig, held, until
 
 
@@ -143,7 +143,7 @@
             say(path)
         around.client, around.parser = socket.create_connection(around.where), ResponseParser()
         around.ask("read", answer(200, "served by the third"))
-    compare(
+    check_trace(
         "succession",
         [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in around.lines],
     )
