--- a/benchmarks/hearing.py
+++ b/benchmarks/hearing.py
@@ -17,12 +17,12 @@
 from telling import Origin, answer, change, whole
 from trees import ROOT
 
+from pumicepath.balancer import Balancer
 from pumicepath.discovery.roster import Roster
 from pumicepath.discovery.watch import Watch
 from pumicepath.interface import ListKind, Outcome
 from pumicepath.lab.loopback.process import Sidecar
 from pumicepath.lab.spec import told as settings_of
-from pumicepath.balancer import Balancer
 from pumicepath.settings import decode
 
 NEAR = "zone-00"
--- a/pumicepath/balancer.py
+++ b/pumicepath/balancer.py
@@ -14,16 +14,16 @@
 from heapq import heapify, heappop, nsmallest
 
 from .interface import (
-    PeerTrials,
-    Effect,
-    ServerEntry,
+    Callbacks,
     DedupGroup,
+    Effect,
     ListKind,
     Outcome,
-    Callbacks,
+    PeerTrials,
+    RequestClass,
+    ServerEntry,
     ServerState,
     Settings,
-    RequestClass,
 )
 
 CLOSED, OPEN, HALF_OPEN = range(3)
@@ -199,7 +199,7 @@
 class Candidates:
     """The servers open to some tariffs, those of them that this sidecar uses, and keys' draws of these."""
 
-    __slots__ = ("servers", "subset", "draws")
+    __slots__ = ("servers", "subset", "scores")
 
     def __init__(self, ready: list[int], near: list[int]) -> None:
         self.servers, self.subset = ready, near
@@ -209,7 +209,14 @@
 class ClassState:
     """What a tariff says, and how long its submissions take; they end under what they were taken by."""
 
-    __slots__ = ("request_class", "place", "latency_target", "usual", "calm", "samples")
+    __slots__ = (
+        "request_class",
+        "placement",
+        "latency_target",
+        "typical_latency",
+        "unloaded_latency",
+        "samples",
+    )
 
     def __init__(self, tariff: RequestClass, before: ClassState | None = None) -> None:
         self.request_class = tariff
@@ -589,7 +596,7 @@
                 del self.drained_starts[next(iter(self.drained_starts))]
         elif entry.state == ServerState.READY:
             if entry.started_at <= self.drained_starts.get(entry.server, -1):
-                return entry._replace(phase=ServerState.DRAINING)
+                return entry._replace(state=ServerState.DRAINING)
             at = self.index_by_id.get(entry.server, -1)
             if at >= 0 and self.unlisted_since[at]:
                 self.unlisted_since[at], self.weight_factors_at[at] = 0, now
@@ -736,13 +743,13 @@
         self.cold_tokens_at = [now] * len(self.cold_tokens)
         self.settings = replace(
             settings,
-            cold_from=min(before.cold_fraction, settings.cold_fraction),
-            cold_for=max(before.cold_duration, settings.cold_duration),
-            most_hops=min(before.max_hops, settings.max_hops),
-            fall_multiple=min(before.overload_multiple, settings.overload_multiple),
-            fall_window=min(before.overload_window, settings.overload_window),
-            full_unproven=before.full_may_have_run or settings.full_may_have_run,
-            ask_every=min(before.poll_interval, settings.poll_interval),
+            cold_fraction=min(before.cold_fraction, settings.cold_fraction),
+            cold_duration=max(before.cold_duration, settings.cold_duration),
+            max_hops=min(before.max_hops, settings.max_hops),
+            overload_multiple=min(before.overload_multiple, settings.overload_multiple),
+            overload_window=min(before.overload_window, settings.overload_window),
+            full_may_have_run=before.full_may_have_run or settings.full_may_have_run,
+            poll_interval=min(before.poll_interval, settings.poll_interval),
         )
         self.transition = SettingsTransition(self, settings)
         longest = max(self.settings.cold_duration, before.overload_window, settings.overload_window)
@@ -1094,7 +1101,7 @@
             crowded = (
                 len(self.hops_in_flight[at]) >= 2 and len(self.hops_in_flight[at]) > CROWDED_RATIO * fair
             )
-            stalled = len(self.hops_in_flight[at]) > 0 and now > self.hops_in_flight[at][0].due
+            stalled = len(self.hops_in_flight[at]) > 0 and now > self.hops_in_flight[at][0].due_at
             slow = lag > 2.0 and one.class_state.typical_latency * lag > tariff.latency_target / 2
             if not crowded and not slow and not stalled:
                 return at
--- a/pumicepath/intake/queue.py
+++ b/pumicepath/intake/queue.py
@@ -12,8 +12,8 @@
 from enum import IntEnum
 from typing import Generic, TypeVar
 
-from ..interface import RequestClass
 from ..balancer import SeededRandom
+from ..interface import RequestClass
 
 Whom = TypeVar("Whom")
 
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -15,12 +15,12 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
+from ...balancer import Balancer, SeededRandom
 from ...discovery.roster import Address, BadList, Roster, Update
 from ...discovery.watch import Overtaxed, Watch
 from ...distribution.homes import Homes
 from ...http1.messages import Malformed
 from ...interface import ListKind, ServerState, TimerHandler
-from ...balancer import Balancer, SeededRandom
 from ...settings import decode
 from ...sidecar import clock
 from ...sidecar.watching import DIAL_S, LONGEST_DIAL_S, STEP_S, WHOLE_S
--- a/pumicepath/lab/hollow/witness.py
+++ b/pumicepath/lab/hollow/witness.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple, Protocol
 
+from ...balancer import Balancer
 from ...discovery.roster import stable
 from ...interface import ServerState
-from ...balancer import Balancer
 from .plan import STEP, Plan
 from .truth import ACTIVE, LEFT, Change, now
 
--- a/pumicepath/lab/loopback/discovery.py
+++ b/pumicepath/lab/loopback/discovery.py
@@ -10,7 +10,7 @@
 import orjson
 
 from ...http1 import writing
-from ...interface import ServerEntry, ListKind, ServerState
+from ...interface import ListKind, ServerEntry, ServerState
 from .ground import Ground
 
 HEALTH = {ServerState.READY: "active", ServerState.DRAINING: "leaving", ServerState.GONE: "left"}
--- a/pumicepath/lab/model/judge.py
+++ b/pumicepath/lab/model/judge.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ...interface import Effect, DedupGroup, RequestClass
+from ...interface import DedupGroup, Effect, RequestClass
 from .listing import Registry
 from .servers import Job, Server
 from .timeline import Timeline
--- a/pumicepath/lab/troubles/clock_step.py
+++ b/pumicepath/lab/troubles/clock_step.py
@@ -22,7 +22,7 @@
         registry = self.world.registry
         for server in self.hit:
             seems = max(1, self.world.timeline.now + step)
-            registry.put(registry.truth[server.number]._replace(came_up=seems))
+            registry.put(registry.truth[server.number]._replace(started_at=seems))
         return f"{named(self.hit)} by {self.value:g} s"
 
     def turn(self, way: int) -> None:
--- a/pumicepath/lab/virtual/baselines.py
+++ b/pumicepath/lab/virtual/baselines.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable, Sequence
 
-from ...interface import Effect, ServerEntry, ListKind, Outcome, Callbacks, ServerState, Settings
+from ...interface import Callbacks, Effect, ListKind, Outcome, ServerEntry, ServerState, Settings
 from ..model.timeline import chance
 
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED)
--- a/pumicepath/lab/virtual/peers.py
+++ b/pumicepath/lab/virtual/peers.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from typing import Any
 
+from ...balancer import Balancer
 from ...fleet import messages
 from ...fleet.fellow import Fellow
 from ...fleet.membership import Membership
 from ...fleet.messages import STATES, Record
 from ...fleet.settings import PeerSettings, Voting
-from ...balancer import Balancer
 from ..model.links import Links
 from ..model.timeline import Timeline, chance
 from ..model.views import right
--- a/pumicepath/lab/virtual/run.py
+++ b/pumicepath/lab/virtual/run.py
@@ -6,9 +6,9 @@
 from collections import deque
 from collections.abc import Callable
 
+from ...balancer import Balancer
 from ...fleet.settings import TIMEOUT_PART, Voting
 from ...interface import Settings
-from ...balancer import Balancer
 from ..model.links import Links
 from ..model.result import Result, result
 from ..model.timeline import SECOND, Virtual
@@ -72,7 +72,7 @@
             KINDS[trouble.kind](self, trouble, number).plan()
 
     def settings_of(self, number: int, hall: int) -> Settings:
-        return dataclasses.replace(self.settings[hall], me=number)
+        return dataclasses.replace(self.settings[hall], sidecar_index=number)
 
     def voting(self) -> Voting | None:
         """The first sidecars vote, where there are duties."""
--- a/pumicepath/lab/virtual/sidecar.py
+++ b/pumicepath/lab/virtual/sidecar.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from ...interface import ServerEntry, ListKind, Outcome, Callbacks, Settings, TimerHandler
+from ...interface import Callbacks, ListKind, Outcome, ServerEntry, Settings, TimerHandler
 from ..model.clients import Ask
 from ..model.judge import Judge
 from ..model.listing import Registry
--- a/pumicepath/settings.py
+++ b/pumicepath/settings.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from .interface import Effect, DedupGroup, Settings, RequestClass
+from .interface import DedupGroup, Effect, RequestClass, Settings
 
 EFFECTS = {
     "idempotent": Effect.IDEMPOTENT,
--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -180,7 +180,7 @@
         zones=zones,
         kinds=tuple(str(kind) for kind in info.get("kinds", [])),
         tariffs={name: at for at, name in enumerate(names)},
-        settings=replace(decode(info), copies=False),  # a client's thread carries one hop at a time
+        settings=replace(decode(info), hedging_allowed=False),  # a client's thread carries one hop at a time
         pushed=info.get("membershipMode") != "on_request",
         idle=int(allowed.get("connIdleS", 30.0) * 1e6),
         dial=int(allowed.get("dialTimeoutS", 1.0) * 1e6),
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -8,13 +8,13 @@
 from heapq import heappop, heappush
 
 from ..admin.figures import Figures
+from ..balancer import Balancer, ClassState, Submission
 from ..discovery.roster import Update, stable
 from ..http1 import writing
 from ..http1.messages import Response
 from ..http1.parsing import ResponseParser
-from ..interface import PeerTrials, ListKind, Outcome, TimerHandler
+from ..interface import ListKind, Outcome, PeerTrials, TimerHandler
 from ..invariants import must
-from ..balancer import Balancer, Submission, ClassState
 from . import answers, clock
 from .config import Config
 from .entrance import Entrance
@@ -145,7 +145,7 @@
     def ring(self, now: int) -> None:
         while self.alarms and self.alarms[0][0] <= now:
             whom = heappop(self.alarms)[2]
-            if type(whom) is Submission and self.pace.behind > TOO_LATE and not whom.over():
+            if type(whom) is Submission and self.pace.behind > TOO_LATE and not whom.is_finished():
                 # Guards servers against being judged by how late our own threads are: the answer may have
                 # come, and wait to be read.
                 self.set_timer(now + self.pace.behind, Later(whom))
--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
+from ..balancer import Submission
 from ..http1.messages import Request
 from ..http1.parsing import ResponseParser
 from ..interface import Effect, Outcome, TimerHandler
 from ..invariants import must
-from ..balancer import Submission
 from . import answers
 
 LATE = 5_000  # from when a client that waits may have gone
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -15,10 +15,10 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import compiled, invariants
+from ..balancer import SeededRandom
 from ..discovery.roster import Address, BadList, Roster, Update, stable
 from ..discovery.watch import Watch
 from ..interface import ListKind
-from ..balancer import SeededRandom
 from . import clock
 from . import config as settings
 from .clients import Clients
@@ -258,7 +258,7 @@
         )
         for one in settings.request_classes
     )
-    return replace(config, settings=replace(settings, zone=zone, tariffs=tariffs))
+    return replace(config, settings=replace(settings, zone=zone, request_classes=tariffs))
 
 
 def numbered(
--- a/pumicepath/wirehost/host.py
+++ b/pumicepath/wirehost/host.py
@@ -6,8 +6,8 @@
 import math
 from typing import Any, BinaryIO
 
-from ..interface import ServerEntry, ListKind, Outcome, ServerState, TimerHandler
 from ..balancer import Balancer, Submission
+from ..interface import ListKind, Outcome, ServerEntry, ServerState, TimerHandler
 from ..settings import decode
 from . import frames
 from .frames import Malformed, Reply
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -13,9 +13,10 @@
 import pytest
 from click.testing import CliRunner
 
+from pumicepath.balancer import Balancer
 from pumicepath.command import main
 from pumicepath.discovery.roster import stable
-from pumicepath.interface import ServerEntry, ListKind, ServerState
+from pumicepath.interface import ListKind, ServerEntry, ServerState
 from pumicepath.lab.experiments.folders import LOCK, Taken, owned
 from pumicepath.lab.hollow import needs
 from pumicepath.lab.hollow.plan import STEP, Ask, BadAsk, Plan, checked
@@ -24,7 +25,6 @@
 from pumicepath.lab.hollow.truth import ACTIVE, LEAVING, LEFT, Change, Ledger, Tail
 from pumicepath.lab.hollow.verdict import Verdict, Window, counted
 from pumicepath.lab.hollow.witness import Witness
-from pumicepath.balancer import Balancer
 from pumicepath.settings import decode
 
 from .helpers import restore_sigint
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,7 +1,7 @@
 """What is taken up, waits or is turned away when the sidecar itself is short of time; no threads."""
 
 from pumicepath.intake.queue import PLACES, Intake, Verdict
-from pumicepath.interface import Effect, DedupGroup, RequestClass
+from pumicepath.interface import DedupGroup, Effect, RequestClass
 
 from .helpers import check_trace
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from itertools import takewhile
 
-from pumicepath.interface import Effect, ServerEntry, DedupGroup, ListKind, ServerState, RequestClass
+from pumicepath.interface import DedupGroup, Effect, ListKind, RequestClass, ServerEntry, ServerState
 from pumicepath.lab.model.clients import Clients, Habits, Keys, Moods, Tally
 from pumicepath.lab.model.judge import Judge
 from pumicepath.lab.model.listing import Manner, Registry
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -11,12 +11,12 @@
 
 import pytest
 
+from pumicepath.balancer import Submission
 from pumicepath.http1 import writing
 from pumicepath.http1.messages import Malformed
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.interface import Effect, Outcome, RequestClass
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.balancer import Submission
 from pumicepath.sidecar import upload
 
 from .helpers import (
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
 from pumicepath.balancer import SeededRandom
+from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
 from pumicepath.sidecar import clock
 from pumicepath.sidecar.entrance import Entrance
 from pumicepath.sidecar.servers import Link, start
