--- a/pumicepath/interface.py
+++ b/pumicepath/interface.py
@@ -1,6 +1,6 @@
-"""The types that stand between a host (wire, later sockets) and the decisions in `logic`.
+"""The types that stand between a host and the decisions in `balancer`.
 
-Times are whole microseconds of one monotonic clock; ids are whatever the host uses.
+Times and durations are whole microseconds, times by one monotonic clock; ids are whatever the host uses.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 
 class Effect(IntEnum):
-    """What a repeat of a submission would do."""
+    """What happens if a submission runs more than once."""
 
-    IDEMPOTENT = 0
-    DEDUPLICATED = 1
-    NON_IDEMPOTENT = 2
+    IDEMPOTENT = 0  # the same as if it ran once
+    DEDUPLICATED = 1  # servers of one group drop the second run, within a window
+    NON_IDEMPOTENT = 2  # harm: it must not run twice
 
 
 class DedupGroup(IntEnum):
-    """The servers that drop each other's repeats of a deduplicated submission."""
+    """The servers that drop each other's duplicates of a deduplicated submission."""
 
     ALL = 0
     ZONE = 1
@@ -27,20 +27,20 @@
 
 
 class Outcome(IntEnum):
-    """How a hop or a probe ended."""
+    """How a hop or a probe ended; the lower-case names are written to logs."""
 
     OK = 0
     ERROR = 1
-    FULL = 2
+    FULL = 2  # the server refused it for lack of capacity
     TIMEOUT = 3
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    MOOT = 7  # nothing was sent
 
 
 class ServerState(IntEnum):
-    """What the list says of a server."""
+    """What the server list says of a server."""
 
     GONE = 0
     READY = 1
@@ -48,7 +48,7 @@
 
 
 class ListKind(IntEnum):
-    """What kind of list reached the sidecar."""
+    """What kind of server list reached the sidecar; FAILED: a request for it failed."""
 
     CHANGES = 0
     FULL = 1
@@ -57,10 +57,10 @@
 
 
 class ServerEntry(NamedTuple):
-    """One line of the server list; `came_up` is 0 where the start lies long past.
+    """One line of the server list; `started_at` is 0 if the server started long ago.
 
-    `name` is what people call it; where there is none, its id stands for it.  Servers of one `kind` have one
-    nominal size; -1 where nothing is said of it.
+    `name` is for people; a server without one goes by its id.  Servers of one `kind` have the same nominal
+    size; -1 if it is unknown.
     """
 
     server: int
@@ -75,61 +75,75 @@
 
 @dataclass(frozen=True)
 class RequestClass:
+    """A class of requests: what a submission of it is worth, until when, and how it may be retried.
+
+    An answer has its full `value` within `latency_target`, and `late_value` from then until `deadline`.
+    """
+
     latency_target: int
-    deadline: int
+    deadline: int  # from the submission on
     value: float
     late_value: float
     effect: Effect
     dedup_group: DedupGroup
     dedup_window: int
-    stream: bool = False
+    stream: bool = False  # whether a response may go on without a time limit
     name: str = ""
-    zones: tuple[int, ...] | None = None  # the only ones whose servers may have it; None: any
-    kinds: tuple[int, ...] | None = None
+    zones: tuple[int, ...] | None = None  # the only zones whose servers may get it; None: any
+    kinds: tuple[int, ...] | None = None  # the only kinds of servers that may get it; None: any
 
 
 @dataclass(frozen=True)
 class Settings:
-    sidecar_index: int
-    fleet_size: int
+    """The settings of one sidecar that its decisions depend on."""
+
+    sidecar_index: int  # its number within the fleet, from 0
+    fleet_size: int  # number of sidecars
     zone: int
     request_classes: tuple[RequestClass, ...]
-    cross_zone_cost: float
-    polls_list: bool
+    cross_zone_cost: float  # of a hop to another zone
+    polls_list: bool  # whether the server list has to be requested; otherwise it is pushed
     poll_interval: int
-    max_hops: int
+    max_hops: int  # of one submission
     max_retry_after: int
-    cold_fraction: float
-    cold_duration: int
-    overload_multiple: float
-    overload_window: int
-    live_weights: bool = False  # whether a listed scale falls with what the server holds
+    cold_fraction: float  # fraction of its capacity that a server has when it starts
+    cold_duration: int  # from its start until a server has its full capacity
+    overload_multiple: float  # multiple of a cold server's capacity that overloads it, if sent to it
+    overload_window: int  # within this window
+    live_weights: bool = False  # whether a listed weight falls with the load of the server
     connection_cost: float = 0.0  # for each open connection of a server, over 100
-    clients_mark_retries: bool = False  # whether clients mark what they send again
-    hedging_allowed: bool = False  # whether a second copy may go out beside the first
-    full_may_have_run: bool = False  # whether a server that says it is full may have begun the work
-    only_draining_removes: bool = False  # whether only draining binds, and not being gone from the list
+    clients_mark_retries: bool = False
+    hedging_allowed: bool = False  # whether a second hop may be sent beside the first
+    full_may_have_run: bool = False  # whether a server that answers "full" may have begun the work
+    only_draining_removes: bool = False  # whether a server that the list no longer has may still be used
     peer_messages_allowed: bool = False  # whether sidecars may send each other messages
-    tenant_quotas: tuple[float, ...] = ()  # submissions a second of each tenant, at all sidecars together
+    tenant_quotas: tuple[float, ...] = ()  # submissions a second of each tenant, through all sidecars
 
 
 class TimerHandler(Protocol):
-    def on_timer(self, now: int) -> None: ...
+    """Something that a timer can be set for."""
+
+    def on_timer(self, now: int) -> None:
+        """Handle the expiry of a timer."""
 
 
 class Callbacks(Protocol):
-    """Where decisions go; a host writes its messages straight from these calls."""
+    """What a host does for the decisions; it turns these calls directly into its messages."""
 
     def send(self, submission: int, server: int, timeout: int) -> None:
-        """Start the next hop; a time-out of 0 lasts as long as the client waits."""
+        """Send the next hop; with a timeout of 0 it lasts as long as the client waits."""
 
-    def reject(self, submission: int, retry_after: int) -> None: ...
+    def reject(self, submission: int, retry_after: int) -> None:
+        """Give the final answer: the client can safely try again after `retry_after`."""
 
-    def fail(self, submission: int) -> None: ...
+    def fail(self, submission: int) -> None:
+        """Give the final answer: the submission may have run, and trying again may do harm."""
 
-    def cancel(self, submission: int, hop: int) -> None: ...
+    def cancel(self, submission: int, hop: int) -> None:
+        """Cancel a hop; its outcome is still reported."""
 
-    def probe(self, server: int) -> None: ...
+    def probe(self, server: int) -> None:
+        """Send a health probe to a server."""
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a short message to another sidecar, by its number; it may be lost."""
@@ -137,21 +151,27 @@
     def close_idle_connections(self, server: int) -> None:
         """Close the idle connections to a server."""
 
-    def request_server_list(self) -> None: ...
+    def request_server_list(self) -> None:
+        """Request the server list and, from then on, the changes to it."""
 
-    def set_timer(self, at: int, handler: TimerHandler) -> None: ...
+    def set_timer(self, at: int, handler: TimerHandler) -> None:
+        """Call `handler.on_timer` at the given time, or soon after."""
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Write a line to the log."""
 
 
 class PeerTrials(Protocol):
-    """What other sidecars have to do with breakers; asked under the host's lock, it waits for nothing."""
+    """Agreement with other sidecars on trials of open breakers.
+
+    It is called under the host's lock, so an implementation must not block.
+    """
 
     def may_try(self, name: str) -> bool:
-        """Whether the half-open trial of the server with this name is this sidecar's to make."""
+        """Whether this sidecar is the one to make the half-open trial of the server with this name."""
 
     def breaker_opened(self, name: str, cooldown: int, sends_often: bool) -> None:
-        """Its breaker is open; `often`: this sidecar would send there within a Cooldown."""
+        """Report an opened breaker; `sends_often`: this sidecar sends there within a cooldown."""
 
     def trial_finished(self, name: str, failed: bool) -> None:
-        """The verdict of a trial made here; when it has failed, `opened` follows."""
+        """Report the result of a trial made here; if it failed, `breaker_opened` follows."""
