--- a/tests/bad_balancers.py
+++ b/tests/bad_balancers.py
@@ -1,4 +1,4 @@
-"""Balancers that each break one rule on purpose; the judge has to catch them."""
+"""Balancers that each break one rule on purpose, to test that the rule checker notices."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class NeverAnswersHandle(Handle):
-    def hop_finished(self, now, number, outcome, spent, finished):
+    def hop_finished(self, now, hop_number, outcome, elapsed, is_final):
         self.out = False
-        self.done = self.done or finished
+        self.done = self.done or is_final
 
     def is_finished(self):
         return self.done and not self.out
@@ -22,26 +22,26 @@
 
 
 class RejectsTwice(Random):
-    """Defers what it has sent, and says so once more."""
+    """Rejects submissions that it has sent, and each of them twice."""
 
-    def submit(self, now, name, tariff, key, retry, until):
-        one = super().submit(now, name, tariff, key, retry, until)
-        if self.settings.request_classes[tariff].effect == Effect.IDEMPOTENT:
+    def submit(self, now, name, request_class, key, retry, deadline_at):
+        submission = super().submit(now, name, request_class, key, retry, deadline_at)
+        if self.settings.request_classes[request_class].effect == Effect.IDEMPOTENT:
             self.callbacks.reject(name, 0)
             self.callbacks.reject(name, 0)
-        return one
+        return submission
 
 
 class SendsAfterAnswerHandle(Handle):
-    def hop_finished(self, now, number, outcome, spent, finished):
-        super().hop_finished(now, number, outcome, spent, finished)
-        if finished and len(self.tried) < 2:
+    def hop_finished(self, now, hop_number, outcome, elapsed, is_final):
+        super().hop_finished(now, hop_number, outcome, elapsed, is_final)
+        if is_final and len(self.tried) < 2:
             self.done = False
             self.go_on(now)
 
 
 class SendsAfterAnswer(Random):
-    """Sends once more after the final answer."""
+    """Sends another hop after the final answer."""
 
     kind = SendsAfterAnswerHandle
 
@@ -52,28 +52,28 @@
 
 
 class RetriesNonIdempotent(Random):
-    """Sends what may not be repeated again after an error, as if it had not run."""
+    """Retries non-idempotent submissions after an error, although they may have run."""
 
     kind = RetriesNonIdempotentHandle
 
 
 class RejectsPossiblyRunHandle(Handle):
-    def hop_finished(self, now, number, outcome, spent, finished):
+    def hop_finished(self, now, hop_number, outcome, elapsed, is_final):
         self.out = False
-        if not finished and not self.done and outcome != Outcome.OK:
+        if not is_final and not self.done and outcome != Outcome.OK:
             self.done = True
             self.balancer.callbacks.reject(self.name, 0)
         self.done = True
 
 
 class RejectsPossiblyRun(Random):
-    """Defers what may have run, as if trying again were harmless."""
+    """Rejects submissions that may have run, although trying again may do harm."""
 
     kind = RejectsPossiblyRunHandle
 
 
 class IgnoresListUpdates(RoundRobin):
-    """Does not heed the list once it has one."""
+    """Ignores all lists after the first one."""
 
     def update_servers(self, now, kind, entries):
         if not self.ready:
@@ -81,7 +81,7 @@
 
 
 class FloodsNewestServer(Plain):
-    """Sends everything to the server that came up last."""
+    """Sends everything to the server that started last."""
 
     def update_servers(self, now, kind, entries):
         super().update_servers(now, kind, entries)
@@ -89,6 +89,6 @@
             if entry.started_at:
                 self.newest = entry.server
 
-    def choose(self, one, among):
+    def choose(self, submission, among):
         newest = getattr(self, "newest", -1)
         return newest if newest in among else self.chance.choice(among)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A scripted balancer and a trace of what it decided."""
+"""A scripted host of one balancer, which records its decisions, and comparison with recorded traces."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     Settings,
 )
 
-socket.setdefaulttimeout(20)  # what should come and does not must fail a test, not hold it up
+socket.setdefaulttimeout(20)  # so that data that never arrives fails a test instead of blocking it
 TRACES = Path(__file__).parent / "traces"
 SECOND = 1_000_000
 READ_CLASS = RequestClass(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, DedupGroup.ALL, 0)
@@ -27,15 +27,17 @@
 
 
 def deduplicated_class(group: DedupGroup) -> RequestClass:
+    """A class whose submissions the servers of a group deduplicate for two seconds."""
     return RequestClass(1_000_000, 5_000_000, 3.0, 0.2, Effect.DEDUPLICATED, group, 2 * SECOND)
 
 
-def make_settings(*tariffs: RequestClass, **changed: object) -> Settings:
+def make_settings(*request_classes: RequestClass, **changed: object) -> Settings:
+    """Settings of one of three sidecars, with the given classes and changes."""
     values: dict = {
         "sidecar_index": 0,
         "fleet_size": 3,
         "zone": 0,
-        "request_classes": tariffs or (READ_CLASS, ONCE_CLASS),
+        "request_classes": request_classes or (READ_CLASS, ONCE_CLASS),
         "cross_zone_cost": 0.0,
         "polls_list": False,
         "poll_interval": 10 * SECOND,
@@ -56,15 +58,15 @@
 
 
 class ScriptedHost:
-    """An outlet that notes every decision; `at` moves the clock and delivers the wakes that are due."""
+    """The callbacks of a balancer, which record every decision in `lines`, with a clock set by the test."""
 
-    def __init__(self, given: Settings, servers: list[ServerEntry], seed: int = 7) -> None:
-        self.initial_settings, self.servers = given, servers
+    def __init__(self, settings: Settings, servers: list[ServerEntry], seed: int = 7) -> None:
+        self.initial_settings, self.servers = settings, servers
         self.now = 0
         self.lines: list[str] = []
         self.timers: list[tuple[int, int, object]] = []
         self.sent_to: list[int] = []
-        self.balancer = Balancer(given, seed, self)
+        self.balancer = Balancer(settings, seed, self)
         self.balancer.update_servers(0, ListKind.CACHED, servers)
 
     def note(self, text: str) -> None:
@@ -102,31 +104,38 @@
         self.note(f"log: {text}")
 
     def advance_to(self, seconds: float) -> ScriptedHost:
-        until = int(seconds * SECOND)
-        while self.timers and self.timers[0][0] <= until:
-            self.now, _, whom = heapq.heappop(self.timers)
-            whom.on_timer(self.now)
-        self.now = until
+        """Move the clock, running the timers that expire meanwhile."""
+        end = int(seconds * SECOND)
+        while self.timers and self.timers[0][0] <= end:
+            self.now, _, handler = heapq.heappop(self.timers)
+            handler.on_timer(self.now)
+        self.now = end
         return self
 
     def submit(
-        self, name: int, key: int = 1, request_class: int = 0, deadline: float = 2.0, retry: bool = False
+        self,
+        submission_id: int,
+        key: int = 1,
+        request_class: int = 0,
+        deadline: float = 2.0,
+        retry: bool = False,
     ) -> Submission:
+        """Submit now; `deadline` is in seconds from now."""
         return self.balancer.submit(
-            self.now, name, request_class, key, retry, self.now + int(deadline * SECOND)
+            self.now, submission_id, request_class, key, retry, self.now + int(deadline * SECOND)
         )
 
-    def finish_hop(self, one: Submission, outcome: Outcome, hop: int = -1) -> None:
-        """One hop, the last unless named, ends; only a success finishes the submission."""
-        if not one.hops:
+    def finish_hop(self, submission: Submission, outcome: Outcome, hop: int = -1) -> None:
+        """Report the outcome of a hop, by default the last one; only a success is a final answer."""
+        if not submission.hops:
             return
-        number = hop % len(one.hops)
-        one.hop_finished(
-            self.now, number, outcome, self.now - one.hops[number].sent_at, outcome == Outcome.OK
+        number = hop % len(submission.hops)
+        submission.hop_finished(
+            self.now, number, outcome, self.now - submission.hops[number].sent_at, outcome == Outcome.OK
         )
 
     def keys_with_same_server(self, key: int, count: int) -> list[int]:
-        """Keys that go where the key goes, so that none of them is popular."""
+        """Return keys that go to the same server as `key`, to use it without making one key popular."""
         fresh = ScriptedHost(self.initial_settings, self.servers)
         for other in range(1, 100 * count):
             fresh.finish_hop(fresh.advance_to(other).submit(other, other), Outcome.OK)
@@ -137,26 +146,27 @@
     def run_submissions(
         self, first: int, count: int, key: int, outcome: Outcome, interval: float = 0.1
     ) -> None:
-        """Submissions one after the other, each ended 10 ms after its first hop, later hops answered."""
+        """Submit one after the other; the first hop of each ends after 10 ms, later ones succeed."""
         start = self.now / SECOND
         for step in range(count):
-            one = self.advance_to(start + step * interval).submit(first + step, key)
-            self.advance_to(start + step * interval + 0.01).finish_hop(one, outcome)
-            if not one.is_finished():
-                self.finish_hop(one, Outcome.OK)
+            submission = self.advance_to(start + step * interval).submit(first + step, key)
+            self.advance_to(start + step * interval + 0.01).finish_hop(submission, outcome)
+            if not submission.is_finished():
+                self.finish_hop(submission, Outcome.OK)
 
 
 def restore_sigint() -> None:
-    """For a child that is to be interrupted: who runs the tests may ignore SIGINT, as background jobs do."""
+    """Make a child process interruptible; tests run as a background job inherit an ignored SIGINT."""
     signal.signal(signal.SIGINT, signal.SIG_DFL)
 
 
-def check_host_trace(name: str, bench: ScriptedHost, *more: str) -> None:
-    check_trace(name, [*bench.lines, *more])
+def check_host_trace(name: str, host: ScriptedHost, *more: str) -> None:
+    """Compare the decisions that a host recorded with the recorded trace."""
+    check_trace(name, [*host.lines, *more])
 
 
 def check_trace(name: str, lines: list[str]) -> None:
-    """The trace must be the one kept in the repository."""
+    """Compare lines with a trace recorded in the repository, to the letter."""
     got = "\n".join(lines) + "\n"
     kept = TRACES / f"{name}.txt"
     assert got == (kept.read_text() if kept.exists() else ""), got
