--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""Second copies: answers that get lost on their way, told from queues by what becomes of late ones."""
+"""Hedging: answers lost on their way are told from queueing by whether late answers still arrive."""
 
 import pytest
 
@@ -10,49 +10,50 @@
 FLEET = [make_entry(server, cell=server // 2) for server in range(2, 8)]
 
 
-def played(tariff: RequestClass, lost: int, late: float, **more: object) -> ScriptedHost:
-    """Two a second for half a minute; of each `lost` one answer never comes, one comes after `late` s."""
-    bench = ScriptedHost(make_settings(tariff, **more), FLEET)
+def run_with_losses(request_class: RequestClass, every: int, delay: float, **changed: object) -> ScriptedHost:
+    """Run 60 submissions, two a second; each `every`-th answer is lost or, with a `delay`, late (seconds)."""
+    host = ScriptedHost(make_settings(request_class, **changed), FLEET)
     for step in range(60):
         start = step / 2
-        one = bench.advance_to(start).submit(step, step + 1, deadline=1.8)
-        if step % lost:
-            bench.advance_to(start + 0.1).finish_hop(one, Outcome.OK)
-        elif late:
-            bench.advance_to(start + late).finish_hop(one, Outcome.OK, 0)
+        submission = host.advance_to(start).submit(step, step + 1, deadline=1.8)
+        if step % every:
+            host.advance_to(start + 0.1).finish_hop(submission, Outcome.OK)
+        elif delay:
+            host.advance_to(start + delay).finish_hop(submission, Outcome.OK, 0)
         else:
-            bench.advance_to(start + 0.45)  # a copy, if any went out by now, is answered soon
-            if one.hops_in_flight > 1:
-                bench.finish_hop(one, Outcome.OK)
-                one.hop_finished(bench.now, 0, Outcome.CANCELLED, 0, True)
+            host.advance_to(start + 0.45)  # a hedge, if one was sent by now, is answered
+            if submission.hops_in_flight > 1:
+                host.finish_hop(submission, Outcome.OK)
+                submission.hop_finished(host.now, 0, Outcome.CANCELLED, 0, True)
             else:
-                one.client_left(bench.now)
-                bench.finish_hop(one, Outcome.TIMEOUT)
-    return bench
+                submission.client_left(host.now)
+                host.finish_hop(submission, Outcome.TIMEOUT)
+    return host
 
 
 @pytest.mark.parametrize("group", list(DedupGroup))
-def test_once_answers_prove_lost_a_copy_goes_to_the_group_that_drops_it(group: DedupGroup) -> None:
-    bench = played(deduplicated_class(group), 4, 0.0, hedging_allowed=True)
-    balancer, cells = bench.balancer, {entry.server: entry.cell for entry in FLEET}
-    sends = [line.split()[2][:-1] for line in bench.lines if "hop to" in line]
-    copied = [at for at in range(1, len(sends)) if sends[at] == sends[at - 1]]
-    assert (
-        balancer.loss_rate > HEDGE_LOSS_RATE and 5 <= len(copied) <= 13
-    )  # of 15, the first of which teach it
+def test_once_answers_prove_lost_a_hedge_goes_to_the_group_that_deduplicates_it(group: DedupGroup) -> None:
+    host = run_with_losses(deduplicated_class(group), 4, 0.0, hedging_allowed=True)
+    balancer, cells = host.balancer, {entry.server: entry.cell for entry in FLEET}
+    submission_ids = [line.split()[2][:-1] for line in host.lines if "hop to" in line]
+    hedged = [
+        index for index in range(1, len(submission_ids)) if submission_ids[index] == submission_ids[index - 1]
+    ]
+    # 15 answers are lost; the first of them raise the loss rate, and no hedges are sent for these.
+    assert balancer.loss_rate > HEDGE_LOSS_RATE and 5 <= len(hedged) <= 13
     if group == DedupGroup.CELL:
-        assert all(cells[bench.sent_to[at]] == cells[bench.sent_to[at - 1]] for at in copied)
-    assert all(bench.sent_to[at] != bench.sent_to[at - 1] for at in copied)
+        assert all(cells[host.sent_to[index]] == cells[host.sent_to[index - 1]] for index in hedged)
+    assert all(host.sent_to[index] != host.sent_to[index - 1] for index in hedged)
 
 
 @pytest.mark.parametrize(
-    ("tariff", "late", "more"),
+    ("request_class", "delay", "changed"),
     [
         (
             deduplicated_class(DedupGroup.CELL),
             SUSPECT_TARGET_FRACTION + 0.2,
             {"hedging_allowed": True},
-        ),  # a queue: what is late does come
+        ),  # queueing: late answers do arrive
         (deduplicated_class(DedupGroup.CELL), 0.0, {}),  # not allowed
         (
             RequestClass(SECOND, 5 * SECOND, 3.0, 0.2, Effect.IDEMPOTENT, DedupGroup.ALL, 0),
@@ -66,6 +67,8 @@
         ),
     ],
 )
-def test_no_copy_where_it_would_be_work_done_twice(tariff: RequestClass, late: float, more: dict) -> None:
-    bench = played(tariff, 4, late, **more)
-    assert len(bench.sent_to) == len({line.split()[2] for line in bench.lines if "hop to" in line})
+def test_no_hedge_where_the_work_would_be_done_twice(
+    request_class: RequestClass, delay: float, changed: dict
+) -> None:
+    host = run_with_losses(request_class, 4, delay, **changed)
+    assert len(host.sent_to) == len({line.split()[2] for line in host.lines if "hop to" in line})
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -1,4 +1,4 @@
-"""What crosses an answer of the list: silence, resets, lists that can't be meant, a start with an old one."""
+"""Faults of server list requests: silence, resets, invalid lists, and a start with an outdated list."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
     return {"seq": seq, "whole": whole, "hosts": list(lines)}
 
 
-def told(seq: int, *lines: dict, whole: bool = False) -> bytes:
+def list_response(seq: int, *lines: dict, whole: bool = False) -> bytes:
     return answer(200, json.dumps(listing(seq, *lines, whole=whole)))
 
 
-class Heard:
-    """In the dispatcher's place: what it is told of the list, and what the log is."""
+class RecordingDispatcher:
+    """Takes the place of the dispatcher and its log, and records the lists and events that they get."""
 
     def __init__(self, lines: list[str]) -> None:
         self.lines = lines
@@ -60,130 +60,137 @@
         phases = " ".join(f"{entry.name} {entry.state.name.lower()}" for entry in update.entries)
         self.note(f"    told: {kind.name.lower()} {update.version} {phases}".rstrip())
 
-    def event(self, event: str, **figures: object) -> None:
-        name, _, rest = str(figures.get("text", "")).partition(": ")
+    def event(self, event: str, **fields: object) -> None:
+        name, _, rest = str(fields.get("text", "")).partition(": ")
         if "Connection" in name or "Pipe" in name:
-            figures["text"] = "the connection broke"  # by which call it was found the kernel decides
-        self.note(f"    log: {event} {figures}")
+            fields["text"] = "the connection broke"  # which call finds the fault depends on the kernel
+        self.note(f"    log: {event} {fields}")
 
 
-GOOD = told(8, line("s-1", "leaving"))
-# What the discovery of each case does with one call after the other; with the last of them all is well.
+GOOD = list_response(8, line("s-1", "leaving"))
+# What the discovery service of each case answers to one request after the other; the last answer is valid.
 CASES: dict[str, list] = {
     "silent from the first call on": ["wait", GOOD],
-    "silent later": [told(8), "wait", told(9, line("s-1", "leaving"))],
+    "silent later": [list_response(8), "wait", list_response(9, line("s-1", "leaving"))],
     "silent in the middle of an answer": [(GOOD[:-9], "wait"), GOOD],
     "reset at the first call": ["reset", GOOD],
-    "reset later": [told(8), "reset", told(9, line("s-1", "leaving"))],
-    "ended between two calls": [(told(8), "end"), told(9, line("s-1", "leaving"))],
+    "reset later": [list_response(8), "reset", list_response(9, line("s-1", "leaving"))],
+    "ended between two calls": [(list_response(8), "end"), list_response(9, line("s-1", "leaving"))],
     "too many callers": [answer(503), GOOD],
     "cut": [(GOOD[:-9], "end"), GOOD],
     "not JSON": [answer(200, "{"), GOOD],
     "indented": [answer(200, json.dumps(listing(8, line("s-1", "leaving")), indent=4))],
-    "no server at all": [told(8, whole=True), GOOD],
-    "an older change": [told(8, line("s-1", "leaving")), told(7, line("s-1")), told(9)],
+    "no server at all": [list_response(8, whole=True), GOOD],
+    "an older change": [
+        list_response(8, line("s-1", "leaving")),
+        list_response(7, line("s-1")),
+        list_response(9),
+    ],
     "an older whole list, then the present one": [
-        told(8, line("s-1", "leaving")),
-        told(7, line("s-1"), whole=True),
-        told(9),
+        list_response(8, line("s-1", "leaving")),
+        list_response(7, line("s-1"), whole=True),
+        list_response(9),
+    ],
+    "versions lost for good": [
+        list_response(8, line("s-1", "leaving")),
+        *[list_response(2, line("s-2"), whole=True)] * 3,
     ],
-    "versions lost for good": [told(8, line("s-1", "leaving")), *[told(2, line("s-2"), whole=True)] * 3],
-    "the same version again, whole": [told(8, line("s-1", "leaving"), whole=True)] * 2,
-    "one server twice": [told(8, line("s-1"), line("s-1", "leaving")), GOOD],
-    "no address": [told(8, line("s-2"), {"host": "s-1", "health": "active"}), GOOD],
-    "no state": [told(8, {"host": "s-1", "dial": "127.0.0.1:1"}), GOOD],
+    "the same version again, whole": [list_response(8, line("s-1", "leaving"), whole=True)] * 2,
+    "one server twice": [list_response(8, line("s-1"), line("s-1", "leaving")), GOOD],
+    "no address": [list_response(8, line("s-2"), {"host": "s-1", "health": "active"}), GOOD],
+    "no state": [list_response(8, {"host": "s-1", "dial": "127.0.0.1:1"}), GOOD],
     "lacks a server that a change brings back": [
-        told(8, line("s-2"), whole=True),
-        told(9, line("s-1", "leaving")),
+        list_response(8, line("s-2"), whole=True),
+        list_response(9, line("s-1", "leaving")),
     ],
 }
 
 
-def play(name: str, steps: list, monkeypatch: pytest.MonkeyPatch, pushed: bool = False) -> list[str]:
-    # Where discovery is to be silent that is found soon; elsewhere never, however slow the machine is.
+def run_case(name: str, steps: list, monkeypatch: pytest.MonkeyPatch, pushed: bool = False) -> list[str]:
+    # Silence is noticed soon where the case has it, and never elsewhere, however slow the machine is.
     silences = iter([0.1 if step == "wait" or step[-1] == "wait" else 60.0 for step in steps])
     monkeypatch.setattr(Watch, "until_silent", lambda watch: next(silences, 60.0))
     monkeypatch.setattr("pumicepath.sidecar.watching.WHOLE_S", 0.1)
     lines = [f"{name}{', pushed' if pushed else ''}:"]
-    heard, script = Heard(lines), queue.SimpleQueue()
+    recorder, script = RecordingDispatcher(lines), queue.SimpleQueue()
 
-    peer = Peer("", script, asked := [])  # calls past the script stay open
-    where = address(peer.address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), where, pushed)
-    watcher.dispatcher = heard
+    peer = Peer("", script, requests := [])  # requests after the end of the script stay open
+    discovery_address = address(peer.address)
+    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), discovery_address, pushed)
+    watcher.dispatcher = recorder
     watcher.follow()
     threading.Thread(target=watcher.run, daemon=True).start()
     for number, step in enumerate(steps):
         assert peer.met.acquire(timeout=20), (name, number, lines)
-        lines.append("  " + asked[number].removeprefix(": GET /discovery/").replace("?", " "))
+        lines.append("  " + requests[number].removeprefix(": GET /discovery/").replace("?", " "))
         script.put(step)
-        # The next call is made only once this answer has been judged; without it the balancer has to ask.
-        while len(asked) == number + 1:
+        # The next request follows once this answer was checked; after a failure the balancer has to ask.
+        while len(requests) == number + 1:
             time.sleep(0.001)
             if lines[-1].startswith("    told: failed"):
                 watcher.follow()
                 assert peer.met.acquire(timeout=20)
                 peer.met.release()
     assert peer.met.acquire(timeout=20), (name, lines)
-    lines.append("  " + asked[len(steps)].removeprefix(": GET /discovery/").replace("?", " "))
+    lines.append("  " + requests[len(steps)].removeprefix(": GET /discovery/").replace("?", " "))
     return lines
 
 
-def test_after_each_trouble_of_a_watch_the_list_in_force_stays_and_the_next_call_comes_in_time(
+def test_after_each_fault_of_a_watch_the_list_in_force_stays_and_the_next_request_is_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     lines = []
     for name, steps in CASES.items():
-        lines += play(name, steps, monkeypatch)
+        lines += run_case(name, steps, monkeypatch)
     check_trace("crossed-list", lines)
 
 
-def test_where_lists_are_pushed_a_watch_that_fails_is_tried_again_without_a_pause_of_the_balancer(
+def test_where_lists_are_pushed_a_failed_watch_is_retried_without_a_pause_of_the_balancer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    lines = play("down for some calls", ["reset", answer(503), "reset", GOOD], monkeypatch, pushed=True)
-    steps = [told(8), "reset", "reset", answer(503), told(9)]
-    lines += play("down while a watch is open", steps, monkeypatch, pushed=True)
+    lines = run_case("down for some calls", ["reset", answer(503), "reset", GOOD], monkeypatch, pushed=True)
+    steps = [list_response(8), "reset", "reset", answer(503), list_response(9)]
+    lines += run_case("down while a watch is open", steps, monkeypatch, pushed=True)
     check_trace("crossed-pushed", lines)
 
 
-def test_a_new_discovery_that_stays_away_is_told_of_once_the_move_is_over(
+def test_a_new_discovery_service_that_is_unreachable_is_reported_after_the_move(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("pumicepath.sidecar.watching.MOVING_S", 0.3)
-    heard, script = Heard([]), queue.SimpleQueue()
+    recorder, script = RecordingDispatcher([]), queue.SimpleQueue()
     peer = Peer("", script, [])
-    with socket.create_server(("127.0.0.1", 0)) as nobody:
-        away = address(f"127.0.0.1:{nobody.getsockname()[1]}")
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        unreachable = address(f"127.0.0.1:{listener.getsockname()[1]}")
     watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), address(peer.address))
-    watcher.dispatcher = heard
-    script.put(told(8))
+    watcher.dispatcher = recorder
+    script.put(list_response(8))
     watcher.follow()
     threading.Thread(target=watcher.run, daemon=True).start()
-    assert heard.some.acquire(timeout=20)
-    watcher.move(away, 100_000, False)
+    assert recorder.some.acquire(timeout=20)
+    watcher.move(unreachable, 100_000, False)
     for _ in range(2):
-        assert heard.some.acquire(timeout=20)
-    assert heard.lines == [
+        assert recorder.some.acquire(timeout=20)
+    assert recorder.lines == [
         "    told: changes 8",
         "    log: watch_failed {'text': 'the connection broke'}",
         "    told: failed 0",
     ]
 
 
-def test_a_call_is_given_up_while_what_it_missed_is_not_yet_deemed_told() -> None:
-    shares = iter([0.0, 0.5, 1.0])
-    watch = Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000_000, lambda: next(shares, 0.25))
-    # The first call after a doubt does not wait, so a second one fits into the 6 s that it has.
+def test_a_request_is_given_up_before_the_changes_it_missed_count_as_known() -> None:
+    random_values = iter([0.0, 0.5, 1.0])
+    watch = Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000_000, lambda: next(random_values, 0.25))
+    # The first request after a failure does not wait, so that a second one fits into the 6 s allowed.
     assert "timeout_ms=1 " in watch.request().decode() and 2 * watch.until_silent() <= 6
     watch.doubted = False
     waits = []
     for _ in range(2):
         watch.request()
         waits.append(watch.wait_ms)
-        # A dial and an answer have to fit into the 2 s after the wait.
+        # Connecting and the answer have to fit into the 2 s after the wait.
         assert watch.until_silent() - watch.wait_ms / 1000 <= 0.5
-    assert waits == [15_000, 20_000], "sidecars that began together do not go on together"
+    assert waits == [15_000, 20_000], "sidecars that began together must not stay in step"
 
 
 def test_an_answer_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -195,17 +202,17 @@
     def trickle() -> None:
         with contextlib.suppress(OSError):
             far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 4000000\r\n\r\n")
-            while not over.is_set():
+            while not finished.is_set():
                 far.sendall(b" ")
 
-    over = threading.Event()
+    finished = threading.Event()
     threading.Thread(target=trickle, daemon=True).start()
     with pytest.raises(TimeoutError):
         watcher.call(near)
-    over.set()
+    finished.set()
 
 
-def test_a_list_that_is_refused_leaves_nothing_behind() -> None:
+def test_a_rejected_list_leaves_no_state_behind() -> None:
     clock = iter(range(1000, 2000))
     roster = Roster(["a"], lambda born: next(clock))
     first = roster.read(listing(1, line("s-1", born_ms=5), whole=True))
@@ -226,34 +233,34 @@
     assert list(roster.starts) == ["s-1"] == [one["host"] for one in roster.whole(2)["hosts"]]
 
 
-def test_where_lists_are_pushed_nothing_is_taken_before_the_first_list(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 1)
-    around.told["settings"]["membershipMode"] = "pushed"
-    around.config.write_text(json.dumps(around.told))
+def test_where_lists_are_pushed_nothing_is_admitted_before_the_first_list(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 1)
+    deployment.told["settings"]["membershipMode"] = "pushed"
+    deployment.config.write_text(json.dumps(deployment.told))
 
     def hold_back() -> None:
-        assert around.discovery.met.acquire(timeout=20)
-        met = time.time()
+        assert deployment.discovery.met.acquire(timeout=20)
+        requested_at = time.time()
         time.sleep(0.5)
-        times.append((met, time.time()))
-        around.lists.put(answer(200, json.dumps(around.listing(8, False, "leaving"))))
+        spans.append((requested_at, time.time()))
+        deployment.lists.put(answer(200, json.dumps(deployment.listing(8, False, "leaving"))))
 
-    times: list[tuple[float, float]] = []
-    holding = threading.Thread(target=hold_back)
-    holding.start()
+    spans: list[tuple[float, float]] = []
+    holder = threading.Thread(target=hold_back)
+    holder.start()
     seen = SimpleNamespace(started=0.0)
-    event = around.event
-    around.event = lambda name, process=None: note(event(name, process))  # type: ignore[method-assign]
-
-    def note(found: dict) -> dict:
-        if found["event"] == "started":
-            seen.started = found["time"]
-        return found
-
-    with around.running():
-        holding.join()
-        met, released = times[0]
-        # The start waits 2 s at most: on a machine that took longer for the half second, either is right.
-        assert seen.started + 0.002 >= released or released - met > 1.5
-        response = around.ask("once")
-    assert response is not None and response.status == 503 and around.lines == ["client: 503 deferred"]
+    event = deployment.event
+    deployment.event = lambda name, process=None: note(event(name, process))  # type: ignore[method-assign]
+
+    def note(record: dict) -> dict:
+        if record["event"] == "started":
+            seen.started = record["time"]
+        return record
+
+    with deployment.running():
+        holder.join()
+        requested_at, released = spans[0]
+        # The start waits at most 2 s: on a machine where the half second took longer, either is right.
+        assert seen.started + 0.002 >= released or released - requested_at > 1.5
+        response = deployment.ask("once")
+    assert response is not None and response.status == 503 and deployment.lines == ["client: 503 deferred"]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tariffs bound to some zones or kinds of machine, and servers whose 'full' proves nothing."""
+"""Request classes restricted to zones or kinds of servers, and servers that may run work though "full"."""
 
 import json
 from dataclasses import replace
@@ -23,11 +23,11 @@
 )
 from .test_switch import load
 
-BOUND = replace(READ_CLASS, zones=(1,), kinds=(2, 3))
+RESTRICTED_CLASS = replace(READ_CLASS, zones=(1,), kinds=(2, 3))
 
 
-def server(number: int, zone: int, kind: int, **more: object) -> ServerEntry:
-    return make_entry(number, zone=zone, **more)._replace(kind=kind)  # type: ignore[arg-type]
+def server(number: int, zone: int, kind: int, **changed: object) -> ServerEntry:
+    return make_entry(number, zone=zone, **changed)._replace(kind=kind)  # type: ignore[arg-type]
 
 
 FLEET = [server(10 * zone + kind, zone, kind) for zone in (0, 1) for kind in (1, 2, 3)]
@@ -36,53 +36,53 @@
 @pytest.mark.parametrize(
     "outcome", [Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.OK]
 )
-def test_a_bound_tariff_goes_nowhere_else_whatever_its_servers_say(outcome: Outcome) -> None:
-    bench = ScriptedHost(make_settings(BOUND, READ_CLASS), FLEET)
+def test_a_restricted_class_stays_within_its_servers_whatever_they_answer(outcome: Outcome) -> None:
+    host = ScriptedHost(make_settings(RESTRICTED_CLASS, READ_CLASS), FLEET)
     for step in range(60):
-        one = bench.advance_to(step / 10).submit(step, step % 7 + 1, request_class=step % 2)
-        while one.hops_in_flight:
-            bench.finish_hop(one, Outcome.OK if step % 2 else outcome)
-        assert one.done
+        submission = host.advance_to(step / 10).submit(step, step % 7 + 1, request_class=step % 2)
+        while submission.hops_in_flight:
+            host.finish_hop(submission, Outcome.OK if step % 2 else outcome)
+        assert submission.done
         if step % 2 == 0:
-            assert {bench.balancer.ids[hop.server_index] for hop in one.hops} <= {12, 13}
-    assert len(set(bench.sent_to) - {12, 13}) > 2  # those of the other tariff
+            assert {host.balancer.ids[hop.server_index] for hop in submission.hops} <= {12, 13}
+    assert len(set(host.sent_to) - {12, 13}) > 2  # those of the other class
 
 
-def test_what_is_open_to_a_tariff_follows_the_list_and_the_settings() -> None:
-    bench = ScriptedHost(make_settings(BOUND, READ_CLASS), FLEET)
+def test_candidates_of_a_class_follow_the_list_and_the_settings() -> None:
+    host = ScriptedHost(make_settings(RESTRICTED_CLASS, READ_CLASS), FLEET)
 
-    def met(what: str) -> None:
-        bench.sent_to.clear()
+    def record_servers(what: str) -> None:
+        host.sent_to.clear()
         for step in range(30):
-            one = bench.advance_to(bench.now / SECOND + 0.2).submit(step, step + 1)
-            bench.finish_hop(one, Outcome.OK)
-            if not one.hops:
+            submission = host.advance_to(host.now / SECOND + 0.2).submit(step, step + 1)
+            host.finish_hop(submission, Outcome.OK)
+            if not submission.hops:
                 break
-        bench.lines = [line for line in bench.lines if "hop to" not in line]
-        bench.note(f"{what}: {sorted(set(bench.sent_to))}")
-
-    met("at first")
-    bench.balancer.update_servers(bench.now, ListKind.CHANGES, [server(12, 1, 2, state=ServerState.DRAINING)])
-    met("one drains")
-    bench.balancer.update_servers(bench.now, ListKind.CHANGES, [server(12, 1, 2), server(13, 1, 1)])
-    met("it is back, the other is of another kind")
-    bench.balancer.update_servers(bench.now, ListKind.CHANGES, [server(3, 1, 3)])
-    met("one has moved in")
-    bench.balancer.update_servers(bench.now, ListKind.FULL, FLEET[:3])
-    met("none left")
-    bench.balancer.apply_settings(bench.now, make_settings(replace(BOUND, zones=None), READ_CLASS))
-    met("any zone")
-    bench.balancer.update_servers(
-        bench.now,
+        host.lines = [line for line in host.lines if "hop to" not in line]
+        host.note(f"{what}: {sorted(set(host.sent_to))}")
+
+    record_servers("at first")
+    host.balancer.update_servers(host.now, ListKind.CHANGES, [server(12, 1, 2, state=ServerState.DRAINING)])
+    record_servers("one drains")
+    host.balancer.update_servers(host.now, ListKind.CHANGES, [server(12, 1, 2), server(13, 1, 1)])
+    record_servers("it is back, the other is of another kind")
+    host.balancer.update_servers(host.now, ListKind.CHANGES, [server(3, 1, 3)])
+    record_servers("one has moved in")
+    host.balancer.update_servers(host.now, ListKind.FULL, FLEET[:3])
+    record_servers("none left")
+    host.balancer.apply_settings(host.now, make_settings(replace(RESTRICTED_CLASS, zones=None), READ_CLASS))
+    record_servers("any zone")
+    host.balancer.update_servers(
+        host.now,
         ListKind.FULL,
-        FLEET[:1] + [server(number, 1, 2, started_at=bench.now) for number in (5, 6)],
+        FLEET[:1] + [server(number, 1, 2, started_at=host.now) for number in (5, 6)],
     )
-    met("all that are open are cold")
-    check_host_trace("placement", bench)
+    record_servers("all that are open are cold")
+    check_host_trace("placement", host)
 
 
 @pytest.mark.parametrize(
-    "tariff",
+    "request_class",
     [
         READ_CLASS,
         ONCE_CLASS,
@@ -91,41 +91,42 @@
         deduplicated_class(DedupGroup.CELL),
     ],
 )
-def test_full_is_no_proof_where_the_settings_say_so(tariff: RequestClass) -> None:
+def test_a_full_server_may_have_run_the_work_where_the_settings_say_so(request_class: RequestClass) -> None:
     fleet = [make_entry(number, zone=number % 2, cell=number // 2) for number in range(2, 8)]
-    for unproven in (False, True):
-        bench = ScriptedHost(make_settings(tariff, full_may_have_run=unproven), fleet)
-        one = bench.submit(1)
-        while one.hops_in_flight:
-            bench.finish_hop(one, Outcome.FULL)
-        hops = [(hop.zone, hop.cell) for hop in one.hops]
-        if not unproven or tariff.effect == Effect.IDEMPOTENT:
-            assert len(hops) == 4 and bench.lines[-1].endswith("deferred")
-        elif tariff.effect == Effect.NON_IDEMPOTENT:
-            assert len(hops) == 1 and bench.lines[-1].endswith("forfeited")
+    for may_have_run in (False, True):
+        host = ScriptedHost(make_settings(request_class, full_may_have_run=may_have_run), fleet)
+        submission = host.submit(1)
+        while submission.hops_in_flight:
+            host.finish_hop(submission, Outcome.FULL)
+        hops = [(hop.zone, hop.cell) for hop in submission.hops]
+        if not may_have_run or request_class.effect == Effect.IDEMPOTENT:
+            assert len(hops) == 4 and host.lines[-1].endswith("deferred")
+        elif request_class.effect == Effect.NON_IDEMPOTENT:
+            assert len(hops) == 1 and host.lines[-1].endswith("forfeited")
         else:
             assert (
-                len(hops) == {DedupGroup.ALL: 4, DedupGroup.ZONE: 3, DedupGroup.CELL: 2}[tariff.dedup_group]
+                len(hops)
+                == {DedupGroup.ALL: 4, DedupGroup.ZONE: 3, DedupGroup.CELL: 2}[request_class.dedup_group]
             )
-            assert tariff.dedup_group != DedupGroup.ZONE or len({zone for zone, _ in hops}) == 1
-            assert tariff.dedup_group != DedupGroup.CELL or len({cell for _, cell in hops}) == 1
-            assert bench.lines[-1].endswith(
-                "deferred" if tariff.dedup_group == DedupGroup.ALL else "forfeited"
+            assert request_class.dedup_group != DedupGroup.ZONE or len({zone for zone, _ in hops}) == 1
+            assert request_class.dedup_group != DedupGroup.CELL or len({cell for _, cell in hops}) == 1
+            assert host.lines[-1].endswith(
+                "deferred" if request_class.dedup_group == DedupGroup.ALL else "forfeited"
             )
 
 
-def test_in_a_change_of_settings_full_proves_nothing_until_both_say_that_it_does() -> None:
+def test_while_settings_change_full_proves_nothing_until_both_say_that_it_does() -> None:
     for before, after in ((True, False), (False, True)):
-        bench = ScriptedHost(
+        host = ScriptedHost(
             make_settings(ONCE_CLASS, full_may_have_run=before), [make_entry(1), make_entry(2)]
         )
-        one = bench.submit(1)
-        bench.balancer.apply_settings(bench.now, make_settings(ONCE_CLASS, full_may_have_run=after))
-        bench.finish_hop(one, Outcome.FULL)
-        assert len(one.hops) == 1 and bench.lines[-1].endswith("forfeited")
+        submission = host.submit(1)
+        host.balancer.apply_settings(host.now, make_settings(ONCE_CLASS, full_may_have_run=after))
+        host.finish_hop(submission, Outcome.FULL)
+        assert len(submission.hops) == 1 and host.lines[-1].endswith("forfeited")
 
 
-def test_places_are_read_by_number_and_by_name() -> None:
+def test_zones_and_kinds_are_read_by_number_and_by_name() -> None:
     info = {
         "dcs": ["a", "b"],
         "kinds": ["x", "y"],
@@ -137,41 +138,41 @@
         ],
     }
     read = decode(info)
-    assert [(one.zones, one.kinds) for one in read.request_classes] == [
+    assert [(request_class.zones, request_class.kinds) for request_class in read.request_classes] == [
         ((1,), (0, 1)),
         ((0, 1), (1,)),
         (None, None),
     ] and read.full_may_have_run
 
 
-def test_a_sidecar_serves_a_bound_tariff_where_its_file_says(tmp_path: Path) -> None:
-    """Kinds come in the list's own order; a file read again may name others."""
-    around = Deployment(tmp_path, 3)
-    told = around.told["settings"]
-    told["kinds"] = ["m3", "m1"]
-    told["tariffs"][0]["kindsAllowed"] = ["m1"]
-    plain = around.listing
+def test_a_sidecar_sends_a_restricted_class_where_its_file_says(tmp_path: Path) -> None:
+    """Kinds are numbered in the order of the list; a file read again may name others."""
+    deployment = Deployment(tmp_path, 3)
+    settings = deployment.told["settings"]
+    settings["kinds"] = ["m3", "m1"]
+    settings["tariffs"][0]["kindsAllowed"] = ["m1"]
+    listing_of_deployment = deployment.listing
 
     def listing(seq: int, whole: bool, health: str) -> dict:
-        lines = plain(seq, whole, health)
+        lines = listing_of_deployment(seq, whole, health)
         for at, line in enumerate(lines["hosts"]):
             line["class"] = f"m{2 - at}"
         return lines
 
-    around.listing = listing  # type: ignore[method-assign]
-    around.told["known"] = listing(1, True, "active")
-    around.config.write_text(json.dumps(around.told))
-    with around.running():
+    deployment.listing = listing  # type: ignore[method-assign]
+    deployment.told["known"] = listing(1, True, "active")
+    deployment.config.write_text(json.dumps(deployment.told))
+    with deployment.running():
         for _ in range(3):
-            around.ask("read", answer(200, "by m1"))
-        told["tariffs"][0]["kindsAllowed"] = ["m0"]
-        told["kinds"] = ["m0", "m1"]
-        around.lines.append(f"-- {load(around, around.told)}")
+            deployment.ask("read", answer(200, "by m1"))
+        settings["tariffs"][0]["kindsAllowed"] = ["m0"]
+        settings["kinds"] = ["m0", "m1"]
+        deployment.lines.append(f"-- {load(deployment, deployment.told)}")
         for _ in range(3):
-            around.ask("read", answer(200, "by m0"))
-        told["kinds"], told["tariffs"][0]["kindsAllowed"] = ["m1", "none such"], ["none such"]
-        around.lines.append(f"-- {load(around, around.told)}")
-        around.ask("read")
-        told["tariffs"][0]["kindsAllowed"] = ["m2"]
-        around.lines.append(f"-- bad: {load(around, around.told)}")
-    check_trace("placed", around.lines)
+            deployment.ask("read", answer(200, "by m0"))
+        settings["kinds"], settings["tariffs"][0]["kindsAllowed"] = ["m1", "none such"], ["none such"]
+        deployment.lines.append(f"-- {load(deployment, deployment.told)}")
+        deployment.ask("read")
+        settings["tariffs"][0]["kindsAllowed"] = ["m2"]
+        deployment.lines.append(f"-- bad: {load(deployment, deployment.told)}")
+    check_trace("placed", deployment.lines)
