--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -21,7 +21,7 @@
     make_entry,
     make_settings,
 )
-from .test_switch import load
+from .test_switch import reload
 
 RESTRICTED_CLASS = replace(READ_CLASS, zones=(1,), kinds=(2, 3))
 
@@ -167,12 +167,12 @@
             deployment.ask("read", answer(200, "by m1"))
         settings["tariffs"][0]["kindsAllowed"] = ["m0"]
         settings["kinds"] = ["m0", "m1"]
-        deployment.lines.append(f"-- {load(deployment, deployment.told)}")
+        deployment.lines.append(f"-- {reload(deployment, deployment.told)}")
         for _ in range(3):
             deployment.ask("read", answer(200, "by m0"))
         settings["kinds"], settings["tariffs"][0]["kindsAllowed"] = ["m1", "none such"], ["none such"]
-        deployment.lines.append(f"-- {load(deployment, deployment.told)}")
+        deployment.lines.append(f"-- {reload(deployment, deployment.told)}")
         deployment.ask("read")
         settings["tariffs"][0]["kindsAllowed"] = ["m2"]
-        deployment.lines.append(f"-- bad: {load(deployment, deployment.told)}")
+        deployment.lines.append(f"-- bad: {reload(deployment, deployment.told)}")
     check_trace("placed", deployment.lines)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -1,4 +1,4 @@
-"""Settings exchanged in a running sidecar among stand-ins on loopback: there, back, a bad file between."""
+"""Settings of a running sidecar are replaced, restored and given in invalid files, on loopback."""
 
 import json
 import math
@@ -20,9 +20,9 @@
 from .helpers import check_trace
 
 
-def other(told: dict) -> dict:
-    """The same sidecar in a deployment of another shape."""
-    tariffs = [
+def other_settings(config_file: dict) -> dict:
+    """Return the config of the same sidecar with settings of another shape."""
+    request_classes = [
         {"name": name, "effect": effect, "gain": 1.0, "agreedTimeS": 0.2, "patienceS": 2.0}
         for name, effect in (("sign", "at_most_once"), ("once", "at_most_once"), ("view", "idempotent"))
     ]
@@ -35,7 +35,7 @@
         "maxRetryAfterS": 2.0,
     }
     return {
-        **told,
+        **config_file,
         "settings": {
             "membershipMode": "pushed",
             "weights": "live",
@@ -45,52 +45,56 @@
             "fleetSize": 50,
             "prices": {"connection": 0.03},
             "tenants": [{"name": "x", "quotaPerS": 90.0}],
-            "tariffs": tariffs,
+            "tariffs": request_classes,
             "rules": {"askEveryS": 6.0, "coldFrom": 0.3, "coldS": 9.0},
             "policyLimits": limits,
         },
     }
 
 
-def load(around: Deployment, told: dict) -> str:
-    around.lists.put(answer(200, json.dumps(around.listing(2, True, "active"))))
-    around.config.write_text(json.dumps(told))
-    around.process.send_signal(signal.SIGHUP)
-    event = around.event("reloaded", "reload_failed")
+def reload(deployment: Deployment, config_file: dict) -> str:
+    deployment.lists.put(answer(200, json.dumps(deployment.listing(2, True, "active"))))
+    deployment.config.write_text(json.dumps(config_file))
+    deployment.process.send_signal(signal.SIGHUP)
+    event = deployment.event("reloaded", "reload_failed")
     return " ".join(
         str(event.get(key)) for key in ("event", "settings", "tariffs", "without_effect", "needs_restart")
     )
 
 
-def test_what_was_taken_ends_under_its_own_terms_and_the_way_back_is_the_same(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 2)
-    old, new, lines = around.told, other(around.told), around.lines
-    met = around.servers[0].met = around.servers[1].met
-    with around.running():
-        around.send("read")
-        assert met.acquire(timeout=5)
-        lines.append(f"-- a hop out that the new file has no tariff for: {load(around, new)}")
-        around.script.put(answer(200, "as taken before"))
-        around.hear()
-        around.ask("read")
-        around.ask("sign", answer(200, "signed"))
-        assert met.acquire(timeout=5)
-        around.send("once")
-        assert met.acquire(timeout=5)
-        lines.append(f"-- bad: {load(around, {**old, 'settings': {'tariffs': [{'effect': 'often'}]}})}")
-        lines.append(f"-- back, an unrepeatable hop out: {load(around, old)}")
-        lines.append(f"-- once more: {load(around, old)}")
-        around.script.put("reset")
-        around.hear()
-        around.ask("read", answer(500), answer(200, "read again elsewhere"))
-        lines.append(f"-- there, with another address: {load(around, {**new, 'listen': '127.0.0.1:1'})}")
-        around.ask("view", answer(200, "viewed"))
-        assert around.process.poll() is None
+def test_admitted_submissions_end_under_their_own_class_also_when_settings_are_restored(
+    tmp_path: Path,
+) -> None:
+    deployment = Deployment(tmp_path, 2)
+    old, new, lines = deployment.told, other_settings(deployment.told), deployment.lines
+    arrived = deployment.servers[0].met = deployment.servers[1].met
+    with deployment.running():
+        deployment.send("read")
+        assert arrived.acquire(timeout=5)
+        lines.append(f"-- a hop out that the new file has no tariff for: {reload(deployment, new)}")
+        deployment.script.put(answer(200, "as taken before"))
+        deployment.hear()
+        deployment.ask("read")
+        deployment.ask("sign", answer(200, "signed"))
+        assert arrived.acquire(timeout=5)
+        deployment.send("once")
+        assert arrived.acquire(timeout=5)
+        lines.append(f"-- bad: {reload(deployment, {**old, 'settings': {'tariffs': [{'effect': 'often'}]}})}")
+        lines.append(f"-- back, an unrepeatable hop out: {reload(deployment, old)}")
+        lines.append(f"-- once more: {reload(deployment, old)}")
+        deployment.script.put("reset")
+        deployment.hear()
+        deployment.ask("read", answer(500), answer(200, "read again elsewhere"))
+        lines.append(
+            f"-- there, with another address: {reload(deployment, {**new, 'listen': '127.0.0.1:1'})}"
+        )
+        deployment.ask("view", answer(200, "viewed"))
+        assert deployment.process.poll() is None
     check_trace("switch", [line.replace("s-0", "s").replace("s-1", "s") for line in lines])
 
 
 class Counting(Peer):
-    """Counts hops, and ends the connection without an answer at the first hop of each seventh submission."""
+    """Counts hops, and closes the connection at the first hop of each seventh submission."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
@@ -103,12 +107,12 @@
                 sock.sendall(answer(200, trace))
 
 
-def test_under_traffic_nothing_is_lost_or_sent_twice_whatever_is_loaded_meanwhile(tmp_path: Path) -> None:
-    around, hops, heard = Deployment(tmp_path, 0), [], []  # type: ignore[var-annotated]
-    around.servers = [Counting(f"c-{at}", queue.SimpleQueue(), hops) for at in range(2)]
-    around.told["known"] = around.listing(1, True, "active")
-    around.told["settings"]["tariffs"][0]["name"] = "view"
-    around.config.write_text(json.dumps(around.told))
+def test_under_traffic_reloads_lose_no_submission_and_send_none_twice(tmp_path: Path) -> None:
+    deployment, hops, results = Deployment(tmp_path, 0), [], []  # type: ignore[var-annotated]
+    deployment.servers = [Counting(f"c-{at}", queue.SimpleQueue(), hops) for at in range(2)]
+    deployment.told["known"] = deployment.listing(1, True, "active")
+    deployment.told["settings"]["tariffs"][0]["name"] = "view"
+    deployment.config.write_text(json.dumps(deployment.told))
 
     def client(first: int) -> None:
         for number in range(first, first + 150):
@@ -118,25 +122,25 @@
                 ("X-Object", f"lot {number % 40}"),
                 ("X-Qos", "once" if number % 2 else "view"),
             ]
-            with socket.create_connection(around.where) as sock:
+            with socket.create_connection(deployment.where) as sock:
                 sock.sendall(writing.request("POST", "/api", headers, b""))
                 response = next_of(sock, ResponseParser())
-            heard.append(response is not None and (response.status != 200 or int(response.body) == number))
+            results.append(response is not None and (response.status != 200 or int(response.body) == number))
 
-    with around.running():
+    with deployment.running():
         threads = [threading.Thread(target=client, args=(1000 * at,), daemon=True) for at in range(1, 5)]
         for thread in threads:
             thread.start()
-        files, loaded = (other(around.told), {}, around.told, around.told), []
-        while any(thread.is_alive() for thread in threads) or len(loaded) < 4:
-            loaded.append(load(around, files[len(loaded) % 4]).split()[0])
-        assert around.process.poll() is None
-    assert heard == [True] * 600 and loaded[:4] == ["reloaded", "reload_failed", "reloaded", "reloaded"]
+        files, events = (other_settings(deployment.told), {}, deployment.told, deployment.told), []
+        while any(thread.is_alive() for thread in threads) or len(events) < 4:
+            events.append(reload(deployment, files[len(events) % 4]).split()[0])
+        assert deployment.process.poll() is None
+    assert results == [True] * 600 and events[:4] == ["reloaded", "reload_failed", "reloaded", "reloaded"]
     assert not [trace for trace, count in Counter(hops).items() if int(trace) % 2 and count > 1]
 
 
 @pytest.mark.parametrize(
-    ("settings", "says"),
+    ("settings", "message"),
     [
         ({"rules": {"coldFrom": 1.5}}, "settings.rules.coldFrom: 1.5 is not from 0.0 to 1.0"),
         ({"rules": {"coldS": math.inf}}, "settings.rules.coldS: inf is not from"),
@@ -174,40 +178,42 @@
         ({"policyLimits": {"mostHops": -1}}, "settings.policyLimits.mostHops: -1 is not from"),
     ],
 )
-def test_settings_that_cannot_be_meant_are_named_by_their_key(settings: dict, says: str) -> None:
-    with pytest.raises(ValueError, match="^settings") as trouble:
+def test_invalid_settings_are_named_by_their_key(settings: dict, message: str) -> None:
+    with pytest.raises(ValueError, match="^settings") as error:
         check(settings)
-    assert str(trouble.value).startswith(says)
+    assert str(error.value).startswith(message)
 
 
-def test_a_file_that_takes_the_place_of_another_lacks_nothing_that_is_read(tmp_path: Path) -> None:
-    around, lines = Deployment(tmp_path, 1), []
-    before, text = config.read(str(around.config)), json.dumps(around.told)
+def test_a_file_that_replaces_another_must_have_everything_that_is_read(tmp_path: Path) -> None:
+    deployment, lines = Deployment(tmp_path, 1), []
+    before, text = config.read(str(deployment.config)), json.dumps(deployment.told)
 
-    def said(what: str, data: str) -> None:
-        around.config.write_text(data)
+    def check_file(what: str, data: str) -> None:
+        deployment.config.write_text(data)
         try:
-            config.follow(str(around.config), before)
+            config.follow(str(deployment.config), before)
             lines.append(f"{what}: taken")
-        except config.BadConfig as trouble:
-            lines.append(f"{what}: {str(trouble).replace(str(around.config), 'FILE')[:70]}")
-
-    said("the same", text)
-    said("empty", "")
-    said("cut short", text[:-40])
-    said("nested without end", "[" * 100_000)
-    said("no object", "[1]")
-    for key in around.told:
-        rest = {name: value for name, value in around.told.items() if name != key}
-        said(f"without {key}", json.dumps(rest))
-    for key in around.told["settings"]:
-        rest = {**around.told, "settings": {**around.told["settings"]}}
-        del rest["settings"][key]
-        said(f"without settings.{key}", json.dumps(rest))
-    for part, at in (("policyLimits", None), ("rules", None), ("tariffs", 1)):
-        whole = around.told["settings"][part] if at is None else around.told["settings"][part][at]
+        except config.BadConfig as error:
+            lines.append(f"{what}: {str(error).replace(str(deployment.config), 'FILE')[:70]}")
+
+    check_file("the same", text)
+    check_file("empty", "")
+    check_file("cut short", text[:-40])
+    check_file("nested without end", "[" * 100_000)
+    check_file("no object", "[1]")
+    for key in deployment.told:
+        remaining = {name: value for name, value in deployment.told.items() if name != key}
+        check_file(f"without {key}", json.dumps(remaining))
+    for key in deployment.told["settings"]:
+        remaining = {**deployment.told, "settings": {**deployment.told["settings"]}}
+        del remaining["settings"][key]
+        check_file(f"without settings.{key}", json.dumps(remaining))
+    for part, index in (("policyLimits", None), ("rules", None), ("tariffs", 1)):
+        whole = (
+            deployment.told["settings"][part] if index is None else deployment.told["settings"][part][index]
+        )
         for key in list(whole):
             value = whole.pop(key)
-            said(f"without {part}.{key}", json.dumps(around.told))
+            check_file(f"without {part}.{key}", json.dumps(deployment.told))
             whole[key] = value
     check_trace("lacking", lines)
