--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -94,7 +94,7 @@
 
 
 class Counting(Peer):
-    """Counts hops, and closes the connection at the first hop of each seventh submission."""
+    """Counts hops, and closes the connection unanswered at the first hop of each seventh submission."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
