--- a/pumicepath/balancer.py
+++ b/pumicepath/balancer.py
@@ -229,6 +229,8 @@
 class ClassState:
     """A request class and the latency of its submissions, in microseconds.
 
+    `typical_latency` is a running median, and `unloaded_latency` the lowest value that it has had.
+
     A submission keeps the state under which it was admitted, even if new settings replace the class
     meanwhile.
     """
@@ -1208,11 +1210,11 @@
             first = index if first < 0 and index not in cold else first
             if not self.breaker_admits(now, index, request_class.effect == Effect.NON_IDEMPOTENT):
                 continue
-            fair = self.total_in_flight * self.weights[index] / total
+            fair_share = self.total_in_flight * self.weights[index] / total
             slowdown = self.current_slowdown(now, index)
             crowded = (
                 len(self.hops_in_flight[index]) >= 2
-                and len(self.hops_in_flight[index]) > CROWDED_RATIO * fair
+                and len(self.hops_in_flight[index]) > CROWDED_RATIO * fair_share
             )
             stalled = len(self.hops_in_flight[index]) > 0 and now > self.hops_in_flight[index][0].due_at
             slow = (
@@ -1324,12 +1326,12 @@
             now,
         )
         rate = self.recent_answers / window / (1.0 - math.exp((self.first_admitted_at - now - 1) / window))
-        latency_sum = (
+        latency_times_fleet = (
             sum(class_state.unloaded_latency for class_state in self.class_states)
             / len(self.class_states)
             * self.settings.fleet_size
         )
-        floor = len(self.ready) / (2 * latency_sum)
+        floor = len(self.ready) / (2 * latency_times_fleet)
         return (
             1.0
             if self.admitted < MIN_GOODPUT_SUBMISSIONS
