--- a/benchmarks/hearing.py
+++ b/benchmarks/hearing.py
@@ -18,7 +18,7 @@
 from trees import ROOT
 
 from pumicepath.balancer import Balancer
-from pumicepath.discovery.roster import Roster
+from pumicepath.discovery.server_list import ServerList
 from pumicepath.discovery.watch import Watch
 from pumicepath.interface import ListKind, Outcome
 from pumicepath.lab.loopback.process import Sidecar
@@ -32,7 +32,7 @@
     """One sidecar's parts from an answer's bytes to what its balancer knows."""
 
     def __init__(self) -> None:
-        self.roster = Roster([NEAR], lambda born: max(0, born))
+        self.roster = ServerList([NEAR], lambda born: max(0, born))
         self.watch = Watch(self.roster, "127.0.0.1:1", -1, 20_000_000)
         self.balancer = Balancer(decode(settings_of(PLAN, 0, 0)), 1, Nowhere())
         self.now = 10**9
@@ -47,7 +47,7 @@
             data = data[len(some) :]
             response = parser.next()
         assert response is not None
-        update = self.watch.update(response)
+        update = self.watch.handle_response(response)
         self.now += 1_000
         self.balancer.update_servers(
             self.now, ListKind.FULL if update.whole else ListKind.CHANGES, update.entries
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -47,7 +47,7 @@
 
 
 def parts() -> dict[str, Callable[[], object]]:
-    told = config.config(
+    told = config.decode_config(
         {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings_of(PLAN, 0, 0)}
     )
     request, response = RequestParser(), ResponseParser(MOST_BODY)
@@ -82,7 +82,7 @@
 
     found: dict[str, Callable[[], object]] = {
         "read a request": lambda: parse(request, REQUEST),
-        "what it asks": lambda: asked(whole, told.tariffs, told.settings.request_classes),
+        "what it asks": lambda: asked(whole, told.request_classes, told.settings.request_classes),
         "through the entrance, twice": through,
         "write the hop": onward,
         "read the answer": lambda: parse(response, ANSWER),
--- a/pumicepath/lab/hollow/host.py
+++ b/pumicepath/lab/hollow/host.py
@@ -20,7 +20,7 @@
 import orjson
 
 from ... import compiled
-from ...discovery.roster import Update
+from ...discovery.server_list import ServerListUpdate
 from ...interface import ServerState
 from . import processes, truth
 from .plan import Ask, Plan
@@ -177,7 +177,7 @@
                 tick = max(tick + TICK_US, truth.now())
 
 
-def ignores_drain(update: Update) -> Update:
+def ignores_drain(update: ServerListUpdate) -> ServerListUpdate:
     """What drains stays as it was: a fault planted for a test."""
     kept = [at for at, entry in enumerate(update.entries) if entry.state != ServerState.DRAINING]
     return update._replace(
@@ -191,7 +191,7 @@
     def __init__(self) -> None:
         self.before: dict[int, Any] = {}
 
-    def __call__(self, update: Update) -> Update:
+    def __call__(self, update: ServerListUpdate) -> ServerListUpdate:
         if update.whole:
             self.before = {
                 entry.server: (entry, where) for entry, where in zip(update.entries, update.addresses)
--- a/pumicepath/lab/hollow/witness.py
+++ b/pumicepath/lab/hollow/witness.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from ...balancer import Balancer
-from ...discovery.roster import stable
+from ...discovery.server_list import stable_id
 from ...interface import ServerState
 from .plan import STEP, Plan
 from .truth import ACTIVE, LEFT, Change, now
@@ -67,7 +67,7 @@
         self, plan: Plan, sidecars: Sequence[Sidecar], truth: Callable[[], Iterable[Change]]
     ) -> None:
         self.plan, self.sidecars, self.truth = plan, sidecars, truth
-        self.ids = [stable(plan.server_name(server)) for server in range(plan.ask.sidecars)]
+        self.ids = [stable_id(plan.server_name(server)) for server in range(plan.ask.sidecars)]
         self.callers: dict[int, list[Sidecar]] = {}
         for sidecar in sidecars:
             for service in plan.calls[sidecar.number]:
--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -178,7 +178,7 @@
         self.head = False
         dispatcher = self.owner.dispatcher
         config, terms = dispatcher.serving
-        tariff = config.tariffs.get(name)
+        tariff = config.request_classes.get(name)
         if tariff is None or not self.enter(BUSY):
             return False
         patience = terms[tariff].request_class.deadline
@@ -244,9 +244,9 @@
             return None
         config, terms = dispatcher.serving
         name = request.header(TARIFF)
-        self.group = name if name in config.tariffs else ""
+        self.group = name if name in config.request_classes else ""
         try:
-            what = asked(request, config.tariffs, config.settings.request_classes)
+            what = asked(request, config.request_classes, config.settings.request_classes)
         except Malformed as trouble:
             self.refuse(trouble, True)
             return None
@@ -353,7 +353,7 @@
     def finish(self, reset: bool = False) -> None:
         self.outgoing.rest()
         if self.group:
-            self.owner.dispatcher.figures.ended(self.group, self.status)
+            self.owner.dispatcher.figures.submission_finished(self.group, self.status)
             self.group = ""
         if not self.keep:
             self.enter(CLOSING)
--- a/pumicepath/sidecar/clients.py
+++ b/pumicepath/sidecar/clients.py
@@ -54,7 +54,7 @@
     def __init__(self, dispatcher: Dispatcher, listener: socket.socket | None = None) -> None:
         config = dispatcher.serving[0]
         self.dispatcher = dispatcher
-        self.all = self.most = config.from_clients
+        self.all = self.most = config.max_client_connections
         self.open: dict[Client, None] = {}
         self.fresh: dict[Client, None] = {}  # those that have sent nothing yet, the oldest first
         self.refused: Counter[str] = Counter()
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 
-from ..admin.figures import Figures
+from ..admin.metrics import Metrics
 from ..balancer import Balancer, ClassState, Submission
-from ..discovery.roster import Update, stable
+from ..discovery.server_list import ServerListUpdate, stable_id
 from ..http1 import writing
 from ..http1.messages import Response
 from ..http1.parsing import ResponseParser
@@ -74,7 +74,7 @@
         self.draining = False  # since SIGTERM
         self.ends = FOREVER  # by when all that is taken has to be answered, known from then on
         self.emptied = False  # by an operator, until it is called back
-        self.figures = Figures()
+        self.figures = Metrics()
         self.loaded = self.invalid = 0
         self.pool = Pool(self, config, log)
         self.traces: set[str] = set()
@@ -345,8 +345,8 @@
         """Take a server out, or let it serve again; nothing more goes to it from the return on."""
 
         def call(now: int) -> None:
-            if self.balancer.set_out_of_service(now, stable(name), out, certain):
-                self.pool.by_hand(stable(name), out)
+            if self.balancer.set_out_of_service(now, stable_id(name), out, certain):
+                self.pool.by_hand(stable_id(name), out)
                 done.append(True)
 
         done: list[bool] = []
@@ -394,7 +394,7 @@
         self.decide(call)
         return told[0]
 
-    def listed(self, kind: ListKind, update: Update, spent: int = 0) -> None:
+    def listed(self, kind: ListKind, update: ServerListUpdate, spent: int = 0) -> None:
         def call(now: int) -> None:
             alone = self.balancer.settings.only_draining_removes
             if kind != ListKind.FAILED:
--- a/pumicepath/sidecar/entrance.py
+++ b/pumicepath/sidecar/entrance.py
@@ -29,7 +29,7 @@
     def __init__(self, config: Config) -> None:
         settings = config.settings
         self.intake: Intake[Waiting] = Intake(
-            settings.request_classes, settings.max_retry_after, config.from_clients, config.seed
+            settings.request_classes, settings.max_retry_after, config.max_client_connections, config.seed
         )
         self.gate = threading.Lock()
 
--- a/pumicepath/sidecar/servers.py
+++ b/pumicepath/sidecar/servers.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from typing import NamedTuple
 
-from ..discovery.roster import Address, Update
+from ..discovery.server_list import Address, ServerListUpdate
 from ..http1 import writing
 from ..http1.messages import Malformed, Response
 from ..http1.parsing import MOST_BODY, MOST_HEAD, ResponseParser
@@ -270,7 +270,7 @@
     def __init__(self, owner: Owner, config: Config, log: Log) -> None:
         self.owner = owner
         self.log = log
-        self.all = self.most = config.to_servers
+        self.all = self.most = config.max_server_connections
         self.adopt(config)
         self.idle: dict[int, list[Link]] = {}
         self.open = 0
@@ -281,9 +281,12 @@
 
     def adopt(self, config: Config) -> None:
         """Go by other settings from now on."""
-        self.dial = config.dial
+        self.dial = config.connect_timeout_us
         # Well ahead of the server, whose closing would cross a hop that is being written.
-        self.retire = max(config.idle // 2, min(config.idle * 9 // 10, config.idle - 1_000_000))
+        self.retire = max(
+            config.idle_timeout_us // 2,
+            min(config.idle_timeout_us * 9 // 10, config.idle_timeout_us - 1_000_000),
+        )
 
     def free(self, server: int) -> None:
         """Close the idle connections to a server."""
@@ -302,7 +305,7 @@
         else:
             self.barred.discard(server)
 
-    def listed(self, update: Update, drain_alone: bool = False) -> None:
+    def listed(self, update: ServerListUpdate, drain_alone: bool = False) -> None:
         """Forget servers that want nothing new, and the connections to processes that have ended.
 
         Where only draining binds those that the list drops are kept, until `prune` says which are used.
--- a/pumicepath/sidecar/submissions.py
+++ b/pumicepath/sidecar/submissions.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ..discovery.roster import stable
+from ..discovery.server_list import stable_id
 from ..http1.messages import Malformed, Request
 from ..interface import RequestClass
 
@@ -39,4 +39,4 @@
             raise Malformed(400, "deadline is no number of milliseconds")
         patience = min(patience, int(expires) * 1000)
     key = request.header("x-object")
-    return Asked(trace, tariff, stable(key) if key else 0, request.header("x-second-try") == "1", patience)
+    return Asked(trace, tariff, stable_id(key) if key else 0, request.header("x-second-try") == "1", patience)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Roster
+from pumicepath.discovery.server_list import ServerList
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
 from pumicepath.interface import ListKind
@@ -40,11 +40,11 @@
         told = self.around.told
         for key, value in settings.items():
             told["settings"][key] = value
-        self.config = config.config(told)
+        self.config = config.decode_config(told)
         self.dispatcher = Dispatcher(self.config, Quiet(), lambda: None)  # type: ignore[arg-type]
         self.clients = Clients(self.dispatcher)
         self.clients.listener.settimeout(20)
-        update = Roster(["a"], lambda born: 0).read(self.around.listing(1, True, "active"))
+        update = ServerList(["a"], lambda born: 0).apply(self.around.listing(1, True, "active"))
         self.dispatcher.listed(ListKind.FULL, update)
         start(self.dispatcher.run_timers)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Roster, address, stable
+from pumicepath.discovery.server_list import ServerList, parse_address, stable_id
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.messages import Request
@@ -160,7 +160,7 @@
             go.release()
             assert came.acquire(timeout=20)
         (exchange,) = rig.dispatcher.exchanges.values()
-        chosen = next(peer for peer in servers if stable(peer.name) == exchange.hops[-1].server)
+        chosen = next(peer for peer in servers if stable_id(peer.name) == exchange.hops[-1].server)
         before = [line for line in rig.around.lines if line.startswith(chosen.name)]
         if what == "by hand":
             assert rig.dispatcher.by_hand(chosen.name, True)
@@ -169,7 +169,7 @@
             told["hosts"] = [host for host in told["hosts"] if (host["host"] == chosen.name) != told["whole"]]
             for host in told["hosts"] if not told["whole"] else ():
                 host.update({"born_ms": 5} if what == "started anew" else {"health": what})
-            update = Roster(["a"], lambda born: born).read(told)
+            update = ServerList(["a"], lambda born: born).apply(told)
             rig.dispatcher.listed(ListKind.FULL if told["whole"] else ListKind.CHANGES, update)
         rig.around.script.put((answer(200, "elsewhere"), "end"))
         go.release(100)
@@ -199,7 +199,7 @@
 ) -> None:
     rig = Rig(tmp_path, policyLimits={"mostHops": 1, "connIdleS": 30.0, "dialTimeoutS": 15.0})
     late, full = full_queue(rig.around)
-    update = Roster(["a"], lambda born: 0).read(rig.around.listing(2, True, "active"))
+    update = ServerList(["a"], lambda born: 0).apply(rig.around.listing(2, True, "active"))
     rig.dispatcher.listed(ListKind.FULL, update)
     # As on a platform where a dial that another thread shuts goes on.
     monkeypatch.setattr(Link, "shut", lambda link: None)
@@ -335,7 +335,7 @@
     peer = Peer.__new__(Peer)
     peer.name, peer.address = "s-0", f"127.0.0.1:{server.getsockname()[1]}"
     rig.around.servers = [peer]
-    update = Roster(["a"], lambda born: 0).read(rig.around.listing(2, True, "active"))
+    update = ServerList(["a"], lambda born: 0).apply(rig.around.listing(2, True, "active"))
     rig.dispatcher.listed(ListKind.FULL, update)
     far, client = rig.connect()
     start(client.run)
@@ -425,8 +425,8 @@
     link = exchange.hops[0].link
     assert isinstance(link, Link) and link.sock is not None
     assert all(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for sock in (client.sock, link.sock))
-    where = address(rig.around.servers[0].address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), where)
+    where = parse_address(rig.around.servers[0].address)
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), where)
     assert watcher.connect().getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -36,7 +36,7 @@
     """All connections of the application, with a dispatcher that has no servers."""
 
     def __init__(self, folder: Path) -> None:
-        self.config = config.config(Deployment(folder, 0).told)
+        self.config = config.decode_config(Deployment(folder, 0).told)
         self.dispatcher = Dispatcher(self.config, Log("n0"), None)
         self.fresh: dict = {}
         self.refused: Counter[str] = Counter()
@@ -83,7 +83,7 @@
 
 
 def test_places_are_handed_on_and_those_turned_away_are_told(tmp_path: Path) -> None:
-    entrance = Entrance(config.config(Deployment(tmp_path, 0).told))
+    entrance = Entrance(config.decode_config(Deployment(tmp_path, 0).told))
     now = clock.now()
     assert all(entrance.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(PLACES))
     told: deque = deque()
@@ -200,7 +200,7 @@
         around = Deployment(tmp_path, 0)
         around.told["settings"]["policyLimits"]["retryAfter"] = allowed
         owner = Owner(tmp_path)
-        owner.dispatcher = Dispatcher(config.config(around.told), Log("n0"), None)
+        owner.dispatcher = Dispatcher(config.decode_config(around.told), Log("n0"), None)
         owner.dispatcher.entrance.intake.came = lambda *_: Verdict.AWAY
         near, far = pair()
         client, parser = Client(near, owner, clock.now()), RequestParser()
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -15,7 +15,7 @@
 
 from pumicepath.balancer import Balancer
 from pumicepath.command import main
-from pumicepath.discovery.roster import stable
+from pumicepath.discovery.server_list import stable_id
 from pumicepath.interface import ListKind, ServerEntry, ServerState
 from pumicepath.lab.experiments.folders import LOCK, Taken, owned
 from pumicepath.lab.hollow import needs
@@ -129,7 +129,7 @@
     def take(self, at: int, whole: bool, *changes: Change) -> None:
         entries = [
             ServerEntry(
-                stable(self.plan.server_name(one.server)),
+                stable_id(self.plan.server_name(one.server)),
                 0,
                 0,
                 PHASES[one.health],
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pumicepath.discovery.roster import BadList, Roster, address, stable
+from pumicepath.discovery.server_list import BadList, ServerList, parse_address, stable_id
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.messages import Malformed, Response
@@ -155,14 +155,14 @@
 
 def test_list_keeps_numbers_starts_and_addresses() -> None:
     clocks = iter((700, 900))
-    roster = Roster(["a", "b"], lambda born: next(clocks))
-    first = roster.read(listing(41, True, host("s-1", born_ms=5), host("s-2", site="c", health="leaving")))
-    again = roster.read(
+    roster = ServerList(["a", "b"], lambda born: next(clocks))
+    first = roster.apply(listing(41, True, host("s-1", born_ms=5), host("s-2", site="c", health="leaving")))
+    again = roster.apply(
         listing(42, False, host("s-1", born_ms=5, dial="127.0.0.9:9001"), host("s-2", health="left"))
     )
-    newer = roster.read(listing(43, False, host("s-1", born_ms=6)))
+    newer = roster.apply(listing(43, False, host("s-1", born_ms=6)))
     one, two = first.entries
-    assert one.server == stable("s-1") != two.server and (one.name, two.name) == ("s-1", "s-2")
+    assert one.server == stable_id("s-1") != two.server and (one.name, two.name) == ("s-1", "s-2")
     assert (one.zone, one.cell, one.weight, one.started_at, two.zone, two.state) == (
         1,
         3,
@@ -173,7 +173,7 @@
     )
     assert [update.entries[0].started_at for update in (again, newer)] == [700, 900]
     assert again.entries[1].state == ServerState.GONE and again.addresses[0].port == 9001
-    assert list(roster.starts) == ["s-1"], "nothing is kept of what is gone"
+    assert list(roster.start_times) == ["s-1"], "nothing is kept of what is gone"
 
 
 @pytest.mark.parametrize(
@@ -193,14 +193,14 @@
 )
 def test_what_is_no_list_is_told(bad: object) -> None:
     with pytest.raises(BadList):
-        Roster([], lambda born: 0).read(bad)
+        ServerList([], lambda born: 0).apply(bad)
     with pytest.raises(BadList):
-        address("1.2.3.4:99999")
+        parse_address("1.2.3.4:99999")
 
 
 def test_watch_asks_from_the_version_it_has_and_takes_only_lists() -> None:
-    watch = Watch(Roster(["a"], lambda born: 1), "d", 41, 20_000_000)
-    lines = [watch.request().split(b"\r\n")[0].decode()]
+    watch = Watch(ServerList(["a"], lambda born: 1), "d", 41, 20_000_000)
+    lines = [watch.next_request().split(b"\r\n")[0].decode()]
     for status, body in (
         (200, json.dumps(listing(43, False, host("s-1")))),
         (503, ""),
@@ -212,7 +212,7 @@
         assert response is not None
         try:
             lines.append(
-                f"{len(watch.update(response).entries)} changed, then {watch.request()[:46].decode()}"
+                f"{len(watch.handle_response(response).entries)} changed, then {watch.next_request()[:46].decode()}"
             )
         except BadList as trouble:
             lines.append(f"no list: {trouble}")
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -14,7 +14,7 @@
 import pytest
 
 from pumicepath.discovery import watch as watching
-from pumicepath.discovery.roster import BadList, Roster, address
+from pumicepath.discovery.server_list import BadList, ServerList, parse_address
 from pumicepath.discovery.watch import Watch
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
 from pumicepath.sidecar.watching import Watcher
@@ -109,16 +109,16 @@
 def run_case(name: str, steps: list, monkeypatch: pytest.MonkeyPatch, pushed: bool = False) -> list[str]:
     # Silence is noticed soon where the case has it, and never elsewhere, however slow the machine is.
     silences = iter([0.1 if step == "wait" or step[-1] == "wait" else 60.0 for step in steps])
-    monkeypatch.setattr(Watch, "until_silent", lambda watch: next(silences, 60.0))
-    monkeypatch.setattr("pumicepath.sidecar.watching.WHOLE_S", 0.1)
+    monkeypatch.setattr(Watch, "answer_timeout_s", lambda watch: next(silences, 60.0))
+    monkeypatch.setattr("pumicepath.sidecar.watching.RESPONSE_TIMEOUT_S", 0.1)
     lines = [f"{name}{', pushed' if pushed else ''}:"]
     recorder, script = RecordingDispatcher(lines), queue.SimpleQueue()
 
     peer = Peer("", script, requests := [])  # requests after the end of the script stay open
-    discovery_address = address(peer.address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), discovery_address, pushed)
+    discovery_address = parse_address(peer.address)
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), discovery_address, pushed)
     watcher.dispatcher = recorder
-    watcher.follow()
+    watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
     for number, step in enumerate(steps):
         assert peer.met.acquire(timeout=20), (name, number, lines)
@@ -128,7 +128,7 @@
         while len(requests) == number + 1:
             time.sleep(0.001)
             if lines[-1].startswith("    told: failed"):
-                watcher.follow()
+                watcher.request_list()
                 assert peer.met.acquire(timeout=20)
                 peer.met.release()
     assert peer.met.acquire(timeout=20), (name, lines)
@@ -157,15 +157,15 @@
 def test_a_new_discovery_service_that_is_unreachable_is_reported_after_the_move(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("pumicepath.sidecar.watching.MOVING_S", 0.3)
+    monkeypatch.setattr("pumicepath.sidecar.watching.MOVE_RETRY_S", 0.3)
     recorder, script = RecordingDispatcher([]), queue.SimpleQueue()
     peer = Peer("", script, [])
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        unreachable = address(f"127.0.0.1:{listener.getsockname()[1]}")
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), address(peer.address))
+        unreachable = parse_address(f"127.0.0.1:{listener.getsockname()[1]}")
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), parse_address(peer.address))
     watcher.dispatcher = recorder
     script.put(list_response(8))
-    watcher.follow()
+    watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
     assert recorder.some.acquire(timeout=20)
     watcher.move(unreachable, 100_000, False)
@@ -180,23 +180,23 @@
 
 def test_a_request_is_given_up_before_the_changes_it_missed_count_as_known() -> None:
     random_values = iter([0.0, 0.5, 1.0])
-    watch = Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000_000, lambda: next(random_values, 0.25))
+    watch = Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000_000, lambda: next(random_values, 0.25))
     # The first request after a failure does not wait, so that a second one fits into the 6 s allowed.
-    assert "timeout_ms=1 " in watch.request().decode() and 2 * watch.until_silent() <= 6
-    watch.doubted = False
+    assert "timeout_ms=1 " in watch.next_request().decode() and 2 * watch.answer_timeout_s() <= 6
+    watch.ask_immediately = False
     waits = []
     for _ in range(2):
-        watch.request()
+        watch.next_request()
         waits.append(watch.wait_ms)
         # Connecting and the answer have to fit into the 2 s after the wait.
-        assert watch.until_silent() - watch.wait_ms / 1000 <= 0.5
+        assert watch.answer_timeout_s() - watch.wait_ms / 1000 <= 0.5
     assert waits == [15_000, 20_000], "sidecars that began together must not stay in step"
 
 
 def test_an_answer_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watching, "ANSWER_S", 0.2)
-    monkeypatch.setattr("pumicepath.sidecar.watching.WHOLE_S", 0.2)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), address("127.0.0.1:1"))
+    monkeypatch.setattr(watching, "IMMEDIATE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr("pumicepath.sidecar.watching.RESPONSE_TIMEOUT_S", 0.2)
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), parse_address("127.0.0.1:1"))
     near, far = socket.socketpair()
 
     def trickle() -> None:
@@ -214,23 +214,23 @@
 
 def test_a_rejected_list_leaves_no_state_behind() -> None:
     clock = iter(range(1000, 2000))
-    roster = Roster(["a"], lambda born: next(clock))
-    first = roster.read(listing(1, line("s-1", born_ms=5), whole=True))
+    roster = ServerList(["a"], lambda born: next(clock))
+    first = roster.apply(listing(1, line("s-1", born_ms=5), whole=True))
     for bad in (
         listing(2, line("s-1", born_ms=6), {"host": "s-2"}),
         listing(2, line("s-1", born_ms=6), line("s-3", born_ms=9), line("s-3")),
     ):
         with pytest.raises(BadList):
-            roster.read(bad)
+            roster.apply(bad)
 
     def refuse(update: object) -> None:
         raise BadList("not now")
 
     with pytest.raises(BadList):
-        roster.read(listing(2, line("s-1", born_ms=6), line("s-4", born_ms=7)), refuse)
-    again = roster.read(listing(2, line("s-1", born_ms=5)))
+        roster.apply(listing(2, line("s-1", born_ms=6), line("s-4", born_ms=7)), refuse)
+    again = roster.apply(listing(2, line("s-1", born_ms=5)))
     assert again.entries == first.entries, "the same start, as of the same moment"
-    assert list(roster.starts) == ["s-1"] == [one["host"] for one in roster.whole(2)["hosts"]]
+    assert list(roster.start_times) == ["s-1"] == [one["host"] for one in roster.snapshot(2)["hosts"]]
 
 
 def test_where_lists_are_pushed_nothing_is_admitted_before_the_first_list(tmp_path: Path) -> None:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from pumicepath.admin.calls import understood
-from pumicepath.admin.figures import Figures
+from pumicepath.admin.calls import parse_call
+from pumicepath.admin.metrics import Metrics
 from pumicepath.http1.messages import Malformed, Request
 from pumicepath.interface import ListKind, Outcome, ServerState
 from pumicepath.lab.loopback.scripted import Deployment, answer
@@ -17,7 +17,7 @@
 NEVER = ("X-Never-Ran", "1")
 
 
-def at_operators(folder: Path, servers: int, **changed: object) -> Deployment:
+def admin_deployment(folder: Path, servers: int, **changed: object) -> Deployment:
     around = Deployment(folder, servers, admin_addr="127.0.0.1:0", **changed)
     around.environment = {"TMPDIR": str(folder)}
     return around
@@ -43,7 +43,7 @@
     ):
         method, target = line.split()
         try:
-            call, server = understood(Request(method=method, target=target))
+            call, server = parse_call(Request(method=method, target=target))
             lines.append(f"{line}: {call.value} {server}".rstrip())
         except Malformed as trouble:
             lines.append(f"{line}: {trouble.status} {trouble}")
@@ -51,13 +51,13 @@
 
 
 def test_figures_of_classes_outlive_them_in_bounded_number_and_cannot_break_a_line() -> None:
-    figures = Figures()
+    figures = Metrics()
     for status in (200, 429, 503, 502, 400):
-        figures.ended("read", status)
-    figures.ended("a=1\nb", 200)
+        figures.submission_finished("read", status)
+    figures.submission_finished("a=1\nb", 200)
     for number in range(3000):
-        figures.ended(f"c{number}", 200)
-    lines = figures.written(["read", "new"], {"current": 3}).splitlines()
+        figures.submission_finished(f"c{number}", 200)
+    lines = figures.render(["read", "new"], {"current": 3}).splitlines()
     assert len(lines) < 1010
     check_trace("figures", [line for line in lines if ".c" not in line or "current" in line])
 
@@ -119,7 +119,7 @@
 
 
 def test_figures_are_what_clients_and_servers_saw(tmp_path: Path) -> None:
-    around = at_operators(tmp_path, 1)
+    around = admin_deployment(tmp_path, 1)
     with around.running():
         around.ask("read", answer(200, "a"))
         around.ask("once", answer(500))
@@ -143,7 +143,7 @@
 
 
 def test_calls_out_and_back_hold_from_the_answer_on(tmp_path: Path) -> None:
-    around = at_operators(tmp_path, 2)
+    around = admin_deployment(tmp_path, 2)
     with around.running():
         for path in ("servers/s-9/maint", "servers/s-0/maint", "servers/s-0/maint"):
             around.lines.append(f"{path}: {around.call('PUT', '/' + path).status}")
@@ -164,7 +164,7 @@
 
 
 def test_callers_that_finish_nothing_hold_up_nobody(tmp_path: Path) -> None:
-    with at_operators(tmp_path, 1).running() as around:
+    with admin_deployment(tmp_path, 1).running() as around:
         silent = [socket.create_connection(around.operators) for _ in range(40)]
         for sock in silent[:20]:
             sock.sendall(b"GET /healthcheck HTTP/1.1\r\nHost:")
@@ -179,7 +179,7 @@
 
 
 def test_clients_are_sent_away_and_taken_again(tmp_path: Path) -> None:
-    with at_operators(tmp_path, 1).running() as around:
+    with admin_deployment(tmp_path, 1).running() as around:
 
         def up() -> str:
             with socket.create_connection(around.where) as sock:
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("how", ["environment", "file", "neither"])
 def test_the_second_address_is_named_by_environment_or_file_or_is_not_there(how: str, tmp_path: Path) -> None:
-    around = at_operators(tmp_path, 1) if how == "file" else Deployment(tmp_path, 1)
+    around = admin_deployment(tmp_path, 1) if how == "file" else Deployment(tmp_path, 1)
     if how == "environment":
         around.environment = {"GW_ADMIN_ADDR": "127.0.0.1:0"}
     with around.running():
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -211,7 +211,7 @@
 
 def test_by_when_connections_stop_coming_whoever_accepts_looks_for_the_end_often(tmp_path: Path) -> None:
     """Found by the bench: the end took 0.4 s to stop accepting, and had 0.3 s left for short deadlines."""
-    assert clients.LISTENING_S <= clients.LISTENING_ALONE_S < running.COMING
+    assert clients.LISTENING_S <= clients.LISTENING_ALONE_S < running.ACCEPT_AFTER_SIGTERM_S
     rig = Rig(tmp_path)
     rig.clients.listener.settimeout(clients.LISTENING_ALONE_S)
     accepting = threading.Thread(target=rig.clients.accept)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Address, Roster, Update, address
+from pumicepath.discovery.server_list import Address, ServerList, ServerListUpdate, parse_address
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
@@ -176,7 +176,7 @@
 def test_at_the_bound_connections_that_rest_make_room_and_open_requests_do_not(tmp_path: Path) -> None:
     owner = Owner()
     limits = {"memory_mb": 192, "sockets": 60}
-    owner.serving = (config.config({**Deployment(tmp_path, 0).told, "limits": limits}), ())
+    owner.serving = (config.decode_config({**Deployment(tmp_path, 0).told, "limits": limits}), ())
     owner.dispatcher = owner
     around = Clients(owner)
     states = [IDLE, FRESH, BUSY, IDLE, PARTIAL, IDLE, FRESH, BUSY, IDLE, IDLE, IDLE, PARTIAL, IDLE]
@@ -307,7 +307,7 @@
 
 def test_delay_of_the_own_threads_is_noticed_at_once_and_forgotten_slowly(tmp_path: Path) -> None:
     owner = Owner()
-    pace = Pace(owner, Entrance(config.config(Deployment(tmp_path, 0).told)))
+    pace = Pace(owner, Entrance(config.decode_config(Deployment(tmp_path, 0).told)))
     behind = []
     for late in (0, 0, 80_000, 0, 0, 100_000):
         pace.on_timer(pace.due + late)
@@ -375,10 +375,10 @@
     around = Deployment(tmp_path, 1)
     for step in (around.listing(7, False, "active"), None, around.listing(8, False, "leaving")):
         around.lists.put("wait" if step is None else answer(200, json.dumps(step)))
-    where = address(around.discovery.address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 1, 1000), where)
+    where = parse_address(around.discovery.address)
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 1, 1000), where)
     watcher.dispatcher = Owner()
-    watcher.follow()
+    watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
     for _ in range(2):
         assert watcher.dispatcher.some.acquire(timeout=5)
@@ -393,8 +393,8 @@
 
 
 def test_idle_connection_that_is_closed_or_brings_bytes_unasked_is_not_used(tmp_path: Path) -> None:
-    pool = Pool(Owner(), config.config(Deployment(tmp_path, 0).told), None)
-    pool.listed(Update(1, True, [make_entry(10)], [Address("127.0.0.1", 1)]))
+    pool = Pool(Owner(), config.decode_config(Deployment(tmp_path, 0).told), None)
+    pool.listed(ServerListUpdate(1, True, [make_entry(10)], [Address("127.0.0.1", 1)]))
     hop = Hop(Exchange(None, "t", None, 0, None), 0, 10, 0, 0)
     used = []
     for trouble in (b"", b"HTTP/1.1 200 OK\r\n\r\n", None, "gone"):
@@ -406,7 +406,7 @@
         if trouble is None:
             peer.close()
         elif trouble == "gone":
-            pool.listed(Update(2, True, [make_entry(10, started_at=7)], [Address("127.0.0.1", 1)]))
+            pool.listed(ServerListUpdate(2, True, [make_entry(10, started_at=7)], [Address("127.0.0.1", 1)]))
         else:
             peer.sendall(trouble)
         used.append(pool.link_for(0, hop) is link)
@@ -429,7 +429,7 @@
 def test_calls_made_while_the_lock_is_taken_are_run_by_its_owner_with_their_own_acts(
     tmp_path: Path,
 ) -> None:
-    dispatcher = Dispatcher(config.config(Deployment(tmp_path, 0).told), Log("n0"), None)
+    dispatcher = Dispatcher(config.decode_config(Deployment(tmp_path, 0).told), Log("n0"), None)
     order: list = []
 
     def waits(name: str) -> None:
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -28,7 +28,7 @@
 
 from .helpers import SECOND, make_entry, make_settings
 from .rig import status, until
-from .test_standing_terms import MODES, Always
+from .test_standing_terms import MODES, AlwaysServing
 
 # -- 3: a cold server falls under the sum of what all sidecars send it
 
@@ -214,7 +214,7 @@
     mode: str, told: int, real: int, tmp_path: Path
 ) -> None:
     around = Deployment(tmp_path, 1)
-    around.servers[0].script = Always()  # type: ignore[assignment]
+    around.servers[0].script = AlwaysServing()  # type: ignore[assignment]
     around.told["settings"]["membershipMode"] = mode
     around.told["limits"]["sockets"] = told
     around.config.write_text(json.dumps(around.told))
@@ -364,7 +364,7 @@
         sidecars.append(one)
         wheres.append(where)
     for server in ground.servers:
-        server.script = Always()  # type: ignore[assignment]
+        server.script = AlwaysServing()  # type: ignore[assignment]
     try:
         alone = ready(sidecars[:1], wheres[:1], 60.0)[0]
         ready(sidecars[1:], wheres[1:], 60.0)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -191,9 +191,9 @@
     def check_file(what: str, data: str) -> None:
         deployment.config.write_text(data)
         try:
-            config.follow(str(deployment.config), before)
+            config.read_replacement(str(deployment.config), before)
             lines.append(f"{what}: taken")
-        except config.BadConfig as error:
+        except config.ConfigError as error:
             lines.append(f"{what}: {str(error).replace(str(deployment.config), 'FILE')[:70]}")
 
     check_file("the same", text)
