--- a/benchmarks/ranking.py
+++ b/benchmarks/ranking.py
@@ -2,7 +2,7 @@
 
     .venv/bin/python benchmarks/ranking.py [--revisions REV ...] [--seeds N] [--workers N]
 
-Each revision's logic.py is taken from git and runs interpreted beside the present one, on the same seeds.
+Each revision's balancer.py is taken from git and runs interpreted beside the present one, on the same seeds.
 Servers are simulated.
 """
 
@@ -30,18 +30,18 @@
 def decisions(revision: str) -> Any:
     """The balancer of a revision, as a module beside ours."""
     text = subprocess.run(
-        ["git", "show", f"{revision}:pumicepath/logic.py"],
+        ["git", "show", f"{revision}:pumicepath/balancer.py"],
         cwd=ROOT,
         check=True,
         capture_output=True,
         text=True,
     ).stdout
-    spec = importlib.util.spec_from_loader(f"pumicepath.logic_{revision}", None)
+    spec = importlib.util.spec_from_loader(f"pumicepath.balancer_{revision}", None)
     assert spec is not None
     module = importlib.util.module_from_spec(spec)
     module.__package__ = "pumicepath"
     sys.modules[spec.name] = module
-    exec(compile(text, f"{revision}:logic.py", "exec"), module.__dict__)
+    exec(compile(text, f"{revision}:balancer.py", "exec"), module.__dict__)
     return module.Balancer
 
 
--- a/pumicepath/discovery/server_list.py
+++ b/pumicepath/discovery/server_list.py
@@ -8,10 +8,10 @@
 from itertools import count
 from typing import Any, NamedTuple
 
-from ..interface import Entry, Phase
+from ..interface import ServerEntry, ServerState
 
 MAX_MACHINE_KINDS = 1024  # kinds that get a number: bounds the memory that malformed lists can fill
-STATES_BY_HEALTH = {"active": Phase.READY, "leaving": Phase.DRAINING, "left": Phase.GONE}
+STATES_BY_HEALTH = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 
 
 class BadList(Exception):  # noqa: N818 (log events contain the name)
@@ -46,7 +46,7 @@
 
     version: int
     whole: bool
-    entries: list[Entry]
+    entries: list[ServerEntry]
     addresses: list[Address]
 
 
@@ -83,7 +83,7 @@
             starts = {name: self.start_time(name, line) for name, line in lines.items()}
             entries = [self.make_entry(name, line, starts[name][1]) for name, line in lines.items()]
             addresses = [
-                parse_address(str(line["dial"])) if entry.phase != Phase.GONE else NO_ADDRESS
+                parse_address(str(line["dial"])) if entry.state != ServerState.GONE else NO_ADDRESS
                 for entry, line in zip(entries, lines.values())
             ]
             update = ServerListUpdate(int(data["seq"]), bool(data["whole"]), entries, addresses)
@@ -92,7 +92,9 @@
         if check is not None:
             check(update)
         # Servers come and go for as long as the sidecar runs, so nothing is kept of those that have left.
-        present = {name for (name, _), entry in zip(lines.items(), entries) if entry.phase != Phase.GONE}
+        present = {
+            name for (name, _), entry in zip(lines.items(), entries) if entry.state != ServerState.GONE
+        }
         for name in (set(self.start_times) if update.whole else set(lines)) - present:
             self.start_times.pop(name, None)
             self.lines.pop(name, None)
@@ -129,13 +131,13 @@
             return kept
         return reported, self.from_unix_ms(reported) if reported > 0 else 0
 
-    def make_entry(self, name: str, line: dict[str, Any], started_at: int) -> Entry:
+    def make_entry(self, name: str, line: dict[str, Any], started_at: int) -> ServerEntry:
         """Build the entry of one line; raises KeyError, TypeError or ValueError for a malformed line."""
         zone = self.zone_number(str(line.get("site", "")))
         if not math.isfinite(float(line.get("share", 1.0))):
             raise ValueError(f"share of {name} is no number")
         cell, scale = int(line.get("block", 0)), float(line.get("share", 1.0))
-        return Entry(
+        return ServerEntry(
             stable_id(name),
             zone,
             cell,
--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -203,7 +203,7 @@
         zones=zones,
         kinds=tuple(str(kind) for kind in info.get("kinds", [])),
         request_classes={name: at for at, name in enumerate(names)},
-        settings=replace(decode(info), copies=False),  # a client's thread carries one hop at a time
+        settings=replace(decode(info), hedging_allowed=False),  # a client's thread carries one hop at a time
         pushed=info.get("membershipMode") != "on_request",
         idle_timeout_us=int(limits.get("connIdleS", 30.0) * 1e6),
         connect_timeout_us=int(limits.get("dialTimeoutS", 1.0) * 1e6),
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -46,19 +46,19 @@
         self.reports: deque[Callable[[Trials], None]] = deque(maxlen=MAX_PENDING_REPORTS)
         self.may_try_until: dict[str, int] = {}  # by the servers' names; replaced as a whole
 
-    def turn(self, name: str) -> bool:
+    def may_try(self, name: str) -> bool:
         """Whether this sidecar may make the half-open trial of a server now."""
         return clock.now() < self.may_try_until.get(name, 0)
 
-    def opened(self, name: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, name: str, cooldown: int, often: bool) -> None:
         """Report that a server's breaker opened; `often`: this sidecar would send there within a cooldown."""
         now = clock.now()
-        self.reports.append(lambda trials: trials.opened(now, name, cooldown, often))
+        self.reports.append(lambda trials: trials.breaker_opened(now, name, cooldown, often))
 
-    def tried(self, name: str, failed: bool) -> None:
+    def trial_finished(self, name: str, failed: bool) -> None:
         """Report the result of a trial that this sidecar made."""
         now = clock.now()
-        self.reports.append(lambda trials: trials.tried(now, name, failed))
+        self.reports.append(lambda trials: trials.trial_finished(now, name, failed))
 
 
 class Peers:
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -15,10 +15,10 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import compiled, invariants
+from ..balancer import SeededRandom
 from ..discovery.server_list import Address, BadList, ServerList, ServerListUpdate, stable_id
 from ..discovery.watch import Watch
-from ..interface import Listing
-from ..logic import Chance
+from ..interface import ListKind
 from . import clock
 from . import config as configuration
 from .admin_server import AdminServer
@@ -79,8 +79,8 @@
         server_list,
         relay_selector.at if relay_selector else f"{config.discovery.host}:{config.discovery.port}",
         -1 if relay_selector or "regions" in raw_list else known.version,
-        2 * config.settings.ask_every,
-        Chance(config.seed).share,
+        2 * config.settings.poll_interval,
+        SeededRandom(config.seed).next_float,
         config.services,
     )
     watch.import_state(raw_list)
@@ -112,16 +112,16 @@
     if handover is not None:
         dispatcher.inherit(handover.out_of_service, handover.back_in_service)
         dispatcher.emptied = handover.drained_by_operator
-    dispatcher.listed(Listing.CACHED, known)
+    dispatcher.listed(ListKind.CACHED, known)
     if config.pushed:
         watcher.request_list()
         # From here on this sidecar counts as notified of whatever discovery has, while the file's list is
         # old: without waiting, requests could go to servers that are draining.
         watcher.first_call_done.wait(FIRST_LIST_TIMEOUT_S)
-    dispatcher.decide(dispatcher.pool.woke)
-    dispatcher.decide(clients.woke)
-    dispatcher.decide(dispatcher.pace.woke)
-    dispatcher.decide(ProblemReporter(dispatcher, clients).woke)
+    dispatcher.decide(dispatcher.pool.on_timer)
+    dispatcher.decide(clients.on_timer)
+    dispatcher.decide(dispatcher.pace.on_timer)
+    dispatcher.decide(ProblemReporter(dispatcher, clients).on_timer)
     gc.collect()
     gc.freeze()
     # Reference counting frees what a submission used when it ends; little is left to collect.
@@ -187,7 +187,7 @@
 
     # Not seeded by the configured seed alone: sidecars that share one would all wait equally long and reach
     # the relays at the same moments.
-    return Homes(config.name, config.relays, Chance(config.seed ^ stable_id(config.name)).share)
+    return Homes(config.name, config.relays, SeededRandom(config.seed ^ stable_id(config.name)).next_float)
 
 
 def format_address(address: Address | None) -> str:
@@ -243,7 +243,7 @@
     )
     if changed:
         dispatcher.adopt(replace(new, settings=after))
-    wait_us = 2 * min(before.ask_every, after.ask_every)
+    wait_us = 2 * min(before.poll_interval, after.poll_interval)
     if (new.relays, new.services) != (config.relays, config.services):
         relay_selector = watcher.relay_selector if new.relays == config.relays else create_relay_selector(new)
         watcher.move(new.discovery, wait_us, new.pushed, relay_selector, new.services)
@@ -297,9 +297,9 @@
             zones=list_numbers(request_class.zones, config.zones, server_list.zone_number),
             kinds=list_numbers(request_class.kinds, config.kinds, server_list.kind_number),
         )
-        for request_class in settings.tariffs
+        for request_class in settings.request_classes
     )
-    return replace(config, settings=replace(settings, zone=zone, tariffs=request_classes))
+    return replace(config, settings=replace(settings, zone=zone, request_classes=request_classes))
 
 
 def list_numbers(
@@ -319,7 +319,7 @@
         self.clients = clients
         self.reported = 0
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Log what has been counted since the last call, and set the timer for the next one."""
         self.dispatcher.figures.apply_pending()
         count = sum(invariants.broken.values())
@@ -331,7 +331,7 @@
             if counts:
                 self.dispatcher.events.event(event, counts=dict(counts))
                 counts.clear()
-        self.dispatcher.wake(now + 1_000_000, self)
+        self.dispatcher.set_timer(now + 1_000_000, self)
 
 
 def drain(dispatcher: Dispatcher, clients: Clients, log: Log, peers: Peers | None) -> None:
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -11,7 +11,7 @@
 from ..discovery.server_list import EMPTY_UPDATE, Address, BadList
 from ..discovery.watch import Overtaxed, Watch
 from ..http1.messages import Malformed, Response
-from ..interface import Listing
+from ..interface import ListKind
 from . import clock
 from .dispatch import Dispatcher
 
@@ -141,7 +141,7 @@
             # Changes since this call began count as received 6 s later.  The balancer gets the time that has
             # passed since then: the call may have been given up late, and a long pause may follow.
             elapsed = max(0.0, monotonic() - self.call_started_at)
-            self.dispatcher.listed(Listing.FAILED, EMPTY_UPDATE, int(elapsed * 1e6))
+            self.dispatcher.listed(ListKind.FAILED, EMPTY_UPDATE, int(elapsed * 1e6))
 
     def watch_until_failure(self) -> None:
         """Make one call after the other; raises what makes a call fail."""
@@ -151,7 +151,7 @@
             response = self.call(self.sock if self.sock is not None else self.connect())
             update = self.watch.handle_response(response)
             if first or update.whole or update.entries:
-                self.dispatcher.listed(Listing.FULL if update.whole else Listing.CHANGES, update)
+                self.dispatcher.listed(ListKind.FULL if update.whole else ListKind.CHANGES, update)
             first = False
             self.first_call_done.set()
             relay_watch = self.relay_watch
--- a/tests/bad_balancers.py
+++ b/tests/bad_balancers.py
@@ -1,4 +1,4 @@
-"""Balancers that each break one rule on purpose; the judge has to catch them."""
+"""Balancers that each break one rule on purpose, to test that the rule checker notices."""
 
 from __future__ import annotations
 
@@ -6,89 +6,89 @@
 from pumicepath.lab.virtual.baselines import Handle, Plain, Random, RoundRobin
 
 
-class SilentHandle(Handle):
-    def ended(self, now, number, outcome, spent, finished):
+class NeverAnswersHandle(Handle):
+    def hop_finished(self, now, hop_number, outcome, elapsed, is_final):
         self.out = False
-        self.done = self.done or finished
+        self.done = self.done or is_final
 
-    def over(self):
+    def is_finished(self):
         return self.done and not self.out
 
 
-class Silent(Random):
+class NeverAnswers(Random):
     """Never answers a submission whose first hop failed."""
 
-    kind = SilentHandle
+    kind = NeverAnswersHandle
 
 
-class Twice(Random):
-    """Defers what it has sent, and says so once more."""
+class RejectsTwice(Random):
+    """Rejects submissions that it has sent, and each of them twice."""
 
-    def take(self, now, name, tariff, key, retry, until):
-        one = super().take(now, name, tariff, key, retry, until)
-        if self.settings.tariffs[tariff].effect == Effect.IDEMPOTENT:
-            self.outlet.defer(name, 0)
-            self.outlet.defer(name, 0)
-        return one
+    def submit(self, now, name, request_class, key, retry, deadline_at):
+        submission = super().submit(now, name, request_class, key, retry, deadline_at)
+        if self.settings.request_classes[request_class].effect == Effect.IDEMPOTENT:
+            self.callbacks.reject(name, 0)
+            self.callbacks.reject(name, 0)
+        return submission
 
 
-class AfterHandle(Handle):
-    def ended(self, now, number, outcome, spent, finished):
-        super().ended(now, number, outcome, spent, finished)
-        if finished and len(self.tried) < 2:
+class SendsAfterAnswerHandle(Handle):
+    def hop_finished(self, now, hop_number, outcome, elapsed, is_final):
+        super().hop_finished(now, hop_number, outcome, elapsed, is_final)
+        if is_final and len(self.tried) < 2:
             self.done = False
             self.go_on(now)
 
 
-class After(Random):
-    """Sends once more after the final answer."""
+class SendsAfterAnswer(Random):
+    """Sends another hop after the final answer."""
 
-    kind = AfterHandle
+    kind = SendsAfterAnswerHandle
 
 
-class RepeatsHandle(Handle):
+class RetriesNonIdempotentHandle(Handle):
     def may_repeat(self, outcome):
         return True
 
 
-class Repeats(Random):
-    """Sends what may not be repeated again after an error, as if it had not run."""
+class RetriesNonIdempotent(Random):
+    """Retries non-idempotent submissions after an error, although they may have run."""
 
-    kind = RepeatsHandle
+    kind = RetriesNonIdempotentHandle
 
 
-class PromisesHandle(Handle):
-    def ended(self, now, number, outcome, spent, finished):
+class RejectsPossiblyRunHandle(Handle):
+    def hop_finished(self, now, hop_number, outcome, elapsed, is_final):
         self.out = False
-        if not finished and not self.done and outcome != Outcome.OK:
+        if not is_final and not self.done and outcome != Outcome.OK:
             self.done = True
-            self.balancer.outlet.defer(self.name, 0)
+            self.balancer.callbacks.reject(self.name, 0)
         self.done = True
 
 
-class Promises(Random):
-    """Defers what may have run, as if trying again were harmless."""
+class RejectsPossiblyRun(Random):
+    """Rejects submissions that may have run, although trying again may do harm."""
 
-    kind = PromisesHandle
+    kind = RejectsPossiblyRunHandle
 
 
-class Deaf(RoundRobin):
-    """Does not heed the list once it has one."""
+class IgnoresListUpdates(RoundRobin):
+    """Ignores all lists after the first one."""
 
-    def listed(self, now, kind, entries):
+    def update_servers(self, now, kind, entries):
         if not self.ready:
-            super().listed(now, kind, entries)
+            super().update_servers(now, kind, entries)
 
 
-class Rush(Plain):
-    """Sends everything to the server that came up last."""
+class FloodsNewestServer(Plain):
+    """Sends everything to the server that started last."""
 
-    def listed(self, now, kind, entries):
-        super().listed(now, kind, entries)
+    def update_servers(self, now, kind, entries):
+        super().update_servers(now, kind, entries)
         for entry in entries:
-            if entry.came_up:
+            if entry.started_at:
                 self.newest = entry.server
 
-    def choose(self, one, among):
+    def choose(self, submission, among):
         newest = getattr(self, "newest", -1)
         return newest if newest in among else self.chance.choice(among)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A scripted balancer and a trace of what it decided."""
+"""A scripted host of one balancer, which records its decisions, and comparison with recorded traces."""
 
 from __future__ import annotations
 
@@ -7,66 +7,79 @@
 import socket
 from pathlib import Path
 
-from pumicepath.interface import Effect, Entry, Group, Listing, Outcome, Phase, Settings, Tariff
-from pumicepath.logic import Balancer, Submission
-
-socket.setdefaulttimeout(20)  # what should come and does not must fail a test, not hold it up
+from pumicepath.balancer import Balancer, Submission
+from pumicepath.interface import (
+    DedupGroup,
+    Effect,
+    ListKind,
+    Outcome,
+    RequestClass,
+    ServerEntry,
+    ServerState,
+    Settings,
+)
+
+socket.setdefaulttimeout(20)  # so that data that never arrives fails a test instead of blocking it
 TRACES = Path(__file__).parent / "traces"
 SECOND = 1_000_000
-READ = Tariff(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, Group.ALL, 0)
-ONCE = Tariff(600_000, 1_500_000, 5.0, 0.0, Effect.UNREPEATABLE, Group.ALL, 0)
+READ_CLASS = RequestClass(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, DedupGroup.ALL, 0)
+ONCE_CLASS = RequestClass(600_000, 1_500_000, 5.0, 0.0, Effect.NON_IDEMPOTENT, DedupGroup.ALL, 0)
 
 
-def marked(group: Group) -> Tariff:
-    return Tariff(1_000_000, 5_000_000, 3.0, 0.2, Effect.DEDUPLICATED, group, 2 * SECOND)
+def deduplicated_class(group: DedupGroup) -> RequestClass:
+    """A class whose submissions the servers of a group deduplicate for two seconds."""
+    return RequestClass(1_000_000, 5_000_000, 3.0, 0.2, Effect.DEDUPLICATED, group, 2 * SECOND)
 
 
-def settings(*tariffs: Tariff, **changed: object) -> Settings:
+def make_settings(*request_classes: RequestClass, **changed: object) -> Settings:
+    """Settings of one of three sidecars, with the given classes and changes."""
     values: dict = {
-        "me": 0,
-        "fleet": 3,
+        "sidecar_index": 0,
+        "fleet_size": 3,
         "zone": 0,
-        "tariffs": tariffs or (READ, ONCE),
-        "crossing_price": 0.0,
-        "must_ask": False,
-        "ask_every": 10 * SECOND,
-        "most_hops": 4,
-        "most_retry_in": 2 * SECOND,
-        "cold_from": 0.2,
-        "cold_for": 20 * SECOND,
-        "fall_multiple": 2.5,
-        "fall_window": 3 * SECOND,
+        "request_classes": request_classes or (READ_CLASS, ONCE_CLASS),
+        "cross_zone_cost": 0.0,
+        "polls_list": False,
+        "poll_interval": 10 * SECOND,
+        "max_hops": 4,
+        "max_retry_after": 2 * SECOND,
+        "cold_fraction": 0.2,
+        "cold_duration": 20 * SECOND,
+        "overload_multiple": 2.5,
+        "overload_window": 3 * SECOND,
     }
     return Settings(**{**values, **changed})
 
 
-def entry(server: int, zone: int = 0, cell: int = 0, phase: Phase = Phase.READY, came_up: int = 0) -> Entry:
-    return Entry(server, zone, cell, phase, 1.0, came_up)
+def make_entry(
+    server: int, zone: int = 0, cell: int = 0, state: ServerState = ServerState.READY, started_at: int = 0
+) -> ServerEntry:
+    return ServerEntry(server, zone, cell, state, 1.0, started_at)
 
 
-class Bench:
-    """An outlet that notes every decision; `at` moves the clock and delivers the wakes that are due."""
+class ScriptedHost:
+    """The callbacks of a balancer, which record every decision in `lines`, with a clock set by the test."""
 
-    def __init__(self, given: Settings, servers: list[Entry], seed: int = 7) -> None:
-        self.given, self.servers = given, servers
+    def __init__(self, settings: Settings, servers: list[ServerEntry], seed: int = 7) -> None:
+        self.initial_settings, self.servers = settings, servers
         self.now = 0
         self.lines: list[str] = []
-        self.wakes: list[tuple[int, int, object]] = []
-        self.sent: list[int] = []
-        self.balancer = Balancer(given, seed, self)
-        self.balancer.listed(0, Listing.CACHED, servers)
+        self.timers: list[tuple[int, int, object]] = []
+        self.sent_to: list[int] = []
+        self.balancer = Balancer(settings, seed, self)
+        self.balancer.update_servers(0, ListKind.CACHED, servers)
 
     def note(self, text: str) -> None:
         self.lines.append(f"{self.now / SECOND:8.3f}  {text}")
 
     def send(self, submission: int, server: int, timeout: int) -> None:
-        self.sent.append(server)
+        self.sent_to.append(server)
         self.note(f"submission {submission}: hop to {server}")
 
-    def defer(self, submission: int, retry_in: int) -> None:
+    def reject(self, submission: int, retry_after: int) -> None:
         self.note(f"submission {submission}: deferred")
 
-    def forfeit(self, submission: int) -> None:
+    def fail(self, submission: int) -> None:
         self.note(f"submission {submission}: forfeited")
 
     def cancel(self, submission: int, hop: int) -> None:
@@ -75,69 +88,85 @@
     def probe(self, server: int) -> None:
         self.note(f"probe of {server}")
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         self.note(f"tells {peer}: {data.hex()}")
 
-    def free_links(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         self.note(f"connections to {server} freed")
 
-    def follow(self) -> None:
+    def request_server_list(self) -> None:
         self.note("asks to follow the list")
 
-    def wake(self, at: int, whom: object) -> None:
-        heapq.heappush(self.wakes, (at, len(self.wakes), whom))
+    def set_timer(self, at: int, handler: object) -> None:
+        heapq.heappush(self.timers, (at, len(self.timers), handler))
 
     def log(self, text: str) -> None:
         self.note(f"log: {text}")
 
-    def at(self, seconds: float) -> Bench:
-        until = int(seconds * SECOND)
-        while self.wakes and self.wakes[0][0] <= until:
-            self.now, _, whom = heapq.heappop(self.wakes)
-            whom.woke(self.now)
-        self.now = until
+    def advance_to(self, seconds: float) -> ScriptedHost:
+        """Move the clock, running the timers that expire meanwhile."""
+        end = int(seconds * SECOND)
+        while self.timers and self.timers[0][0] <= end:
+            self.now, _, handler = heapq.heappop(self.timers)
+            handler.on_timer(self.now)
+        self.now = end
         return self
 
-    def take(
-        self, name: int, key: int = 1, tariff: int = 0, patience: float = 2.0, retry: bool = False
+    def submit(
+        self,
+        submission_id: int,
+        key: int = 1,
+        request_class: int = 0,
+        deadline: float = 2.0,
+        retry: bool = False,
     ) -> Submission:
-        return self.balancer.take(self.now, name, tariff, key, retry, self.now + int(patience * SECOND))
-
-    def end(self, one: Submission, outcome: Outcome, hop: int = -1) -> None:
-        """One hop, the last unless named, ends; only a success finishes the submission."""
-        if not one.hops:
+        """Submit now; `deadline` is in seconds from now."""
+        return self.balancer.submit(
+            self.now, submission_id, request_class, key, retry, self.now + int(deadline * SECOND)
+        )
+
+    def finish_hop(self, submission: Submission, outcome: Outcome, hop: int = -1) -> None:
+        """Report the outcome of a hop, by default the last one; only a success is a final answer."""
+        if not submission.hops:
             return
-        number = hop % len(one.hops)
-        one.ended(self.now, number, outcome, self.now - one.hops[number].at, outcome == Outcome.OK)
-
-    def alike(self, key: int, count: int) -> list[int]:
-        """Keys that go where the key goes, so that none of them is popular."""
-        fresh = Bench(self.given, self.servers)
+        number = hop % len(submission.hops)
+        submission.hop_finished(
+            self.now, number, outcome, self.now - submission.hops[number].sent_at, outcome == Outcome.OK
+        )
+
+    def keys_with_same_server(self, key: int, count: int) -> list[int]:
+        """Return keys that go to the same server as `key`, to use it without making one key popular."""
+        fresh = ScriptedHost(self.initial_settings, self.servers)
         for other in range(1, 100 * count):
-            fresh.end(fresh.at(other).take(other, other), Outcome.OK)
-        return [other + 1 for other, server in enumerate(fresh.sent) if server == fresh.sent[key - 1]][:count]
-
-    def quick(self, first: int, count: int, key: int, outcome: Outcome, every: float = 0.1) -> None:
-        """Submissions one after the other, each ended 10 ms after its first hop, later hops answered."""
+            fresh.finish_hop(fresh.advance_to(other).submit(other, other), Outcome.OK)
+        return [other + 1 for other, server in enumerate(fresh.sent_to) if server == fresh.sent_to[key - 1]][
+            :count
+        ]
+
+    def run_submissions(
+        self, first: int, count: int, key: int, outcome: Outcome, interval: float = 0.1
+    ) -> None:
+        """Submit one after the other; the first hop of each ends after 10 ms, later ones succeed."""
         start = self.now / SECOND
         for step in range(count):
-            one = self.at(start + step * every).take(first + step, key)
-            self.at(start + step * every + 0.01).end(one, outcome)
-            if not one.over():
-                self.end(one, Outcome.OK)
+            submission = self.advance_to(start + step * interval).submit(first + step, key)
+            self.advance_to(start + step * interval + 0.01).finish_hop(submission, outcome)
+            if not submission.is_finished():
+                self.finish_hop(submission, Outcome.OK)
 
 
-def interruptible() -> None:
-    """For a child that is to be interrupted: who runs the tests may ignore SIGINT, as background jobs do."""
+def restore_sigint() -> None:
+    """Make a child process interruptible; tests run as a background job inherit an ignored SIGINT."""
     signal.signal(signal.SIGINT, signal.SIG_DFL)
 
 
-def check(name: str, bench: Bench, *more: str) -> None:
-    compare(name, [*bench.lines, *more])
+def check_host_trace(name: str, host: ScriptedHost, *more: str) -> None:
+    """Compare the decisions that a host recorded with the recorded trace."""
+    check_trace(name, [*host.lines, *more])
 
 
-def compare(name: str, lines: list[str]) -> None:
-    """The trace must be the one kept in the repository."""
+def check_trace(name: str, lines: list[str]) -> None:
+    """Compare lines with a trace recorded in the repository, to the letter."""
     got = "\n".join(lines) + "\n"
     kept = TRACES / f"{name}.txt"
     assert got == (kept.read_text() if kept.exists() else ""), got
--- a/tests/test_never_back.py
+++ b/tests/test_never_back.py
@@ -12,7 +12,7 @@
 from pumicepath.discovery.server_list import BadList, ServerList, ServerListUpdate
 from pumicepath.discovery.watch import MAX_RELAY_WAIT_MS, Overtaxed, Watch
 from pumicepath.distribution.regions import MOST_REGIONS
-from pumicepath.interface import Phase
+from pumicepath.interface import ServerState
 
 SECOND = 1_000_000
 
@@ -113,7 +113,7 @@
     watch.handle_response(relay_answer(10, {"eu": (5, True)}, line("s1"), line("s2"), whole=True))
     assert request_target(watch) == "/discovery/hosts?since=10&timeout_ms=3000&services=*"
     update = watch.handle_response(relay_answer(11, {"eu": (6, True)}, line("s1", health="leaving")))
-    assert [(entry.name, entry.phase.name) for entry in update.entries] == [("s1", "DRAINING")]
+    assert [(entry.name, entry.state.name) for entry in update.entries] == [("s1", "DRAINING")]
     watch.switch_to("r2:1")
     assert request_target(watch) == "/discovery/hosts?services=*" and watch.reported_regions == {}
     update = watch.handle_response(
@@ -121,7 +121,7 @@
     )
     # The lines of the other region are applied; what is held of this one stays.
     assert healths(watch) == {"s1": "leaving", "s2": "active", "u1": "active"}
-    assert not update.whole and {entry.name: entry.phase.name for entry in update.entries} == {"u1": "READY"}
+    assert not update.whole and {entry.name: entry.state.name for entry in update.entries} == {"u1": "READY"}
     assert watch.reported_regions == {"eu": (5, False), "us": (1, True)} and watch.region_counts() == (1, 1)
     # No region of the answer counts: the update is empty.
     assert watch.handle_response(
@@ -171,7 +171,7 @@
     watch.switch_to("r2:1")
     update = watch.handle_response(relay_answer(7, {"eu": (6, True)}, line("s2"), whole=True))
     assert not update.whole
-    assert [(entry.name, entry.phase.name) for entry in update.entries] == [("s1", "GONE")]
+    assert [(entry.name, entry.state.name) for entry in update.entries] == [("s1", "GONE")]
     assert watch.region_counts() == (1, 1), "a region unknown to the relay is not in touch"
     assert set(watch.server_list.start_times) == {"s2", "u1"}
 
@@ -396,7 +396,7 @@
             watch.handle_response(relay_answer(11, {"eu": (6, True)}, whole=True))
         watch.switch_to(f"r{number}:1")
     update = watch.handle_response(relay_answer(12, {"eu": (6, True)}, whole=True))
-    assert [(entry.name, entry.phase.name) for entry in update.entries] == [("s1", "GONE")]
+    assert [(entry.name, entry.state.name) for entry in update.entries] == [("s1", "GONE")]
     assert not update.whole and not healths(watch)
 
 
@@ -416,7 +416,7 @@
         line("new"),
     ]
     update = watch.handle_response(relay_answer(91, {"eu": (6, True)}, *lines, whole=True))
-    assert not update.whole and {(entry.name, entry.phase.name) for entry in update.entries} == {
+    assert not update.whole and {(entry.name, entry.state.name) for entry in update.entries} == {
         ("s0", "DRAINING"),
         ("s1", "READY"),
         ("s2", "READY"),
@@ -462,8 +462,8 @@
             held.clear()
         for entry in update.entries:
             held.pop(entry.name, None)
-            if entry.phase != Phase.GONE:
-                held[entry.name] = (entry.phase.name, entry.scale, entry.came_up)
+            if entry.state != ServerState.GONE:
+                held[entry.name] = (entry.state.name, entry.weight, entry.started_at)
         names = {"active": "READY", "leaving": "DRAINING"}
         assert held == {
             name: (names[one["health"]], one["share"], watch.server_list.start_times[name][1])
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -21,12 +21,12 @@
 
 import pytest
 
+from pumicepath.balancer import Balancer
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.interface import Entry, Listing, Outcome
+from pumicepath.interface import ListKind, Outcome, ServerEntry
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.logic import Balancer
 
-from .helpers import SECOND, entry, settings
+from .helpers import SECOND, make_entry, make_settings
 from .rig import status, until
 from .test_standing_terms import MODES, AlwaysServing
 
@@ -69,20 +69,20 @@
         parts = [10.0 if uneven and one % 10 == 0 else 1.0 for one in range(fleet)]
         self.rates = [load * RATE * SERVERS * part / sum(parts) / SECOND for part in parts]
         self.hits: dict[int, list[int]] = {server: [] for server in self.servers[:cold]}
-        self.given = settings(fleet=fleet, cold_for=8 * SECOND, **changed)
+        self.given = make_settings(fleet_size=fleet, cold_duration=8 * SECOND, **changed)
         self.sidecars = [self.begun(0, me) for me in range(fleet)]
 
-    def entries(self, now: int, known: bool = True) -> list[Entry]:
+    def entries(self, now: int, known: bool = True) -> list[ServerEntry]:
         started = STARTED * SECOND if now >= STARTED * SECOND else 0
         return [
-            entry(server, came_up=started if at < self.cold else 0)
+            make_entry(server, started_at=started if at < self.cold else 0)
             for at, server in enumerate(self.servers)
             if at >= self.cold or started
         ]
 
     def begun(self, now: int, me: int) -> Balancer:
-        sidecar = Balancer(replace(self.given, me=me), self.chance.getrandbits(32), Sent())
-        sidecar.listed(now, Listing.CACHED, self.entries(now))
+        sidecar = Balancer(replace(self.given, sidecar_index=me), self.chance.getrandbits(32), Sent())
+        sidecar.update_servers(now, ListKind.CACHED, self.entries(now))
         return sidecar
 
     def run(self) -> None:
@@ -105,21 +105,21 @@
             if not told and now >= STARTED * SECOND:
                 told = True
                 for sidecar in self.sidecars:
-                    sidecar.listed(now, Listing.CHANGES, self.entries(now)[: self.cold])
+                    sidecar.update_servers(now, ListKind.CHANGES, self.entries(now)[: self.cold])
             if isinstance(what, range):  # a part of the fleet at once
                 for me in what:
                     self.sidecars[me] = self.begun(now, me)
             elif isinstance(what, int):
                 put(now + self.chance.expovariate(self.rates[what]) + 1, what)
-                one = self.sidecars[what].take(
+                one = self.sidecars[what].submit(
                     now, number, 0, 1 + self.chance.randrange(500), False, now + 2 * SECOND
                 )
                 if one.hops:
                     put(now + self.chance.expovariate(1 / 50_000) + 5000, one)
-                    if (server := one.balancer.outlet.last) in self.hits:  # type: ignore[attr-defined]
+                    if (server := one.balancer.callbacks.last) in self.hits:  # type: ignore[attr-defined]
                         self.hits[server].append(now)
             else:
-                what.ended(now, 0, Outcome.OK, now - what.hops[0].at, True)
+                what.hop_finished(now, 0, Outcome.OK, now - what.hops[0].sent_at, True)
 
     def worst(self) -> tuple[float, int, float]:
         """The most of what may be sent that was, how much that was, and the budget then."""
@@ -127,9 +127,9 @@
         given = self.given
         for hits in self.hits.values():
             for last, now in enumerate(hits):
-                warmth = given.cold_from + (1 - given.cold_from) * (now / SECOND - STARTED) / 8
-                budget = given.fall_multiple * warmth * RATE * given.fall_window / SECOND
-                sent = sum(then > now - given.fall_window for then in hits[: last + 1])
+                warmth = given.cold_fraction + (1 - given.cold_fraction) * (now / SECOND - STARTED) / 8
+                budget = given.overload_multiple * warmth * RATE * given.overload_window / SECOND
+                sent = sum(then > now - given.overload_window for then in hits[: last + 1])
                 worst = max(worst, (sent / (budget + 2 * math.sqrt(budget) + 2), sent, budget))
         return worst
 
@@ -142,10 +142,10 @@
     "twenty, uneven": {"fleet": 20, "uneven": True},
     "half of the servers": {"cold": 5},
     "a burst, uneven": {"load": 1.35, "uneven": True},
-    "small windows": {"fall_window": SECOND // 4, "uneven": True, "restarted": 4},
-    "quotas, a part restarted": {"quotas": (RATE * SERVERS,), "uneven": True, "restarted": 4},
-    "repeats are marked": {"marked": True, "uneven": True},
-    "connections cost": {"connection_price": 0.05},
+    "small windows": {"overload_window": SECOND // 4, "uneven": True, "restarted": 4},
+    "quotas, a part restarted": {"tenant_quotas": (RATE * SERVERS,), "uneven": True, "restarted": 4},
+    "repeats are marked": {"clients_mark_retries": True, "uneven": True},
+    "connections cost": {"connection_cost": 0.05},
 }
 
 
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -13,8 +13,8 @@
 
 import pytest
 
+from pumicepath.balancer import SeededRandom
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
-from pumicepath.logic import Chance
 from pumicepath.sidecar import clock
 from pumicepath.sidecar.entrance import Entrance
 from pumicepath.sidecar.servers import Link, start
@@ -69,7 +69,7 @@
     "is refused": [],
 }
 # A seed with nearly the longest random pause of a sidecar.
-SEED = next(seed for seed in range(10_000) if Chance(seed).bits() % 3_000_000 > 2_950_000)
+SEED = next(seed for seed in range(10_000) if SeededRandom(seed).next_bits() % 3_000_000 > 2_950_000)
 
 
 class DrainCase:
