--- a/benchmarks/hearing.py
+++ b/benchmarks/hearing.py
@@ -23,7 +23,7 @@
 from pumicepath.lab.loopback.process import Sidecar
 from pumicepath.lab.spec import told as settings_of
 from pumicepath.logic import Balancer
-from pumicepath.settings import decode
+from pumicepath.settings import decode_settings
 
 NEAR = "zone-00"
 
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.roster = Roster([NEAR], lambda born: max(0, born))
         self.watch = Watch(self.roster, "127.0.0.1:1", -1, 20_000_000)
-        self.balancer = Balancer(decode(settings_of(PLAN, 0, 0)), 1, Nowhere())
+        self.balancer = Balancer(decode_settings(settings_of(PLAN, 0, 0)), 1, Nowhere())
         self.now = 10**9
 
     def hear(self, data: bytes) -> None:
--- a/pumicepath/lab/faults/recording.py
+++ b/pumicepath/lab/faults/recording.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ...interface import Tariff
-from ...settings import decode
+from ...settings import decode_settings
 from ..model.judge import Judge
 from ..model.listing import Registry
 from ..model.servers import Job, Server
@@ -108,7 +108,7 @@
     """The judge as it stood at the end of a history, by what clients and servers saw in it."""
     head = lines[0]
     plan = Plan(**head["plan"])
-    tariffs = decode(told(plan, 0, 0)).tariffs
+    tariffs = decode_settings(told(plan, 0, 0)).tariffs
     timeline, registry = Virtual(), Told()
     judge = Judge(timeline, tariffs, registry, micros(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
     for line in lines:
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -21,7 +21,7 @@
 from ...http1.messages import Malformed
 from ...interface import Listing, Phase, Wakeable
 from ...logic import Balancer, Chance
-from ...settings import decode
+from ...settings import decode_settings
 from ...sidecar import clock
 from ...sidecar.watching import CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S, RETRY_INTERVAL_S
 from .plan import Plan
@@ -134,7 +134,7 @@
         self.number, self.name, self.loop = number, f"n{number}", loop
         info = told(plan, number)
         self.roster = Roster(info["dcs"], clock.since_unix_ms)
-        self.balancer = Balancer(decode(info), number + 1, MUTE)
+        self.balancer = Balancer(decode_settings(info), number + 1, MUTE)
         self.chance = Chance(random.Random(f"sidecar {plan.ask.seed} {number}").getrandbits(63))
         self.addresses: dict[int, Address] = {}
         self.sock: socket.socket | None = None
--- a/pumicepath/lab/model/world.py
+++ b/pumicepath/lab/model/world.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from ...interface import Entry, Phase, Settings
-from ...settings import decode
+from ...settings import decode_settings
 from ..spec import Plan, micros, told
 from .clients import Clients, Habits, Keys, Moods, Tally
 from .judge import SLACK, Judge
@@ -127,7 +127,7 @@
         self.network = Network(
             timeline, fleet.halls, micros(fleet.near_ms / 1e3), micros(fleet.far_ms / 1e3), seed
         )
-        self.settings: list[Settings] = [decode(told(plan, 0, hall)) for hall in range(fleet.halls)]
+        self.settings: list[Settings] = [decode_settings(told(plan, 0, hall)) for hall in range(fleet.halls)]
         self.tariffs = self.settings[0].tariffs
         self.judge = judging(timeline, self.tariffs, self.registry, micros(plan.list.grace_s), slack)
         self.moods = Moods()
--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -132,10 +132,10 @@
                 continue
             parser.ring.wrote(count)
             self.got += count
-            if parser.step == START and intake.full() and self.turned_away(parser, arrived):
+            if parser.step == START and intake.is_full() and self.turned_away(parser, arrived):
                 if not self.enter(IDLE):
                     return
-                time.sleep(intake.pause / 1e6)
+                time.sleep(intake.read_pause / 1e6)
                 continue
             if self.state != PARTIAL and not self.enter(PARTIAL):
                 return
@@ -191,7 +191,9 @@
         parser.ring.drop(size)
         self.group = name
         self.keep = not self.last
-        self.answer(answers.deferred(dispatcher.entrance.intake.back(tariff)), not dispatcher.leaving())
+        self.answer(
+            answers.deferred(dispatcher.entrance.intake.retry_after(tariff)), not dispatcher.leaving()
+        )
         return True
 
     def resume(self) -> None:
@@ -266,7 +268,8 @@
             )
             if not self.inside:
                 self.answer(
-                    answers.deferred(dispatcher.entrance.intake.back(what.tariff)), not dispatcher.leaving()
+                    answers.deferred(dispatcher.entrance.intake.retry_after(what.tariff)),
+                    not dispatcher.leaving(),
                 )
                 return None
         if clock.now() - arrived > LATE and self.gone():
--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -13,7 +13,7 @@
 
 from ..discovery.roster import Address, BadList, Roster, address
 from ..interface import Settings
-from ..settings import check, decode, present, without_effect
+from ..settings import check_settings, decode_settings, present_keys, unsupported_keys
 
 if TYPE_CHECKING:
     from ..fleet.settings import PeerSettings
@@ -177,7 +177,7 @@
 def decode_config(raw: dict[str, Any]) -> Config:
     """Decode the file's object; raises KeyError, ValueError and others that `read` turns into ConfigError."""
     info = raw["settings"]
-    check(info)
+    check_settings(info)
     limits = info.get("policyLimits", {})
     names = [str(entry["name"]) for entry in info["tariffs"]]
     if not names:
@@ -203,13 +203,13 @@
         zones=zones,
         kinds=tuple(str(kind) for kind in info.get("kinds", [])),
         request_classes={name: at for at, name in enumerate(names)},
-        settings=replace(decode(info), copies=False),  # a client's thread carries one hop at a time
+        settings=replace(decode_settings(info), copies=False),  # a client's thread carries one hop at a time
         pushed=info.get("membershipMode") != "on_request",
         idle_timeout_us=int(limits.get("connIdleS", 30.0) * 1e6),
         connect_timeout_us=int(limits.get("dialTimeoutS", 1.0) * 1e6),
-        keys_without_effect=tuple(without_effect(info)),
+        keys_without_effect=tuple(unsupported_keys(info)),
         admin=admin_address(raw),
-        present_keys=present(info) | {key for key in TOP_LEVEL_KEYS if key in raw},
+        present_keys=present_keys(info) | {key for key in TOP_LEVEL_KEYS if key in raw},
         peers=decode_peers(raw),
         relays=relays,
         services=services,
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -13,7 +13,7 @@
 from ..http1.messages import Response
 from ..http1.parsing import ResponseParser
 from ..interface import Companions, Listing, Outcome, Wakeable
-from ..invariants import must
+from ..invariants import check_invariant
 from ..logic import Balancer, Submission, Terms
 from . import answers, clock
 from .config import Config
@@ -325,7 +325,7 @@
         self.forget(exchange)
 
     def answer(self, exchange: Exchange, answer: answers.Answer) -> None:
-        if must(not exchange.answered, "second final answer"):
+        if check_invariant(not exchange.answered, "second final answer"):
             exchange.answered = True
             client = exchange.client
             self.after.append(lambda: client.answer(answer, not self.leaving()))
--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -9,7 +9,7 @@
 from ..http1.messages import Request
 from ..http1.parsing import ResponseParser
 from ..interface import Effect, Outcome, Wakeable
-from ..invariants import must
+from ..invariants import check_invariant
 from ..logic import Submission
 from . import answers
 
@@ -149,7 +149,7 @@
         """Its patience is over: answers for servers that say nothing."""
         for hop in list(self.hops):
             self.owner.end(now, hop, Outcome.TIMEOUT)
-        if not must(self.answered, "no final answer when patience ended"):
+        if not check_invariant(self.answered, "no final answer when patience ended"):
             self.owner.answer(self, answers.FORFEITED)
 
 
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -320,10 +320,10 @@
     def woke(self, now: int) -> None:
         """Log what has been counted since the last call, and set the timer for the next one."""
         self.dispatcher.figures.apply_pending()
-        count = sum(invariants.broken.values())
+        count = sum(invariants.violation_counts.values())
         if count > self.reported:
             self.reported = count
-            self.dispatcher.events.event("invariant_broken", counts=dict(invariants.broken))
+            self.dispatcher.events.event("invariant_broken", counts=dict(invariants.violation_counts))
         bad_answers = self.dispatcher.pool.spoilt
         for event, counts in (("bad_requests", self.clients.refused), ("bad_answers", bad_answers)):
             if counts:
@@ -360,7 +360,7 @@
         after_s=round(monotonic() - started_at, 3),
         clients=len(clients.open),
         taken=dispatcher.taken,
-        broken=invariants.broken,
+        broken=invariants.violation_counts,
     )
     log.flush()
     os._exit(0)  # nobody waits for anything that the remaining threads hold
--- a/setup.py
+++ b/setup.py
@@ -22,7 +22,7 @@
     "pumicepath/http1/messages.py",
     "pumicepath/http1/parsing.py",
     "pumicepath/http1/writing.py",
-    "pumicepath/intake/queue.py",
+    "pumicepath/admission/queue.py",
 ]
 BUILT = HERE / "pumicepath" / "compiled.json"
 
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -13,11 +13,11 @@
 def test_only_a_whole_build_of_the_files_as_they_are_runs(tmp_path: Path) -> None:
     (tmp_path / "pumicepath").mkdir()
     file, library = tmp_path / "pumicepath" / "a.py", tmp_path / "pumicepath" / "a.so"
-    record = tmp_path / compiled.RECORD
+    record = tmp_path / compiled.BUILD_RECORD
     lines = []
 
     def look(name: str, asked: bool = False) -> None:
-        chosen, files = compiled.form(tmp_path, asked)
+        chosen, files = compiled.detect_form(tmp_path, asked)
         lines.append(f"{name}: {chosen}; from files {sorted(files)}")
 
     file.write_text("A = 1\n")
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -9,7 +9,7 @@
 
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.intake.queue import PLACES, Verdict
+from pumicepath.admission.queue import MAX_ACTIVE, AdmissionResult
 from pumicepath.interface import Listing
 from pumicepath.lab.loopback.scripted import Deployment, answer, next_of
 from pumicepath.sidecar import arrival, clock, config
@@ -85,7 +85,7 @@
 def test_places_are_handed_on_and_those_turned_away_are_told(tmp_path: Path) -> None:
     entrance = Entrance(config.decode_config(Deployment(tmp_path, 0).told))
     now = clock.now()
-    assert all(entrance.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(PLACES))
+    assert all(entrance.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(MAX_ACTIVE))
     told: deque = deque()
 
     def come() -> None:
@@ -102,7 +102,7 @@
     entrance.leave()
     for thread in threads:
         thread.join(5)
-    assert sorted(told) == [False, True] and entrance.intake.active == PLACES
+    assert sorted(told) == [False, True] and entrance.intake.active == MAX_ACTIVE
 
 
 def test_servers_are_not_judged_while_our_own_threads_are_late(tmp_path: Path) -> None:
@@ -201,7 +201,7 @@
         around.told["settings"]["policyLimits"]["retryAfter"] = allowed
         owner = Owner(tmp_path)
         owner.dispatcher = Dispatcher(config.decode_config(around.told), Log("n0"), None)
-        owner.dispatcher.entrance.intake.came = lambda *_: Verdict.AWAY
+        owner.dispatcher.entrance.intake.offer = lambda *_: AdmissionResult.REJECTED
         near, far = pair()
         client, parser = Client(near, owner, clock.now()), RequestParser()
         parser.feed(b"GET /api HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\n\r\n")
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -25,7 +25,7 @@
 from pumicepath.lab.hollow.verdict import Verdict, Window, counted
 from pumicepath.lab.hollow.witness import Witness
 from pumicepath.logic import Balancer
-from pumicepath.settings import decode
+from pumicepath.settings import decode_settings
 
 from .helpers import interruptible
 from .rig import until
@@ -124,7 +124,7 @@
 
     def __init__(self, plan: Plan, number: int = 0) -> None:
         self.plan, self.number, self.updated_at = plan, number, 0
-        self.balancer = Balancer(decode(told(plan, number)), 1, MUTE)
+        self.balancer = Balancer(decode_settings(told(plan, number)), 1, MUTE)
 
     def take(self, at: int, whole: bool, *changes: Change) -> None:
         entries = [
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 
 from pumicepath.interface import Effect, Entry, Group, Listing, Outcome, Phase, Tariff
 from pumicepath.lab.loopback.scripted import Deployment, answer
-from pumicepath.settings import decode
+from pumicepath.settings import decode_settings
 
 from .helpers import ONCE, READ, SECOND, Bench, check, compare, entry, marked, settings
 from .test_switch import load
@@ -109,7 +109,7 @@
             {"name": "three"},
         ],
     }
-    read = decode(info)
+    read = decode_settings(info)
     assert [(one.zones, one.kinds) for one in read.tariffs] == [
         ((1,), (0, 1)),
         ((0, 1), (1,)),
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -315,7 +315,7 @@
     assert behind == [0, 0, 80_000, 70_000, 61_250, 100_000] and owner.told[-1] == pace.due
     beats = []
     for taken in (0, 5, 5, 5):  # late still, met something, nothing, nothing
-        pace.entrance.intake.taken = taken
+        pace.entrance.intake.admitted = taken
         at = pace.due
         pace.behind = 60_000 if not taken else 0
         pace.woke(at)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -14,7 +14,7 @@
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.settings import check
+from pumicepath.settings import check_settings
 from pumicepath.sidecar import config
 
 from .helpers import compare
@@ -176,7 +176,7 @@
 )
 def test_settings_that_cannot_be_meant_are_named_by_their_key(settings: dict, says: str) -> None:
     with pytest.raises(ValueError, match="^settings") as trouble:
-        check(settings)
+        check_settings(settings)
     assert str(trouble.value).startswith(says)
 
 
