--- a/pumicepath/admission/queue.py
+++ b/pumicepath/admission/queue.py
@@ -15,7 +15,7 @@
 from ..interface import Tariff
 from ..logic import Chance
 
-Waiter = TypeVar("Whom")
+Waiter = TypeVar("Waiter")
 
 MAX_ACTIVE = 4  # that may be taken up at once: more would wait for the interpreter in no order
 RESERVE_FRACTION = 0.1  # of the agreed time kept for what is not foreseen
@@ -200,5 +200,8 @@
                 self.rejected,
                 False,
             )
-            return f"intake off: {turned} were turned away, requests wait {self.read_delay / 1e3:.1f} ms to be read"
+            return (
+                f"intake off: {turned} were turned away, requests wait {self.read_delay / 1e3:.1f} ms "
+                "to be read"
+            )
         return ""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,6 +6,12 @@
 from .helpers import compare
 
 MS = 1000
+# The results as the recorded traces have them.
+TRACE_WORDS = {
+    AdmissionResult.REJECTED: "AWAY",
+    AdmissionResult.ADMITTED: "GO",
+    AdmissionResult.QUEUED: "WAIT",
+}
 LOW_VALUE = Tariff(150 * MS, 600 * MS, 1.0, 0.0, Effect.IDEMPOTENT, Group.ALL, 0)
 HIGH_VALUE = Tariff(150 * MS, 600 * MS, 3.0, 0.0, Effect.UNREPEATABLE, Group.ALL, 0)
 LATE_VALUE = Tariff(150 * MS, 600 * MS, 1.0, 0.5, Effect.IDEMPOTENT, Group.ALL, 0)
@@ -40,7 +46,7 @@
         until = arrived + int(deadline_ms * MS)
         verdict = self.queue.offer(now, arrived, until, class_index, retry, typical_ms * MS, name)
         if not quiet:
-            self.note(f"{name} of tariff {class_index}{' again' * retry}: {verdict.name}")
+            self.note(f"{name} of tariff {class_index}{' again' * retry}: {TRACE_WORDS[verdict]}")
         return verdict
 
     def release(self, after_ms: float = 0.3, quiet: bool = False) -> str | None:
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -7,9 +7,9 @@
 from collections import Counter, deque
 from pathlib import Path
 
+from pumicepath.admission.queue import MAX_ACTIVE, AdmissionResult
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.admission.queue import MAX_ACTIVE, AdmissionResult
 from pumicepath.interface import Listing
 from pumicepath.lab.loopback.scripted import Deployment, answer, next_of
 from pumicepath.sidecar import arrival, clock, config
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -337,7 +337,7 @@
             def wake(self, at, whom): print("again at", at)
         reporter = ProblemReporter(Dispatcher(), Clients())
         for holds in (True, False, False):
-            invariants.must(holds, "x")
+            invariants.check_invariant(holds, "x")
             reporter.woke(0)
     """
     counted = "{'counts': {'x': 2}}\nagain at 1000000\n"
