--- a/pumicepath/admission/__init__.py
+++ b/pumicepath/admission/__init__.py
@@ -1,1 +1,1 @@
-"""How much a sidecar may take up when it is itself what is short: no sockets, threads or clocks."""
+"""Admission control for a sidecar that is itself overloaded: no sockets, threads or clocks."""
--- a/pumicepath/admission/queue.py
+++ b/pumicepath/admission/queue.py
@@ -1,9 +1,11 @@
-"""Overload of the sidecar itself: who is taken up, who waits, and who is turned away before it costs.
-
-A queue in front of the decisions, first come first served, whose length is a time: a request is turned away
-as it comes if it could not be answered in time behind those that wait, and one that waits once it can't.
-As in DAGOR (Zhou et al., "Overload Control for Scaling WeChat Microservices", 2018) waiting is the signal,
-not rates or CPU, and cheaper work has less of it; as in CoDel (Nichols and Jacobson, 2012) time is the bound.
+"""Overload control of the sidecar itself: which requests are admitted, queued or rejected.
+
+A first-come-first-served queue in front of the decisions, bounded by time rather than by length: a request is
+rejected on arrival if it could not be answered in time behind those that wait already, and a waiting one is
+rejected when its turn comes too late to answer it in time.  As in DAGOR (Zhou et al., "Overload Control for
+Scaling WeChat Microservices", 2018) the signal of overload is queueing delay, not request rate or CPU usage,
+and requests of lower value may wait for less time; as in CoDel (Nichols and Jacobson, 2012) the bound is a
+delay.
 """
 
 from __future__ import annotations
@@ -17,83 +19,99 @@
 
 Waiter = TypeVar("Waiter")
 
-MAX_ACTIVE = 4  # that may be taken up at once: more would wait for the interpreter in no order
-RESERVE_FRACTION = 0.1  # of the agreed time kept for what is not foreseen
-MIN_WAIT_FRACTION = 0.25  # of the agreed time that may be waited where servers leave less
-LOW_VALUE_FRACTION = 0.8  # of that time for what gains nothing beside the dearest
-RETRY_FRACTION = 0.5  # of it at least for a client's retry
-MAX_RETRY_AFTER_TARGETS = 4.0  # agreed times, at the most, after which clients are asked to come back
-MIN_PAUSE_US = 4_000  # the first, before a connection is read again on which one was turned away
-MAX_PAUSE_FRACTION = 0.1  # of the shortest patience, the longest
-MAX_REJECTED_RATIO = 1.0  # of what is taken up, how much may be turned away before the pause grows
-QUIET_PERIOD_US = 1_000_000  # without a request turned away, until the mode is over
-EWMA_WEIGHT = 1 / 16  # of a sample in the means
+# Requests processed at the same time; more threads would compete for the interpreter in no defined order.
+MAX_ACTIVE = 4
+RESERVE_FRACTION = 0.1  # of the latency target, kept as a reserve for unforeseen delay
+MIN_WAIT_FRACTION = 0.25  # of the latency target that a request may wait even if its servers need the rest
+LOW_VALUE_FRACTION = 0.8  # of the allowed wait, for a class whose value is zero beside the most valuable one
+RETRY_FRACTION = 0.5  # of the allowed wait, for a client's retry; more if late answers still have a value
+MAX_RETRY_AFTER_TARGETS = 4.0  # upper bound of retry_after, in latency targets
+# Shortest pause before reading again from a connection on which a request was rejected.
+MIN_PAUSE_US = 4_000
+MAX_PAUSE_FRACTION = 0.1  # longest such pause, as a fraction of the shortest deadline of a request class
+MAX_REJECTED_RATIO = 1.0  # rejected to admitted requests; above it the pause grows
+QUIET_PERIOD_US = 1_000_000  # without a rejected request, after which the overload is over
+EWMA_WEIGHT = 1 / 16  # of a new sample in the moving averages
 
 
 class AdmissionResult(IntEnum):
+    """What became of a request that was offered to the queue."""
+
     REJECTED = 0
     ADMITTED = 1
     QUEUED = 2
 
 
 class AdmissionQueue(Generic[Waiter]):
-    """One for a sidecar; the host calls it under a lock of its own.
+    """The admission queue of one sidecar; the host serializes calls with a lock of its own.
 
-    Times are whole microseconds.  What a call costs grows with nothing, but for those that `left` turns away.
+    A waiter is the host's handle of a queued request.  Times and durations are whole microseconds.  Every
+    call takes constant time, except that `release` takes time for each request that it rejects.
     """
 
     def __init__(
         self, request_classes: tuple[Tariff, ...], max_retry_after: int, max_waiting: int, seed: int
     ) -> None:
-        self.most_waiting = max_waiting
+        self.max_waiting = max_waiting
         self.rng = Chance(seed)
         self.apply_settings(request_classes, max_retry_after)
-        self.waiting: deque[tuple[int, Waiter]] = deque()
-        self.resuming: deque[Waiter] = deque()
+        self.waiting: deque[tuple[int, Waiter]] = deque()  # with the latest time of admission
+        self.resuming: deque[Waiter] = deque()  # admitted before, waiting for a slot to continue
         self.active = 0
-        self.admission_interval = 300.0  # between two that are taken up while others wait
-        self.last_admitted_at = 0  # when one was, if others waited then
-        self.read_delay = 0.0  # that requests have had before they were read
-        self.response_delay = 0.0  # that answers have had before they were passed on
-        self.rejected = 0
-        self.read_pause = 0  # before a connection is read again on which one was turned away
+        self.admission_interval = 300.0  # mean time between admissions while others wait
+        self.last_admitted_at = 0  # from the queue; 0 once it has run empty
+        self.read_delay = 0.0  # mean time from a request's arrival until it is read
+        self.response_delay = 0.0  # mean time from a response's arrival until it is passed on
+        self.rejected = 0  # since the start, as is `admitted`
+        self.read_pause = 0  # before reading on from a connection whose request was rejected
         self.admitted = 0
-        self.previous_counts = (0, 0)
+        self.previous_counts = (0, 0)  # admitted and rejected at the last update of the pause
         self.overload_logged = False
-        self.rejected_when_over = 0
+        self.rejected_when_over = 0  # value of `rejected` when the last overload ended
         self.last_rejected_at = 0
 
     def apply_settings(self, request_classes: tuple[Tariff, ...], max_retry_after: int) -> None:
-        """Judge by other tariffs from now on; what waits keeps the limit that it was given."""
-        self.tariffs = request_classes
-        self.most_back = max_retry_after
-        dearest = max(one.gain for one in request_classes)
+        """Replace the request classes; requests that wait already keep the time limit they were given."""
+        self.request_classes = request_classes
+        self.max_retry_after = max_retry_after
+        max_value = max(each.gain for each in request_classes)
         self.wait_fractions = [
-            LOW_VALUE_FRACTION + (1.0 - LOW_VALUE_FRACTION) * (one.gain / dearest if dearest > 0 else 1.0)
-            for one in request_classes
+            LOW_VALUE_FRACTION
+            + (1.0 - LOW_VALUE_FRACTION) * (each.gain / max_value if max_value > 0 else 1.0)
+            for each in request_classes
         ]
         self.late_fractions = [
-            min(1.0, one.late_gain / one.gain) if one.gain > 0 else 0.0 for one in request_classes
+            min(1.0, each.late_gain / each.gain) if each.gain > 0 else 0.0 for each in request_classes
         ]
-        self.max_pause = int(MAX_PAUSE_FRACTION * min(one.patience for one in request_classes))
+        self.max_pause = int(MAX_PAUSE_FRACTION * min(each.patience for each in request_classes))
 
     def is_full(self) -> bool:
-        """Whether the next one would have to wait."""
+        """Return whether the next request would have to wait."""
         return self.active >= MAX_ACTIVE
 
     def admit_by(
         self, class_index: int, is_retry: bool, received_at: int, deadline_at: int, typical_latency: float
     ) -> int:
-        """By when a request must be taken up to be worth it, if it then takes `usual` at the servers."""
-        # Guards a request that was read just before these tariffs came: any of them does for its wait.
-        class_index = min(class_index, len(self.tariffs) - 1)
-        one = self.tariffs[class_index]
-        rest = typical_latency + self.response_delay
-        agreed = max(MIN_WAIT_FRACTION * one.agreed, (1.0 - RESERVE_FRACTION) * one.agreed - rest)
+        """Return the latest time at which admitting a request still lets it be answered in time.
+
+        `typical_latency` is the time that its servers usually need.  The wait that the latency target allows
+        is scaled down for classes of lower value and for retries; a class whose late answers have a value
+        may also use a fraction of the time between its latency target and its deadline.
+        """
+        # The request may have been read just before classes were removed; for its wait any class will do.
+        class_index = min(class_index, len(self.request_classes) - 1)
+        request_class = self.request_classes[class_index]
+        remaining = typical_latency + self.response_delay
+        on_time = max(
+            MIN_WAIT_FRACTION * request_class.agreed,
+            (1.0 - RESERVE_FRACTION) * request_class.agreed - remaining,
+        )
         late = self.late_fractions[class_index]
-        part = self.wait_fractions[class_index] * (max(RETRY_FRACTION, late) if is_retry else 1.0)
-        span = agreed * part + late * max(0.0, one.patience - one.agreed - rest)
-        return min(received_at + int(span), deadline_at - int(rest))
+        fraction = self.wait_fractions[class_index] * (max(RETRY_FRACTION, late) if is_retry else 1.0)
+        max_wait = on_time * fraction + late * max(
+            0.0, request_class.patience - request_class.agreed - remaining
+        )
+        return min(received_at + int(max_wait), deadline_at - int(remaining))
 
     def offer(
         self,
@@ -105,10 +123,13 @@
         typical_latency: float,
         waiter: Waiter,
     ) -> AdmissionResult:
-        """A request was read that came at `arrived`; one that is to go or wait is followed by `left`.
+        """Decide on a request that was received at `received_at` and has just been read.
 
-        Guards the core against work for clients that will have gone, and against more threads that run at
-        once than it can bring to an end in time: each would wait for all others, over and over.
+        A call of `release` must follow for a request that is admitted, now or later from the queue.
+
+        Rejecting early saves the CPU from work for clients that would have gone by the time of the answer.
+        The bound on active requests keeps too many threads from running at once: each would repeatedly wait
+        for all others, and none would finish in time.
         """
         self.read_delay += EWMA_WEIGHT * (now - received_at - self.read_delay)
         if self.active < MAX_ACTIVE:
@@ -119,7 +140,7 @@
             return AdmissionResult.ADMITTED
         limit = self.admit_by(class_index, is_retry, received_at, deadline_at, typical_latency)
         if (
-            len(self.waiting) >= self.most_waiting
+            len(self.waiting) >= self.max_waiting
             or now + (len(self.waiting) + 1) * self.admission_interval > limit
         ):
             return self.reject(now)
@@ -127,13 +148,14 @@
         return AdmissionResult.QUEUED
 
     def record_response_delay(self, delay: int) -> None:
-        """An answer was passed on, so long after it reached this machine."""
+        """Record that a response was passed on to its client `delay` after it reached this machine."""
         self.response_delay += EWMA_WEIGHT * (delay - self.response_delay)
 
     def resume(self, waiter: Waiter) -> bool:
-        """One that was taken up goes on after a wait elsewhere; False if it waits until `left` names it.
+        """Ask for a slot for an admitted request that continues after waiting elsewhere, e.g. for its server.
 
-        Before all that are not taken up yet: guards what has cost already against what has not.
+        Returns False if it has to wait until `release` returns it.  It goes before all requests that are not
+        admitted yet, since rejecting or delaying it would waste the work already done for it.
         """
         if self.active < MAX_ACTIVE:
             self.active += 1
@@ -142,49 +164,58 @@
         return False
 
     def reject(self, now: int) -> AdmissionResult:
+        """Count a rejected request."""
         self.rejected += 1
         self.last_rejected_at = now
         return AdmissionResult.REJECTED
 
     def release(self, now: int) -> tuple[Waiter | None, list[Waiter]]:
-        """A place is free: who has it next, if any, and who is turned away, since its time is over."""
+        """Free a slot; return the waiter that has it next, if any, and those whose time limit has passed.
+
+        The latter are rejected.
+        """
         if self.waiting and self.last_admitted_at and not self.resuming:
-            # Bounded, so that one long pause is not taken for what each costs.
+            # Bounded, so that one long stall is not mistaken for the time that each request takes.
             self.admission_interval += EWMA_WEIGHT * (
                 min(now - self.last_admitted_at, 10.0 * self.admission_interval) - self.admission_interval
             )
-        turned: list[Waiter] = []
+        expired: list[Waiter] = []
         if self.resuming:
-            return self.resuming.popleft(), turned
+            return self.resuming.popleft(), expired
         while self.waiting:
-            limit, whom = self.waiting.popleft()
+            limit, waiter = self.waiting.popleft()
             if now <= limit:
                 self.last_admitted_at = now
                 self.admitted += 1
-                return whom, turned
+                return waiter, expired
             self.reject(now)
-            turned.append(whom)
+            expired.append(waiter)
         self.last_admitted_at = 0
         self.active -= 1
-        return None, turned
+        return None, expired
 
     def retry_after(self, class_index: int) -> int:
-        """When a client that is turned away should come back: spread, and later the longer others wait."""
-        agreed = self.tariffs[min(class_index, len(self.tariffs) - 1)].agreed
-        times = min(
-            MAX_RETRY_AFTER_TARGETS, 1.0 + 2.0 * len(self.waiting) * self.admission_interval / max(1, agreed)
+        """Return the time after which a rejected client should retry.
+
+        It grows with the queueing delay and is randomized, so that rejected clients don't return all at once.
+        """
+        latency_target = self.request_classes[min(class_index, len(self.request_classes) - 1)].agreed
+        targets = min(
+            MAX_RETRY_AFTER_TARGETS,
+            1.0 + 2.0 * len(self.waiting) * self.admission_interval / max(1, latency_target),
         )
-        return min(self.most_back, int(agreed * times * (0.5 + self.rng.share())))
+        return min(self.max_retry_after, int(latency_target * targets * (0.5 + self.rng.share())))
 
     def update_pause(self, now: int) -> str:
-        """At even times: sets the pause, and tells what has changed of the mode, if anything.
+        """Adapt the pause; return a log line if an overload has begun or ended, else an empty string.
 
-        Guards the core against clients that come back at once: about as many are turned away as are taken up.
-        A client that comes back when it was told to finds the pause over.
+        Called periodically.  The pause keeps clients that retry at once from using up the CPU with
+        rejections: it is adapted until about as many requests are rejected as are admitted.  A client that
+        waits for the retry_after it was given finds the pause over.
         """
-        taken, turned = self.admitted - self.previous_counts[0], self.rejected - self.previous_counts[1]
+        admitted, rejected = self.admitted - self.previous_counts[0], self.rejected - self.previous_counts[1]
         self.previous_counts = (self.admitted, self.rejected)
-        if turned > MAX_REJECTED_RATIO * taken:
+        if rejected > MAX_REJECTED_RATIO * admitted:
             self.read_pause = min(self.max_pause, max(MIN_PAUSE_US, self.read_pause * 3 // 2))
         else:
             self.read_pause = self.read_pause * 3 // 4 if self.read_pause > MIN_PAUSE_US else 0
@@ -195,13 +226,13 @@
                 f"wait to be taken up, one each {self.admission_interval / 1e3:.2f} ms"
             )
         if self.overload_logged and now - self.last_rejected_at > QUIET_PERIOD_US:
-            turned, self.rejected_when_over, self.overload_logged = (
+            rejected, self.rejected_when_over, self.overload_logged = (
                 self.rejected - self.rejected_when_over,
                 self.rejected,
                 False,
             )
             return (
-                f"intake off: {turned} were turned away, requests wait {self.read_delay / 1e3:.1f} ms "
+                f"intake off: {rejected} were turned away, requests wait {self.read_delay / 1e3:.1f} ms "
                 "to be read"
             )
         return ""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""What is taken up, waits or is turned away when the sidecar itself is short of time; no threads."""
+"""Admission queue: which requests are admitted, queued or rejected under overload, without threads."""
 
 from pumicepath.admission.queue import MAX_ACTIVE, AdmissionQueue, AdmissionResult
 from pumicepath.interface import Effect, Group, Tariff
@@ -6,7 +6,7 @@
 from .helpers import compare
 
 MS = 1000
-# The results as the recorded traces have them.
+# How the recorded traces spell the results.
 TRACE_WORDS = {
     AdmissionResult.REJECTED: "AWAY",
     AdmissionResult.ADMITTED: "GO",
@@ -18,7 +18,7 @@
 
 
 class QueueScript:
-    """An intake, a clock in milliseconds and a trace; requests are named in the order in which they come."""
+    """An admission queue, a clock in milliseconds and a trace; requests are named in order of arrival."""
 
     def __init__(self, *request_classes: Tariff, max_waiting: int = 1000) -> None:
         self.queue: AdmissionQueue[str] = AdmissionQueue(
@@ -34,7 +34,7 @@
     def offer(
         self,
         class_index: int = 0,
-        retry: bool = False,
+        is_retry: bool = False,
         waited_ms: float = 0.0,
         deadline_ms: float = 600.0,
         typical_ms: float = 5.0,
@@ -42,18 +42,18 @@
     ) -> AdmissionResult:
         self.count += 1
         now, name = int(self.now * MS), f"r{self.count}"
-        arrived = now - int(waited_ms * MS)
-        until = arrived + int(deadline_ms * MS)
-        verdict = self.queue.offer(now, arrived, until, class_index, retry, typical_ms * MS, name)
+        received_at = now - int(waited_ms * MS)
+        deadline_at = received_at + int(deadline_ms * MS)
+        result = self.queue.offer(now, received_at, deadline_at, class_index, is_retry, typical_ms * MS, name)
         if not quiet:
-            self.note(f"{name} of tariff {class_index}{' again' * retry}: {TRACE_WORDS[verdict]}")
-        return verdict
+            self.note(f"{name} of tariff {class_index}{' again' * is_retry}: {TRACE_WORDS[result]}")
+        return result
 
     def release(self, after_ms: float = 0.3, quiet: bool = False) -> str | None:
         self.now += after_ms
-        following, turned = self.queue.release(int(self.now * MS))
-        if not quiet or turned:
-            away = f", away {turned[0]} to {turned[-1]}, {len(turned)} in all" if turned else ""
+        following, rejected = self.queue.release(int(self.now * MS))
+        if not quiet or rejected:
+            away = f", away {rejected[0]} to {rejected[-1]}, {len(rejected)} in all" if rejected else ""
             self.note(f"next {following or 'nobody'}{away}")
         return following
 
@@ -69,85 +69,85 @@
             self.note(f"pause {self.queue.read_pause / MS:.1f} ms{'; ' + change if change else ''}")
 
 
-def test_first_come_first_served_and_what_was_taken_up_before_what_was_not() -> None:
-    play = QueueScript()
+def test_requests_are_admitted_in_order_and_resumed_ones_go_first() -> None:
+    script = QueueScript()
     for _ in range(MAX_ACTIVE + 3):
-        play.offer()
-    play.note(f"going on: {play.queue.resume('r1')}, {play.queue.resume('r2')}")
+        script.offer()
+    script.note(f"going on: {script.queue.resume('r1')}, {script.queue.resume('r2')}")
     for _ in range(MAX_ACTIVE + 5):
-        play.release()
-    play.offer()
-    assert play.queue.active == 1 and not play.queue.waiting
-    compare("intake_order", play.lines)
+        script.release()
+    script.offer()
+    assert script.queue.active == 1 and not script.queue.waiting
+    compare("intake_order", script.lines)
 
 
-def test_time_bounds_the_queue_and_cheaper_work_and_retries_have_less_of_it() -> None:
-    play = QueueScript()
-    play.fill()
-    met: dict[str, int] = {}
+def test_queue_is_bounded_by_time_and_low_value_and_retries_may_wait_less() -> None:
+    script = QueueScript()
+    script.fill()
+    queue_lengths: dict[str, int] = {}
     for number in range(600):
-        tariff, retry = number % 2, number % 8 >= 6
-        if play.offer(tariff, retry, quiet=True) == AdmissionResult.QUEUED:
-            met[f"tariff {tariff}{' again' * retry}"] = len(play.queue.waiting)
-    for name, length in sorted(met.items()):
-        play.note(f"{name} waited behind {length} at most")
-    play.offer(1, waited_ms=140.0)  # would be late: nothing is gained by it
-    play.offer(0, deadline_ms=20.0)  # would have gone
-    play.note(f"asked to come back after {play.queue.retry_after(0) / MS:.0f} ms")
-    # An idle place is not refused to what is late already, unless nobody waits for it any more.
+        class_index, is_retry = number % 2, number % 8 >= 6
+        if script.offer(class_index, is_retry, quiet=True) == AdmissionResult.QUEUED:
+            queue_lengths[f"tariff {class_index}{' again' * is_retry}"] = len(script.queue.waiting)
+    for name, length in sorted(queue_lengths.items()):
+        script.note(f"{name} waited behind {length} at most")
+    script.offer(1, waited_ms=140.0)  # would be answered late, which has no value
+    script.offer(0, deadline_ms=20.0)  # its client would have gone
+    script.note(f"asked to come back after {script.queue.retry_after(0) / MS:.0f} ms")
+    # With a free slot even a late request is admitted, unless its client will have gone by the answer.
     idle = QueueScript()
     idle.offer(0, waited_ms=300.0)
     idle.offer(0, waited_ms=598.0)
-    compare("intake_bound", play.lines + idle.lines)
+    compare("intake_bound", script.lines + idle.lines)
 
 
-def test_late_answers_that_gain_something_may_wait_longer() -> None:
+def test_classes_with_late_value_may_wait_longer() -> None:
     lengths = []
-    for tariff in (LOW_VALUE, LATE_VALUE):
-        play = QueueScript(tariff).fill()
-        while play.offer(quiet=True) == AdmissionResult.QUEUED:
+    for request_class in (LOW_VALUE, LATE_VALUE):
+        script = QueueScript(request_class).fill()
+        while script.offer(quiet=True) == AdmissionResult.QUEUED:
             pass
-        lengths.append(len(play.queue.waiting))
-    assert lengths == [433, 1000]  # by time, and by the most that may wait
+        lengths.append(len(script.queue.waiting))
+    assert lengths == [433, 1000]  # limited by time, and by max_waiting
 
 
-def test_a_stall_turns_away_what_is_too_late_and_is_not_taken_for_the_cost_of_each() -> None:
-    play = QueueScript().fill()
+def test_stall_rejects_expired_requests_and_the_admission_interval_stays_bounded() -> None:
+    script = QueueScript().fill()
     for _ in range(5):
-        play.offer(quiet=True)
-    play.release()
-    play.offer(quiet=True)
-    play.note("no thread runs for 500 ms")
-    play.now += 500.0
-    play.offer()
-    play.release()
-    play.offer()
-    play.release(0.0)
-    assert play.queue.admission_interval < 600
-    compare("intake_stall", play.lines)
-
-
-def test_servers_that_are_slow_do_not_close_the_door() -> None:
-    play = QueueScript().fill()
-    assert [play.offer(typical_ms=400.0), play.offer(typical_ms=590.0)] == [
+        script.offer(quiet=True)
+    script.release()
+    script.offer(quiet=True)
+    script.note("no thread runs for 500 ms")
+    script.now += 500.0
+    script.offer()
+    script.release()
+    script.offer()
+    script.release(0.0)
+    assert script.queue.admission_interval < 600
+    compare("intake_stall", script.lines)
+
+
+def test_slow_servers_do_not_cause_rejections_before_the_deadline() -> None:
+    script = QueueScript().fill()
+    assert [script.offer(typical_ms=400.0), script.offer(typical_ms=590.0)] == [
         AdmissionResult.QUEUED,
         AdmissionResult.QUEUED,
     ]
-    assert play.offer(typical_ms=620.0) == AdmissionResult.REJECTED
+    assert script.offer(typical_ms=620.0) == AdmissionResult.REJECTED
 
 
-def test_modes_are_told_once_and_the_pause_follows_what_is_turned_away() -> None:
-    play = QueueScript()
-    play.update_pause()
-    play.fill()
+def test_overload_is_logged_once_and_the_pause_follows_the_rejected_requests() -> None:
+    script = QueueScript()
+    script.update_pause()
+    script.fill()
     for _ in range(4):
         for _ in range(500):
-            play.offer(quiet=True)
+            script.offer(quiet=True)
         for _ in range(20):
-            play.release(quiet=True)
-        play.update_pause()
-    while play.release(after_ms=0.05, quiet=True):
+            script.release(quiet=True)
+        script.update_pause()
+    while script.release(after_ms=0.05, quiet=True):
         pass
     for _ in range(45):
-        play.update_pause()
-    compare("intake_modes", play.lines)
+        script.update_pause()
+    compare("intake_modes", script.lines)
