--- a/pumicepath/compiled.py
+++ b/pumicepath/compiled.py
@@ -1,8 +1,9 @@
-"""Which form of the pure modules runs: compiled by `setup.py`, or as they are.
+"""Selects the form in which the pure modules run: compiled by `setup.py`, or interpreted.
 
-Guards against a build that is older than its file, which would run in its place and not say so, and against
-half a build: unless every file is as it was when they were compiled, and all that was built from them is
-there, all of them run interpreted.  PUMICEPATH_INTERPRETED=1 asks for that too.
+Python would import an extension module that is older than its source file without a warning, and would mix
+compiled and interpreted modules if a build is incomplete.  Therefore all of them run interpreted unless every
+source file is the same as when it was compiled and everything that was built is still there.
+PUMICEPATH_INTERPRETED=1 in the environment selects the interpreted form as well.
 """
 
 import hashlib
@@ -21,7 +22,7 @@
 
 
 class SourceFinder:
-    """Finds the files of some modules, and never what was built from them."""
+    """A meta path finder that loads some modules from their source files, never from extension modules."""
 
     def __init__(self, files: dict[str, Path]) -> None:
         self.files = files
@@ -29,6 +30,7 @@
     def find_spec(
         self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
+        """Return the spec of the source file; None for a module that this finder doesn't have."""
         file = self.files.get(name)
         if file is None:
             return None
@@ -37,11 +39,14 @@
 
 
 def detect_form(root: Path, interpreted_requested: bool) -> tuple[str, dict[str, Path]]:
-    """What runs, and why; with the files of the modules that must not run from what was built, if any."""
+    """Return the form that is to run, with the reason if interpreted, and the modules to load from source.
+
+    The latter are the source files by module name; empty if Python's own import finds the right form.
+    """
     record = root / BUILD_RECORD
     try:
-        told = json.loads(record.read_bytes())
-        hashes, built = dict(told["files"]), list(told["built"])
+        recorded = json.loads(record.read_bytes())
+        hashes, built = dict(recorded["files"]), list(recorded["built"])
     except FileNotFoundError:
         return "interpreted: not compiled", {}
     except (OSError, ValueError, KeyError, TypeError):
@@ -52,8 +57,8 @@
     files = {name[:-3].replace("/", "."): root / name for name in hashes}
     if interpreted_requested:
         return "interpreted: asked for", files
-    for name, hash_then in hashes.items():
-        if hashlib.sha256((root / name).read_bytes()).hexdigest() != hash_then:
+    for name, compiled_hash in hashes.items():
+        if hashlib.sha256((root / name).read_bytes()).hexdigest() != compiled_hash:
             return f"interpreted: {name} has changed since it was compiled", files
     for name in built:
         if not (root / name).exists():
@@ -62,12 +67,15 @@
 
 
 def select_form() -> str:
-    """Have Python import the right form, before any of the modules is imported; tells which that is."""
+    """Make Python import the right form and return its description.
+
+    Must be called before any of the modules is imported.
+    """
     chosen, files = detect_form(ROOT, bool(os.environ.get("PUMICEPATH_INTERPRETED")))
     if files:
         sys.meta_path.insert(0, SourceFinder(files))
     elif chosen == "compiled" and str(ROOT) not in sys.path:
-        sys.path.append(str(ROOT))  # where the library stands that all of them share
+        sys.path.append(str(ROOT))  # the extension modules share a library that lies there
     return chosen
 
 
