--- a/pumicepath/settings.py
+++ b/pumicepath/settings.py
@@ -1,4 +1,7 @@
-"""Decoding of the settings a sidecar is born with, once, into what the decisions and their hosts read."""
+"""Checks the settings of a sidecar and decodes them into what the decisions and their hosts read.
+
+The settings are a JSON object; durations in it are seconds, decoded ones are whole microseconds.
+"""
 
 from __future__ import annotations
 
@@ -17,6 +20,7 @@
 
 
 def decode_settings(info: dict[str, Any]) -> Settings:
+    """Decode the settings of one sidecar, with defaults for missing keys; `check_settings` comes first."""
     limits, rules = info.get("policyLimits", {}), info.get("rules", {})
     return Settings(
         me=info.get("me", 0),
@@ -44,13 +48,14 @@
 
 
 def decode_request_class(entry: dict[str, Any], info: dict[str, Any]) -> Tariff:
-    patience = entry.get("patienceS", DAY_S)
+    """Decode one request class; `info` has the names of zones and server kinds."""
+    deadline_s = entry.get("patienceS", DAY_S)
     return Tariff(
-        agreed=to_microseconds(min(patience, entry.get("agreedTimeS", patience))),
-        patience=to_microseconds(patience),
+        agreed=to_microseconds(min(deadline_s, entry.get("agreedTimeS", deadline_s))),
+        patience=to_microseconds(deadline_s),
         gain=entry.get("gain", 1.0),
         late_gain=entry.get("lateGain", 0.0),
-        # A word not known here is taken as the strictest, so that nothing is repeated by mistake.
+        # An unknown word means non-idempotent, the strictest, so that nothing is retried by mistake.
         effect=EFFECT_BY_WORD.get(entry.get("effect", ""), Effect.UNREPEATABLE),
         group=DEDUP_GROUP_BY_WORD.get(entry.get("group", "cell"), Group.CELL),
         window=to_microseconds(entry.get("windowS", 0.0)),
@@ -61,19 +66,23 @@
     )
 
 
-def resolve_indexes(places: list[Any] | None, names: list[str] | None) -> tuple[int, ...] | None:
-    """Zones or kinds, each by its number or its name, by their numbers; one that has no name here is none."""
-    if places is None:
+def resolve_indexes(references: list[Any] | None, names: list[str] | None) -> tuple[int, ...] | None:
+    """Return the sorted indexes of zones or server kinds that are given by index or name.
+
+    An unknown name becomes -1, which matches no zone or kind.  None, for no restriction, stays None.
+    """
+    if references is None:
         return None
-    known = {name: at for at, name in enumerate(names or [])}
-    return tuple(sorted(one if isinstance(one, int) else known.get(one, -1) for one in places))
+    indexes = {name: index for index, name in enumerate(names or [])}
+    return tuple(sorted(each if isinstance(each, int) else indexes.get(each, -1) for each in references))
 
 
 NUMBER_RANGE = (0.0, 1e9)
 TIME_RANGE_S = (1e-6, 1e9)
 FRACTION_RANGE = (0.0, 1.0)
 COUNT_RANGE = (0, 1 << 31)
-# Each key that is read, with its range or its words; what is not named here is skipped, as the wire asks.
+# Each key that is read, with its range or its allowed words.  Unknown keys are ignored, as the simulator's
+# protocol requires.
 ALLOWED_VALUES: dict[str, Any] = {
     "me": COUNT_RANGE,
     "fleetSize": (1, 1 << 31),
@@ -108,9 +117,9 @@
     "group": tuple(DEDUP_GROUP_BY_WORD),
     "stream": bool,
 }
-# Null stands for nothing that these could mean.
+# Keys that may be missing but not null, since null has no meaning for them.
 NON_NULL_KEYS = ("agreedTimeS", "patienceS", "policyLimits.mostHops")
-# What a file need not have though the one before it had: optional on the wire.
+# Optional keys of the protocol: a configuration may leave them out even if the one that it replaces had them.
 OPTIONAL_KEYS = (
     "rules.drainBindsAlone",
     "rules.fullUnproven",
@@ -121,10 +130,10 @@
     "clientHabits.marksRetry",
     "stream",
 )
-# Where a tariff may be served, and the names that such places have.
+# Keys of a request class that restrict where it is served, and the lists that name the allowed values.
 PLACEMENT_NAMES = {"allowedIn": "dcs", "kindsAllowed": "kinds"}
 TENANT_ALLOWED: dict[str, Any] = {"quotaPerS": NUMBER_RANGE}
-# What may be set and the platform of real sidecars has no way for, with the values that ask for nothing.
+# Keys that may be set but that real sidecars have no way to support, with the values that request nothing.
 UNSUPPORTED_KEYS: dict[str, tuple] = {
     "policyLimits.mayTell": (None, False),
     "policyLimits.secondCopies": (None, False),
@@ -134,43 +143,47 @@
 
 
 def check_settings(info: dict[str, Any]) -> None:
-    """Raises ValueError that names the first key whose value can't be meant."""
-    for part in ("prices", "rules", "policyLimits", "clientHabits"):
-        if not isinstance(info.get(part, {}), dict):
-            raise ValueError(f"settings.{part} is no object")
+    """Check the settings; raises ValueError that names the first key with an invalid value."""
+    for section in ("prices", "rules", "policyLimits", "clientHabits"):
+        if not isinstance(info.get(section, {}), dict):
+            raise ValueError(f"settings.{section} is no object")
     for key, allowed in ALLOWED_VALUES.items():
-        part, _, name = key.rpartition(".")
+        section, _, name = key.rpartition(".")
         check_value(
             "settings." + key,
             find_value(info, key),
             allowed,
-            key in NON_NULL_KEYS and name in (info.get(part) or {}),
+            key in NON_NULL_KEYS and name in (info.get(section) or {}),
         )
-    for places in PLACEMENT_NAMES.values():
-        if not isinstance(info.get(places) or [], list):
-            raise ValueError(f"settings.{places} is no list")
-    for part, keys in (("tariffs", REQUEST_CLASS_ALLOWED), ("tenants", TENANT_ALLOWED)):
+    for names_key in PLACEMENT_NAMES.values():
+        if not isinstance(info.get(names_key) or [], list):
+            raise ValueError(f"settings.{names_key} is no list")
+    for section, keys in (("tariffs", REQUEST_CLASS_ALLOWED), ("tenants", TENANT_ALLOWED)):
         names = []
-        if not isinstance(info.get(part) or [], list):
-            raise ValueError(f"settings.{part} is no list")
-        for at, entry in enumerate(info.get(part) or []):
+        if not isinstance(info.get(section) or [], list):
+            raise ValueError(f"settings.{section} is no list")
+        for index, entry in enumerate(info.get(section) or []):
             if not isinstance(entry, dict):
-                raise ValueError(f"settings.{part}[{at}] is no object")
+                raise ValueError(f"settings.{section}[{index}] is no object")
             for key, allowed in keys.items():
                 check_value(
-                    f"settings.{part}[{at}].{key}",
+                    f"settings.{section}[{index}].{key}",
                     entry.get(key),
                     allowed,
                     key in NON_NULL_KEYS and key in entry,
                 )
-            for key, known in PLACEMENT_NAMES.items() if part == "tariffs" else ():
-                check_placement(f"settings.{part}[{at}].{key}", entry.get(key), known, info.get(known) or [])
+            for key, names_key in PLACEMENT_NAMES.items() if section == "tariffs" else ():
+                check_placement(
+                    f"settings.{section}[{index}].{key}", entry.get(key), names_key, info.get(names_key) or []
+                )
             if entry.get("effect") == "deduplicated" and entry.get("windowS", 1) == 0:
-                raise ValueError(f"settings.{part}[{at}].windowS: 0 is no time in which a repeat is dropped")
-            names.append(str(entry.get("name", at)))
+                raise ValueError(
+                    f"settings.{section}[{index}].windowS: 0 is no time in which a repeat is dropped"
+                )
+            names.append(str(entry.get("name", index)))
         if len(set(names)) < len(names):
-            twice = next(name for name in names if names.count(name) > 1)
-            raise ValueError(f"settings.{part}: one name twice: {twice!r}")
+            duplicate = next(name for name in names if names.count(name) > 1)
+            raise ValueError(f"settings.{section}: one name twice: {duplicate!r}")
     if "fleetSize" in info and info.get("me", 0) >= info["fleetSize"]:
         raise ValueError(f"settings.me: {info['me']} is none of {info['fleetSize']} sidecars")
     if info.get("dcs") and info.get("zone", 0) >= len(info["dcs"]):
@@ -178,14 +191,18 @@
 
 
 def find_value(info: dict[str, Any], key: str) -> Any:
-    part, _, name = key.rpartition(".")
-    return (info.get(part) or {}).get(name) if part else info.get(name)
+    """Return the value of a key, which may be `section.name`; None if it is missing."""
+    section, _, name = key.rpartition(".")
+    return (info.get(section) or {}).get(name) if section else info.get(name)
 
 
 def present_keys(info: dict[str, Any]) -> frozenset[str]:
-    """The keys that are read and are there, of tariffs those that all of them have, but for optional ones."""
-    read = ("dcs", *(key for key in ALLOWED_VALUES if key not in OPTIONAL_KEYS))
-    keys = {"settings." + key for key in read if find_value(info, key) is not None}
+    """Return the keys that are read and present, without optional ones.
+
+    A key of request classes counts as present if all of them have it.
+    """
+    required = ("dcs", *(key for key in ALLOWED_VALUES if key not in OPTIONAL_KEYS))
+    keys = {"settings." + key for key in required if find_value(info, key) is not None}
     for key in REQUEST_CLASS_ALLOWED:
         if key not in OPTIONAL_KEYS and all(
             entry.get(key) is not None for entry in info.get("tariffs") or []
@@ -194,43 +211,52 @@
     return frozenset(keys)
 
 
-def check_value(key: str, value: Any, allowed: Any, needed: bool = False) -> None:
-    if value is None and not needed:
+def check_value(key: str, value: Any, allowed: Any, required: bool = False) -> None:
+    """Check one value; raises ValueError that names the key.
+
+    `allowed` is `bool`, a tuple of words, or the inclusive limits of a number (of an integer, if they are
+    integers).  A missing value is valid unless it is required.
+    """
+    if value is None and not required:
         return
     if allowed is bool:
-        fits = isinstance(value, bool)
+        valid = isinstance(value, bool)
     elif isinstance(allowed[0], str):
-        fits = value in allowed
+        valid = value in allowed
     else:
-        kinds = (int,) if isinstance(allowed[0], int) else (int, float)
-        fits = isinstance(value, kinds) and not isinstance(value, bool) and allowed[0] <= value <= allowed[1]
-    if not fits:
-        wanted = (
+        types = (int,) if isinstance(allowed[0], int) else (int, float)
+        valid = isinstance(value, types) and not isinstance(value, bool) and allowed[0] <= value <= allowed[1]
+    if not valid:
+        expected = (
             "true or false"
             if allowed is bool
             else " or ".join(map(str, allowed))
             if isinstance(allowed[0], str)
             else f"from {allowed[0]} to {allowed[1]}"
         )
-        raise ValueError(f"{key}: {value!r} is not {wanted}")
+        raise ValueError(f"{key}: {value!r} is not {expected}")
+
 
+def check_placement(key: str, references: Any, names_key: str, names: list[str]) -> None:
+    """Check the zones or server kinds of a request class; raises ValueError that names the key.
 
-def check_placement(key: str, places: Any, known: str, names: list[str]) -> None:
-    """One that can't be told would leave its tariff nowhere to go, or anywhere."""
-    if places is None:
+    A reference that can't be resolved would leave the class without any server, or without its restriction.
+    """
+    if references is None:
         return
-    if not isinstance(places, list) or not places:
-        raise ValueError(f"{key}: {places!r} is not a list of some {known}")
-    for one in places:
-        number = isinstance(one, int) and not isinstance(one, bool) and one >= 0
-        if one not in names and (not number or names and one >= len(names)):
-            raise ValueError(f"{key}: {one!r} is none of {known}")
+    if not isinstance(references, list) or not references:
+        raise ValueError(f"{key}: {references!r} is not a list of some {names_key}")
+    for each in references:
+        is_index = isinstance(each, int) and not isinstance(each, bool) and each >= 0
+        if each not in names and (not is_index or names and each >= len(names)):
+            raise ValueError(f"{key}: {each!r} is none of {names_key}")
 
 
 def unsupported_keys(info: dict[str, Any]) -> list[str]:
-    """Keys that are set and do nothing in a real sidecar."""
-    return [key for key, nothing in UNSUPPORTED_KEYS.items() if find_value(info, key) not in nothing]
+    """Return the keys that are set but have no effect in a real sidecar."""
+    return [key for key, ignored in UNSUPPORTED_KEYS.items() if find_value(info, key) not in ignored]
 
 
 def to_microseconds(seconds: float) -> int:
+    """Round down to whole microseconds; the 0.001 makes up for the rounding error of the product."""
     return math.floor(seconds * 1e6 + 0.001)
