--- a/pumicepath/settings.py
+++ b/pumicepath/settings.py
@@ -155,9 +155,9 @@
             allowed,
             key in NON_NULL_KEYS and name in (info.get(section) or {}),
         )
-    for names_key in PLACEMENT_NAMES.values():
-        if not isinstance(info.get(names_key) or [], list):
-            raise ValueError(f"settings.{names_key} is no list")
+    for list_key in PLACEMENT_NAMES.values():
+        if not isinstance(info.get(list_key) or [], list):
+            raise ValueError(f"settings.{list_key} is no list")
     for section, keys in (("tariffs", REQUEST_CLASS_ALLOWED), ("tenants", TENANT_ALLOWED)):
         names = []
         if not isinstance(info.get(section) or [], list):
--- a/pumicepath/wirehost/__init__.py
+++ b/pumicepath/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: frames in, calls on a balancer each instance, messages out."""
+"""Adapter to the simulator: event frames in, calls of one balancer per instance, action frames out."""
--- a/pumicepath/wirehost/__main__.py
+++ b/pumicepath/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Run the wire on standard input and output until the input ends."""
+"""Serve the simulator on standard input and output until the input ends; exit status 2 if it is malformed."""
 
 import sys
 
@@ -8,6 +8,6 @@
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except MalformedFrameError as trouble:
-        print(f"wirehost: {trouble}", file=sys.stderr)
+    except MalformedFrameError as error:
+        print(f"wirehost: {error}", file=sys.stderr)
         sys.exit(2)
--- a/pumicepath/wirehost/host.py
+++ b/pumicepath/wirehost/host.py
@@ -1,4 +1,4 @@
-"""One balancer for each instance of the wire; every event is a call, every answer a message."""
+"""Runs one balancer per instance of the simulator: every event is a call, every callback an action."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
 from . import frames
 from .frames import MalformedFrameError, Reply
 
+# Codes of the actions.
 PROBE, SHED, PRINT, FOLLOW, FREE, TRANSMIT, WAKE, FAIL, REVOKE, TELL, DIE = 1, 2, 3, 4, 5, 6, 7, 8, 9, 11, 12
+# Outcomes of hops by their code in the protocol: errno values where there is one.
 OUTCOMES = {
     0: Outcome.OK,
     5: Outcome.ERROR,
@@ -26,61 +28,75 @@
 
 
 def to_microseconds(seconds: float) -> int:
+    """Round down to whole microseconds; the 0.001 makes up for the rounding error of the product."""
     return math.floor(seconds * 1_000_000 + 0.001)
 
 
 class Instance:
-    """An outlet of one balancer: the answers of the module as messages of one instance."""
+    """One balancer and its callbacks, which become actions of one instance of the simulator."""
 
     def __init__(self, number: int, info: dict[str, Any], seed: int, host: Host) -> None:
         self.number = number
         self.host = host
-        self.submissions: dict[int, Submission] = {}
-        self.timers: dict[int, Wakeable] = {}
+        self.submissions: dict[int, Submission] = {}  # unfinished ones by id
+        self.timers: dict[int, Wakeable] = {}  # handlers of pending timers by id
         self.last_timer_id = 0
         self.balancer = Balancer(decode_settings(info), seed, self)
 
     def send(self, submission: int, server: int, timeout: int) -> None:
+        """Send a hop of a submission to a server."""
         self.host.reply.add(TRANSMIT, "HIdI", self.number, submission, timeout / 1e6, server)
 
     def defer(self, submission: int, retry_in: int) -> None:
+        """Reject a submission; its client may retry after this many microseconds."""
         self.host.reply.add(SHED, "HId", self.number, submission, retry_in / 1e6)
 
     def forfeit(self, submission: int) -> None:
+        """Fail a submission for good."""
         self.host.reply.add(FAIL, "HI", self.number, submission)
 
     def cancel(self, submission: int, hop: int) -> None:
+        """Cancel a hop in flight."""
         self.host.reply.add(REVOKE, "HIB", self.number, submission, hop)
 
     def probe(self, server: int) -> None:
+        """Probe a server."""
         self.host.reply.add(PROBE, "HI", self.number, server)
 
     def tell(self, peer: int, data: bytes) -> None:
+        """Send a datagram to another sidecar."""
         self.host.reply.add(TELL, "HIII", self.number, peer, len(self.host.reply.tail), len(data))
         self.host.reply.tail += data
 
     def free_links(self, server: int) -> None:
+        """Close the idle connections to a server."""
         self.host.reply.add(FREE, "HI", self.number, server)
 
     def follow(self) -> None:
+        """Request the server list."""
         self.host.reply.add(FOLLOW, "HB", self.number, 1)
 
     def wake(self, at: int, whom: Wakeable) -> None:
+        """Set a timer."""
         self.last_timer_id += 1
         self.timers[self.last_timer_id] = whom
         self.host.reply.add(WAKE, "HdQ", self.number, at / 1e6, self.last_timer_id)
 
     def log(self, text: str) -> None:
+        """Write a line to the instance's log."""
         self.host.reply.add_text(PRINT, self.number, text)
 
 
 class Host:
+    """The instances of one simulator process and the server lists that their events refer to."""
+
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self.sheets: dict[int, list[Entry]] = {}
         self.reply = Reply()
 
     def handle_batch(self, batch: frames.Batch) -> Reply:
+        """Handle the events of a batch in order; return the actions that they caused."""
         self.reply = Reply()
         now = to_microseconds(batch.now)
         for code, fields in batch.records:
@@ -92,27 +108,31 @@
                 self.handle_event(now, code, batch.tail, fields)
             except MalformedFrameError:
                 raise
-            except Exception as trouble:  # a fault of the module ends the day with its text, not the process
-                self.reply.add_text(DIE, number, f"{type(trouble).__name__}: {trouble}")
+            except Exception as error:  # reported to the simulator, which ends its run; this process goes on
+                self.reply.add_text(DIE, number, f"{type(error).__name__}: {error}")
         return self.reply
 
     def store_sheet(self, tail: memoryview, number: int, offset: int, count: int) -> None:
+        """Decode and keep a sheet, a server list that later events refer to by its number."""
         data = frames.tail_slice(tail, offset, count * frames.ENTRY_BYTES)
         entries = []
-        for server, zone, kind, cell, phase, scale, up in frames.ENTRY_FIELDS.iter_unpack(data):
-            if phase > Phase.DRAINING:
-                raise MalformedFrameError(f"unknown phase {phase} of a server")
-            entries.append(Entry(server, zone, cell, Phase(phase), scale, to_microseconds(up), "", kind))
+        for server, zone, kind, cell, state, weight, started_at in frames.ENTRY_FIELDS.iter_unpack(data):
+            if state > Phase.DRAINING:
+                raise MalformedFrameError(f"unknown state {state} of a server")
+            entries.append(
+                Entry(server, zone, cell, Phase(state), weight, to_microseconds(started_at), "", kind)
+            )
         self.sheets[number] = entries
 
     def handle_event(self, now: int, code: int, tail: memoryview, fields: tuple) -> None:
+        """Handle one event of an instance; events of unknown instances are ignored."""
         number = fields[0]
         if code == frames.CREATE:
             _, seed, offset, size = fields
             try:
                 info = json.loads(bytes(frames.tail_slice(tail, offset, size)))
-            except ValueError as trouble:
-                raise MalformedFrameError(f"settings of instance {number}: {trouble}") from trouble
+            except ValueError as error:
+                raise MalformedFrameError(f"settings of instance {number}: {error}") from error
             self.instances[number] = Instance(number, info, seed, self)
             return
         if code == frames.EXIT:
@@ -122,39 +142,39 @@
         if instance is None:
             return
         if code == frames.INGRESS:
-            _, name, _, key, marks, _, until, tariff = fields
-            instance.submissions[name] = instance.balancer.take(
-                now, name, tariff, key, bool(marks & 2), to_microseconds(until)
+            _, submission_id, _, key, flags, _, deadline_at, class_index = fields
+            instance.submissions[submission_id] = instance.balancer.take(
+                now, submission_id, class_index, key, bool(flags & 2), to_microseconds(deadline_at)
             )
         elif code == frames.REPORT:
-            _, name, complete, status, spent, _, hop = fields
+            _, submission_id, complete, status, elapsed, _, hop = fields
             if status not in OUTCOMES:
                 raise MalformedFrameError(f"unknown outcome {status}")
-            handle = instance.submissions.get(name)
-            if handle is not None:
-                handle.ended(now, hop, OUTCOMES[status], to_microseconds(spent), bool(complete))
-                self.forget_if_finished(instance, name, handle)
+            submission = instance.submissions.get(submission_id)
+            if submission is not None:
+                submission.ended(now, hop, OUTCOMES[status], to_microseconds(elapsed), bool(complete))
+                self.forget_if_finished(instance, submission_id, submission)
         elif code == frames.TICK:
-            whom = instance.timers.pop(fields[1], None)
-            if whom is not None:
-                whom.woke(now)
-                if isinstance(whom, Submission):
-                    self.forget_if_finished(instance, whom.name, whom)
+            handler = instance.timers.pop(fields[1], None)
+            if handler is not None:
+                handler.woke(now)
+                if isinstance(handler, Submission):
+                    self.forget_if_finished(instance, handler.name, handler)
         elif code == frames.CHANGED:
-            _, _, form, sheet = fields
-            if form > Listing.FAILED or form != Listing.FAILED and sheet not in self.sheets:
-                raise MalformedFrameError(f"list of form {form} names sheet {sheet}")
-            entries = [] if form == Listing.FAILED else self.sheets[sheet]
-            instance.balancer.listed(now, Listing(form), entries)
+            _, _, kind, sheet = fields
+            if kind > Listing.FAILED or kind != Listing.FAILED and sheet not in self.sheets:
+                raise MalformedFrameError(f"invalid list of kind {kind} with sheet {sheet}")
+            entries = [] if kind == Listing.FAILED else self.sheets[sheet]
+            instance.balancer.listed(now, Listing(kind), entries)
         elif code == frames.VANISHED:
-            handle = instance.submissions.get(fields[1])
-            if handle is not None:
-                handle.left(now)
-                self.forget_if_finished(instance, fields[1], handle)
+            submission = instance.submissions.get(fields[1])
+            if submission is not None:
+                submission.left(now)
+                self.forget_if_finished(instance, fields[1], submission)
         elif code == frames.STARTED:
-            handle = instance.submissions.get(fields[1])
-            if handle is not None:
-                handle.started(now, fields[2])
+            submission = instance.submissions.get(fields[1])
+            if submission is not None:
+                submission.started(now, fields[2])
         elif code == frames.DATAGRAM:
             _, _, offset, size = fields
             instance.balancer.told(now, bytes(frames.tail_slice(tail, offset, size)))
@@ -162,12 +182,14 @@
             raise MalformedFrameError(f"unknown outcome {fields[2]}")
 
     @staticmethod
-    def forget_if_finished(instance: Instance, name: int, handle: Submission) -> None:
-        if handle.over():
-            instance.submissions.pop(name, None)
+    def forget_if_finished(instance: Instance, submission_id: int, submission: Submission) -> None:
+        """Drop a finished submission."""
+        if submission.over():
+            instance.submissions.pop(submission_id, None)
 
 
 def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
+    """Answer batches until the input ends; raises MalformedFrameError."""
     host = Host()
     while (batch := frames.read_batch(stdin)) is not None:
         host.handle_batch(batch).write(stdout)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter on a few frames, good and malformed, as a process of its own."""
+"""Adapter to the simulator, run as a process on a few valid and malformed frames."""
 
 import json
 import struct
@@ -36,12 +36,12 @@
     return subprocess.run(command, input=data, capture_output=True, timeout=30)
 
 
-def test_submission_is_sent_answered_and_forgotten() -> None:
-    start = batch(CREATE, SHEET, CACHED, INGRESS, tail=INFO + ENTRY)
-    done = batch(struct.pack("<HHIBBdIB", 5, 3, 500, 1, 0, 0.1, 77, 0), now=5.1)
-    left = struct.pack("<HHI", 6, 3, 500)
-    gone = batch(left, EXIT, CREATE, left, tail=INFO, now=5.2)
-    result = run(start + done + gone)
+def test_submission_is_sent_answered_and_dropped() -> None:
+    first = batch(CREATE, SHEET, CACHED, INGRESS, tail=INFO + ENTRY)
+    finished = batch(struct.pack("<HHIBBdIB", 5, 3, 500, 1, 0, 0.1, 77, 0), now=5.1)
+    client_left = struct.pack("<HHI", 6, 3, 500)
+    last = batch(client_left, EXIT, CREATE, client_left, tail=INFO, now=5.2)
+    result = run(first + finished + last)
     assert result.returncode == 0 and result.stderr == b""
     count, length = struct.unpack_from("<II", result.stdout)
     codes = [struct.unpack_from("<HH", result.stdout, 8 + 24 * at) for at in range(count)]
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "message"),
     [
         (batch(EXIT)[:30], "ends after"),
         (batch(EXIT)[:9], "header"),
@@ -61,14 +61,14 @@
         (batch(CREATE, tail=INFO.replace(b"{", b"[")), "settings"),
     ],
 )
-def test_malformed_input_ends_with_one_line(data: bytes, says: str) -> None:
+def test_malformed_input_ends_the_process_with_one_error_line(data: bytes, message: str) -> None:
     result = run(data)
     assert result.returncode == 2 and result.stdout == b""
-    assert says in result.stderr.decode() and result.stderr.count(b"\n") == 1
+    assert message in result.stderr.decode() and result.stderr.count(b"\n") == 1
 
 
-def test_fault_of_the_module_is_told_as_a_death() -> None:
-    unknown_tariff = INGRESS[:37] + b"\x09"
-    result = run(batch(CREATE, SHEET, CACHED, unknown_tariff, tail=INFO + ENTRY))
+def test_exception_in_the_decisions_is_reported_to_the_simulator() -> None:
+    unknown_class = INGRESS[:37] + b"\x09"
+    result = run(batch(CREATE, SHEET, CACHED, unknown_class, tail=INFO + ENTRY))
     assert result.returncode == 0
     assert struct.unpack_from("<HH", result.stdout, 8) == (12, 3) and b"IndexError" in result.stdout
