--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""What is longer than memory: answers and bodies that go through as they come, with slow peers."""
+"""Streaming of requests and responses that are larger than the memory limit, also with slow peers."""
 
 import hashlib
 import json
@@ -30,14 +30,14 @@
 
 
 def deployment_of(folder: Path, *peers: Peer) -> Deployment:
-    """A sidecar among servers of the test's own; what they note stands in its lines."""
-    around = Deployment(folder, 0)
-    around.servers = list(peers)
-    around.told["known"] = around.listing(1, True, "active")
-    around.config.write_text(json.dumps(around.told))
+    """A deployment whose servers are these peers; they write to the deployment's lines."""
+    deployment = Deployment(folder, 0)
+    deployment.servers = list(peers)
+    deployment.told["known"] = deployment.listing(1, True, "active")
+    deployment.config.write_text(json.dumps(deployment.told))
     for peer in peers:
-        peer.lines = around.lines
-    return around
+        peer.lines = deployment.lines
+    return deployment
 
 
 def digest(data: bytes) -> str:
@@ -45,7 +45,7 @@
 
 
 def read_all(sock: socket.socket, parser: ResponseParser, pause: float = 0.0) -> str:
-    """The answer, read slowly if asked to; says whether its end came."""
+    """Read a response, with a pause after each receive; describe it, or how it ended if incomplete."""
     while (message := parser.next()) is None:
         try:
             data = sock.recv(200_000 if pause else 65536)
@@ -63,7 +63,7 @@
     return f"{message.status} {digest(message.body)}"
 
 
-def test_long_answers_go_through_as_they_come_in_all_forms(tmp_path: Path) -> None:
+def test_large_responses_are_streamed_in_all_framings(tmp_path: Path) -> None:
     head = b"HTTP/1.1 200 OK\r\n"
     steps = {
         "with a length": [answer(200, "x" * 3_000_000)],
@@ -80,24 +80,24 @@
         ],
         "of more than any may have": [(head + b"Content-Length: 99999999\r\n\r\nabc", "wait")],
     }
-    with Deployment(tmp_path, 2).running() as around:
+    with Deployment(tmp_path, 2).running() as deployment:
         for name, script in steps.items():
             for step in script:
-                around.script.put(step)
-            with socket.create_connection(around.where) as sock:
-                around.send("once", method="GET", sock=sock)
-                around.lines.append(f"-- {name}: {read_all(sock, ResponseParser(9_000_000))}")
-        around.script.put((head + b"Connection: close\r\n\r\n" + LONG_BODY, "end"))
-        with socket.create_connection(around.where) as sock:
+                deployment.script.put(step)
+            with socket.create_connection(deployment.where) as sock:
+                deployment.send("once", method="GET", sock=sock)
+                deployment.lines.append(f"-- {name}: {read_all(sock, ResponseParser(9_000_000))}")
+        deployment.script.put((head + b"Connection: close\r\n\r\n" + LONG_BODY, "end"))
+        with socket.create_connection(deployment.where) as sock:
             sock.sendall(b"GET /api HTTP/1.0\r\nX-Trace-Id: old\r\nX-Qos: once\r\n\r\n")
-            around.lines.append(f"-- to HTTP/1.0: {read_all(sock, ResponseParser(9_000_000))}")
-    compare("long_answers", [line for line in around.lines if line.startswith("--")])
+            deployment.lines.append(f"-- to HTTP/1.0: {read_all(sock, ResponseParser(9_000_000))}")
+    compare("long_answers", [line for line in deployment.lines if line.startswith("--")])
 
 
-def test_what_the_server_still_gives_is_not_cut_when_patience_ends(tmp_path: Path) -> None:
-    going = threading.Event()
+def test_response_in_progress_is_not_cut_off_at_the_deadline(tmp_path: Path) -> None:
+    resume = threading.Event()
 
-    class Halting(Peer):
+    class Pausing(Peer):
         def serve(self, sock: socket.socket) -> None:
             with sock:
                 sock.recv(9999)
@@ -106,16 +106,17 @@
                 self.met.release()
                 if first:
                     sock.sendall(data[:2_000_000])
-                going.wait(10)
+                resume.wait(10)
                 sock.sendall(data[2_000_000:])
 
-    around = deployment_of(tmp_path, Halting("h", queue.SimpleQueue(), []))
-    with around.running(), socket.create_connection(around.where) as sock:
-        around.send("read", expires=400, method="GET", sock=sock)
+    deployment = deployment_of(tmp_path, Pausing("h", queue.SimpleQueue(), []))
+    with deployment.running(), socket.create_connection(deployment.where) as sock:
+        deployment.send("read", expires=400, method="GET", sock=sock)
         assert sock.recv(99).startswith(b"HTTP/1.1 200")
-        around.send("read", expires=500, method="GET")  # as long as this takes, the other's patience is over
-        around.hear()
-        going.set()
+        # By the end of this one, the deadline of the other has passed.
+        deployment.send("read", expires=500, method="GET")
+        deployment.hear()
+        resume.set()
         count = 0
         while count < 2_999_000 and (got := len(sock.recv(65536))):
             count += got
@@ -123,7 +124,7 @@
 
 
 class BodyEcho(Peer):
-    """Reads bodies slowly, and answers with what it got."""
+    """Reads whole request bodies and answers with the length and hash of each."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser(9_000_000)
@@ -134,57 +135,57 @@
                 sock.sendall(answer(200, digest(request.body)))
 
 
-def test_long_bodies_go_through_in_all_forms_and_the_connection_is_kept(tmp_path: Path) -> None:
-    around = deployment_of(tmp_path, BodyEcho("r", queue.SimpleQueue(), []))
+def test_large_bodies_are_streamed_in_all_framings_and_the_connection_is_kept(tmp_path: Path) -> None:
+    deployment = deployment_of(tmp_path, BodyEcho("r", queue.SimpleQueue(), []))
     headers = [("Host", "api"), ("X-Qos", "once"), ("X-Expires-In-Ms", "2000")]
 
     def send(name: str, *more: tuple[str, str], body: bytes, length: int) -> None:
-        named = [*headers, ("X-Trace-Id", name), *more]
-        head = writing.request("POST", "http://api/up?x", named, b"", length)
-        around.client.sendall(head)
+        all_headers = [*headers, ("X-Trace-Id", name), *more]
+        head = writing.request("POST", "http://api/up?x", all_headers, b"", length)
+        deployment.client.sendall(head)
         if more:
-            assert around.client.recv(99).startswith(b"HTTP/1.1 100")
+            assert deployment.client.recv(99).startswith(b"HTTP/1.1 100")
         for at in range(0, len(body), 300_000):
-            around.client.sendall(body[at : at + 300_000])
-        around.hear()
+            deployment.client.sendall(body[at : at + 300_000])
+        deployment.hear()
 
-    with around.running():
+    with deployment.running():
         send("length", body=LONG_BODY, length=len(LONG_BODY))
         send("chunks", body=chunked(LONG_BODY, 99_999), length=writing.CHUNKED)
         send("awaited", ("Expect", "100-continue"), body=LONG_BODY, length=len(LONG_BODY))
         send("short", body=b"lot", length=3)
-        begun = writing.request("POST", "/up", [*headers, ("X-Trace-Id", "cut")], b"", len(LONG_BODY))
-        with socket.create_connection(around.where) as sock:
-            sock.sendall(begun + LONG_BODY[:900_000])
-        around.client.sendall(
-            begun.replace(b"cut", b"odd").replace(b"X-Qos: once", b"X-Qos: gold") + LONG_BODY
+        partial_head = writing.request("POST", "/up", [*headers, ("X-Trace-Id", "cut")], b"", len(LONG_BODY))
+        with socket.create_connection(deployment.where) as sock:
+            sock.sendall(partial_head + LONG_BODY[:900_000])
+        deployment.client.sendall(
+            partial_head.replace(b"cut", b"odd").replace(b"X-Qos: once", b"X-Qos: gold") + LONG_BODY
         )
-        around.hear()
+        deployment.hear()
         send("after", body=b"", length=writing.WHOLE)
-    compare("long_bodies", around.lines)
+    compare("long_bodies", deployment.lines)
 
 
-def test_a_server_that_breaks_off_in_a_body_never_ran_it_and_its_client_is_told(tmp_path: Path) -> None:
+def test_body_cut_off_by_the_server_never_ran_and_the_client_may_retry(tmp_path: Path) -> None:
     class Breaking(Peer):
         def serve(self, sock: socket.socket) -> None:
             sock.recv(100_000)
             sock.close()
 
-    around = deployment_of(tmp_path, *(Breaking(f"b-{at}", queue.SimpleQueue(), []) for at in range(2)))
-    with around.running():
+    deployment = deployment_of(tmp_path, *(Breaking(f"b-{at}", queue.SimpleQueue(), []) for at in range(2)))
+    with deployment.running():
         headers = [("Host", "a"), ("X-Qos", "once"), ("X-Trace-Id", "1")]
         head = writing.request("POST", "/up", headers, b"", len(LONG_BODY))
-        around.client.sendall(head + LONG_BODY)
-        assert around.hear().header("Retry-After")
-    compare("broken_body", around.lines)
+        deployment.client.sendall(head + LONG_BODY)
+        assert deployment.hear().header("Retry-After")
+    compare("broken_body", deployment.lines)
 
 
-def test_more_at_once_than_memory_holds_with_slow_readers(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 2, limits={"memory_mb": 48, "sockets": 256})
-    got: list[str] = []
+def test_memory_stays_bounded_with_many_large_responses_and_slow_readers(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 2, limits={"memory_mb": 48, "sockets": 256})
+    responses: list[str] = []
 
     def client(name: str) -> None:
-        with socket.create_connection(around.where) as sock:
+        with socket.create_connection(deployment.where) as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             sock.sendall(
                 writing.request(
@@ -193,24 +194,24 @@
                     [("Host", "api"), ("X-Trace-Id", name), ("X-Qos", "read"), ("X-Expires-In-Ms", "900")],
                 )
             )
-            got.append(read_all(sock, ResponseParser(9_000_000), 0.05))
+            responses.append(read_all(sock, ResponseParser(9_000_000), 0.05))
 
-    with around.running():
+    with deployment.running():
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         for _ in range(20):
-            around.script.put(head + chunked(LONG_BODY, 500_000))
+            deployment.script.put(head + chunked(LONG_BODY, 500_000))
         threads = [threading.Thread(target=client, args=(f"c{at}",), daemon=True) for at in range(20)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        status = Path(f"/proc/{around.process.pid}/status").read_text()
+        status = Path(f"/proc/{deployment.process.pid}/status").read_text()
         peak = next(int(line.split()[1]) // 1024 for line in status.splitlines() if line.startswith("VmHWM"))
-    assert got == [f"200 {digest(LONG_BODY)}"] * 20
+    assert responses == [f"200 {digest(LONG_BODY)}"] * 20
     assert peak < 48, f"{peak} MB for 120 MB under way"
 
 
-def test_slow_clients_are_waited_for_at_the_lowest_rate_and_no_longer() -> None:
+def test_uploads_slower_than_the_minimum_rate_are_aborted() -> None:
     class Sender:
         broken = False
         sock, far = socket.socketpair()
@@ -222,7 +223,7 @@
     assert parser.next() is None and parser.long()
     body = upload.Upload(Sender(), parser)
     Sender.far.sendall(b"x" * 4_800)
-    body.waited = upload.FIRST + 90_000  # of 100,000 that these bytes are worth
+    body.waited = upload.FIRST + 90_000  # these bytes are worth 100,000 us
     body.receive()
     assert body.got == 4_800
     Sender.far.sendall(b"x")
@@ -231,29 +232,29 @@
         body.receive()
 
 
-def test_patience_and_the_hop_begin_with_the_last_byte_and_no_second_hop_has_the_body() -> None:
+def test_deadline_and_hop_time_start_with_the_last_byte_and_a_sent_body_is_not_retried() -> None:
     bench = Bench(
         settings(Tariff(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, ONCE.group, 0)), [entry(1), entry(2)]
     )
 
-    def taken(name: int) -> Submission:
-        balancer, until = bench.balancer, bench.now + 900 * SECOND
-        return balancer.take_under(bench.now, name, balancer.terms[0], 1, False, until, True)
+    def upload_started(name: int) -> Submission:
+        balancer, deadline_at = bench.balancer, bench.now + 900 * SECOND
+        return balancer.take_under(bench.now, name, balancer.terms[0], 1, False, deadline_at, True)
 
     bench.note("a body comes for 20 s, and nothing is held against the server meanwhile")
-    one = taken(1)
+    one = upload_started(1)
     bench.at(20)
     one.spent = True
     one.whole(bench.now, 0, bench.now + 2 * SECOND)
     bench.at(20.3).end(one, Outcome.OK)
     bench.note("a refused connection before a piece was let go: another hop")
-    two = taken(2)
+    two = upload_started(2)
     bench.end(two, Outcome.CONNECT_FAILED)
     bench.note("a break after that: none, and the client is told that it may try again")
     two.spent = True
     bench.end(two, Outcome.CONNECT_FAILED)
     bench.note("after the last byte the server is judged as ever, and nothing goes again")
-    three = taken(3)
+    three = upload_started(3)
     bench.at(21)
     three.spent = True
     three.whole(bench.now, 0, bench.now + 2 * SECOND)
@@ -262,7 +263,7 @@
 
 
 @pytest.mark.parametrize(
-    ("target", "head", "becomes"),
+    ("target", "head", "expected"),
     [
         ("/a", "Content-Length: 5\r\nContent-Length: 6", None),
         ("/a", "Content-Length: +5", None),
@@ -275,13 +276,13 @@
         ("http://a", "Accept: x", "/"),
     ],
 )
-def test_forms_that_hide_or_never_end_are_refused_and_absolute_targets_become_plain(
-    target: str, head: str, becomes: str | None
+def test_ambiguous_or_oversized_bodies_are_rejected_and_absolute_targets_become_paths(
+    target: str, head: str, expected: str | None
 ) -> None:
     parser = RequestParser(40 << 20)
     parser.feed(f"POST {target} HTTP/1.1\r\nHost: a\r\n{head}\r\n\r\n".encode())
-    if becomes is None:
+    if expected is None:
         with pytest.raises(Malformed):
             parser.next()
     else:
-        assert parser.next().target == becomes
+        assert parser.next().target == expected
