--- a/pumicepath/admission/queue.py
+++ b/pumicepath/admission/queue.py
@@ -14,8 +14,8 @@
 from enum import IntEnum
 from typing import Generic, TypeVar
 
-from ..interface import Tariff
-from ..logic import Chance
+from ..balancer import SeededRandom
+from ..interface import RequestClass
 
 Waiter = TypeVar("Waiter")
 
@@ -50,10 +50,10 @@
     """
 
     def __init__(
-        self, request_classes: tuple[Tariff, ...], max_retry_after: int, max_waiting: int, seed: int
+        self, request_classes: tuple[RequestClass, ...], max_retry_after: int, max_waiting: int, seed: int
     ) -> None:
         self.max_waiting = max_waiting
-        self.rng = Chance(seed)
+        self.rng = SeededRandom(seed)
         self.apply_settings(request_classes, max_retry_after)
         self.waiting: deque[tuple[int, Waiter]] = deque()  # with the latest time of admission
         self.resuming: deque[Waiter] = deque()  # admitted before, waiting for a slot to continue
@@ -70,20 +70,20 @@
         self.rejected_when_over = 0  # value of `rejected` when the last overload ended
         self.last_rejected_at = 0
 
-    def apply_settings(self, request_classes: tuple[Tariff, ...], max_retry_after: int) -> None:
+    def apply_settings(self, request_classes: tuple[RequestClass, ...], max_retry_after: int) -> None:
         """Replace the request classes; requests that wait already keep the time limit they were given."""
         self.request_classes = request_classes
         self.max_retry_after = max_retry_after
-        max_value = max(each.gain for each in request_classes)
+        max_value = max(each.value for each in request_classes)
         self.wait_fractions = [
             LOW_VALUE_FRACTION
-            + (1.0 - LOW_VALUE_FRACTION) * (each.gain / max_value if max_value > 0 else 1.0)
+            + (1.0 - LOW_VALUE_FRACTION) * (each.value / max_value if max_value > 0 else 1.0)
             for each in request_classes
         ]
         self.late_fractions = [
-            min(1.0, each.late_gain / each.gain) if each.gain > 0 else 0.0 for each in request_classes
+            min(1.0, each.late_value / each.value) if each.value > 0 else 0.0 for each in request_classes
         ]
-        self.max_pause = int(MAX_PAUSE_FRACTION * min(each.patience for each in request_classes))
+        self.max_pause = int(MAX_PAUSE_FRACTION * min(each.deadline for each in request_classes))
 
     def is_full(self) -> bool:
         """Return whether the next request would have to wait."""
@@ -103,13 +103,13 @@
         request_class = self.request_classes[class_index]
         remaining = typical_latency + self.response_delay
         on_time = max(
-            MIN_WAIT_FRACTION * request_class.agreed,
-            (1.0 - RESERVE_FRACTION) * request_class.agreed - remaining,
+            MIN_WAIT_FRACTION * request_class.latency_target,
+            (1.0 - RESERVE_FRACTION) * request_class.latency_target - remaining,
         )
         late = self.late_fractions[class_index]
         fraction = self.wait_fractions[class_index] * (max(RETRY_FRACTION, late) if is_retry else 1.0)
         max_wait = on_time * fraction + late * max(
-            0.0, request_class.patience - request_class.agreed - remaining
+            0.0, request_class.deadline - request_class.latency_target - remaining
         )
         return min(received_at + int(max_wait), deadline_at - int(remaining))
 
@@ -199,12 +199,12 @@
 
         It grows with the queueing delay and is randomized, so that rejected clients don't return all at once.
         """
-        latency_target = self.request_classes[min(class_index, len(self.request_classes) - 1)].agreed
+        latency_target = self.request_classes[min(class_index, len(self.request_classes) - 1)].latency_target
         targets = min(
             MAX_RETRY_AFTER_TARGETS,
             1.0 + 2.0 * len(self.waiting) * self.admission_interval / max(1, latency_target),
         )
-        return min(self.max_retry_after, int(latency_target * targets * (0.5 + self.rng.share())))
+        return min(self.max_retry_after, int(latency_target * targets * (0.5 + self.rng.next_float())))
 
     def update_pause(self, now: int) -> str:
         """Adapt the pause; return a log line if an overload has begun or ended, else an empty string.
--- a/pumicepath/fleet/trials.py
+++ b/pumicepath/fleet/trials.py
@@ -88,7 +88,7 @@
 
     # -- this sidecar's breakers
 
-    def opened(self, now: int, server: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, now: int, server: str, cooldown: int, often: bool) -> None:
         """By its own eyes, at first or after a trial; `often`: it would send there within a Cooldown."""
         one = self.open.get(server)
         if one is None:
@@ -107,7 +107,7 @@
                 self.duties.resign(now, self.duty(server), "its trial has failed")
                 one.claim_at = now + cooldown
 
-    def tried(self, now: int, server: str, failed: bool) -> None:
+    def trial_finished(self, now: int, server: str, failed: bool) -> None:
         """The verdict of an own trial; when it has failed, `opened` follows."""
         if server in self.open and not failed:
             self.say(now, server, 0, True)
--- a/pumicepath/settings.py
+++ b/pumicepath/settings.py
@@ -8,14 +8,14 @@
 import math
 from typing import Any
 
-from .interface import Effect, Group, Settings, Tariff
+from .interface import DedupGroup, Effect, RequestClass, Settings
 
 EFFECT_BY_WORD = {
     "idempotent": Effect.IDEMPOTENT,
     "deduplicated": Effect.DEDUPLICATED,
-    "at_most_once": Effect.UNREPEATABLE,
+    "at_most_once": Effect.NON_IDEMPOTENT,
 }
-DEDUP_GROUP_BY_WORD = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+DEDUP_GROUP_BY_WORD = {"all": DedupGroup.ALL, "zone": DedupGroup.ZONE, "cell": DedupGroup.CELL}
 DAY_S = 86_400.0
 
 
@@ -23,42 +23,42 @@
     """Decode the settings of one sidecar, with defaults for missing keys; `check_settings` comes first."""
     limits, rules = info.get("policyLimits", {}), info.get("rules", {})
     return Settings(
-        me=info.get("me", 0),
-        fleet=max(1, info.get("fleetSize", 1)),
+        sidecar_index=info.get("me", 0),
+        fleet_size=max(1, info.get("fleetSize", 1)),
         zone=info.get("zone", 0),
-        tariffs=tuple(decode_request_class(entry, info) for entry in info.get("tariffs", [])),
-        crossing_price=info.get("prices", {}).get("crossZone", 0.0),
-        must_ask=info.get("membershipMode") == "on_request",
-        ask_every=to_microseconds(rules.get("askEveryS", DAY_S)),
-        most_hops=limits.get("mostHops", 1),
-        most_retry_in=to_microseconds(limits.get("maxRetryAfterS", 0.0)) if limits.get("retryAfter") else 0,
-        cold_from=rules.get("coldFrom", 1.0),
-        cold_for=math.ceil(rules.get("coldS", 0.0) * 1e6),
-        fall_multiple=rules.get("fallMultiple", 1.0),
-        fall_window=math.ceil(rules.get("overloadForS", 1.0) * 1e6),
-        live=info.get("weights") == "live",
-        connection_price=info.get("prices", {}).get("connection", 0.0),
-        marked=bool((info.get("clientHabits") or {}).get("marksRetry", False)),
-        copies=bool(limits.get("secondCopies", False)),
-        full_unproven=bool(rules.get("fullUnproven", False)),
-        drain_alone=bool(rules.get("drainBindsAlone", False)),
-        may_tell=bool(limits.get("mayTell", False)),
-        quotas=tuple(float(entry.get("quotaPerS", 0.0)) for entry in info.get("tenants", [])),
+        request_classes=tuple(decode_request_class(entry, info) for entry in info.get("tariffs", [])),
+        cross_zone_cost=info.get("prices", {}).get("crossZone", 0.0),
+        polls_list=info.get("membershipMode") == "on_request",
+        poll_interval=to_microseconds(rules.get("askEveryS", DAY_S)),
+        max_hops=limits.get("mostHops", 1),
+        max_retry_after=to_microseconds(limits.get("maxRetryAfterS", 0.0)) if limits.get("retryAfter") else 0,
+        cold_fraction=rules.get("coldFrom", 1.0),
+        cold_duration=math.ceil(rules.get("coldS", 0.0) * 1e6),
+        overload_multiple=rules.get("fallMultiple", 1.0),
+        overload_window=math.ceil(rules.get("overloadForS", 1.0) * 1e6),
+        live_weights=info.get("weights") == "live",
+        connection_cost=info.get("prices", {}).get("connection", 0.0),
+        clients_mark_retries=bool((info.get("clientHabits") or {}).get("marksRetry", False)),
+        hedging_allowed=bool(limits.get("secondCopies", False)),
+        full_may_have_run=bool(rules.get("fullUnproven", False)),
+        only_draining_removes=bool(rules.get("drainBindsAlone", False)),
+        peer_messages_allowed=bool(limits.get("mayTell", False)),
+        tenant_quotas=tuple(float(entry.get("quotaPerS", 0.0)) for entry in info.get("tenants", [])),
     )
 
 
-def decode_request_class(entry: dict[str, Any], info: dict[str, Any]) -> Tariff:
+def decode_request_class(entry: dict[str, Any], info: dict[str, Any]) -> RequestClass:
     """Decode one request class; `info` has the names of zones and server kinds."""
     deadline_s = entry.get("patienceS", DAY_S)
-    return Tariff(
-        agreed=to_microseconds(min(deadline_s, entry.get("agreedTimeS", deadline_s))),
-        patience=to_microseconds(deadline_s),
-        gain=entry.get("gain", 1.0),
-        late_gain=entry.get("lateGain", 0.0),
+    return RequestClass(
+        latency_target=to_microseconds(min(deadline_s, entry.get("agreedTimeS", deadline_s))),
+        deadline=to_microseconds(deadline_s),
+        value=entry.get("gain", 1.0),
+        late_value=entry.get("lateGain", 0.0),
         # An unknown word means non-idempotent, the strictest, so that nothing is retried by mistake.
-        effect=EFFECT_BY_WORD.get(entry.get("effect", ""), Effect.UNREPEATABLE),
-        group=DEDUP_GROUP_BY_WORD.get(entry.get("group", "cell"), Group.CELL),
-        window=to_microseconds(entry.get("windowS", 0.0)),
+        effect=EFFECT_BY_WORD.get(entry.get("effect", ""), Effect.NON_IDEMPOTENT),
+        dedup_group=DEDUP_GROUP_BY_WORD.get(entry.get("group", "cell"), DedupGroup.CELL),
+        dedup_window=to_microseconds(entry.get("windowS", 0.0)),
         stream=bool(entry.get("stream", False)),
         name=str(entry.get("name", "")),
         zones=resolve_indexes(entry.get("allowedIn"), info.get("dcs")),
--- a/pumicepath/sidecar/admin_server.py
+++ b/pumicepath/sidecar/admin_server.py
@@ -11,7 +11,7 @@
 import orjson
 
 from ..admin.calls import AdminCall, parse_call
-from ..discovery.roster import Address
+from ..discovery.server_list import Address
 from ..http1 import writing
 from ..http1.messages import Malformed, Request
 from ..http1.parsing import RequestParser
--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -181,10 +181,10 @@
         tariff = config.request_classes.get(name)
         if tariff is None or not self.enter(BUSY):
             return False
-        patience = terms[tariff].tariff.patience
+        patience = terms[tariff].request_class.deadline
         if expires:
             patience = min(patience, int(expires) * 1000)
-        usual = terms[tariff].usual
+        usual = terms[tariff].typical_latency
         self.inside = dispatcher.entrance.enter(arrived, arrived + patience, tariff, retry, usual)
         if self.inside:
             return False
@@ -248,7 +248,7 @@
         name = request.header(TARIFF)
         self.group = name if name in config.request_classes else ""
         try:
-            what = asked(request, config.request_classes, config.settings.tariffs)
+            what = asked(request, config.request_classes, config.settings.request_classes)
         except Malformed as trouble:
             self.refuse(trouble, True)
             return None
@@ -257,12 +257,12 @@
             # The connection stays: a new one would cost more than this answer.
             self.owner.refused["no room"] += 1
             self.answer(
-                answers.deferred(dispatcher.balancer.bound_retry_in(terms[what.tariff])),
+                answers.deferred(dispatcher.balancer.fixed_retry_after(terms[what.tariff])),
                 not dispatcher.leaving(),
             )
             return None
         if not self.inside:
-            usual = terms[what.tariff].usual
+            usual = terms[what.tariff].typical_latency
             self.inside = dispatcher.entrance.enter(
                 arrived, arrived + what.patience, what.tariff, what.retry, usual
             )
--- a/pumicepath/sidecar/clients.py
+++ b/pumicepath/sidecar/clients.py
@@ -229,11 +229,11 @@
             if state == IDLE or state == FRESH and overdue or state == PARTIAL and ends:
                 client.expire(state)
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Look for connections whose time is up."""
         self.dispatcher.after.append(self.sweep)
         soon = self.scarce() or self.dispatcher.emptied
-        self.dispatcher.wake(now + (SWEEP if soon else SWEEP_AT_EASE), self)
+        self.dispatcher.set_timer(now + (SWEEP if soon else SWEEP_AT_EASE), self)
 
     def scarce(self) -> bool:
         return len(self.open) > self.most // 3
--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..discovery.roster import Address, BadList, Roster, address
+from ..discovery.server_list import Address, BadList, ServerList, parse_address
 from ..interface import Settings
 from ..settings import check_settings, decode_settings, present_keys, unsupported_keys
 
@@ -105,7 +105,7 @@
     this address.
     """
     text = os.environ.get("GW_ADMIN_ADDR") or raw.get("admin_addr")
-    return address(str(text)) if text else None
+    return parse_address(str(text)) if text else None
 
 
 def decode_peers(raw: dict[str, Any]) -> PeerSettings | None:
@@ -185,11 +185,11 @@
     zones = tuple(str(zone) for zone in info.get("dcs", []))
     known_list = raw.get("known") or {"seq": 0, "whole": True, "hosts": []}
     with key_in_errors("known"):
-        Roster(zones, lambda started_at: started_at).read(known_list)
+        ServerList(zones, lambda started_at: started_at).apply(known_list)
     with key_in_errors("listen"):
-        listen = address(raw["listen"])
+        listen = parse_address(raw["listen"])
     with key_in_errors("discovery"):
-        discovery = address(raw["discovery"])
+        discovery = parse_address(raw["discovery"])
     with key_in_errors("seed"):
         seed = int(str(raw.get("seed", "0")), 16)
     relays, services = decode_relays(raw)
--- a/pumicepath/sidecar/entrance.py
+++ b/pumicepath/sidecar/entrance.py
@@ -29,13 +29,13 @@
     def __init__(self, config: Config) -> None:
         settings = config.settings
         self.intake: AdmissionQueue[Waiting] = AdmissionQueue(
-            settings.tariffs, settings.most_retry_in, config.max_client_connections, config.seed
+            settings.request_classes, settings.max_retry_after, config.max_client_connections, config.seed
         )
         self.gate = threading.Lock()
 
     def adopt(self, config: Config) -> None:
         with self.gate:
-            self.intake.apply_settings(config.settings.tariffs, config.settings.most_retry_in)
+            self.intake.apply_settings(config.settings.request_classes, config.settings.max_retry_after)
 
     def enter(self, arrived: int, until: int, tariff: int, retry: bool, usual: float) -> bool:
         """Wait to be taken up; False if the request is turned away.  True must be followed by `leave`."""
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -9,7 +9,7 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from ..discovery.roster import Address, BadList, address
+from ..discovery.server_list import Address, BadList, parse_address
 from ..http1.messages import Malformed
 from . import clock
 from .watching import CONNECT_TIMEOUT_S, new_socket
@@ -34,8 +34,8 @@
     def relay_address(self) -> Address:
         """Return the address of the relay to connect to, and set the watch to it."""
         if self.watcher.watch.host != self.relay_selector.at:
-            self.watcher.watch.move(self.relay_selector.at)
-        return address(self.relay_selector.at)
+            self.watcher.watch.switch_to(self.relay_selector.at)
+        return parse_address(self.relay_selector.at)
 
     def handle_failure(self, error: Exception) -> None:
         """Go on with the next relay after a wait that grows with each consecutive failure.
@@ -63,7 +63,7 @@
         now, events, watch = monotonic(), watcher.dispatcher.events, watcher.watch
         if relay_selector.at != self.current_relay:
             why = relay_selector.why or "start"
-            live, out = watch.standing()
+            live, out = watch.region_counts()
             events.event(
                 "relay_changed",
                 **{"from": self.current_relay},
@@ -78,7 +78,7 @@
                 watcher.dispatcher.figures.count("relay_changes")
             self.current_relay = relay_selector.at
         self.answered_at = now
-        stale = watch.stale()
+        stale = watch.stale_regions()
         for region, seq in stale.items():
             if region not in self.stale_since:
                 self.stale_since[region] = now
@@ -91,7 +91,7 @@
         """Leave a relay that answers for the selected one, once a connection to that one is open."""
         watcher, relay_selector = self.watcher, self.relay_selector
         try:
-            sock = connect_to(address(relay_selector.at))
+            sock = connect_to(parse_address(relay_selector.at))
         except OSError:
             if relay_selector.before is None:
                 watcher.connecting = True
@@ -106,8 +106,8 @@
             old.close()
         if watcher.moved:
             raise ConnectionAbortedError("the relays have changed")
-        watcher.watch.move(relay_selector.at)
-        watcher.watch.restart()
+        watcher.watch.switch_to(relay_selector.at)
+        watcher.watch.reset_connection()
 
 
 def connect_to(where: Address) -> socket.socket:
--- a/pumicepath/sidecar/hot_restart.py
+++ b/pumicepath/sidecar/hot_restart.py
@@ -16,7 +16,7 @@
 
 import orjson
 
-from ..discovery.roster import Address
+from ..discovery.server_list import Address
 from . import clock
 from .clients import Clients
 from .dispatch import Dispatcher
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -15,7 +15,7 @@
 from time import monotonic, sleep, time_ns
 from typing import Any
 
-from ..discovery.roster import stable
+from ..discovery.server_list import stable_id
 from ..fleet import messages
 from ..fleet.fellow import Fellow
 from ..fleet.membership import Seen
@@ -53,12 +53,12 @@
     def opened(self, name: str, cooldown: int, often: bool) -> None:
         """Report that a server's breaker opened; `often`: this sidecar would send there within a cooldown."""
         now = clock.now()
-        self.reports.append(lambda trials: trials.opened(now, name, cooldown, often))
+        self.reports.append(lambda trials: trials.breaker_opened(now, name, cooldown, often))
 
     def tried(self, name: str, failed: bool) -> None:
         """Report the result of a trial that this sidecar made."""
         now = clock.now()
-        self.reports.append(lambda trials: trials.tried(now, name, failed))
+        self.reports.append(lambda trials: trials.trial_finished(now, name, failed))
 
 
 class Peers:
@@ -162,7 +162,7 @@
                     self.shared_trials.may_try_until = node.trials.turns(clock.now())
                 postponed, self.postponed_trials = self.postponed_trials, []
             for server, wait in postponed:
-                self.on_trial_postponed(stable(server), wait)
+                self.on_trial_postponed(stable_id(server), wait)
             self.send_outbox()
             self.log_changes()
             now = monotonic()
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -15,10 +15,10 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import compiled, invariants
-from ..discovery.roster import Address, BadList, Roster, Update, stable
+from ..balancer import SeededRandom
+from ..discovery.server_list import Address, BadList, ServerList, ServerListUpdate, stable_id
 from ..discovery.watch import Watch
-from ..interface import Listing
-from ..logic import Chance
+from ..interface import ListKind
 from . import clock
 from . import config as configuration
 from .admin_server import AdminServer
@@ -70,7 +70,7 @@
     # of threads a short interval uses up a whole core, and is not needed: all of them soon wait for a socket.
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     log = Log(config.name)
-    server_list = Roster(config.zones, clock.since_unix_ms, config.kinds)
+    server_list = ServerList(config.zones, clock.since_unix_ms, config.kinds)
     config = with_list_numbers(config, server_list)
     handover = request_handover(config.listen) if config.admin else None
     known, raw_list = initial_list(server_list, config, handover)
@@ -79,11 +79,11 @@
         server_list,
         relay_selector.at if relay_selector else f"{config.discovery.host}:{config.discovery.port}",
         -1 if relay_selector or "regions" in raw_list else known.version,
-        2 * config.settings.ask_every,
-        Chance(config.seed).share,
+        2 * config.settings.poll_interval,
+        SeededRandom(config.seed).next_float,
         config.services,
     )
-    watch.inherit(raw_list)
+    watch.import_state(raw_list)
     watcher = Watcher(watch, config.discovery, config.pushed, relay_selector)
     dispatcher = Dispatcher(config, log, watcher.request_list)
     watcher.dispatcher = dispatcher
@@ -93,7 +93,7 @@
         raise ConfigError(f"cannot listen on {format_address(config.listen)}: {error.strerror}") from error
     # With the actual port, which the file may leave to the kernel (port 0): a new process may know only this.
     serving = config.listen._replace(port=clients.listener.getsockname()[1])
-    hot_restart = HotRestart(dispatcher, clients, watch.known, serving)
+    hot_restart = HotRestart(dispatcher, clients, watch.export_state, serving)
     peers = create_peers(config, log, handover is not None)
     try:
         admin_server = (
@@ -112,15 +112,15 @@
     if handover is not None:
         dispatcher.inherit(handover.out_of_service, handover.back_in_service)
         dispatcher.emptied = handover.drained_by_operator
-    dispatcher.listed(Listing.CACHED, known)
+    dispatcher.listed(ListKind.CACHED, known)
     if config.pushed:
         watcher.request_list()
         # From here on this sidecar counts as notified of whatever discovery has, while the file's list is
         # old: without waiting, requests could go to servers that are draining.
         watcher.first_call_done.wait(FIRST_LIST_TIMEOUT_S)
-    dispatcher.decide(dispatcher.pool.woke)
-    dispatcher.decide(clients.woke)
-    dispatcher.decide(dispatcher.pace.woke)
+    dispatcher.decide(dispatcher.pool.on_timer)
+    dispatcher.decide(clients.on_timer)
+    dispatcher.decide(dispatcher.pace.on_timer)
     dispatcher.decide(ProblemReporter(dispatcher, clients).woke)
     gc.collect()
     gc.freeze()
@@ -169,12 +169,14 @@
         raise ConfigError(f"peers.listen: cannot listen on {where}: {error.strerror}") from error
 
 
-def initial_list(server_list: Roster, config: Config, handover: Handover | None) -> tuple[Update, Any]:
+def initial_list(
+    server_list: ServerList, config: Config, handover: Handover | None
+) -> tuple[ServerListUpdate, Any]:
     """Return the list to start with, decoded and raw: the old process's last one, or the one in the file."""
     if handover is not None:
         with suppress(BadList):
-            return server_list.read(handover.known_list), handover.known_list
-    return server_list.read(config.known_list), config.known_list
+            return server_list.apply(handover.known_list), handover.known_list
+    return server_list.apply(config.known_list), config.known_list
 
 
 def create_relay_selector(config: Config) -> Homes | None:
@@ -185,7 +187,7 @@
 
     # Not seeded by the configured seed alone: sidecars that share one would all wait equally long and reach
     # the relays at the same moments.
-    return Homes(config.name, config.relays, Chance(config.seed ^ stable(config.name)).share)
+    return Homes(config.name, config.relays, SeededRandom(config.seed ^ stable_id(config.name)).next_float)
 
 
 def format_address(address: Address | None) -> str:
@@ -233,7 +235,7 @@
     if peers is not None and new.peers is not None and new.peers != config.peers:
         peers.apply_voting(new.peers.voting)
         dispatcher.accompany(peers.shared_trials if shares_trials(new.peers) else None)
-    before, after = config.settings, with_list_numbers(new, watcher.watch.roster).settings
+    before, after = config.settings, with_list_numbers(new, watcher.watch.server_list).settings
     changed = after != before or (new.zones, new.idle_timeout_us, new.connect_timeout_us) != (
         config.zones,
         config.idle_timeout_us,
@@ -241,14 +243,14 @@
     )
     if changed:
         dispatcher.adopt(replace(new, settings=after))
-    wait_us = 2 * min(before.ask_every, after.ask_every)
+    wait_us = 2 * min(before.poll_interval, after.poll_interval)
     if (new.relays, new.services) != (config.relays, config.services):
         relay_selector = watcher.relay_selector if new.relays == config.relays else create_relay_selector(new)
         watcher.move(new.discovery, wait_us, new.pushed, relay_selector, new.services)
     elif new.relays:
         # The call in progress goes on, as waits at relays are short.  If it were broken off, all sidecars
         # that are reloaded together would request the whole list from the relays.
-        watcher.watch.waits(wait_us)
+        watcher.watch.set_max_wait(wait_us)
     elif changed or new.discovery != config.discovery:
         # The old wait, and what the old discovery reported, will soon no longer be valid.
         watcher.move(new.discovery, wait_us, new.pushed)
@@ -284,18 +286,18 @@
     return peers is not None and peers.voting is not None and peers.voting.trials
 
 
-def with_list_numbers(config: Config, server_list: Roster) -> Config:
+def with_list_numbers(config: Config, server_list: ServerList) -> Config:
     """Return the configuration with zones and kinds by the numbers that the server list has for them."""
     settings, zone = config.settings, config.settings.zone
     if config.zones:
-        zone = server_list.zone(config.zones[zone])
+        zone = server_list.zone_number(config.zones[zone])
     request_classes = tuple(
         replace(
             request_class,
-            zones=list_numbers(request_class.zones, config.zones, server_list.zone),
-            kinds=list_numbers(request_class.kinds, config.kinds, server_list.kind),
+            zones=list_numbers(request_class.zones, config.zones, server_list.zone_number),
+            kinds=list_numbers(request_class.kinds, config.kinds, server_list.kind_number),
         )
-        for request_class in settings.tariffs
+        for request_class in settings.request_classes
     )
     return replace(config, settings=replace(settings, zone=zone, tariffs=request_classes))
 
@@ -329,7 +331,7 @@
             if counts:
                 self.dispatcher.events.event(event, counts=dict(counts))
                 counts.clear()
-        self.dispatcher.wake(now + 1_000_000, self)
+        self.dispatcher.set_timer(now + 1_000_000, self)
 
 
 def drain(dispatcher: Dispatcher, clients: Clients, log: Log, peers: Peers | None) -> None:
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -8,10 +8,10 @@
 from time import monotonic, sleep
 from typing import TYPE_CHECKING
 
-from ..discovery.roster import NOTHING, Address, BadList
+from ..discovery.server_list import EMPTY_UPDATE, Address, BadList
 from ..discovery.watch import Overtaxed, Watch
 from ..http1.messages import Malformed, Response
-from ..interface import Listing
+from ..interface import ListKind
 from . import clock
 from .dispatch import Dispatcher
 
@@ -88,7 +88,7 @@
         """Get the list from elsewhere from now on, or with other waits; requests the whole list at once."""
         with self.lock:
             self.discovery, self.pushed, self.pending_move = discovery, pushed, (relay_selector, services)
-            self.watch.waits(wait_us)
+            self.watch.set_max_wait(wait_us)
             self.moved_at = monotonic()
             self.moved = True
             if self.sock is not None:
@@ -110,7 +110,7 @@
     def handle_failure(self, error: Exception) -> None:
         """Call again: at once, after `RETRY_INTERVAL_S`, or when the balancer requests it."""
         self.close()
-        self.watch.doubted = True
+        self.watch.ask_immediately = True
         if self.relay_watch is not None and not self.moved:
             self.relay_watch.handle_failure(error)
             return
@@ -141,7 +141,7 @@
             # Changes since this call began count as received 6 s later.  The balancer gets the time that has
             # passed since then: the call may have been given up late, and a long pause may follow.
             elapsed = max(0.0, monotonic() - self.call_started_at)
-            self.dispatcher.listed(Listing.FAILED, NOTHING, int(elapsed * 1e6))
+            self.dispatcher.listed(ListKind.FAILED, EMPTY_UPDATE, int(elapsed * 1e6))
 
     def watch_until_failure(self) -> None:
         """Make one call after the other; raises what makes a call fail."""
@@ -149,9 +149,9 @@
         while True:
             self.call_started_at = monotonic()
             response = self.call(self.sock if self.sock is not None else self.connect())
-            update = self.watch.update(response)
+            update = self.watch.handle_response(response)
             if first or update.whole or update.entries:
-                self.dispatcher.listed(Listing.FULL if update.whole else Listing.CHANGES, update)
+                self.dispatcher.listed(ListKind.FULL if update.whole else ListKind.CHANGES, update)
             first = False
             self.first_call_done.set()
             relay_watch = self.relay_watch
@@ -163,7 +163,7 @@
             if not response.keeps():
                 self.close()
             if relay_watch is not None and relay_watch.relay_selector.answered(
-                clock.now(), *self.watch.standing()
+                clock.now(), *self.watch.region_counts()
             ):
                 relay_watch.switch_relay()
 
@@ -178,8 +178,8 @@
                 self.skip_wait.clear()
                 relay_selector, services = self.pending_move
                 self.set_relay_selector(relay_selector)
-                self.watch.wants(services)
-                self.watch.move(f"{where.host}:{where.port}")
+                self.watch.set_services(services)
+                self.watch.switch_to(f"{where.host}:{where.port}")
             if self.relay_watch is not None:
                 where = self.relay_watch.relay_address()
             self.connecting = False
@@ -191,7 +191,7 @@
         sock.connect(where)
         self.connect_timeout, self.connecting = CONNECT_TIMEOUT_S, False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.watch.restart()
+        self.watch.reset_connection()
         if self.moved:
             raise ConnectionAbortedError("discovery has moved")
         return sock
@@ -201,9 +201,9 @@
 
         Raises TimeoutError if nothing arrives in time, at its beginning or in the middle.
         """
-        request = self.watch.request()
+        request = self.watch.next_request()
         self.call_started_at += self.watch.wait_ms / 1000
-        deadline = monotonic() + self.watch.until_silent()
+        deadline = monotonic() + self.watch.answer_timeout_s()
         parser = self.watch.parser
         begun = False
         while True:
--- a/pumicepath/wirehost/host.py
+++ b/pumicepath/wirehost/host.py
@@ -6,8 +6,8 @@
 import math
 from typing import Any, BinaryIO
 
-from ..interface import Entry, Listing, Outcome, Phase, Wakeable
-from ..logic import Balancer, Submission
+from ..balancer import Balancer, Submission
+from ..interface import ListKind, Outcome, ServerEntry, ServerState, TimerHandler
 from ..settings import decode_settings
 from . import frames
 from .frames import MalformedFrameError, Reply
@@ -39,7 +39,7 @@
         self.number = number
         self.host = host
         self.submissions: dict[int, Submission] = {}  # unfinished ones by id
-        self.timers: dict[int, Wakeable] = {}  # handlers of pending timers by id
+        self.timers: dict[int, TimerHandler] = {}  # handlers of pending timers by id
         self.last_timer_id = 0
         self.balancer = Balancer(decode_settings(info), seed, self)
 
@@ -47,11 +47,11 @@
         """Send a hop of a submission to a server."""
         self.host.reply.add(TRANSMIT, "HIdI", self.number, submission, timeout / 1e6, server)
 
-    def defer(self, submission: int, retry_in: int) -> None:
+    def reject(self, submission: int, retry_in: int) -> None:
         """Reject a submission; its client may retry after this many microseconds."""
         self.host.reply.add(SHED, "HId", self.number, submission, retry_in / 1e6)
 
-    def forfeit(self, submission: int) -> None:
+    def fail(self, submission: int) -> None:
         """Fail a submission for good."""
         self.host.reply.add(FAIL, "HI", self.number, submission)
 
@@ -63,20 +63,20 @@
         """Probe a server."""
         self.host.reply.add(PROBE, "HI", self.number, server)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a datagram to another sidecar."""
         self.host.reply.add(TELL, "HIII", self.number, peer, len(self.host.reply.tail), len(data))
         self.host.reply.tail += data
 
-    def free_links(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         """Close the idle connections to a server."""
         self.host.reply.add(FREE, "HI", self.number, server)
 
-    def follow(self) -> None:
+    def request_server_list(self) -> None:
         """Request the server list."""
         self.host.reply.add(FOLLOW, "HB", self.number, 1)
 
-    def wake(self, at: int, whom: Wakeable) -> None:
+    def set_timer(self, at: int, whom: TimerHandler) -> None:
         """Set a timer."""
         self.last_timer_id += 1
         self.timers[self.last_timer_id] = whom
@@ -92,7 +92,7 @@
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.sheets: dict[int, list[Entry]] = {}
+        self.sheets: dict[int, list[ServerEntry]] = {}
         self.reply = Reply()
 
     def handle_batch(self, batch: frames.Batch) -> Reply:
@@ -117,10 +117,12 @@
         data = frames.tail_slice(tail, offset, count * frames.ENTRY_BYTES)
         entries = []
         for server, zone, kind, cell, state, weight, started_at in frames.ENTRY_FIELDS.iter_unpack(data):
-            if state > Phase.DRAINING:
+            if state > ServerState.DRAINING:
                 raise MalformedFrameError(f"unknown state {state} of a server")
             entries.append(
-                Entry(server, zone, cell, Phase(state), weight, to_microseconds(started_at), "", kind)
+                ServerEntry(
+                    server, zone, cell, ServerState(state), weight, to_microseconds(started_at), "", kind
+                )
             )
         self.sheets[number] = entries
 
@@ -143,7 +145,7 @@
             return
         if code == frames.INGRESS:
             _, submission_id, _, key, flags, _, deadline_at, class_index = fields
-            instance.submissions[submission_id] = instance.balancer.take(
+            instance.submissions[submission_id] = instance.balancer.submit(
                 now, submission_id, class_index, key, bool(flags & 2), to_microseconds(deadline_at)
             )
         elif code == frames.REPORT:
@@ -152,39 +154,39 @@
                 raise MalformedFrameError(f"unknown outcome {status}")
             submission = instance.submissions.get(submission_id)
             if submission is not None:
-                submission.ended(now, hop, OUTCOMES[status], to_microseconds(elapsed), bool(complete))
+                submission.hop_finished(now, hop, OUTCOMES[status], to_microseconds(elapsed), bool(complete))
                 self.forget_if_finished(instance, submission_id, submission)
         elif code == frames.TICK:
             handler = instance.timers.pop(fields[1], None)
             if handler is not None:
-                handler.woke(now)
+                handler.on_timer(now)
                 if isinstance(handler, Submission):
-                    self.forget_if_finished(instance, handler.name, handler)
+                    self.forget_if_finished(instance, handler.id, handler)
         elif code == frames.CHANGED:
             _, _, kind, sheet = fields
-            if kind > Listing.FAILED or kind != Listing.FAILED and sheet not in self.sheets:
+            if kind > ListKind.FAILED or kind != ListKind.FAILED and sheet not in self.sheets:
                 raise MalformedFrameError(f"invalid list of kind {kind} with sheet {sheet}")
-            entries = [] if kind == Listing.FAILED else self.sheets[sheet]
-            instance.balancer.listed(now, Listing(kind), entries)
+            entries = [] if kind == ListKind.FAILED else self.sheets[sheet]
+            instance.balancer.update_servers(now, ListKind(kind), entries)
         elif code == frames.VANISHED:
             submission = instance.submissions.get(fields[1])
             if submission is not None:
-                submission.left(now)
+                submission.client_left(now)
                 self.forget_if_finished(instance, fields[1], submission)
         elif code == frames.STARTED:
             submission = instance.submissions.get(fields[1])
             if submission is not None:
-                submission.started(now, fields[2])
+                submission.response_started(now, fields[2])
         elif code == frames.DATAGRAM:
             _, _, offset, size = fields
-            instance.balancer.told(now, bytes(frames.tail_slice(tail, offset, size)))
+            instance.balancer.receive_peer_message(now, bytes(frames.tail_slice(tail, offset, size)))
         elif code == frames.PROBED and fields[2] not in OUTCOMES:
             raise MalformedFrameError(f"unknown outcome {fields[2]}")
 
     @staticmethod
     def forget_if_finished(instance: Instance, submission_id: int, submission: Submission) -> None:
         """Drop a finished submission."""
-        if submission.over():
+        if submission.is_finished():
             instance.submissions.pop(submission_id, None)
 
 
--- a/setup.py
+++ b/setup.py
@@ -14,7 +14,7 @@
 
 HERE = Path(__file__).resolve().parent
 MODULES = [
-    "pumicepath/logic.py",
+    "pumicepath/balancer.py",
     "pumicepath/interface.py",
     "pumicepath/settings.py",
     "pumicepath/invariants.py",
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,9 +1,9 @@
 """Admission queue: which requests are admitted, queued or rejected under overload, without threads."""
 
 from pumicepath.admission.queue import MAX_ACTIVE, AdmissionQueue, AdmissionResult
-from pumicepath.interface import Effect, Group, Tariff
+from pumicepath.interface import DedupGroup, Effect, RequestClass
 
-from .helpers import compare
+from .helpers import check_trace
 
 MS = 1000
 # How the recorded traces spell the results.
@@ -12,15 +12,15 @@
     AdmissionResult.ADMITTED: "GO",
     AdmissionResult.QUEUED: "WAIT",
 }
-LOW_VALUE = Tariff(150 * MS, 600 * MS, 1.0, 0.0, Effect.IDEMPOTENT, Group.ALL, 0)
-HIGH_VALUE = Tariff(150 * MS, 600 * MS, 3.0, 0.0, Effect.UNREPEATABLE, Group.ALL, 0)
-LATE_VALUE = Tariff(150 * MS, 600 * MS, 1.0, 0.5, Effect.IDEMPOTENT, Group.ALL, 0)
+LOW_VALUE = RequestClass(150 * MS, 600 * MS, 1.0, 0.0, Effect.IDEMPOTENT, DedupGroup.ALL, 0)
+HIGH_VALUE = RequestClass(150 * MS, 600 * MS, 3.0, 0.0, Effect.NON_IDEMPOTENT, DedupGroup.ALL, 0)
+LATE_VALUE = RequestClass(150 * MS, 600 * MS, 1.0, 0.5, Effect.IDEMPOTENT, DedupGroup.ALL, 0)
 
 
 class QueueScript:
     """An admission queue, a clock in milliseconds and a trace; requests are named in order of arrival."""
 
-    def __init__(self, *request_classes: Tariff, max_waiting: int = 1000) -> None:
+    def __init__(self, *request_classes: RequestClass, max_waiting: int = 1000) -> None:
         self.queue: AdmissionQueue[str] = AdmissionQueue(
             request_classes or (LOW_VALUE, HIGH_VALUE), 2_000 * MS, max_waiting, 7
         )
@@ -78,7 +78,7 @@
         script.release()
     script.offer()
     assert script.queue.active == 1 and not script.queue.waiting
-    compare("intake_order", script.lines)
+    check_trace("intake_order", script.lines)
 
 
 def test_queue_is_bounded_by_time_and_low_value_and_retries_may_wait_less() -> None:
@@ -98,7 +98,7 @@
     idle = QueueScript()
     idle.offer(0, waited_ms=300.0)
     idle.offer(0, waited_ms=598.0)
-    compare("intake_bound", script.lines + idle.lines)
+    check_trace("intake_bound", script.lines + idle.lines)
 
 
 def test_classes_with_late_value_may_wait_longer() -> None:
@@ -124,7 +124,7 @@
     script.offer()
     script.release(0.0)
     assert script.queue.admission_interval < 600
-    compare("intake_stall", script.lines)
+    check_trace("intake_stall", script.lines)
 
 
 def test_slow_servers_do_not_cause_rejections_before_the_deadline() -> None:
@@ -150,4 +150,4 @@
         pass
     for _ in range(45):
         script.update_pause()
-    compare("intake_modes", script.lines)
+    check_trace("intake_modes", script.lines)
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -4,10 +4,10 @@
 from hashlib import sha256
 from pathlib import Path
 
-from pumicepath import compiled, logic
+from pumicepath import balancer, compiled
 from pumicepath.http1 import parsing
 
-from .helpers import compare
+from .helpers import check_trace
 
 
 def test_only_a_complete_and_current_build_runs(tmp_path: Path) -> None:
@@ -37,7 +37,7 @@
     record_form("half of it gone")
     record.write_text("{")
     record_form("record torn")
-    compare("compiled", lines)
+    check_trace("compiled", lines)
 
 
 def test_reported_form_is_the_one_that_runs() -> None:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -14,7 +14,7 @@
 from pumicepath.distribution.pace import LONGEST, Pace
 from pumicepath.distribution.subscriptions import NEVER, SPREAD, Subscriptions
 
-from .relay_rig import line
+from .relay_rig import list_line
 
 SECOND = 1_000_000
 SERVICES = ("", "cart", "stock", "pay")
@@ -23,7 +23,7 @@
 def lines(**services: str) -> list[dict[str, Any]]:
     """By host: its service, or left."""
     return [
-        line(host, "cart", "left") if service == "left" else line(host, service or None)
+        list_line(host, "cart", "left") if service == "left" else list_line(host, service or None)
         for host, service in services.items()
     ]
 
@@ -70,7 +70,7 @@
         self.shown: dict[str, str] = {}
 
     def drawn(self) -> dict[str, Any]:
-        return line(
+        return list_line(
             f"h{self.draw.randrange(9)}",
             self.draw.choice(SERVICES) or None,
             self.draw.choice(("active", "active", "leaving")),
@@ -151,7 +151,7 @@
         assert held.answer(EVERY, since)[1], since
     assert not held.answer(EVERY, 5000)[1]
     for seq in range(2, 6):
-        take(held, "eu", seq, False, [line("a", "cart", port=9000 + seq)])
+        take(held, "eu", seq, False, [list_line("a", "cart", port=9000 + seq)])
     assert held.version == 5005
     for since, whole in ((5000, True), (5001, True), (5002, False), (5005, False)):
         assert held.answer(EVERY, since)[1] is whole, since
@@ -159,7 +159,7 @@
 
 def test_a_list_larger_than_the_history_can_only_be_had_whole() -> None:
     held = Held(0, ("eu",), 3)
-    take(held, "eu", 1, True, [line(f"h{at}", "cart") for at in range(9)])
+    take(held, "eu", 1, True, [list_line(f"h{at}", "cart") for at in range(9)])
     assert len(held.log) == 3 and held.answer(EVERY, 0)[1]
     assert not held.answer(EVERY, 1)[1]
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Address
+from pumicepath.discovery.server_list import Address
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
 from pumicepath.sidecar.hot_restart import SOCKET_NAME, Channel, HotRestart, ShortPath, request_handover
 
-from .helpers import compare
+from .helpers import check_trace
 from .rig import Rig, held, until
 
 
@@ -146,7 +146,7 @@
             put(path)
         deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
         deployment.ask("read", answer(200, "served by the third"))
-    compare(
+    check_trace(
         "succession",
         [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in deployment.lines],
     )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,7 +16,7 @@
 from pumicepath.lab.model.timeline import SECOND, Virtual
 from pumicepath.lab.virtual.peers import Peering, address
 
-from .helpers import compare
+from .helpers import check_trace
 
 
 def fleet(count: int, seed: int = 1, **more: int) -> Peering:
@@ -99,7 +99,7 @@
         peering.kill(number)
         peering.start(number)
     lines.append(told(peering, "all restarted in the same moment"))
-    compare("membership", lines)
+    check_trace("membership", lines)
 
 
 def test_seeds_that_are_dead_or_come_up_later() -> None:
@@ -182,7 +182,7 @@
             ]
             told = " ".join(f"{at}: {'yes' if win else 'no ':<3}" for at, win in zip((2, 3, 4), wins))
             lines.append(f"{messages.STATES[state]:<9} 3, told {messages.STATES[other]:<9} of {told}")
-    compare("membership-order", [line.rstrip() for line in lines])
+    check_trace("membership-order", [line.rstrip() for line in lines])
 
 
 def test_what_liars_and_restarts_do_to_one_sidecar() -> None:
@@ -205,7 +205,7 @@
     one.woke(now)
     one.expected = now = now + 2 * SECOND
     one.woke(now)
-    compare("membership-lies", noted.lines)
+    check_trace("membership-lies", noted.lines)
 
 
 def test_what_was_stopped_suspects_itself_and_nobody_else() -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -236,7 +236,7 @@
     rig.clients.stop()
     rig.clients.most = 3  # capacity for three: the others are accepted as these end
     rig.dispatcher.draining = True
-    rig.dispatcher.decide(rig.clients.woke)
+    rig.dispatcher.decide(rig.clients.on_timer)
     assert not rig.clients.empty_queue() and len(rig.clients.open) <= 3
     until(rig.clients.empty_queue)
     assert [status(sock) for sock in waiting] == [200] * 5
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -11,15 +11,23 @@
 
 import pytest
 
+from pumicepath.balancer import Submission
 from pumicepath.http1 import writing
 from pumicepath.http1.messages import Malformed
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.interface import Effect, Outcome, Tariff
+from pumicepath.interface import Effect, Outcome, RequestClass
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.logic import Submission
 from pumicepath.sidecar import upload
 
-from .helpers import ONCE, SECOND, Bench, check, compare, entry, settings
+from .helpers import (
+    ONCE_CLASS,
+    SECOND,
+    ScriptedHost,
+    check_host_trace,
+    check_trace,
+    make_entry,
+    make_settings,
+)
 
 LONG_BODY = random.Random(5).randbytes(6_000_000)
 
@@ -91,7 +99,7 @@
         with socket.create_connection(deployment.where) as sock:
             sock.sendall(b"GET /api HTTP/1.0\r\nX-Trace-Id: old\r\nX-Qos: once\r\n\r\n")
             deployment.lines.append(f"-- to HTTP/1.0: {read_all(sock, ResponseParser(9_000_000))}")
-    compare("long_answers", [line for line in deployment.lines if line.startswith("--")])
+    check_trace("long_answers", [line for line in deployment.lines if line.startswith("--")])
 
 
 def test_response_in_progress_is_not_cut_off_at_the_deadline(tmp_path: Path) -> None:
@@ -162,7 +170,7 @@
         )
         deployment.hear()
         send("after", body=b"", length=writing.WHOLE)
-    compare("long_bodies", deployment.lines)
+    check_trace("long_bodies", deployment.lines)
 
 
 def test_body_cut_off_by_the_server_never_ran_and_the_client_may_retry(tmp_path: Path) -> None:
@@ -177,7 +185,7 @@
         head = writing.request("POST", "/up", headers, b"", len(LONG_BODY))
         deployment.client.sendall(head + LONG_BODY)
         assert deployment.hear().header("Retry-After")
-    compare("broken_body", deployment.lines)
+    check_trace("broken_body", deployment.lines)
 
 
 def test_memory_stays_bounded_with_many_large_responses_and_slow_readers(tmp_path: Path) -> None:
@@ -233,33 +241,36 @@
 
 
 def test_deadline_and_hop_time_start_with_the_last_byte_and_a_sent_body_is_not_retried() -> None:
-    bench = Bench(
-        settings(Tariff(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, ONCE.group, 0)), [entry(1), entry(2)]
+    bench = ScriptedHost(
+        make_settings(
+            RequestClass(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, ONCE_CLASS.dedup_group, 0)
+        ),
+        [make_entry(1), make_entry(2)],
     )
 
     def upload_started(name: int) -> Submission:
         balancer, deadline_at = bench.balancer, bench.now + 900 * SECOND
-        return balancer.take_under(bench.now, name, balancer.terms[0], 1, False, deadline_at, True)
+        return balancer.submit_with(bench.now, name, balancer.class_states[0], 1, False, deadline_at, True)
 
     bench.note("a body comes for 20 s, and nothing is held against the server meanwhile")
     one = upload_started(1)
-    bench.at(20)
-    one.spent = True
-    one.whole(bench.now, 0, bench.now + 2 * SECOND)
-    bench.at(20.3).end(one, Outcome.OK)
+    bench.advance_to(20)
+    one.body_discarded = True
+    one.body_complete(bench.now, 0, bench.now + 2 * SECOND)
+    bench.advance_to(20.3).finish_hop(one, Outcome.OK)
     bench.note("a refused connection before a piece was let go: another hop")
     two = upload_started(2)
-    bench.end(two, Outcome.CONNECT_FAILED)
+    bench.finish_hop(two, Outcome.CONNECT_FAILED)
     bench.note("a break after that: none, and the client is told that it may try again")
-    two.spent = True
-    bench.end(two, Outcome.CONNECT_FAILED)
+    two.body_discarded = True
+    bench.finish_hop(two, Outcome.CONNECT_FAILED)
     bench.note("after the last byte the server is judged as ever, and nothing goes again")
     three = upload_started(3)
-    bench.at(21)
-    three.spent = True
-    three.whole(bench.now, 0, bench.now + 2 * SECOND)
-    bench.at(22).end(three, Outcome.RESET)
-    check("body_coming", bench)
+    bench.advance_to(21)
+    three.body_discarded = True
+    three.body_complete(bench.now, 0, bench.now + 2 * SECOND)
+    bench.advance_to(22).finish_hop(three, Outcome.RESET)
+    check_host_trace("body_coming", bench)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -37,7 +37,7 @@
 from pumicepath.lab.virtual.run import VirtualWorld
 from pumicepath.lab.virtual.sidecar import Sidecar
 
-from .helpers import SECOND, Bench, compare, entry, settings
+from .helpers import SECOND, ScriptedHost, check_trace, make_entry, make_settings
 from .test_fleet import LONGEST_S, NEVER, Stage, played
 
 
@@ -93,22 +93,22 @@
 
 def test_the_holder_tells_and_gives_up_what_it_cant_find_out() -> None:
     one = Fellow()
-    one.at(1).opened(one.now, "s", 5 * SECOND, True)
+    one.at(1).breaker_opened(one.now, "s", 5 * SECOND, True)
     one.at(4)
     assert one.trials.turns(one.now)["s"] > one.now
-    one.at(7).tried(one.now, "s", True)
-    one.trials.opened(one.now, "s", 10 * SECOND, True)
-    one.at(18).tried(one.now, "s", False)
+    one.at(7).trial_finished(one.now, "s", True)
+    one.trials.breaker_opened(one.now, "s", 10 * SECOND, True)
+    one.at(18).trial_finished(one.now, "s", False)
     one.at(20)
     assert not one.duties.duties and not one.trials.open, "what is kept ends with the open breaker"
-    one.trials.opened(one.now, "s", 5 * SECOND, True)
+    one.trials.breaker_opened(one.now, "s", 5 * SECOND, True)
     one.at(50)
-    compare("trials-holder", one.lines)
+    check_trace("trials-holder", one.lines)
 
 
 def test_words_of_others_put_a_trial_off_within_bounds() -> None:
     one = Fellow(grants=False)
-    one.at(1).opened(one.now, "s", 5 * SECOND, True)
+    one.at(1).breaker_opened(one.now, "s", 5 * SECOND, True)
     one.heard(2, 70, 8)
     one.heard(2.1, 70, 8)  # the same once more
     one.heard(2.2, 69, 8)  # older
@@ -117,38 +117,38 @@
     one.heard(6, 73, 9, by=72)  # from the same life twice in a row
     one.heard(30, 80, 0)  # it serves
     one.heard(31, 90, 5)  # so its own trial is next, whatever is said
-    one.at(32).opened(one.now, "s", 5 * SECOND, True)
+    one.at(32).breaker_opened(one.now, "s", 5 * SECOND, True)
     one.heard(33, 1 << 20, 5)
     one.heard(90, (1 << 20) + 1, 5)
     one.heard(2 * OWN_EYES / SECOND + 33, (1 << 20) + 2, 5)  # two minutes by others' eyes alone
-    one.at(160).opened(one.now, "s", 5 * SECOND, True)
+    one.at(160).breaker_opened(one.now, "s", 5 * SECOND, True)
     one.heard(250, (1 << 20) + 3, 5)
     one.heard(330, (1 << 20) + 4, 5)
     one.heard(4 * OWN_EYES / SECOND + 161, (1 << 20) + 5, 5)  # four, as its own trial failed again
-    compare("trials-words", one.lines)
+    check_trace("trials-words", one.lines)
     one.at(one.now / SECOND + KEPT / SECOND + 1)
     assert not one.trials.open
 
 
 def test_a_number_too_high_to_be_true_counts_for_a_while_only() -> None:
     one = Fellow(grants=False)
-    one.at(1).opened(one.now, "s", 5 * SECOND, True)
+    one.at(1).breaker_opened(one.now, "s", 5 * SECOND, True)
     one.heard(2, HIGHEST >> OWN_BITS, 1)
     one.at(2.5)
     before = len(one.lines)
     one.heard(3, 5, 1)
     assert len(one.lines) == before
-    one.at(KEPT / SECOND + 3).opened(one.now, "s", 5 * SECOND, True)
+    one.at(KEPT / SECOND + 3).breaker_opened(one.now, "s", 5 * SECOND, True)
     one.heard(one.now / SECOND + 1, 6, 1)
     assert "put off" in one.lines[-1] or "put off" in one.lines[-2]
 
 
 def test_who_sends_there_seldom_claims_nothing_and_tells_all_the_same() -> None:
     one = Fellow()
-    one.at(1).opened(one.now, "s", 20 * SECOND, False)
-    one.at(30).tried(one.now, "s", True)
-    one.trials.opened(one.now, "s", 20 * SECOND, False)
-    one.at(60).tried(one.now, "s", False)
+    one.at(1).breaker_opened(one.now, "s", 20 * SECOND, False)
+    one.at(30).trial_finished(one.now, "s", True)
+    one.trials.breaker_opened(one.now, "s", 20 * SECOND, False)
+    one.at(60).trial_finished(one.now, "s", False)
     one.at(61)
     assert len(one.lines) == 2 and all("tells of s" in line for line in one.lines), one.lines
 
@@ -156,7 +156,7 @@
 def test_servers_with_names_too_long_are_nobodys_duty() -> None:
     one = Fellow()
     name = "s" * 60
-    one.at(1).opened(one.now, name, 5 * SECOND, True)
+    one.at(1).breaker_opened(one.now, name, 5 * SECOND, True)
     one.at(20)
     assert not one.duties.duties and not one.lines
     assert one.trials.turns(one.now)[name] > one.now, "nobody need be waited for"
@@ -184,44 +184,44 @@
         self.mine = False
         self.said: list[str] = []
 
-    def turn(self, name: str) -> bool:
+    def may_try(self, name: str) -> bool:
         return self.mine
 
-    def opened(self, name: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, name: str, cooldown: int, often: bool) -> None:
         self.said.append(f"{name} opened for {cooldown / SECOND:g} s")
 
-    def tried(self, name: str, failed: bool) -> None:
+    def trial_finished(self, name: str, failed: bool) -> None:
         self.said.append(f"{name} {'failed' if failed else 'served'}")
 
 
-def sick(companions: Companions | None) -> tuple[Bench, int]:
+def sick(companions: Companions | None) -> tuple[ScriptedHost, int]:
     """One of three servers has failed until its breaker opened, at about 1 s."""
-    bench = Bench(settings(), [entry(1), entry(2), entry(3)])
-    bench.balancer.companions = companions
-    bench.quick(0, 8, 1, Outcome.ERROR)
+    bench = ScriptedHost(make_settings(), [make_entry(1), make_entry(2), make_entry(3)])
+    bench.balancer.peer_trials = companions
+    bench.run_submissions(0, 8, 1, Outcome.ERROR)
     found = [line for line in bench.lines if "open for" in line]
     assert len(found) == 1
     return bench, int(found[0].split("server ")[1].split()[0])
 
 
-def hops(bench: Bench, server: int, first: float, seconds: float, every: float = 0.25) -> int:
+def hops(bench: ScriptedHost, server: int, first: float, seconds: float, every: float = 0.25) -> int:
     """How often a server that fails is tried in that time, by keys that go there first."""
-    before = len(bench.sent)
+    before = len(bench.sent_to)
     step = 0
     while step * every < seconds:
-        one = bench.at(first + step * every).take(round(first * 1000) + step, 1)
-        if bench.sent[-1] == server:
-            bench.at(first + step * every + 0.01).end(one, Outcome.ERROR)
-        while not one.over():
-            bench.end(one, Outcome.OK)
+        one = bench.advance_to(first + step * every).submit(round(first * 1000) + step, 1)
+        if bench.sent_to[-1] == server:
+            bench.advance_to(first + step * every + 0.01).finish_hop(one, Outcome.ERROR)
+        while not one.is_finished():
+            bench.finish_hop(one, Outcome.OK)
         step += 1
-    return bench.sent[before:].count(server)
+    return bench.sent_to[before:].count(server)
 
 
 def test_a_breaker_waits_for_its_turn_and_tries_alone_after_a_cooldown_without_word() -> None:
     companions = Companions()
     bench, server = sick(companions)
-    cooldown = bench.balancer.cooldown[bench.balancer.index[server]] / SECOND
+    cooldown = bench.balancer.cooldowns[bench.balancer.index_by_id[server]] / SECOND
     assert companions.said == [f"{server} opened for {cooldown:g} s"]
     assert hops(bench, server, 2, 2 * cooldown - 2) == 0, "not its turn"
     assert hops(bench, server, 2 * cooldown + 1, 3) == 1, "nobody said anything: alone"
@@ -240,9 +240,11 @@
     companions = Companions()
     bench, server = sick(companions)
     hops(bench, server, 20, 400, 5.0)
-    at = bench.balancer.index[server]
-    since, cooldown = bench.balancer.since[at] / SECOND, bench.balancer.cooldown[at] / SECOND
-    assert not bench.balancer.often() and cooldown > 15 and bench.now / SECOND < since + 2 * cooldown - 15
+    at = bench.balancer.index_by_id[server]
+    since, cooldown = bench.balancer.breaker_since[at] / SECOND, bench.balancer.cooldowns[at] / SECOND
+    assert (
+        not bench.balancer.sends_often() and cooldown > 15 and bench.now / SECOND < since + 2 * cooldown - 15
+    )
     assert hops(bench, server, max(bench.now / SECOND, since + cooldown) + 0.5, 12, 5.0) == 1
 
 
@@ -250,19 +252,19 @@
     companions = Companions()
     companions.mine = True
     bench, server = sick(companions)
-    bench.balancer.put_off(bench.now, server, 20 * SECOND)
+    bench.balancer.postpone_trial(bench.now, server, 20 * SECOND)
     assert hops(bench, server, 2, 18) == 0
-    bench.balancer.put_off(bench.now, server, SECOND)
+    bench.balancer.postpone_trial(bench.now, server, SECOND)
     assert hops(bench, server, 21, 3) == 1, "a shorter word shortens nothing, and the trial comes"
     companions.mine = False
-    bench.balancer.put_off(bench.now, server, 0)
-    assert bench.balancer.state[bench.balancer.index[server]] == 1, "still open"
+    bench.balancer.postpone_trial(bench.now, server, 0)
+    assert bench.balancer.breaker_states[bench.balancer.index_by_id[server]] == 1, "still open"
     assert hops(bench, server, 24.1, 2) == 1, "tried at once, whoever's turn it is"
     other = next(each for each in (1, 2, 3) if each != server)
     for wait in (0, 30 * SECOND):
-        bench.balancer.put_off(bench.now, other, wait)
-        bench.balancer.put_off(bench.now, 99, wait)
-    assert bench.balancer.state[bench.balancer.index[other]] == 0, "nothing opens by words"
+        bench.balancer.postpone_trial(bench.now, other, wait)
+        bench.balancer.postpone_trial(bench.now, 99, wait)
+    assert bench.balancer.breaker_states[bench.balancer.index_by_id[other]] == 0, "nothing opens by words"
 
 
 @pytest.mark.parametrize("seed", (1, 2))
