--- a/pumicepath/wirehost/__main__.py
+++ b/pumicepath/wirehost/__main__.py
@@ -1,13 +1,13 @@
-"""Run the wire on standard input and output until the input ends."""
+"""Serve the simulator on standard input and output until the input ends; exit status 2 if it is malformed."""
 
 import sys
 
-from .frames import Malformed
+from .frames import MalformedFrameError
 from .host import serve
 
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except Malformed as trouble:
-        print(f"wirehost: {trouble}", file=sys.stderr)
+    except MalformedFrameError as error:
+        print(f"wirehost: {error}", file=sys.stderr)
         sys.exit(2)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,7 +8,7 @@
 
 from pumicepath.interface import DedupGroup, Effect, ListKind, Outcome, RequestClass, ServerEntry, ServerState
 from pumicepath.lab.loopback.scripted import Deployment, answer
-from pumicepath.settings import decode
+from pumicepath.settings import decode_settings
 
 from .helpers import (
     ONCE_CLASS,
@@ -137,7 +137,7 @@
             {"name": "three"},
         ],
     }
-    read = decode(info)
+    read = decode_settings(info)
     assert [(request_class.zones, request_class.kinds) for request_class in read.request_classes] == [
         ((1,), (0, 1)),
         ((0, 1), (1,)),
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -14,7 +14,7 @@
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.settings import check
+from pumicepath.settings import check_settings
 from pumicepath.sidecar import config
 
 from .helpers import check_trace
@@ -180,7 +180,7 @@
 )
 def test_invalid_settings_are_named_by_their_key(settings: dict, message: str) -> None:
     with pytest.raises(ValueError, match="^settings") as error:
-        check(settings)
+        check_settings(settings)
     assert str(error.value).startswith(message)
 
 
