--- a/pumicepath/discovery/relayed.py
+++ b/pumicepath/discovery/relayed.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from ..distribution.regions import Regions, understood
+from ..distribution.regions import RegionTracker, parse_regions
 from .roster import BadList, Update
 from .watch import MOST_BACK
 
@@ -13,7 +13,7 @@
     from .watch import Watch
 
 
-def merged(watch: Watch, merging: Regions, data: dict[str, Any]) -> Update:
+def merged(watch: Watch, merging: RegionTracker, data: dict[str, Any]) -> Update:
     """What a relay's answer says, without what is older than what was taken.
 
     Of a whole list the differences from the one held, with all that it does not speak of: when relays die
@@ -21,14 +21,14 @@
     """
     held = watch.roster.lines
     try:
-        told, whole, version = understood(data["regions"]), bool(data["whole"]), int(data["seq"])
-        judged = merging.judge(watch.clock(), told, whole, watch.asked)
+        told, whole, version = parse_regions(data["regions"]), bool(data["whole"]), int(data["seq"])
+        judged = merging.evaluate(watch.clock(), told, whole, watch.asked)
         lines = merging.merge(judged, told, whole, data["hosts"], held)
     except (KeyError, TypeError, ValueError, AttributeError) as trouble:
         raise BadList(f"{type(trouble).__name__}: {trouble}") from trouble
     if not whole and version < watch.version or not whole and watch.version < 0:
         raise BadList(f"changes up to {version} after {watch.version}")
-    if not judged.taken:
+    if not judged.accepted:
         lines = []
     elif whole and held and not lines:
         # Guards all servers against one empty list; a service that has none left is believed in the end.
@@ -37,12 +37,12 @@
             raise BadList("an empty list")
     if lines:
         watch.empty = 0
-    anew = whole and bool(judged.taken) and not held
-    if whole and judged.taken and held:
+    anew = whole and bool(judged.accepted) and not held
+    if whole and judged.accepted and held:
         lines = differences(held, lines)
     update = watch.roster.read({"seq": version, "whole": anew, "hosts": lines})
-    merging.take(told, judged)
-    watch.version = -1 if judged.again else version
+    merging.commit(told, judged)
+    watch.version = -1 if judged.needs_whole else version
     watch.doubted = False
     return update
 
--- a/pumicepath/discovery/watch.py
+++ b/pumicepath/discovery/watch.py
@@ -22,7 +22,7 @@
 from .roster import BadList, Roster, Update
 
 if TYPE_CHECKING:
-    from ..distribution.regions import Regions, Told
+    from ..distribution.regions import RegionTracker, RegionVersions
 
 MOST_LIST = 4 * 1024 * 1024
 LONGEST_WAIT_MS = 20_000
@@ -62,8 +62,8 @@
         self.share = share
         self.clock = clock
         self.services: str | None = None
-        self.merging: Regions | None = None
-        self.merged: Callable[[Watch, Regions, dict[str, Any]], Update]
+        self.merging: RegionTracker | None = None
+        self.merged: Callable[[Watch, RegionTracker, dict[str, Any]], Update]
         self.empty = 0  # whole lists in a row that would leave nothing
         self.doubted = True  # whether the next call is not to wait
         self.back = 0
@@ -83,27 +83,29 @@
             self.merging = None
         elif self.merging is None:
             # Here, not at the first answer: guards that against a module that can't be opened any more.
-            from ..distribution.regions import Regions
+            from ..distribution.regions import RegionTracker
             from .relayed import merged
 
-            self.merging, self.merged = Regions(), merged
+            self.merging, self.merged = RegionTracker(), merged
 
     @property
-    def regions(self) -> Told:
+    def regions(self) -> RegionVersions:
         """What the relay has said last: each region's version, and whether it is in touch with its origin."""
-        return self.merging.told if self.merging is not None else {}
+        return self.merging.relay_versions if self.merging is not None else {}
 
     def standing(self) -> tuple[int, int]:
         """How many regions the relay is in touch with, and how many that are known of it is not."""
         if self.merging is None:
             return 0, 0
-        return sum(live for _, live in self.merging.told.values()), self.merging.out()
+        return sum(
+            live for _, live in self.merging.relay_versions.values()
+        ), self.merging.disconnected_count()
 
     def stale(self) -> dict[str, int]:
         """The regions known of that the relay is not in touch with, and the version held of each."""
         if self.merging is None:
             return {}
-        told, kept = self.merging.told, self.merging.kept
+        told, kept = self.merging.relay_versions, self.merging.versions
         return {
             region: kept.get(region, -1) for region in {**kept, **told} if not told.get(region, (0, False))[1]
         }
@@ -112,7 +114,7 @@
         """All that is known, for `inherit` at the process that comes after this one."""
         known = self.roster.whole(self.version)
         if self.merging is not None:
-            known["regions"] = dict(self.merging.kept)
+            known["regions"] = dict(self.merging.versions)
         return known
 
     def inherit(self, known: Any) -> None:
@@ -122,7 +124,7 @@
         """
         kept = known.get("regions")
         if self.merging is not None and isinstance(kept, dict):
-            self.merging.kept.update((region, seq) for region, seq in kept.items() if type(seq) is int)
+            self.merging.versions.update((region, seq) for region, seq in kept.items() if type(seq) is int)
 
     def restart(self) -> None:
         """A new connection: whatever came on the old one no longer counts."""
@@ -134,7 +136,7 @@
         self.version = -1
         self.back = 0
         if self.merging is not None:
-            self.merging.moved()
+            self.merging.relay_changed()
 
     def request(self) -> bytes:
         target = "/discovery/hosts"
@@ -155,7 +157,7 @@
         Guards what an origin that has begun anew tells, which counts 6 s later, against waits behind which
         it stays open for long whether the relay is only behind.
         """
-        settled = self.merging.in_doubt() if self.merging is not None else None
+        settled = self.merging.restart_check_at() if self.merging is not None else None
         if settled is None:
             return RELAYED_WAIT_MS
         return min(DOUBTED_WAIT_MS, max(AT_ONCE_MS, -(-(settled - self.asked) // 1000)))
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -17,7 +17,7 @@
 
 from ...discovery.roster import Address, BadList, Roster, Update
 from ...discovery.watch import Overtaxed, Watch
-from ...distribution.homes import Homes
+from ...distribution.relay_selector import RelaySelector
 from ...http1.messages import Malformed
 from ...interface import Listing, Phase, Wakeable
 from ...logic import Balancer, Chance
@@ -140,11 +140,11 @@
         self.sock: socket.socket | None = None
         self.step = RESTING
         self.due = 0  # what happens next if nothing comes: see `woke`
-        self.homes: Homes | None = None
+        self.homes: RelaySelector | None = None
         self.before: socket.socket | None = None  # to the relay that is left once another is dialled
         if plan.ask.form == "relayed":
-            self.homes = Homes(self.name, places, Chance(self.chance.bits()).share)
-        self.where = self.homes.at if self.homes else places[0]
+            self.homes = RelaySelector(self.name, places, Chance(self.chance.bits()).share)
+        self.where = self.homes.current if self.homes else places[0]
         self.begun = False
         self.dial = DIAL_S
         self.failures = 0  # in a row
@@ -165,7 +165,7 @@
     def begin(self, now: int) -> None:
         """Dial, from one of many addresses, as no single one has ports for all."""
         if self.homes is not None:
-            self.where = self.homes.at
+            self.where = self.homes.current
             if self.step != CHANGING and self.watch.host != self.where:
                 self.watch.move(self.where)
         host, _, port = self.where.rpartition(":")
@@ -261,7 +261,7 @@
         if not response.keeps():
             self.close()
             self.begin(now)
-        elif self.homes is not None and self.homes.answered(
+        elif self.homes is not None and self.homes.call_answered(
             clock.since_monotonic(now), *self.watch.standing()
         ):
             self.change(now)
@@ -277,14 +277,14 @@
 
     def stay(self, now: int) -> bool:
         """Go on at the relay that answers, where another was tried beside it in vain."""
-        if self.homes is None or self.before is None or self.homes.before is None:
+        if self.homes is None or self.before is None or self.homes.previous is None:
             return False
-        self.homes.failed(clock.since_monotonic(now))
+        self.homes.call_failed(clock.since_monotonic(now))
         if self.sock is not None:
             self.loop.expect_nothing(self)
             self.sock.close()
         self.sock, self.before = self.before, None
-        self.where, self.step = self.homes.at, CALLING
+        self.where, self.step = self.homes.current, CALLING
         self.watch.doubted = True
         self.loop.expect(self, False)
         return True
@@ -322,7 +322,7 @@
         self.failures += 1
         self.failed_calls += 1
         if self.homes is not None:
-            self.alarm(now + self.homes.failed(clock.since_monotonic(now)))
+            self.alarm(now + self.homes.call_failed(clock.since_monotonic(now)))
         elif self.failures == 1 and not isinstance(trouble, Overtaxed):
             self.begin(now)
         else:
--- a/pumicepath/lab/virtual/run.py
+++ b/pumicepath/lab/virtual/run.py
@@ -6,7 +6,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from ...fleet.settings import TIMEOUT_PART, Voting
+from ...fleet.settings import TIMEOUT_FRACTION, Voting
 from ...interface import Settings
 from ...logic import Balancer
 from ..model.links import Links
@@ -49,7 +49,7 @@
                 seed,
                 plan.sidecars.count,
                 every,
-                round(every * TIMEOUT_PART),
+                round(every * TIMEOUT_FRACTION),
                 voting=self.voting(),
                 zones=plan.fleet.halls,
             )
@@ -84,7 +84,7 @@
             (tuple(address(each) for each in range(VOTERS if asked.count >= VOTERS else 1)),),
             lease,
             lease,
-            trials=True,
+            shared_trials=True,
         )
 
     def decisions(self, policy: str) -> Maker:
--- a/pumicepath/relay/figures.py
+++ b/pumicepath/relay/figures.py
@@ -32,14 +32,14 @@
     figures: dict[str, int] = {name: relay.counts[name] for name in names}
     figures |= {
         "version": held.version,
-        "floor": held.floor,
-        "history": len(held.log),
-        "servers": len(held.shown),
+        "floor": held.min_version,
+        "history": len(held.change_log),
+        "servers": len(held.visible),
         "services": len(held.services),
-        "live": held.live(),
+        "live": held.live_regions(),
         "followers": len(relay.followers),
         "most_followers": relay.most,
-        "waiting": relay.subscriptions.waiting(),
+        "waiting": relay.subscriptions.waiting_count(),
         "interests": len(relay.subscriptions.groups),
         "whole_waiting": len(relay.pace.queue),
         "slow": len(relay.slowed),
@@ -50,6 +50,6 @@
         figures |= {
             f"region.{name}.seq": region.seq,
             f"region.{name}.live": int(region.live),
-            f"region.{name}.servers": len(region.lines),
+            f"region.{name}.servers": len(region.entries),
         }
     return "".join(f"{PREFIX}.relay.{name}={value}\n" for name, value in figures.items())
--- a/pumicepath/relay/followers.py
+++ b/pumicepath/relay/followers.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 from urllib.parse import unquote
 
-from ..distribution.interests import PLAIN, Interest, interest_of
+from ..distribution.interests import ALL_PLAIN, Interest, parse_interest
 from ..http1 import writing
 from ..http1.messages import Malformed, Request
 from ..http1.parsing import RequestParser
@@ -57,7 +57,7 @@
         self.state = READING
         self.at = now  # when its state began
         self.unsent: memoryview | None = None
-        self.interest: Interest = PLAIN
+        self.interest: Interest = ALL_PLAIN
         self.keep = True
         self.ahead = 0
 
@@ -169,6 +169,6 @@
                 wait = max(0, min(LONGEST_WAIT_MS, int(value)))
             elif name == "services":
                 services = value
-        return Call(since, wait * 1000, interest_of(services))
+        return Call(since, wait * 1000, parse_interest(services))
     except ValueError as trouble:
         raise Malformed(400, str(trouble)) from trouble
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -16,9 +16,9 @@
 from collections import Counter, deque
 from collections.abc import Callable, Mapping
 
-from ..distribution.held import Held, Line
-from ..distribution.origins import FAILURES, Origin
-from ..distribution.pace import Pace
+from ..distribution.relay_store import RelayStore, EncodedServer
+from ..distribution.origins import FAILURES_TO_DISCONNECT, Origin
+from ..distribution.rate_limiter import ListRateLimiter
 from ..distribution.subscriptions import Subscriptions
 from ..http1 import writing
 from ..http1.messages import Malformed, Request
@@ -49,9 +49,9 @@
         self.config = config
         self.log = log
         self.share = share
-        self.held = Held(version, config.sources, config.history_changes)
+        self.held = RelayStore(version, config.sources, config.history_changes)
         self.subscriptions = Subscriptions(config.batch, share)
-        self.pace = Pace(config.whole_bytes_per_s)
+        self.pace = ListRateLimiter(config.whole_bytes_per_s)
         self.selector = selectors.DefaultSelector()
         self.followers: dict[int, Follower] = {}
         self.operators: dict[int, Follower] = {}
@@ -144,8 +144,8 @@
         if self.again:
             return 0
         return min(
-            self.subscriptions.next_at(),
-            self.pace.next_at(now),
+            self.subscriptions.next_timer(),
+            self.pace.next_timer(now),
             *(upstream.at for upstream in self.upstreams),
         )
 
@@ -225,18 +225,18 @@
             return
         call = call_of(request)
         self.counts["calls"] += 1
-        if not self.held.known():
+        if not self.held.has_data():
             self.refuse(follower, b"no list yet\n", now)
             return
         follower.interest = call.interest
         self.subscriptions.join(follower.number, call.interest)
-        if not self.held.continues(call.since):
+        if not self.held.can_continue(call.since):
             self.want_whole(follower, now)
-        elif call.since < self.held.turn:
+        elif call.since < self.held.region_change_version:
             self.told(follower, call.since, now)
-        elif self.held.concerned(call.interest, call.since):
+        elif self.held.has_changes(call.interest, call.since):
             if call.wait > self.config.batch:
-                self.subscriptions.due_soon(follower.number, call.since, now)
+                self.subscriptions.add_pending(follower.number, call.since, now)
             else:
                 self.told(follower, call.since, now)
         elif call.wait > 1000:
@@ -245,11 +245,11 @@
             self.told(follower, -1, now)
 
     def answer_due(self, now: int) -> None:
-        for number, since in self.subscriptions.due(now, MOST_AT_ONCE):
+        for number, since in self.subscriptions.take_due(now, MOST_AT_ONCE):
             follower = self.followers.get(number)
             if follower is None or follower.state != OUT:
                 continue
-            if since >= 0 and not self.held.continues(since):
+            if since >= 0 and not self.held.can_continue(since):
                 self.want_whole(follower, now)
             else:
                 self.told(follower, since, now)
@@ -258,7 +258,7 @@
         """The changes from a version on, or with -1 that there are none."""
         self.counts["answers"] += 1
         body = (
-            self.held.nothing(follower.interest)
+            self.held.no_change_answer(follower.interest)
             if since < 0
             else self.held.answer(follower.interest, since)[0]
         )
@@ -266,7 +266,7 @@
         follower.tell(200, body, now)
 
     def want_whole(self, follower: Follower, now: int) -> None:
-        if not self.pace.admit(follower.number, self.held.size(follower.interest), now):
+        if not self.pace.admit(follower.number, self.held.whole_size(follower.interest), now):
             self.is_paced()
             self.counts["refused_whole"] += 1
             self.refuse(follower, b"too many whole lists\n", now)
@@ -276,19 +276,19 @@
         follower.tell(503, why, now, TEXT)
 
     def whole_lists(self, now: int) -> None:
-        for number in self.pace.overdue(now):
+        for number in self.pace.take_overdue(now):
             self.is_paced()
             self.counts["refused_whole"] += 1
             self.refuse(self.followers[number], b"too many whole lists\n", now)
         for _ in range(MOST_AT_ONCE):
-            turn = self.pace.turn(now)
+            turn = self.pace.take_next(now)
             if turn is None:
                 break
             follower = self.followers[turn]
             if follower.state != OUT:
                 continue
             body = self.held.answer(follower.interest, -1)[0]
-            self.pace.spent(len(body))
+            self.pace.charge(len(body))
             self.counts["whole"] += 1
             self.counts["answers"] += 1
             self.counts["bytes"] += len(body)
@@ -303,7 +303,7 @@
             self.log.event(
                 "whole_paced",
                 waiting=len(self.pace.queue),
-                bytes=self.pace.queued,
+                bytes=self.pace.queued_bytes,
                 followers=len(self.followers),
             )
 
@@ -314,29 +314,31 @@
         upstream: Upstream,
         seq: int,
         whole: bool,
-        lines: Mapping[str, Line | None],
+        lines: Mapping[str, EncodedServer | None],
         before: int | None,
         now: int,
     ) -> None:
         """An origin has answered, and is believed; `before` is its version where that has begun anew."""
         name = upstream.region
         upstream.refused = False
-        known = len(self.held.regions[name].lines)
+        known = len(self.held.regions[name].entries)
         first = self.held.regions[name].seq < 0
-        change = self.held.take(name, seq, whole, lines)
+        change = self.held.apply(name, seq, whole, lines)
         if before is not None:
             self.log.event("origin_restarted", region=name, before=before, seq=seq, changed=change.servers)
         if whole and HALF * len(lines) < known:
             self.log.event("list_halved", region=name, seq=seq, before=known, servers=len(lines))
         if change.servers:
             self.counts["changes"] += change.servers
-            self.counts["concerned"] += self.subscriptions.changed(change.services, change.version, now)
+            self.counts["concerned"] += self.subscriptions.services_changed(
+                change.services, change.version, now
+            )
         if first or upstream.lost:
             self.log.event(
                 "region_back",
                 region=name,
                 seq=seq,
-                servers=len(self.held.regions[name].lines),
+                servers=len(self.held.regions[name].entries),
                 changed=change.servers,
             )
             upstream.lost = False
@@ -344,10 +346,10 @@
 
     def turned(self, upstream: Upstream, why: str, now: int) -> None:
         origin = upstream.origin
-        turned = self.held.turned(upstream.region, origin.live)
+        turned = self.held.set_live(upstream.region, origin.live)
         if turned:
-            self.subscriptions.turned(now)
-        never = origin.seq < 0 and origin.failures >= FAILURES
+            self.subscriptions.end_waits_soon(now)
+        never = origin.seq < 0 and origin.failures >= FAILURES_TO_DISCONNECT
         if not origin.live and not upstream.lost and (turned or never):
             upstream.lost = True
             since = upstream.since or self.started
@@ -357,7 +359,7 @@
                 why=why,
                 seq=origin.seq,
                 silent_s=round((now - since) / 1e6, 3),
-                servers=len(self.held.regions[upstream.region].lines),
+                servers=len(self.held.regions[upstream.region].entries),
             )
 
     def refused(self, upstream: Upstream, why: str) -> None:
@@ -370,7 +372,7 @@
                 region=upstream.region,
                 why=why,
                 seq=upstream.origin.seq,
-                servers=len(self.held.regions[upstream.region].lines),
+                servers=len(self.held.regions[upstream.region].entries),
             )
 
     # All the rest
@@ -391,7 +393,7 @@
             self.log.event(
                 "followers_room", followers=len(self.followers), refused=self.counts["refused_full"]
             )
-        if self.paced and self.pace.rested(now):
+        if self.paced and self.pace.is_idle(now):
             self.paced = False
             self.log.event(
                 "whole_done",
--- a/pumicepath/relay/upstreams.py
+++ b/pumicepath/relay/upstreams.py
@@ -15,9 +15,9 @@
 import orjson
 
 from ..discovery.roster import Address, BadList, Roster
-from ..distribution.held import Line, encoded
-from ..distribution.interests import NAME
-from ..distribution.origins import Origin, Refused
+from ..distribution.relay_store import EncodedServer, encode_entries
+from ..distribution.interests import NAME_PATTERN
+from ..distribution.origins import Origin, ListRejected
 from ..http1 import writing
 from ..http1.messages import Malformed, Response
 from ..http1.parsing import ResponseParser
@@ -53,7 +53,7 @@
 
     def woke(self, now: int) -> None:
         if now < self.at:
-            if self.origin.aged(now - self.since):
+            if self.origin.check_age(now - self.since):
                 self.relay.turned(self, "late", now)
             return
         if self.sock is None:
@@ -87,10 +87,10 @@
     def ask(self) -> None:
         assert self.sock is not None
         host = f"{self.where.host}:{self.where.port}"
-        request = writing.request("GET", self.origin.target(), [("Host", host)])
+        request = writing.request("GET", self.origin.request_target(), [("Host", host)])
         self.begun = False
         # By the clock: guards an origin against the time that its own long list took us to read.
-        self.at = clock() + self.origin.silent()
+        self.at = clock() + self.origin.silence_limit()
         if self.sock.send(request) < len(request):
             raise OSError("a request that its socket does not take")
 
@@ -126,7 +126,7 @@
                 raise ConnectionResetError("ended")
         except BlockingIOError:
             return
-        except (BadList, Refused) as trouble:
+        except (BadList, ListRejected) as trouble:
             self.relay.refused(self, str(trouble))
             self.failed(now, str(trouble), refused=True)
         except (OSError, Malformed) as trouble:
@@ -148,9 +148,9 @@
             raise ConnectionError(f"answered {response.status}")
         data, lines = yield from decoded(response.body, self.region)
         seq, whole = int(data["seq"]), bool(data["whole"])
-        anew = self.origin.believed(seq, whole, len(lines))
+        anew = self.origin.validate(seq, whole, len(lines))
         before = self.origin.seq
-        self.origin.answered(seq)
+        self.origin.answer_accepted(seq)
         self.since = now
         self.reading = None
         self.relay.taken(self, seq, whole, lines, before if anew else None, clock())
@@ -162,7 +162,7 @@
 
     def failed(self, now: int, why: str, silent: bool = False, refused: bool = False) -> None:
         self.close()
-        self.at = now + self.origin.failed(silent, refused)
+        self.at = now + self.origin.call_failed(silent, refused)
         self.relay.turned(self, why, now)
 
     def close(self) -> None:
@@ -175,7 +175,9 @@
         self.dialling = False
 
 
-def decoded(body: bytes, region: str) -> Generator[None, None, tuple[dict[str, Any], dict[str, Line | None]]]:
+def decoded(
+    body: bytes, region: str
+) -> Generator[None, None, tuple[dict[str, Any], dict[str, EncodedServer | None]]]:
     """An origin's answer and its lines, checked as each sidecar will check them; in parts of `PART` lines.
 
     Guards followers against a line that they would refuse together with all others of the answer.
@@ -192,15 +194,19 @@
     roster.read({**data, "hosts": []})
     if not 0 <= int(data["seq"]) < MOST_SEQ:
         raise BadList(f"seq: {data['seq']!r}")
-    lines: dict[str, Line | None] = {}
+    lines: dict[str, EncodedServer | None] = {}
     for start in range(0, len(told), PART):
         part = told[start : start + PART]
         roster.read({**data, "hosts": part, "whole": False})
         for line in part:
             host, service = line["host"], line.get("service", "")
-            if not isinstance(host, str) or not isinstance(service, str) or not NAME.fullmatch(service):
+            if (
+                not isinstance(host, str)
+                or not isinstance(service, str)
+                or not NAME_PATTERN.fullmatch(service)
+            ):
                 raise BadList(f"{host!r}: {service!r} is no service")
-        lines |= encoded(region, part)
+        lines |= encode_entries(region, part)
         if len(lines) < start + len(part):
             raise BadList("ValueError: a server twice")
         if start + PART < len(told):
--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -100,8 +100,8 @@
 
     found = fleet.decode(told.get("peers"), os.environ)
     name = str(told.get("name", ""))
-    if not 0 < len(name.encode()) <= fleet.LONGEST_NAME:
-        raise ValueError(f"name: {name!r} is no name of 1 to {fleet.LONGEST_NAME} bytes, as peers need one")
+    if not 0 < len(name.encode()) <= fleet.MAX_NAME_BYTES:
+        raise ValueError(f"name: {name!r} is no name of 1 to {fleet.MAX_NAME_BYTES} bytes, as peers need one")
     return found
 
 
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -15,14 +15,14 @@
 from .watching import DIAL_S, opened
 
 if TYPE_CHECKING:
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
     from .watching import Watcher
 
 
 class Following:
     """On the watcher's thread alone."""
 
-    def __init__(self, watcher: Watcher, homes: Homes) -> None:
+    def __init__(self, watcher: Watcher, homes: RelaySelector) -> None:
         self.watcher = watcher
         self.homes = homes
         self.answering = ""  # the relay that answered last
@@ -32,9 +32,9 @@
 
     def where(self) -> Address:
         """The relay to dial, which the watch is told of."""
-        if self.watcher.watch.host != self.homes.at:
-            self.watcher.watch.move(self.homes.at)
-        return address(self.homes.at)
+        if self.watcher.watch.host != self.homes.current:
+            self.watcher.watch.move(self.homes.current)
+        return address(self.homes.current)
 
     def failed(self, trouble: Exception) -> None:
         """A relay has failed: the next, after a wait that grows with each failure in a row.
@@ -47,9 +47,9 @@
         expected = isinstance(trouble, (OSError, Malformed, BadList))
         if watcher.failures == 1 or not expected:
             watcher.dispatcher.events.event(
-                "watch_failed" if expected else "fault", text=self.trouble, relay=homes.at
+                "watch_failed" if expected else "fault", text=self.trouble, relay=homes.current
             )
-        wait = homes.failed(clock.now(), watcher.dialling)
+        wait = homes.call_failed(clock.now(), watcher.dialling)
         if watcher.failures > len(homes.order):
             watcher.asked.set()
         watcher.hurry.wait(wait / 1e6)
@@ -59,13 +59,13 @@
         """Say what an answer changes: the relay followed, regions that it is in touch with or not."""
         watcher, homes = self.watcher, self.homes
         now, events, watch = monotonic(), watcher.dispatcher.events, watcher.watch
-        if homes.at != self.answering:
-            why = homes.why or "start"
+        if homes.current != self.answering:
+            why = homes.change_reason or "start"
             live, out = watch.standing()
             events.event(
                 "relay_changed",
                 **{"from": self.answering},
-                to=homes.at,
+                to=homes.current,
                 why=self.trouble if why == "failed" else why,
                 failures=watcher.failures,
                 live=live,
@@ -74,28 +74,28 @@
             )
             if self.answering:
                 watcher.dispatcher.figures.count("relay_changes")
-            self.answering = homes.at
+            self.answering = homes.current
         self.heard = now
         out_of_touch = watch.stale()
         for region, seq in out_of_touch.items():
             if region not in self.stale:
                 self.stale[region] = now
-                events.event("region_stale", region=region, seq=seq, relay=homes.at)
+                events.event("region_stale", region=region, seq=seq, relay=homes.current)
         for region in [region for region in self.stale if region not in out_of_touch]:
             since = self.stale.pop(region)
-            events.event("region_back", region=region, relay=homes.at, after_s=round(now - since, 3))
+            events.event("region_back", region=region, relay=homes.current, after_s=round(now - since, 3))
 
     def change(self) -> None:
         """Leave one relay that answers for another, once that can be dialled."""
         watcher, homes = self.watcher, self.homes
         try:
-            sock = dialled(address(homes.at))
+            sock = dialled(address(homes.current))
         except OSError:
-            if homes.before is None:
+            if homes.previous is None:
                 watcher.dialling = True
                 raise
             # Guards the watch that works against one that can't be had, or no descriptor for it: it goes on.
-            homes.failed(clock.now())
+            homes.call_failed(clock.now())
             return
         with watcher.gate:
             old, watcher.sock = watcher.sock, sock
@@ -103,7 +103,7 @@
             old.close()
         if watcher.moved:
             raise ConnectionAbortedError("the relays are others")
-        watcher.watch.move(homes.at)
+        watcher.watch.move(homes.current)
         watcher.watch.restart()
 
 
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -17,8 +17,8 @@
 
 from ..discovery.roster import stable
 from ..fleet import messages
-from ..fleet.fellow import Fellow
-from ..fleet.membership import Seen
+from ..fleet.node import FleetNode
+from ..fleet.membership import PeerView
 from ..fleet.messages import STATES, Record
 from ..fleet.settings import PeerSettings, Voting
 from ..fleet.trials import Trials
@@ -29,7 +29,7 @@
 NAMED = 5  # peers named in one line of the log
 LINE_S = 1.0  # between two such lines
 BIND_AGAIN_S = 0.1
-LONGEST_READ = messages.LONGEST + 1
+LONGEST_READ = messages.MAX_DATAGRAM_BYTES + 1
 MOST_WORDS = 4096  # of the balancer that wait for the thread: more than it says in its longest pause
 LONGEST_PAUSE = 0.1  # seconds that a word of the balancer waits
 
@@ -49,11 +49,11 @@
 
     def opened(self, name: str, cooldown: int, often: bool) -> None:
         now = clock.now()
-        self.said.append(lambda trials: trials.opened(now, name, cooldown, often))
+        self.said.append(lambda trials: trials.breaker_opened(now, name, cooldown, often))
 
     def tried(self, name: str, failed: bool) -> None:
         now = clock.now()
-        self.said.append(lambda trials: trials.tried(now, name, failed))
+        self.said.append(lambda trials: trials.trial_finished(now, name, failed))
 
 
 class Peers:
@@ -64,8 +64,8 @@
         self.settings = settings
         self.log = log
         self.gate = threading.Lock()
-        self.seal = messages.sealed(settings.fleet)
-        self.out: list[tuple[str, messages.Any]] = []
+        self.seal = messages.fleet_checksum_seed(settings.fleet)
+        self.out: list[tuple[str, messages.AnyMessage]] = []
         self.counts = Counter[str]()
         self.told: dict[str, list[str]] = {}  # changes not logged yet: names by state
         self.line_at = 0.0
@@ -73,7 +73,7 @@
         self.listens = ""
         self.over = False
         self.sock: socket.socket | None = None
-        self.fellow: Fellow | None = None
+        self.fellow: FleetNode | None = None
         self.voting = settings.voting
         self.companions = Companions()
         self.put_offs: list[tuple[str, int]] = []  # others' words on servers, to be told to the balancer
@@ -88,7 +88,7 @@
     @property
     def where(self) -> str:
         """Where others reach it."""
-        return self.fellow.me.address if self.fellow is not None else ""
+        return self.fellow.own_record.address if self.fellow is not None else ""
 
     def bind(self) -> None:
         host, _, port = self.settings.listen.rpartition(":")
@@ -102,8 +102,8 @@
         # Of chance each time: another life, whatever ran under this name or at this address before.
         born = int.from_bytes(os.urandom(8)) >> 1 | 1
         me = Record(self.name, born, self.settings.advertise or self.listens, self.zone)
-        self.fellow = Fellow(me, self.settings, int.from_bytes(os.urandom(8)), self, clock.now())
-        self.fellow.adopt(clock.now(), self.voting)
+        self.fellow = FleetNode(me, self.settings, int.from_bytes(os.urandom(8)), self, clock.now())
+        self.fellow.apply_voting(clock.now(), self.voting)
         self.sock = sock
 
     # -- the thread
@@ -128,7 +128,7 @@
         second, read = monotonic(), 0
         while not self.over:
             with self.gate:
-                left = (fellow.due() - clock.now()) / 1e6
+                left = (fellow.next_timer() - clock.now()) / 1e6
                 if fellow.trials is not None:
                     left = min(left, LONGEST_PAUSE)
             data = None
@@ -141,10 +141,10 @@
                 read += 1
             with self.gate:
                 self.take_words(fellow)
-                if fellow.due() <= clock.now():
-                    fellow.woke(clock.now(), time_ns() // 1_000_000)
+                if fellow.next_timer() <= clock.now():
+                    fellow.on_timer(clock.now(), time_ns() // 1_000_000)
                 if fellow.trials is not None:
-                    self.companions.turns = fellow.trials.turns(clock.now())
+                    self.companions.turns = fellow.trials.allowed_trials(clock.now())
                 put_offs, self.put_offs = self.put_offs, []
             for server, wait in put_offs:
                 self.on_put_off(stable(server), wait)
@@ -156,25 +156,25 @@
             elif read >= MOST_A_SECOND:
                 # Guards the core against a flood: probes still go out and are heard, all else is dropped.
                 self.counts["floods"] += 1
-                sleep(min(self.settings.timeout / 4e6, second + 1.0 - now))
+                sleep(min(self.settings.probe_timeout / 4e6, second + 1.0 - now))
                 second, read = monotonic(), MOST_A_SECOND * 3 // 4
 
     def came(self, address: str, data: bytes) -> None:
         try:
-            message = messages.unpacked(data, self.seal)
-        except messages.Foreign:
+            message = messages.decode_message(data, self.seal)
+        except messages.VersionMismatch:
             self.counts["foreign"] += 1
             return
-        except messages.Noise:
+        except messages.MalformedMessage:
             self.counts["noise"] += 1
             return
         self.counts["in"] += 1
         self.counts["in_bytes"] += len(data)
         assert self.fellow is not None
         with self.gate:
-            self.fellow.heard(clock.now(), address, message)
+            self.fellow.receive(clock.now(), address, message)
 
-    def take_words(self, fellow: Fellow) -> None:
+    def take_words(self, fellow: FleetNode) -> None:
         """What the balancer has said since, in its order."""
         said = self.companions.said
         while said:
@@ -188,7 +188,7 @@
             out, self.out = self.out, []
         for address, message in out:
             host, _, port = address.rpartition(":")
-            data = messages.packed(message, self.seal)
+            data = messages.encode_message(message, self.seal)
             # What can't be sent is lost, as any datagram may be: full buffers, no way there, no such address.
             with suppress(OSError, ValueError, OverflowError):
                 self.sock.sendto(data, (host, int(port)))
@@ -205,8 +205,8 @@
         with self.gate:
             told, self.told = self.told, {}
             held, self.held = self.held, {}
-            counts = list(self.fellow.membership.roll.counts)
-            sick = self.fellow.membership.sick
+            counts = list(self.fellow.membership.member_table.state_counts)
+            sick = self.fellow.membership.local_health_score
             count = len(self.fellow.duties.held(clock.now())) if self.fellow.duties is not None else 0
         if held:
             some = [f"{duty}: {how}" for duty, how in held.items()]
@@ -232,21 +232,21 @@
 
     # -- the outlet of the membership, called under the gate
 
-    def post(self, address: str, message: messages.Any) -> None:
+    def send_message(self, address: str, message: messages.AnyMessage) -> None:
         self.out.append((address, message))
 
-    def changed(self, record: Record, by: str) -> None:
+    def peer_changed(self, record: Record, by: str) -> None:
         names = self.told.setdefault(STATES[record.state], [])
         names.append(record.name)
 
-    def twice(self, record: Record) -> None:
+    def duplicate_name(self, record: Record) -> None:
         self.log.event("peers_name_twice", name=record.name, other=record.address)
 
-    def holds(self, duty: str, number: int, why: str) -> None:
+    def duty_changed(self, duty: str, number: int, why: str) -> None:
         self.counts["duties_won" if number else "duties_lost"] += 1
         self.held[duty] = f"held, {why}" if number else why
 
-    def put_off(self, server: str, wait: int) -> None:
+    def postpone_trial(self, server: str, wait: int) -> None:
         self.put_offs.append((server, wait))
 
     # -- for others
@@ -267,8 +267,12 @@
         now = clock.now()
         with self.gate:
             membership = fellow.membership
-            held, refused, sick = list(membership.roll.counts), membership.roll.refused, membership.sick
-            bounds = membership.bounds(now)
+            held, refused, sick = (
+                list(membership.member_table.state_counts),
+                membership.member_table.refused,
+                membership.local_health_score,
+            )
+            bounds = membership.fleet_size_bounds(now)
             if fellow.duties is not None:
                 told |= {
                     "duties_held": len(fellow.duties.held(now)),
@@ -281,13 +285,13 @@
             "peers_dead": held[messages.DEAD],
             "peers_refused": refused,
             "peers_slow": sick,
-            "fleet_least": bounds.least,
+            "fleet_least": bounds.minimum,
             "fleet_likely": bounds.likely,
-            "fleet_most": bounds.most,
+            "fleet_most": bounds.maximum,
             **told,
         }
 
-    def members(self) -> list[Seen]:
+    def members(self) -> list[PeerView]:
         if self.fellow is None:
             return []
         with self.gate:
@@ -295,12 +299,12 @@
 
     def view(self) -> dict[str, Any]:
         """What this sidecar sees of the fleet, in seconds; `heard_s` is null where only others told of it."""
-        me = self.fellow.membership.me if self.fellow is not None else None
+        me = self.fellow.membership.own_record if self.fellow is not None else None
         members = self.members()
         return {
             "name": self.name,
             "address": self.where,
-            "born": f"{me.born:x}" if me else "",
+            "born": f"{me.instance_id:x}" if me else "",
             "incarnation": me.incarnation if me else 0,
             "figures": self.figures(),
             **self.duties(members),
@@ -309,30 +313,30 @@
                     "name": one.name,
                     "address": one.address,
                     "zone": one.zone,
-                    "born": f"{one.born:x}",
+                    "born": f"{one.instance_id:x}",
                     "incarnation": one.incarnation,
                     "state": STATES[one.state],
-                    "since_s": round(one.for_ / 1e6, 3),
-                    "heard_s": round(one.heard_ago / 1e6, 3) if one.heard_ago >= 0 else None,
-                    "by": one.by,
+                    "since_s": round(one.state_age / 1e6, 3),
+                    "heard_s": round(one.last_contact_age / 1e6, 3) if one.last_contact_age >= 0 else None,
+                    "by": one.reported_by,
                 }
                 for one in members
             ],
         }
 
-    def duties(self, members: list[Seen]) -> dict[str, Any]:
+    def duties(self, members: list[PeerView]) -> dict[str, Any]:
         """What this sidecar holds, and, if it votes, whom it has granted what; nothing where nobody votes."""
         fellow = self.fellow
         if fellow is None or fellow.duties is None:
             return {}
-        names = {one.born: one.name for one in members} | {fellow.me.born: self.name}
+        names = {one.instance_id: one.name for one in members} | {fellow.own_record.instance_id: self.name}
         now = clock.now()
         with self.gate:
             duties, voter = fellow.duties, fellow.voter
             held = duties.held(now)
-            granted = voter.granted(now) if voter is not None else []
+            granted = voter.active_grants(now) if voter is not None else []
             silent = max(0, voter.silent_until - now) if voter is not None else 0
-            fit = duties.fit
+            fit = duties.eligible
         told: dict[str, Any] = {
             "fit": fit,
             "holds": [
@@ -360,7 +364,7 @@
         with self.gate:
             self.voting = voting
             if self.fellow is not None:
-                self.fellow.adopt(clock.now(), voting)
+                self.fellow.apply_voting(clock.now(), voting)
         self.companions.turns = {}
 
     def take_away(self, duty: str) -> bool:
@@ -369,7 +373,7 @@
             return False
         self.companions.turns = {}
         with self.gate:
-            done = self.fellow.take_away(clock.now(), duty)
+            done = self.fellow.resign_duty(clock.now(), duty)
         self.send()
         return done
 
@@ -378,7 +382,7 @@
         if self.fellow is not None and self.sock is not None:
             self.companions.turns = {}
             with self.gate:
-                self.fellow.end(clock.now())
+                self.fellow.stop(clock.now())
             self.send()
 
     def leave(self) -> None:
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -31,7 +31,7 @@
 from .watching import Watcher
 
 if TYPE_CHECKING:
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
     from ..fleet.settings import PeerSettings
     from .peers import Peers
 
@@ -64,7 +64,7 @@
     homes = following(config)
     watch = Watch(
         roster,
-        homes.at if homes else f"{config.discovery.host}:{config.discovery.port}",
+        homes.current if homes else f"{config.discovery.host}:{config.discovery.port}",
         -1 if homes or "regions" in told else known.version,
         2 * config.settings.ask_every,
         Chance(config.seed).share,
@@ -156,14 +156,14 @@
     return roster.read(config.known), config.known
 
 
-def following(config: Config) -> Homes | None:
+def following(config: Config) -> RelaySelector | None:
     """The relays in this sidecar's order; what decides on them is not even imported where there are none."""
     if not config.relays:
         return None
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
 
     # Not by the seed alone: guards relays against sidecars that share one, and would wait alike.
-    return Homes(config.name, config.relays, Chance(config.seed ^ stable(config.name)).share)
+    return RelaySelector(config.name, config.relays, Chance(config.seed ^ stable(config.name)).share)
 
 
 def named(where: Address | None) -> str:
@@ -230,7 +230,7 @@
 
 def fixed(config: Config, key: str) -> object:
     if key == "peers":
-        return config.peers.lasting() if config.peers is not None else None
+        return config.peers.without_voting() if config.peers is not None else None
     return config.connections if key == "limits" else getattr(config, key)
 
 
@@ -242,7 +242,7 @@
 
 
 def trying(peers: PeerSettings | None) -> bool:
-    return peers is not None and peers.voting is not None and peers.voting.trials
+    return peers is not None and peers.voting is not None and peers.voting.shared_trials
 
 
 def localised(config: Config, roster: Roster) -> Config:
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -16,7 +16,7 @@
 from .dispatch import Dispatcher
 
 if TYPE_CHECKING:
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
     from .following import Following
 
 DIAL_S = 0.5  # of the 2 s that a silent watch leaves; doubled each time that is not enough
@@ -30,12 +30,12 @@
     """With `homes` it follows relays, and never calls `where`, which is discovery."""
 
     def __init__(
-        self, watch: Watch, where: Address, pushed: bool = False, homes: Homes | None = None
+        self, watch: Watch, where: Address, pushed: bool = False, homes: RelaySelector | None = None
     ) -> None:
         self.watch = watch
         self.following: Following | None = None
         self.follows(homes)
-        self.coming: tuple[Homes | None, tuple[str, ...] | None] = homes, None  # what a move brings
+        self.coming: tuple[RelaySelector | None, tuple[str, ...] | None] = homes, None  # what a move brings
         self.hurry = threading.Event()  # no waiting for the next dial of a relay
         self.where = where
         self.pushed = pushed  # what discovery has counts as told, whether or not it has been read
@@ -52,10 +52,10 @@
         self.sock: socket.socket | None = None
 
     @property
-    def homes(self) -> Homes | None:
+    def homes(self) -> RelaySelector | None:
         return self.following.homes if self.following is not None else None
 
-    def follows(self, homes: Homes | None) -> None:
+    def follows(self, homes: RelaySelector | None) -> None:
         """At these relays, or at discovery: then what it takes to follow relays is not even imported."""
         if homes is None:
             self.following = None
@@ -74,7 +74,7 @@
         where: Address,
         wait_us: int,
         pushed: bool,
-        homes: Homes | None = None,
+        homes: RelaySelector | None = None,
         services: tuple[str, ...] | None = None,
     ) -> None:
         """The list is to be had elsewhere from now on, or waits are others; all is asked for at once."""
@@ -151,7 +151,7 @@
             self.failures = 0
             if not response.keeps():
                 self.close()
-            if following is not None and following.homes.answered(clock.now(), *self.watch.standing()):
+            if following is not None and following.homes.call_answered(clock.now(), *self.watch.standing()):
                 following.change()
 
     # -- connections
--- a/tests/following_rig.py
+++ b/tests/following_rig.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from pumicepath.distribution.homes import Homes
+from pumicepath.distribution.relay_selector import RelaySelector
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
 
@@ -122,7 +122,7 @@
         self.servers = [Answering(f"s-{at}", self.script, self.lines) for at in range(servers)]
         self.told["known"] = self.listing(1, True, "active")
         relays = {relay.address: relay for relay in (Relay(1000 * (at + 1)) for at in range(count))}
-        order = Homes("n0", list(relays), lambda: 0.5).order
+        order = RelaySelector("n0", list(relays), lambda: 0.5).order
         self.relays = [relays[at] for at in order]
         self.told["relays"] = list(relays)
         if waits:
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -19,8 +19,8 @@
 
 from pumicepath.discovery.roster import Roster, address
 from pumicepath.discovery.watch import Watch
-from pumicepath.distribution import homes as deciding
-from pumicepath.distribution.homes import Homes
+from pumicepath.distribution import relay_selector as deciding
+from pumicepath.distribution.relay_selector import RelaySelector
 from pumicepath.lab.loopback.scripted import Deployment, answer
 from pumicepath.sidecar import config, running
 from pumicepath.sidecar.watching import Watcher
@@ -233,7 +233,7 @@
         around = Deployment(tmp_path, 0, name=f"n{at}", relays=["127.0.0.1:1"])
         homes = running.following(config.read(str(around.config)))
         assert homes is not None
-        drawn.add(homes.failed(0))
+        drawn.add(homes.call_failed(0))
     assert len(drawn) == 8
 
 
@@ -260,10 +260,10 @@
 
 @contextmanager
 def followed(*relays: Relay) -> Iterator[tuple[Watcher, list[Relay], Heard]]:
-    homes = Homes("n", [relay.address for relay in relays], lambda: 0.5)
+    homes = RelaySelector("n", [relay.address for relay in relays], lambda: 0.5)
     by = {relay.address: relay for relay in relays}
     heard = Heard()
-    watch = Watch(Roster(["a"], lambda born: 1), homes.at, -1, 100_000, services=("*",))
+    watch = Watch(Roster(["a"], lambda born: 1), homes.current, -1, 100_000, services=("*",))
     watcher = Watcher(watch, address("127.0.0.1:1"), homes=homes)
     watcher.dispatcher = heard  # type: ignore[assignment]
     watcher.follow()
@@ -297,7 +297,7 @@
         first.kill()
         until(second.taken)
         # The first is dialled in vain meanwhile: the watch at the second goes on, with no list asked anew.
-        until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
+        until(lambda: watcher.homes and watcher.homes.home_retry_interval > 500_000)
         until(lambda: sum("since" in target for _, target in second.asked) > 5)
         assert sum("since" not in target for _, target in second.asked) == 1 == second.accepted
         first.listener = socket.create_server((host, int(port)))
@@ -332,7 +332,7 @@
         until(second.taken)
         monkeypatch.setattr("pumicepath.sidecar.following.opened", none_left)
         first.turn("serving")
-        until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
+        until(lambda: watcher.homes and watcher.homes.home_retry_interval > 500_000)
         calls = len(second.asked)
         until(lambda: len(second.asked) > calls + 3)
         assert second.accepted == 1
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -8,11 +8,13 @@
 from typing import Any
 
 from pumicepath.discovery.roster import BadList
-from pumicepath.distribution.origins import LIVE
+from pumicepath.distribution.origins import LIVE_TIMEOUT_US
 
 from .test_never_back import SECOND, Clock, line, target, told, watching
 
-LAG = LIVE + SECOND // 4  # of a relay that says it is in touch: its word's age, and a turn of its loop
+LAG = (
+    LIVE_TIMEOUT_US + SECOND // 4
+)  # of a relay that says it is in touch: its word's age, and a turn of its loop
 STATE = frozenset[tuple[str, str, str, int]]
 
 
--- a/tests/test_never_back.py
+++ b/tests/test_never_back.py
@@ -11,7 +11,7 @@
 
 from pumicepath.discovery.roster import BadList, Roster, Update
 from pumicepath.discovery.watch import RELAYED_WAIT_MS, Overtaxed, Watch
-from pumicepath.distribution.regions import MOST_REGIONS
+from pumicepath.distribution.regions import MAX_REGIONS
 from pumicepath.interface import Phase
 
 SECOND = 1_000_000
@@ -349,7 +349,7 @@
         told(11, {"eu": (-1, True)}),
         told(11, {"eu": (True, True)}),
         told(11, {"eu": (5, 1)}),  # type: ignore
-        told(11, {f"r{at}": (1, True) for at in range(MOST_REGIONS + 1)}),
+        told(11, {f"r{at}": (1, True) for at in range(MAX_REGIONS + 1)}),
         told(11, {"eu": (6, True)}, line("s2"), line("s3", dial="nowhere"), whole=True),
         SimpleNamespace(status=200, body=b'{"seq": 11, "whole": true, "hosts": [], "regions": [1]}'),
         SimpleNamespace(status=200, body=b"[]"),
@@ -359,7 +359,7 @@
         with pytest.raises(BadList):
             watch.update(answer)
         assert phases(watch) == {"s1": "active"} and watch.version == 10 and watch.regions == eu
-        assert watch.merging and watch.merging.kept == {"eu": 5}
+        assert watch.merging and watch.merging.versions == {"eu": 5}
     with pytest.raises(Overtaxed):
         watch.update(SimpleNamespace(status=503, body=b""))
     # Changes without a whole list to put them to.
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,8 +19,8 @@
 from click.testing import CliRunner
 
 from pumicepath.command import main
-from pumicepath.distribution.held import encoded
-from pumicepath.distribution.origins import ANSWER, LIVE
+from pumicepath.distribution.relay_store import encode_entries
+from pumicepath.distribution.origins import ANSWER_TIMEOUT_US, LIVE_TIMEOUT_US
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
 from pumicepath.lab.loopback.scripted import next_of
@@ -288,17 +288,17 @@
     log = Quiet()
     relay = loop.Relay(told, log, 0, random.Random(1).random)  # type: ignore[arg-type]
     upstream = relay.upstreams[0]
-    upstream.origin.answered(41)
+    upstream.origin.answer_accepted(41)
     upstream.since = 1_000
-    relay.taken(upstream, 41, True, encoded("eu", [line("a", "cart")]), None, 1_000)
+    relay.taken(upstream, 41, True, encode_entries("eu", [line("a", "cart")]), None, 1_000)
     upstream.failed(2_000_000, "reset")  # dialled anew at once, and asked without a wait
-    upstream.at = 2_000_000 + ANSWER
-    upstream.woke(1_000 + LIVE)
+    upstream.at = 2_000_000 + ANSWER_TIMEOUT_US
+    upstream.woke(1_000 + LIVE_TIMEOUT_US)
     assert relay.held.regions["eu"].live
     before = relay.held.version
-    upstream.woke(1_001 + LIVE)
+    upstream.woke(1_001 + LIVE_TIMEOUT_US)
     assert not relay.held.regions["eu"].live and relay.held.version == before + 1 and upstream.lost
-    upstream.woke(2_000_000 + ANSWER - 1)
+    upstream.woke(2_000_000 + ANSWER_TIMEOUT_US - 1)
     assert relay.held.version == before + 1
     for sock in (relay.listener, relay.selector):
         sock.close()
@@ -333,7 +333,7 @@
     while relay.again:
         # Between two parts the loop goes on with all others, and nothing of the list is in force.
         turns += 1
-        assert len(relay.held.regions["eu"].lines) == 1 and relay.held.regions["eu"].seq == 40
+        assert len(relay.held.regions["eu"].entries) == 1 and relay.held.regions["eu"].seq == 40
         assert relay.next_at(3_000) == 0
         if spoilt == "the end":
             upstream.failed(3_000, "ended")
@@ -342,10 +342,10 @@
         upstream.ready(0, 3_000)
     assert turns == (1 if spoilt == "the end" else 2)
     if spoilt:
-        assert len(relay.held.regions["eu"].lines) == 1 and upstream.sock is None
+        assert len(relay.held.regions["eu"].entries) == 1 and upstream.sock is None
         assert relay.counts["lists_refused"] == (spoilt != "the end")
     else:
-        assert len(relay.held.regions["eu"].lines) == 3 * PART and relay.held.regions["eu"].seq == 41
+        assert len(relay.held.regions["eu"].entries) == 3 * PART and relay.held.regions["eu"].seq == 41
         assert there.recv(4096).startswith(b"GET /discovery/hosts?since=41&")
         upstream.close()
     for sock in (relay.listener, relay.selector, there):
