--- a/pumicepath/distribution/regions.py
+++ b/pumicepath/distribution/regions.py
@@ -107,7 +107,7 @@
             else:
                 # Guards against changes on another list than the one held, an older one or one of another
                 # life: who came after that list and has left since is not among them.
-                judged = judged._replace(again=True)
+                judged = judged._replace(needs_whole=True)
         return judged
 
     def has_restarted(self, now: int, region: str, live: bool, asked: int) -> bool:
--- a/pumicepath/distribution/relay_store.py
+++ b/pumicepath/distribution/relay_store.py
@@ -63,7 +63,7 @@
 class RegionState:
     """`seq` is the origin's, -1 before its first whole list."""
 
-    __slots__ = ("seq", "live", "lines")
+    __slots__ = ("seq", "live", "entries")
 
     def __init__(self) -> None:
         self.seq = -1
@@ -82,7 +82,7 @@
 class ServiceState:
     """The lines of one service, their bytes, and the changes of it that are still known, the oldest first."""
 
-    __slots__ = ("lines", "size", "log")
+    __slots__ = ("entries", "size", "changes")
 
     def __init__(self) -> None:
         self.entries: dict[str, EncodedServer] = {}
--- a/pumicepath/fleet/member_table.py
+++ b/pumicepath/fleet/member_table.py
@@ -26,7 +26,7 @@
         "last_contact",
         "reported_by",
         "suspicion_count",
-        "accusers",
+        "suspectors",
     )
 
     def __init__(self, record: Record, now: int, by: str) -> None:
--- a/pumicepath/fleet/membership.py
+++ b/pumicepath/fleet/membership.py
@@ -15,23 +15,23 @@
 from typing import NamedTuple, Protocol
 
 from . import messages
+from .member_table import Member, MemberTable, record_hash
 from .messages import (
     ALIVE,
     DEAD,
     LEFT,
     SUSPECTED,
     Ack,
-    Updates,
-    Page,
     IndirectAck,
+    Page,
+    PageRequest,
     Ping,
     PingRequest,
     Record,
-    PageRequest,
+    Updates,
 )
-from .updates import UpdateQueue
-from .member_table import Member, MemberTable, record_hash
 from .settings import PeerSettings
+from .updates import UpdateQueue
 
 INDIRECT_PROBES = 3  # asked to try a peer that did not answer (SWIM's k)
 SUSPICION_CONFIRMATIONS = 3  # suspicions of others after which a suspicion is at its shortest (Lifeguard's K)
--- a/pumicepath/fleet/updates.py
+++ b/pumicepath/fleet/updates.py
@@ -10,8 +10,8 @@
 from collections import deque
 from math import ceil, log10
 
-from .messages import Record
 from .member_table import MemberTable
+from .messages import Record
 
 TRANSMIT_FACTOR = 4
 MAX_UPDATE_BYTES = 900  # bytes of a message beside what it is for
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -2,7 +2,7 @@
 
 It does on the loop what `sidecar/watching.py` does on its thread, with the same bounds: how long a dial may
 take, when a call counts as silent, after which failures it asks again at once, and with relays which of them
-it follows (`distribution/homes.py`).  Times are whole
+it follows (`distribution/relay_selector.py`).  Times are whole
 microseconds of the machine's monotonic clock, one for all processes of a run.
 """
 
--- a/pumicepath/lab/virtual/holders.py
+++ b/pumicepath/lab/virtual/holders.py
@@ -13,7 +13,7 @@
 
 from ...fleet import messages
 from ...fleet.duties import Claim, Duties, LeaseSettings
-from ...fleet.leases import ClaimAnswer, Fence, ClaimResult, Voter
+from ...fleet.leases import ClaimAnswer, ClaimResult, Fence, Voter
 from ...fleet.messages import ClaimEntry, Claims, GrantEntry, Grants, Record
 from ..model.links import Links, Noise
 from ..model.timeline import SECOND, Virtual, chance
--- a/pumicepath/lab/virtual/peers.py
+++ b/pumicepath/lab/virtual/peers.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from ...fleet import messages
-from ...fleet.node import FleetNode
 from ...fleet.membership import Membership
 from ...fleet.messages import STATES, Record
+from ...fleet.node import FleetNode
 from ...fleet.settings import PeerSettings, Voting
 from ...logic import Balancer
 from ..model.links import Links
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -16,9 +16,9 @@
 from collections import Counter, deque
 from collections.abc import Callable, Mapping
 
-from ..distribution.relay_store import RelayStore, EncodedServer
 from ..distribution.origins import FAILURES_TO_DISCONNECT, Origin
 from ..distribution.rate_limiter import ListRateLimiter
+from ..distribution.relay_store import EncodedServer, RelayStore
 from ..distribution.subscriptions import Subscriptions
 from ..http1 import writing
 from ..http1.messages import Malformed, Request
--- a/pumicepath/relay/upstreams.py
+++ b/pumicepath/relay/upstreams.py
@@ -15,9 +15,9 @@
 import orjson
 
 from ..discovery.roster import Address, BadList, Roster
-from ..distribution.relay_store import EncodedServer, encode_entries
 from ..distribution.interests import NAME_PATTERN
-from ..distribution.origins import Origin, ListRejected
+from ..distribution.origins import ListRejected, Origin
+from ..distribution.relay_store import EncodedServer, encode_entries
 from ..http1 import writing
 from ..http1.messages import Malformed, Response
 from ..http1.parsing import ResponseParser
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -1,6 +1,6 @@
 """A watch kept at relays: what becomes of a call that fails, and of the relay that is followed.
 
-Made by a `Watcher` where the file names relays, and imported only then.  What is decided, `Homes` decides.
+Made by a `Watcher` where the file names relays, and imported only then.  `RelaySelector` decides.
 """
 
 from __future__ import annotations
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -17,9 +17,9 @@
 
 from ..discovery.roster import stable
 from ..fleet import messages
-from ..fleet.node import FleetNode
 from ..fleet.membership import PeerView
 from ..fleet.messages import STATES, Record
+from ..fleet.node import FleetNode
 from ..fleet.settings import PeerSettings, Voting
 from ..fleet.trials import Trials
 from . import clock
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -1,4 +1,4 @@
-"""The thread that keeps the watch on the list: at discovery, or at the relays that `Homes` names."""
+"""The thread that keeps the watch on the list: at discovery, or at the relays that `RelaySelector` names."""
 
 from __future__ import annotations
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -8,17 +8,17 @@
 import orjson
 import pytest
 
-from pumicepath.distribution.relay_store import ListChange, RelayStore, encode_entries
-from pumicepath.distribution.interests import ALL_SERVICES, ALL_PLAIN, Interest, parse_interest
+from pumicepath.distribution.interests import ALL_PLAIN, ALL_SERVICES, Interest, parse_interest
 from pumicepath.distribution.origins import (
     ANSWER_TIMEOUT_US,
     LIVE_TIMEOUT_US,
     OLDER_LISTS_TO_ACCEPT,
     SLACK_US,
-    Origin,
     ListRejected,
+    Origin,
 )
 from pumicepath.distribution.rate_limiter import MAX_QUEUE_US, ListRateLimiter
+from pumicepath.distribution.relay_store import ListChange, RelayStore, encode_entries
 from pumicepath.distribution.subscriptions import NEVER, SPREAD_US, Subscriptions
 
 from .relay_rig import line
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -10,8 +10,8 @@
 from pumicepath.fleet.duties import Claim, Duties, LeaseSettings, preferred_member
 from pumicepath.fleet.leases import (
     ClaimAnswer,
-    Fence,
     ClaimResult,
+    Fence,
     Voter,
     holder_lease,
     voter_set_id,
@@ -115,21 +115,25 @@
 
     assert asked(now - 1, 1, 5) == "SILENT"
     assert asked(now, 1, 5) == asked(now + 1, 1, 5) == "GRANTED"
-    assert asked(now + 2, 2, 6) == "TAKEN" and asked(now + 2, 1, 4) == "TAKEN"
+    assert asked(now + 2, 2, 6) == "HELD" and asked(now + 2, 1, 4) == "HELD"
     voter.release("d", 2, 5)
-    assert asked(now + 2, 2, 6) == "TAKEN", "only the holder gives it up"
+    assert asked(now + 2, 2, 6) == "HELD", "only the holder gives it up"
     voter.release("d", 1, 5)
-    assert asked(now + 3, 1, 5) == "LOW", "an old claim that comes late takes nothing"
-    assert asked(now + 3, 2, 5) == "LOW" and asked(now + 3, 2, 6) == "GRANTED"
-    assert asked(now + 4 + LEASE, 3, 6) == "LOW" and asked(now + 4 + LEASE, 3, 7) == "GRANTED"
-    assert asked(now, 1, 5, lease=LEASE + 1) == "UNFIT"
+    assert asked(now + 3, 1, 5) == "NUMBER_TOO_LOW", "an old claim that comes late takes nothing"
+    assert asked(now + 3, 2, 5) == "NUMBER_TOO_LOW" and asked(now + 3, 2, 6) == "GRANTED"
+    assert asked(now + 4 + LEASE, 3, 6) == "NUMBER_TOO_LOW" and asked(now + 4 + LEASE, 3, 7) == "GRANTED"
+    assert asked(now, 1, 5, lease=LEASE + 1) == "INELIGIBLE"
     assert (
         voter.answer_claim(now, "d", 1, 9, LEASE, frozenset((voter_set_id("abd"),))).result
         == ClaimResult.INELIGIBLE
     )
-    assert asked(now + 5 + LEASE, 1, 3, "e") == "GRANTED" and asked(now + 6 + LEASE, 1, 3, "f") == "UNFIT"
+    assert (
+        asked(now + 5 + LEASE, 1, 3, "e") == "GRANTED" and asked(now + 6 + LEASE, 1, 3, "f") == "INELIGIBLE"
+    )
     later = now + 10 * LEASE
-    assert asked(later, 1, 3, "f") == "LOW", "the number of a duty that was forgotten holds for all"
+    assert asked(later, 1, 3, "f") == "NUMBER_TOO_LOW", (
+        "the number of a duty that was forgotten holds for all"
+    )
     assert asked(later, 1, 8, "f") == "GRANTED" and len(voter.grants) == 2
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from pumicepath.fleet.messages import ALIVE, LEFT, SUSPECTED, Updates, Ping, Record, encode_message
+from pumicepath.fleet.messages import ALIVE, LEFT, SUSPECTED, Ping, Record, Updates, encode_message
 from pumicepath.lab.loopback.scripted import Deployment
 from pumicepath.lab.loopback.world import LiveWorld
 from pumicepath.lab.model.links import Noise
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -289,7 +289,7 @@
 def test_back_at_the_first_once_it_can_be_dialled_and_no_call_lost_to_one_that_cannot(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(deciding, "HOME_US", 500_000)
+    monkeypatch.setattr(deciding, "HOME_RETRY_US", 500_000)
     relays = [Relay(1000 * at).tell("eu", 5, True, line("s-1")) for at in (1, 2)]
     with followed(*relays) as (watcher, (first, second), heard):
         until(first.taken)
@@ -320,7 +320,7 @@
 def test_without_a_descriptor_for_another_relay_the_watch_that_works_goes_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(deciding, "HOME_US", 500_000)
+    monkeypatch.setattr(deciding, "HOME_RETRY_US", 500_000)
 
     def none_left(where: object) -> socket.socket:
         raise OSError(24, "Too many open files")
@@ -341,7 +341,7 @@
 def test_a_first_that_takes_connections_and_says_nothing_is_left_for_the_one_before(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(deciding, "HOME_US", 500_000)
+    monkeypatch.setattr(deciding, "HOME_RETRY_US", 500_000)
     monkeypatch.setattr("pumicepath.discovery.watch.ANSWER_S", 0.5)
     relays = [Relay(1000 * at).tell("eu", 5, True, line("s-1")) for at in (1, 2, 3)]
     with followed(*relays) as (watcher, (first, second, third), heard):
@@ -358,7 +358,7 @@
 def test_where_a_region_is_out_of_touch_another_relay_is_looked_at_and_kept_if_it_is_better(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(deciding, "LOOK_US", 400_000)
+    monkeypatch.setattr(deciding, "SEARCH_INTERVAL_US", 400_000)
     relays = [
         Relay(1000 * at).tell("eu", 5, True, line("s-1")).tell("us", 5, True, line("u-1")) for at in (1, 2, 3)
     ]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,19 +9,19 @@
 import pytest
 
 from pumicepath.fleet import messages, settings
+from pumicepath.fleet.member_table import MemberTable
 from pumicepath.fleet.membership import RECENT_INTERVALS, Membership
 from pumicepath.fleet.messages import (
     ALIVE,
     DEAD,
     LEFT,
     SUSPECTED,
-    Updates,
     Ping,
     Record,
-    encode_message,
+    Updates,
     decode_message,
+    encode_message,
 )
-from pumicepath.fleet.member_table import MemberTable
 from pumicepath.lab.model.links import Links, Noise
 from pumicepath.lab.model.timeline import SECOND, Virtual
 from pumicepath.lab.virtual.peers import Peering, address
@@ -198,7 +198,7 @@
 
 
 def test_what_liars_and_restarts_do_to_one_sidecar() -> None:
-    one, noted, me = make_membership(most=6)
+    one, noted, me = make_membership(max_peers=6)
     peer = Record("n1", 11, "127.0.0.1:11", "a")
     receive(one, 1.0, peer)
     receive(one, 1.1, Record("n1", 12, "127.0.0.1:11", "a"))  # another process at its address
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,8 +19,8 @@
 from click.testing import CliRunner
 
 from pumicepath.command import main
-from pumicepath.distribution.relay_store import encode_entries
 from pumicepath.distribution.origins import ANSWER_TIMEOUT_US, LIVE_TIMEOUT_US
+from pumicepath.distribution.relay_store import encode_entries
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
 from pumicepath.lab.loopback.scripted import next_of
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -22,13 +22,13 @@
     Grants,
     MalformedMessage,
     Record,
-    TrialReports,
     TrialReport,
+    TrialReports,
     batches,
-    encode_message,
     decode_message,
+    encode_message,
 )
-from pumicepath.fleet.trials import VERSION_MASK, RETENTION_US, MAX_POSTPONED_US, Trials, fanout
+from pumicepath.fleet.trials import MAX_POSTPONED_US, RETENTION_US, VERSION_MASK, Trials, fanout
 from pumicepath.interface import Outcome
 from pumicepath.lab.faults.checks import one_holder
 from pumicepath.lab.loopback.scripted import Deployment
@@ -38,7 +38,7 @@
 from pumicepath.lab.virtual.sidecar import Sidecar
 
 from .helpers import SECOND, Bench, compare, entry, settings
-from .test_fleet import TIMEOUT_S, FORBIDDEN_RULES, RunningFleet, run_fleet
+from .test_fleet import FORBIDDEN_RULES, TIMEOUT_S, RunningFleet, run_fleet
 
 
 class TrialsHarness:
