--- a/pumicepath/fleet/__init__.py
+++ b/pumicepath/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""What sidecars decide together: who is there.  No sockets, files, threads or clocks."""
+"""Coordination between sidecars: membership, duties held under leases, shared trials.
+
+No sockets, files, threads or clocks.
+"""
