--- a/pumicepath/distribution/origins.py
+++ b/pumicepath/distribution/origins.py
@@ -27,7 +27,7 @@
 BACKOFF_JITTER = 0.5
 
 
-class ListRejected(Exception):
+class ListRejectedError(Exception):
     """An answer that can't be meant; what is held of that region stays."""
 
 
@@ -65,15 +65,15 @@
         believe it, and a zone that goes takes as much; sidecars' own guard knows no more either.
         """
         if whole and not servers:
-            raise ListRejected("an empty list")
+            raise ListRejectedError("an empty list")
         if not whole and (self.seq < 0 or self.fetch_whole):
-            raise ListRejected("changes in place of the whole list")
+            raise ListRejectedError("changes in place of the whole list")
         if seq >= self.seq:
             self.older_lists = 0
             return False
         self.older_lists += 1
         if not whole or self.older_lists < OLDER_LISTS_TO_ACCEPT:
-            raise ListRejected(f"version {seq} after {self.seq}")
+            raise ListRejectedError(f"version {seq} after {self.seq}")
         self.older_lists = 0
         return True
 
--- a/pumicepath/fleet/messages.py
+++ b/pumicepath/fleet/messages.py
@@ -153,11 +153,11 @@
 DECODER = msgspec.msgpack.Decoder(AnyMessage)
 
 
-class VersionMismatch(Exception):
+class VersionMismatchError(Exception):
     """Of another version."""
 
 
-class MalformedMessage(Exception):
+class MalformedMessageError(Exception):
     """No message of this fleet: cut short, spoilt, out of bounds, or sealed with another name."""
 
 
@@ -170,16 +170,16 @@
 def decode_message(data: bytes, checksum_seed: int) -> AnyMessage:
     """Raises Foreign or Noise."""
     if len(data) <= HEADER_BYTES or len(data) > MAX_DATAGRAM_BYTES:
-        raise MalformedMessage
+        raise MalformedMessageError
     if data[0] != PROTOCOL_VERSION:
-        raise VersionMismatch
+        raise VersionMismatchError
     body = data[HEADER_BYTES:]
     if crc32(body, checksum_seed).to_bytes(4, "big") != data[1:HEADER_BYTES]:
-        raise MalformedMessage
+        raise MalformedMessageError
     try:
         message: AnyMessage = DECODER.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-        raise MalformedMessage from trouble
+        raise MalformedMessageError from trouble
     return message
 
 
--- a/pumicepath/lab/virtual/holders.py
+++ b/pumicepath/lab/virtual/holders.py
@@ -155,7 +155,7 @@
             return
         try:
             message = messages.decode_message(data, 0)
-        except (messages.MalformedMessage, messages.VersionMismatch):
+        except (messages.MalformedMessageError, messages.VersionMismatchError):
             return
         now, sender = self.clock(), message.sender
         match message:
--- a/pumicepath/lab/virtual/peers.py
+++ b/pumicepath/lab/virtual/peers.py
@@ -83,7 +83,7 @@
         elif self.fellow is not None:
             try:
                 message = messages.decode_message(data, 0)
-            except (messages.VersionMismatch, messages.MalformedMessage):
+            except (messages.VersionMismatchError, messages.MalformedMessageError):
                 self.peering.counts["noise"] += 1
                 return
             self.fellow.receive(self.clock(), source, message)
--- a/pumicepath/relay/upstreams.py
+++ b/pumicepath/relay/upstreams.py
@@ -16,7 +16,7 @@
 
 from ..discovery.roster import Address, BadList, Roster
 from ..distribution.interests import NAME_PATTERN
-from ..distribution.origins import ListRejected, Origin
+from ..distribution.origins import ListRejectedError, Origin
 from ..distribution.relay_store import EncodedServer, encode_entries
 from ..http1 import writing
 from ..http1.messages import Malformed, Response
@@ -126,7 +126,7 @@
                 raise ConnectionResetError("ended")
         except BlockingIOError:
             return
-        except (BadList, ListRejected) as trouble:
+        except (BadList, ListRejectedError) as trouble:
             self.relay.refused(self, str(trouble))
             self.failed(now, str(trouble), refused=True)
         except (OSError, Malformed) as trouble:
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -162,10 +162,10 @@
     def came(self, address: str, data: bytes) -> None:
         try:
             message = messages.decode_message(data, self.seal)
-        except messages.VersionMismatch:
+        except messages.VersionMismatchError:
             self.counts["foreign"] += 1
             return
-        except messages.MalformedMessage:
+        except messages.MalformedMessageError:
             self.counts["noise"] += 1
             return
         self.counts["in"] += 1
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -14,7 +14,7 @@
     LIVE_TIMEOUT_US,
     OLDER_LISTS_TO_ACCEPT,
     SLACK_US,
-    ListRejected,
+    ListRejectedError,
     Origin,
 )
 from pumicepath.distribution.rate_limiter import MAX_QUEUE_US, ListRateLimiter
@@ -477,17 +477,17 @@
     origin.validate(41, True, 9)
     origin.answer_accepted(41)
     for seq, whole, servers in ((42, True, 0), (40, False, 1), (40, True, 9)):
-        with pytest.raises(ListRejected):
+        with pytest.raises(ListRejectedError):
             origin.validate(seq, whole, servers)
     origin.call_failed(refused=True)
     assert origin.request_target() == "/discovery/hosts?services=*"
-    with pytest.raises(ListRejected):
+    with pytest.raises(ListRejectedError):
         origin.validate(42, False, 1)  # changes, where the whole list was asked for
     assert not origin.validate(41, True, 9)  # that it is as it was begins the count anew
     for _ in range(OLDER_LISTS_TO_ACCEPT - 1):
-        with pytest.raises(ListRejected):
+        with pytest.raises(ListRejectedError):
             origin.validate(3, True, 9)
     assert origin.validate(3, True, 9)
     assert not origin.validate(42, True, 1)  # halved and more: passed on
-    with pytest.raises(ListRejected):
+    with pytest.raises(ListRejectedError):
         origin.validate(43, True, 0)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -255,17 +255,17 @@
     data = encode_message(Ping(me, 5, 7, 0, [me]), 0)
     assert decode_message(data, 0) == Ping(me, 5, 7, 0, [me]) and len(data) < 200
     for spoilt in (b"", data[:4], data[:-1], data + b"x", data[:9] + b"\xff" + data[10:], bytes(64_000)):
-        with pytest.raises(messages.MalformedMessage):
+        with pytest.raises(messages.MalformedMessageError):
             decode_message(spoilt, 0)
-    with pytest.raises(messages.MalformedMessage):
+    with pytest.raises(messages.MalformedMessageError):
         decode_message(data, messages.fleet_checksum_seed("another fleet"))
-    with pytest.raises(messages.VersionMismatch):
+    with pytest.raises(messages.VersionMismatchError):
         decode_message(bytes((2,)) + data[1:], 0)
     chance = random.Random(3)
     for _ in range(2000):
         spoilt = bytes(chance.randrange(256) for _ in range(chance.randrange(60)))
         seal = messages.crc32(spoilt, 0).to_bytes(4, "big")
-        with pytest.raises(messages.MalformedMessage):
+        with pytest.raises(messages.MalformedMessageError):
             decode_message(b"\x01" + seal + spoilt, 0)
 
 
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -20,7 +20,7 @@
     Claims,
     GrantEntry,
     Grants,
-    MalformedMessage,
+    MalformedMessageError,
     Record,
     TrialReport,
     TrialReports,
@@ -182,7 +182,7 @@
     for batch in batches(names, str, 24):
         told = [TrialReport(name, high, 60 * SECOND, False) for name in batch]
         assert len(encode_message(TrialReports(sender, high, told), 0)) <= MAX_DATAGRAM_BYTES
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         decode_message(encode_message(Grants(sender, 0, 1, [GrantEntry("d", 1, max(Said) + 1, 0, 1)]), 0), 0)
     assert decode_message(encode_message(Grants(sender, 0, 1, [GrantEntry("d", 1, max(Said), 0, 1)]), 0), 0)
     assert [fanout(count) for count in (1, 10, 100, 1000)] == [2, 4, 7, 9]
