--- a/pumicepath/fleet/messages.py
+++ b/pumicepath/fleet/messages.py
@@ -1,8 +1,9 @@
-"""What sidecars send each other: `packed` gives a datagram, `unpacked` the message in one.
+"""Messages between sidecars: `encode_message` returns a datagram, `decode_message` the message in one.
 
-A datagram is the version (1 byte), a CRC-32 of the rest (4 bytes) that begins with the fleet's name, and the
-message as MessagePack.  msgspec was weighed against orjson: a third of the bytes, the types and bounds are
-checked as it decodes, and it is imported only where there are peers.
+A datagram is the protocol version (1 byte), a CRC-32 (4 bytes) and the message as MessagePack. The checksum
+is seeded with that of the fleet's name, so that messages of another fleet are rejected. msgspec was compared
+with orjson: it needs a third of the bytes, checks types and bounds while it decodes, and is imported only
+where peers are configured. Structs are encoded as arrays: the order of their fields is part of the protocol.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 from .settings import MAX_NAME_BYTES
 
 PROTOCOL_VERSION = 1
-MAX_DATAGRAM_BYTES = 1400  # bytes of a datagram: whole on a way with an MTU of 1,500
+MAX_DATAGRAM_BYTES = 1400  # not fragmented on a path with an MTU of 1,500
 HEADER_BYTES = 5
-MAX_BATCH_BYTES = 1150  # bytes of a datagram behind the sender's own record, with the longest names
+MAX_BATCH_BYTES = 1150  # left in a datagram beside the sender's record with the longest names
 MAX_BATCH_ITEMS = 24
 ALIVE, SUSPECTED, DEAD, LEFT = range(4)
 STATES = ("alive", "suspected", "dead", "left")
@@ -31,7 +32,7 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """What is told of one life of a sidecar; `born` names that life, `by` the one that suspects it."""
+    """State of one instance of a sidecar; `suspected_by` is the id of the instance that suspects it."""
 
     name: Name
     instance_id: Id
@@ -46,14 +47,14 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """Each has who sends it, and what its view comes to, so that two views that differ are found."""
+    """Base of all messages: the sender and the digest of its view, by which differing views are detected."""
 
     sender: Record
     digest: Id
 
 
 class Ping(Message, tag=1, frozen=True):
-    """Answer with `Ack`; `to` is the life that is meant, 0 for whoever is there."""
+    """Probe, answered with `Ack`; `target_id` is the instance that is meant, 0 for any."""
 
     number: Count
     target_id: Id
@@ -61,12 +62,14 @@
 
 
 class Ack(Message, tag=2, frozen=True):
+    """Answer to the ping of that number."""
+
     number: Count
     updates: Records
 
 
 class PingRequest(Message, tag=3, frozen=True):
-    """Ask a third one to ping `to` at `address`, and to pass its answer on."""
+    """Request to ping instance `target_id` at `address` and to forward its answer."""
 
     number: Count
     target_id: Id
@@ -75,30 +78,34 @@
 
 
 class IndirectAck(Message, tag=4, frozen=True):
-    """What a peer answered that was pinged on behalf of another: `of` is who did answer there."""
+    """Answer to a ping on behalf of another sidecar; `responder` is the instance that answered."""
 
     number: Count
     responder: Record
 
 
 class PageRequest(Message, tag=5, frozen=True):
-    """A page of the whole view, of lives above `after`."""
+    """Request for the page of the whole view with instance ids above `after`."""
 
     after: Id
 
 
 class Page(Message, tag=6, frozen=True):
+    """Records with instance ids above `after`, and whether more follow."""
+
     after: Id
     records: Records
     more: bool
 
 
 class Updates(Message, tag=7, frozen=True):
+    """Updates that are not piggybacked on another message."""
+
     updates: Records
 
 
 class ClaimEntry(msgspec.Struct, array_like=True, frozen=True):
-    """One duty that is claimed, renewed or given up, under a number."""
+    """One duty that is claimed, renewed or released under a fencing number."""
 
     duty: Name
     number: Id
@@ -106,7 +113,7 @@
 
 
 class Claims(Message, tag=8, frozen=True):
-    """Ask a voter; `sets` names the sets of voters of which the sender will win majorities."""
+    """Claims to a voter; `voter_set_ids` names the sets of voters whose majorities the sender has to win."""
 
     round: Count
     lease: Count
@@ -115,23 +122,28 @@
 
 
 class GrantEntry(msgspec.Struct, array_like=True, frozen=True):
+    """A voter's answer to one claim; the fields are those of `leases.ClaimAnswer`."""
+
     duty: Name
     number: Id
-    result: Annotated[int, Meta(ge=0, le=5)]  # of `leases.Verdict`
+    result: Annotated[int, Meta(ge=0, le=5)]  # a `leases.ClaimResult`
     wait: Count
     highest_number: Id
 
 
 class Grants(Message, tag=9, frozen=True):
+    """A voter's answers to the claims of one round, or with round 0 a notice that a duty was released."""
+
     round: Count
     grants: Annotated[list[GrantEntry], Meta(max_length=64)]
 
 
 class TrialReport(msgspec.Struct, array_like=True, frozen=True):
-    """What the trial of a server came to, or, if it was not `tried`, that one sidecar has it in hand.
+    """The result of the trial of a server or, if not `finished`, that one sidecar is about to make it.
 
-    Of two words the one with the higher `version` is newer.  `wait` is microseconds: that nobody else need
-    try it for, 0 where it has served, or that nobody else need ask for the duty.
+    The report with the higher `version` is newer. `wait` is in microseconds: after a trial the time for which
+    nobody else needs to try the server, 0 if it succeeded; before it the time for which nobody else needs to
+    claim the duty.
     """
 
     server: Name
@@ -141,7 +153,7 @@
 
 
 class TrialReports(Message, tag=10, frozen=True):
-    """Of the sender's zone, and told on within it."""
+    """Trial reports of the sender's zone, disseminated within that zone."""
 
     reports: Annotated[list[TrialReport], Meta(max_length=64)]
 
@@ -154,21 +166,24 @@
 
 
 class VersionMismatchError(Exception):
-    """Of another version."""
+    """The datagram has another protocol version."""
 
 
 class MalformedMessageError(Exception):
-    """No message of this fleet: cut short, spoilt, out of bounds, or sealed with another name."""
+    """No message of this fleet: truncated, corrupted, out of bounds, or of a fleet with another name."""
 
 
 def encode_message(message: AnyMessage, checksum_seed: int) -> bytes:
-    """`seal` is that of the fleet's name, as `sealed` gives it."""
+    """The datagram for a message; `checksum_seed` is that of `fleet_checksum_seed`."""
     body = ENCODER.encode(message)
     return bytes((PROTOCOL_VERSION,)) + crc32(body, checksum_seed).to_bytes(4, "big") + body
 
 
 def decode_message(data: bytes, checksum_seed: int) -> AnyMessage:
-    """Raises Foreign or Noise."""
+    """The message in a datagram.
+
+    Raises VersionMismatchError or MalformedMessageError.
+    """
     if len(data) <= HEADER_BYTES or len(data) > MAX_DATAGRAM_BYTES:
         raise MalformedMessageError
     if data[0] != PROTOCOL_VERSION:
@@ -178,8 +193,8 @@
         raise MalformedMessageError
     try:
         message: AnyMessage = DECODER.decode(body)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-        raise MalformedMessageError from trouble
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise MalformedMessageError from error
     return message
 
 
@@ -187,23 +202,27 @@
 
 
 def batches(items: Sequence[Item], name: Callable[[Item], str], overhead_bytes: int) -> Iterator[list[Item]]:
-    """As many as go into a message at a time: the bytes of each one's name, and `besides` for the rest."""
+    """Split items into batches that each fit into one message.
+
+    An item takes the bytes of its name and `overhead_bytes` for its other fields.
+    """
     batch: list[Item] = []
-    room = MAX_BATCH_BYTES
-    for each in items:
-        room -= len(name(each).encode()) + overhead_bytes
-        if batch and (room < 0 or len(batch) >= MAX_BATCH_ITEMS):
+    remaining = MAX_BATCH_BYTES
+    for item in items:
+        remaining -= len(name(item).encode()) + overhead_bytes
+        if batch and (remaining < 0 or len(batch) >= MAX_BATCH_ITEMS):
             yield batch
-            batch, room = [], MAX_BATCH_BYTES - len(name(each).encode()) - overhead_bytes
-        batch.append(each)
+            batch, remaining = [], MAX_BATCH_BYTES - len(name(item).encode()) - overhead_bytes
+        batch.append(item)
     if batch:
         yield batch
 
 
 def fleet_checksum_seed(fleet: str) -> int:
+    """The seed of the checksums of a fleet's messages."""
     return crc32(fleet.encode())
 
 
 def encoded_size(record: Record) -> int:
-    """Bytes that it takes in a message."""
+    """Bytes that a record takes in a message."""
     return len(ENCODER.encode(record))
--- a/pumicepath/fleet/updates.py
+++ b/pumicepath/fleet/updates.py
@@ -1,8 +1,8 @@
-"""What has changed and is to be told on, on the back of other messages, the least told first.
+"""Queue of membership updates that are piggybacked on other messages, those sent least often first.
 
-`tell` puts a life's record on the list, `take` fills a message.  Each change goes out a few times the
-logarithm of the fleet's size from each sidecar (Das et al. 2002, section 4.1): four times that to base ten,
-as memberlist has it.  Three times that to base two cost 1,000 sidecars that began together minutes.
+`add` queues the record of an instance, `take` fills a message. Each sidecar sends a change four times log10
+of the fleet size (Das et al. 2002, section 4.1; the factor is memberlist's). With three times the logarithm
+to base two, 1,000 sidecars that started together took minutes to converge.
 """
 
 from __future__ import annotations
@@ -14,61 +14,68 @@
 from .messages import Record
 
 TRANSMIT_FACTOR = 4
-MAX_UPDATE_BYTES = 900  # bytes of a message beside what it is for
+MAX_UPDATE_BYTES = 900  # of updates in one message, beside its other content
 
 
 class UpdateQueue:
-    def __init__(self, roll: MemberTable) -> None:
-        self.member_table = roll
-        self.by_send_count: list[
-            deque[tuple[int, int]]
-        ] = []  # by how often: the life, and which of its changes
+    """Changes that are still to be sent, by how often they were sent."""
+
+    def __init__(self, member_table: MemberTable) -> None:
+        self.member_table = member_table
+        # Index: number of times sent. Entries: instance id, number of the change.
+        self.by_send_count: list[deque[tuple[int, int]]] = []
         self.latest_change: dict[int, int] = {}
         self.change_count = 0
 
     def __len__(self) -> int:
         return len(self.latest_change)
 
-    def add(self, born: int) -> None:
+    def add(self, instance_id: int) -> None:
+        """Queue the present record of an instance; an older change of it is dropped."""
         self.change_count += 1
-        self.latest_change[born] = self.change_count
+        self.latest_change[instance_id] = self.change_count
         if not self.by_send_count:
             self.by_send_count.append(deque())
-        self.by_send_count[0].append((born, self.change_count))
+        self.by_send_count[0].append((instance_id, self.change_count))
 
-    def take(self, own_id: int, first: tuple[int, ...] = ()) -> list[Record]:
-        """Records for one message; those of `first` that are held go before all others."""
+    def take(self, own_id: int, priority: tuple[int, ...] = ()) -> list[Record]:
+        """Records for one message; those of `priority` that are known go first."""
         records: list[Record] = []
-        room, most = MAX_UPDATE_BYTES, TRANSMIT_FACTOR * ceil(log10(len(self.member_table.probe_ring) + 2))
-        for born in first:
-            member = self.member_table.members.get(born)
+        remaining, max_sends = (
+            MAX_UPDATE_BYTES,
+            TRANSMIT_FACTOR * ceil(log10(len(self.member_table.probe_ring) + 2)),
+        )
+        for instance_id in priority:
+            member = self.member_table.members.get(instance_id)
             if member is not None:
                 records.append(member.record)
-                room -= member.size
+                remaining -= member.size
         again: list[tuple[int, int, int]] = []
         for times, waiting in enumerate(self.by_send_count):
-            while waiting and room > 0:
-                born, change = waiting.popleft()
-                if self.latest_change.get(born) != change:
-                    continue  # a later change of it is on the list
-                member = self.member_table.members.get(born)
-                if member is None and born != own_id:
-                    del self.latest_change[born]
+            while waiting and remaining > 0:
+                instance_id, change = waiting.popleft()
+                if self.latest_change.get(instance_id) != change:
+                    continue  # a later change of it is queued
+                member = self.member_table.members.get(instance_id)
+                if member is None and instance_id != own_id:
+                    del self.latest_change[instance_id]
                     continue
-                if member is not None and born not in first:  # one's own record is on each message
-                    room -= member.size
-                    if room < 0:
-                        waiting.appendleft((born, change))
+                if (
+                    member is not None and instance_id not in priority
+                ):  # the own record is in each message anyway
+                    remaining -= member.size
+                    if remaining < 0:
+                        waiting.appendleft((instance_id, change))
                         break
                     records.append(member.record)
-                if times + 1 >= most:
-                    del self.latest_change[born]
+                if times + 1 >= max_sends:
+                    del self.latest_change[instance_id]
                 else:
-                    again.append((times + 1, born, change))
-            if room <= 0:
+                    again.append((times + 1, instance_id, change))
+            if remaining <= 0:
                 break
-        for times, born, change in again:
+        for times, instance_id, change in again:
             while len(self.by_send_count) <= times:
                 self.by_send_count.append(deque())
-            self.by_send_count[times].append((born, change))
+            self.by_send_count[times].append((instance_id, change))
         return records
