--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -272,7 +272,7 @@
 @pytest.mark.parametrize(
     "told, key",
     (
-        ([], "peers is no object"),
+        ([], "peers must be an object"),
         ({}, "peers.listen is missing"),
         ({"listen": "somewhere:1"}, "peers.listen"),
         ({"listen": "127.0.0.1:0", "seeds": ["127.0.0.1"]}, "peers.seeds[0]"),
@@ -283,7 +283,7 @@
         ({"listen": "127.0.0.1:0", "timeoutS": 0.6}, "peers.timeoutS"),
         ({"listen": "127.0.0.1:0", "most": 1.5}, "peers.most"),
         ({"listen": "127.0.0.1:0", "fleet": "x" * 65}, "peers.fleet"),
-        ({"listen": "127.0.0.1:0", "leaseS": 5}, "peers.leaseS: there are no voters"),
+        ({"listen": "127.0.0.1:0", "leaseS": 5}, "peers.leaseS: needs peers.voters"),
         ({"listen": "127.0.0.1:0", "voters": [address(1), address(2)]}, "peers.voters"),
         ({"listen": "127.0.0.1:0", "voters": [address(1)] * 3}, "peers.voters"),
         ({"listen": "127.0.0.1:0", "voters": [address(1)], "votersBefore": ["x"]}, "peers.votersBefore[0]"),
