--- a/pumicepath/fleet/trials.py
+++ b/pumicepath/fleet/trials.py
@@ -1,12 +1,12 @@
-"""Trials of sick servers, made by one sidecar of a zone at a time, and what the others hear of them.
+"""Shared trials of unhealthy servers: one sidecar of a zone at a time tries, the others receive its report.
 
-The host tells of its breakers by `opened` and `tried`; `wanted` gives the duties to claim, `turns` the
-servers that this sidecar may try now, and `heard` takes the words of others, which go on to the breakers by
-the outlet.  Times are whole microseconds.
+The host reports its breakers with `breaker_opened` and `trial_finished`. `wanted_duties` returns the duties
+to claim, `allowed_trials` the servers that this sidecar may try now, and `receive_report` takes reports of
+others, which reach the breakers through the callbacks. Times are whole microseconds.
 
-Verdicts of others put a trial off or bring it forward, no more: no breaker opens or closes by them.  A
-sidecar that hears none tries by itself once it has waited for a Cooldown more, and one that is put off again
-and again does so a minute after its own last verdict, later each time that its own trial fails as well.
+Reports of others only postpone a trial or bring it forward; no breaker opens or closes by them. A sidecar
+that receives none tries by itself after waiting for one more cooldown. One that is postponed again and
+again does so a minute after the last result of its own, and later each time its own trial fails as well.
 """
 
 from __future__ import annotations
@@ -20,24 +20,28 @@
 from .messages import TrialReport
 
 DUTY_PREFIX = "trial"
-MAX_DUTY_NAME_BYTES = 64  # bytes of a duty's name; servers with longer ones are tried by each sidecar
-MAX_WAIT_US = 30_000_000  # that others may ask for at once
-MAX_POSTPONED_US = 60_000_000  # after its own last verdict, that a sidecar lets itself be put off,
-MAX_DOUBLINGS = 4  # twice as long each time that its own trial has failed, as often as this
-RETENTION_US = 120_000_000  # a breaker that nothing is heard of any more, nor any word of it
-MAX_SERVERS = 4096  # servers whose last word is known
-VERSION_MASK = (1 << 63) - 1  # version,
-INSTANCE_MASK = (1 << INSTANCE_BITS) - 1  # of which these tell whose life's word it is
-REPORT_BATCH_US = 100_000  # between two tellings: what comes within goes out together
+MAX_DUTY_NAME_BYTES = 64  # servers whose duties would have longer names are tried by each sidecar
+MAX_WAIT_US = 30_000_000  # that a report may ask for at once
+# A sidecar accepts being postponed for this long after the last result of its own, and for twice as long
+# after each failed trial of its own, up to this many times.
+MAX_POSTPONED_US = 60_000_000
+MAX_DOUBLINGS = 4
+RETENTION_US = 120_000_000  # of an open breaker without any activity, and of the newest report on a server
+MAX_SERVERS = 4096  # with a known report
+VERSION_MASK = (1 << 63) - 1
+INSTANCE_MASK = (1 << INSTANCE_BITS) - 1  # bits of a version that tell whose report it is
+REPORT_BATCH_US = 100_000  # reports within this time go out together
 
 
 class Callbacks(Protocol):
+    """What trials ask of their host."""
+
     def postpone_trial(self, server: str, wait: int) -> None:
-        """Nobody here need try it for so long; 0: it has served another, so try it now."""
+        """Postpone this sidecar's trial of a server by `wait`; 0: a trial elsewhere succeeded, so try now."""
 
 
 class OpenBreaker:
-    """A server whose breaker is open here."""
+    """A server whose breaker is open in this sidecar."""
 
     __slots__ = (
         "cooldown",
@@ -55,75 +59,87 @@
 
     def __init__(self, now: int) -> None:
         self.cooldown = 0
-        self.trial_at = 0  # when the own trial may begin
+        self.trial_at = 0  # when this sidecar's own trial may begin
         self.claim_at = 0
-        self.opened_at = now  # by this sidecar's own eyes
-        self.failed_trials = -1  # trials of its own, one after the other
-        self.may_claim = False  # whether it sends there often enough to find out for others
-        self.announced_number = 0  # the number of the duty that others have been told of
-        self.held_since = 0  # when the duty came
+        self.opened_at = now  # last result of this sidecar's own
+        self.failed_trials = -1  # own trials that failed in a row
+        self.may_claim = False  # whether this sidecar sends there often enough to try on behalf of others
+        self.announced_number = 0  # fencing number under which the trial was announced to others
+        self.held_since = 0  # when the duty was won
         self.last_activity = now
-        self.postponed_by = -1  # which life's word put the trial off last
-        self.own_trial_next = (
-            False  # another was served: this sidecar's own trial is next, whatever is said since
-        )
+        self.postponed_by = -1  # the instance whose report postponed the trial last
+        # A trial elsewhere succeeded: this sidecar's own trial is next, whatever is reported afterwards.
+        self.own_trial_next = False
 
 
 class Trials:
-    def __init__(self, zone: str, duties: Duties, seed: int, outlet: Callbacks) -> None:
+    """This sidecar's open breakers, its duties to try servers, and the reports that it knows."""
+
+    def __init__(self, zone: str, duties: Duties, seed: int, callbacks: Callbacks) -> None:
         self.zone = zone
         self.duties = duties
         self.rng = Random(seed)
-        self.callbacks = outlet
+        self.callbacks = callbacks
         self.open_breakers: dict[str, OpenBreaker] = {}
-        self.latest_reports: dict[str, tuple[int, int]] = {}  # version, and when it was heard
-        self.pending_reports: dict[str, TrialReport] = {}  # to be told on
+        self.latest_reports: dict[str, tuple[int, int]] = {}  # version, and when it was received
+        self.pending_reports: dict[str, TrialReport] = {}  # to be sent to others
         self.send_at = 0
         self.checked_at = 0
-        self.wall_clock = (0, 0)  # the wall clock's milliseconds, and when it was read
+        self.wall_clock = (0, 0)  # the wall clock in milliseconds, and when it was read
 
     def duty_name(self, server: str) -> str:
+        """Name of the duty to try a server for this zone."""
         return f"{DUTY_PREFIX} {self.zone} {server}"
 
     def is_shared(self, server: str) -> bool:
+        """Whether trials of this server are shared: the name of the duty must fit."""
         return len(self.duty_name(server).encode()) <= MAX_DUTY_NAME_BYTES
 
     # -- this sidecar's breakers
 
-    def breaker_opened(self, now: int, server: str, cooldown: int, often: bool) -> None:
-        """By its own eyes, at first or after a trial; `often`: it would send there within a Cooldown."""
-        one = self.open_breakers.get(server)
-        if one is None:
+    def breaker_opened(self, now: int, server: str, cooldown: int, sends_often: bool) -> None:
+        """A breaker opened by this sidecar's own observation, at first or after a failed trial.
+
+        `sends_often`: this sidecar would send there within a cooldown.
+        """
+        breaker = self.open_breakers.get(server)
+        if breaker is None:
             if len(self.open_breakers) >= MAX_SERVERS:
                 return
-            one = self.open_breakers[server] = OpenBreaker(now)
-        one.failed_trials, one.postponed_by, one.own_trial_next = (
-            min(MAX_DOUBLINGS, one.failed_trials + 1),
+            breaker = self.open_breakers[server] = OpenBreaker(now)
+        breaker.failed_trials, breaker.postponed_by, breaker.own_trial_next = (
+            min(MAX_DOUBLINGS, breaker.failed_trials + 1),
             -1,
             False,
         )
-        one.may_claim = often
-        one.cooldown, one.trial_at, one.opened_at, one.last_activity = cooldown, now + cooldown, now, now
-        # Claimed early, so that it is settled who tries when the first Cooldown is over; not by all at once.
-        one.claim_at = now + self.rng.randrange(max(1, cooldown // 2))
-        if one.failed_trials > 0:
+        breaker.may_claim = sends_often
+        breaker.cooldown, breaker.trial_at, breaker.opened_at, breaker.last_activity = (
+            cooldown,
+            now + cooldown,
+            now,
+            now,
+        )
+        # Claimed before the first cooldown ends, so that the holder is known by then; at a random time, so
+        # that not every sidecar claims at once.
+        breaker.claim_at = now + self.rng.randrange(max(1, cooldown // 2))
+        if breaker.failed_trials > 0:
             self.report(now, server, cooldown, True)
             if self.duties.fencing_number(now, self.duty_name(server)):
-                # Guards the others against an observer that is sick itself: somebody else looks next.
+                # The trial may have failed through this sidecar's own fault: let another one make the next.
                 self.duties.resign(now, self.duty_name(server), "its trial has failed")
-                one.claim_at = now + cooldown
+                breaker.claim_at = now + cooldown
 
     def trial_finished(self, now: int, server: str, failed: bool) -> None:
-        """The verdict of an own trial; when it has failed, `opened` follows."""
+        """An own trial has a result; if it failed, `breaker_opened` follows."""
         if server in self.open_breakers and not failed:
             self.report(now, server, 0, True)
             del self.open_breakers[server]
             self.duties.resign(now, self.duty_name(server), "the server serves")
 
-    def report(self, now: int, server: str, wait: int, tried: bool) -> None:
-        """Tell the zone, whoever's turn it was: a verdict is one.
+    def report(self, now: int, server: str, wait: int, finished: bool) -> None:
+        """Report a trial to the zone; a result counts whether or not this sidecar held the duty.
 
-        Its version is above all that are known, and near the wall clock's time, as a duty's number is.
+        Its version is above every known one and near the wall clock, as fencing numbers are.
         """
         if self.is_shared(server):
             wall_ms = self.wall_clock[0] + (now - self.wall_clock[1]) // 1000
@@ -131,83 +147,93 @@
                 max(self.latest_reports.get(server, (0, 0))[0] >> INSTANCE_BITS, wall_ms & WALL_MS_MASK) + 1
             )
             version = above << INSTANCE_BITS | self.duties.own_id & INSTANCE_MASK
-            self.store_report(now, TrialReport(server, version & VERSION_MASK, min(MAX_WAIT_US, wait), tried))
-
-    # -- words of others
-
-    def receive_report(self, now: int, verdict: TrialReport) -> None:
-        server = verdict.server
-        newest = self.latest_reports.get(server)
-        if newest is not None and now - newest[1] < RETENTION_US and verdict.version <= newest[0]:
-            return  # older than what is known, or the same once more
-        self.store_report(now, verdict)
-        one = self.open_breakers.get(server)
-        if one is None:
+            self.store_report(
+                now, TrialReport(server, version & VERSION_MASK, min(MAX_WAIT_US, wait), finished)
+            )
+
+    # -- reports of others
+
+    def receive_report(self, now: int, report: TrialReport) -> None:
+        """Apply a report of another sidecar, if it is new."""
+        server = report.server
+        latest = self.latest_reports.get(server)
+        if latest is not None and now - latest[1] < RETENTION_US and report.version <= latest[0]:
+            return  # older than the known one, or a duplicate
+        self.store_report(now, report)
+        breaker = self.open_breakers.get(server)
+        if breaker is None:
             return
-        wait = min(MAX_WAIT_US, verdict.wait)
-        if not verdict.finished:
-            one.claim_at = max(one.claim_at, now + wait)
+        wait = min(MAX_WAIT_US, report.wait)
+        if not report.finished:
+            breaker.claim_at = max(breaker.claim_at, now + wait)
             return
-        by = verdict.version & INSTANCE_MASK
+        reporter = report.version & INSTANCE_MASK
         if (
-            now - one.opened_at > MAX_POSTPONED_US << max(0, one.failed_trials)
-            or one.own_trial_next
+            now - breaker.opened_at > MAX_POSTPONED_US << max(0, breaker.failed_trials)
+            or breaker.own_trial_next
             or wait
-            and by == one.postponed_by
+            and reporter == breaker.postponed_by
         ):
-            # Guards against words that keep a server out that may serve this sidecar: for long, after another
-            # was served, or from one life twice in a row, which may be sick itself.
+            # The server may work for this sidecar. Ignore reports that keep it out of use for too long,
+            # after a trial elsewhere succeeded, or twice in a row from one instance, which may be unhealthy
+            # itself.
             return
-        one.postponed_by, one.own_trial_next = by, not wait
-        one.last_activity, one.trial_at = now, now + wait
-        # Before the wait is over, so that it is settled then who tries next; not by all at once.
-        one.claim_at = now + wait // 2 + self.rng.randrange(max(1, wait // 4))
+        breaker.postponed_by, breaker.own_trial_next = reporter, not wait
+        breaker.last_activity, breaker.trial_at = now, now + wait
+        # Before the wait ends, so that the next holder is known by then; at a random time, not all at once.
+        breaker.claim_at = now + wait // 2 + self.rng.randrange(max(1, wait // 4))
         self.callbacks.postpone_trial(server, wait)
 
-    def store_report(self, now: int, verdict: TrialReport) -> None:
-        self.latest_reports.pop(verdict.server, None)
+    def store_report(self, now: int, report: TrialReport) -> None:
+        """Remember a report as the newest on its server, and queue it for others."""
+        self.latest_reports.pop(report.server, None)
         if len(self.latest_reports) >= MAX_SERVERS:
             del self.latest_reports[next(iter(self.latest_reports))]
-        self.latest_reports[verdict.server] = (verdict.version, now)
+        self.latest_reports[report.server] = (report.version, now)
         if not self.pending_reports:
             self.send_at = now + REPORT_BATCH_US
-        self.pending_reports[verdict.server] = verdict
+        self.pending_reports[report.server] = report
 
-    # -- time
+    # -- timers
 
     def next_timer(self) -> int | None:
-        times = [one.claim_at for one in self.open_breakers.values() if one.claim_at > self.checked_at]
+        """When the node has to act on trials next; None if nothing is due."""
+        times = [
+            breaker.claim_at for breaker in self.open_breakers.values() if breaker.claim_at > self.checked_at
+        ]
         if self.pending_reports:
             times.append(self.send_at)
         return min(times, default=None)
 
     def check_duties(self, now: int, wall_ms: int) -> None:
-        """What has changed with the duties: those won are told of, those of no use are given up."""
+        """Announce duties that were won, and release those of no further use."""
         self.checked_at = now
         self.wall_clock = (wall_ms, now)
-        for server, one in list(self.open_breakers.items()):
+        for server, breaker in list(self.open_breakers.items()):
             number = self.duties.fencing_number(now, self.duty_name(server))
-            if now - one.last_activity > RETENTION_US:
+            if now - breaker.last_activity > RETENTION_US:
                 del self.open_breakers[server]
                 self.duties.resign(now, self.duty_name(server), "no breaker is open")
-            elif number and number != one.announced_number:
-                one.announced_number, one.held_since = number, now
-                self.report(now, server, max(0, one.trial_at - now) + one.cooldown, False)
-            elif number and now > max(one.trial_at, one.held_since) + one.cooldown:
-                # Guards against a holder that sends nothing there: another, with more to send, finds out.
-                one.claim_at = now + 2 * one.cooldown
+            elif number and number != breaker.announced_number:
+                breaker.announced_number, breaker.held_since = number, now
+                self.report(now, server, max(0, breaker.trial_at - now) + breaker.cooldown, False)
+            elif number and now > max(breaker.trial_at, breaker.held_since) + breaker.cooldown:
+                # The holder has sent nothing there: release the duty to a sidecar with more requests for
+                # the server.
+                breaker.claim_at = now + 2 * breaker.cooldown
                 self.duties.resign(now, self.duty_name(server), "no verdict in time")
 
     def wanted_duties(self, now: int) -> list[str]:
+        """The duties that this sidecar should claim now."""
         return [
             self.duty_name(server)
-            for server, one in self.open_breakers.items()
-            if one.may_claim and now >= one.claim_at and self.is_shared(server)
+            for server, breaker in self.open_breakers.items()
+            if breaker.may_claim and now >= breaker.claim_at and self.is_shared(server)
         ]
 
     def allowed_trials(self, now: int) -> dict[str, int]:
-        """The servers that are this sidecar's to try, and until when."""
-        held = {duty: left for duty, _, left in self.duties.held(now)}
+        """The servers that this sidecar may try, each with the time until which it may."""
+        held = {duty: remaining for duty, _, remaining in self.duties.held(now)}
         return {
             server: now + held.get(self.duty_name(server), RETENTION_US)
             for server in self.open_breakers
@@ -215,21 +241,21 @@
         }
 
     def take_reports(self, now: int) -> Iterator[TrialReport]:
-        """What goes to some others of the zone now: each word once from each sidecar."""
+        """The reports to send now; each sidecar sends each report on once."""
         if self.pending_reports and now >= self.send_at:
             yield from self.pending_reports.values()
             self.pending_reports = {}
 
     def duty_resigned(self, now: int, duty: str) -> None:
-        """Taken away by hand: not claimed here for two Cooldowns."""
-        for server, one in self.open_breakers.items():
+        """An operator took the duty away: don't claim it here for two cooldowns."""
+        for server, breaker in self.open_breakers.items():
             if self.duty_name(server) == duty:
-                one.claim_at = now + 2 * one.cooldown
+                breaker.claim_at = now + 2 * breaker.cooldown
 
 
 def fanout(members: int) -> int:
-    """To how many each tells a word once, so that nearly always all hear it.
+    """Number of members that each one sends a report to once, so that with high probability all receive it.
 
-    ln n + c reaches all with a probability of exp(-exp(-c)) (Kermarrec et al. 2003).
+    A fanout of ln n + c reaches all of n members with a probability of exp(-exp(-c)) (Kermarrec et al. 2003).
     """
     return round(log(max(1, members))) + 2
