--- a/pumicepath/distribution/interests.py
+++ b/pumicepath/distribution/interests.py
@@ -1,7 +1,7 @@
-"""Which services a follower asks for, as the parameter `services` of a call names them.
+"""Which services a follower asks for, from the parameter `services` of its call.
 
-interest = interest_of("cart,stock")        # raises ValueError for what names none
-interest_of(None)                           # a call without the parameter: all, in the form without it
+parse_interest("cart,stock")        # raises ValueError if it names no services
+parse_interest(None)                # a call without the parameter: all services, entries in the plain form
 """
 
 from __future__ import annotations
@@ -18,7 +18,11 @@
 
 
 class Interest(NamedTuple):
-    """`text` is the same for all that ask the same; `names` has "" first: a line with no service is all's."""
+    """A set of services.
+
+    `text` is the same for all followers that ask for the same. `names` begins with "", as entries without a
+    service belong to every set. `plain` leaves region and service out of the entries.
+    """
 
     text: str
     names: tuple[str, ...]
@@ -26,6 +30,7 @@
     plain: bool
 
     def includes(self, service: str) -> bool:
+        """Whether entries of a service are wanted."""
         return self.all_services or service in self.names
 
 
@@ -35,6 +40,7 @@
 
 @lru_cache(1024)
 def parse_interest(text: str | None) -> Interest:
+    """The interest that a parameter names, None if the call has none. Raises ValueError."""
     if text is None:
         return ALL_PLAIN
     if text == ALL:
--- a/pumicepath/distribution/origins.py
+++ b/pumicepath/distribution/origins.py
@@ -1,13 +1,13 @@
-"""The watch on one region's discovery: what to ask next, what is believed, when to ask again after a failure.
+"""A relay's watch on one region's discovery: what to request next, what is accepted, when to retry.
 
-    origin = Origin("eu", share)
-    target = origin.target()            # then an answer within origin.silent() microseconds, or it is silent
-    origin.believed(seq, whole, servers); origin.answered(seq)
-    wait = origin.failed(silent=True)   # microseconds until the next dial
+    origin = Origin("eu", uniform)
+    target = origin.request_target()    # an answer is due within origin.silence_limit() microseconds
+    origin.validate(seq, whole, servers); origin.answer_accepted(seq)
+    wait = origin.call_failed(silent=True)      # microseconds until the next dial
 
-As `discovery/watch.py` for one sidecar.  The first call after any doubt does not wait, so that its answer
-comes at once; the others wait no longer than 2 s, so that a silent origin is known within 2.4 s, and who
-follows a relay that is deaf has gone to another within 6.
+This is for a relay what `discovery/watch.py` is for one sidecar. The first call after a failure asks for an
+answer without waiting for a change; the others wait for 2 s at most, so that a silent origin is noticed
+within 2.4 s, and followers of a relay that receives nothing have moved to another one within 6 s.
 """
 
 from __future__ import annotations
@@ -15,54 +15,55 @@
 from collections.abc import Callable
 
 MAX_WAIT_MS = 2000
-MIN_WAIT_FRACTION = 0.5  # of the wait: guards an origin against all relays' waits ending together
+MIN_WAIT_FRACTION = 0.5  # waits are randomised from here to the whole, so that not all relays call at once
 NO_WAIT_MS = 1
-SLACK_US = 400_000  # past a wait
+SLACK_US = 400_000  # past the wait of a call
 ANSWER_TIMEOUT_US = 3_000_000  # for a call that does not wait
 LIVE_TIMEOUT_US = MAX_WAIT_MS * 1000 + SLACK_US  # after its last answer, until a region is out of touch
-BACKOFF_STEP_US = 100_000  # before the second further dial; doubled up to
+BACKOFF_STEP_US = 100_000  # before the second retry; doubled for each further one up to MAX_BACKOFF_US
 MAX_BACKOFF_US = 1_000_000
-OLDER_LISTS_TO_ACCEPT = 3  # whole lists in a row older than the one in force, until one is believed
-FAILURES_TO_DISCONNECT = 2  # in a row, from which on a region is out of touch; silence alone is enough
+OLDER_LISTS_TO_ACCEPT = 3  # whole lists in a row that are older than the stored one, until one is accepted
+FAILURES_TO_DISCONNECT = 2  # in a row, until a region is out of touch; one silence is enough
 BACKOFF_JITTER = 0.5
 
 
 class ListRejectedError(Exception):
-    """An answer that can't be meant; what is held of that region stays."""
+    """An answer that can't be right; the stored list of that region stays."""
 
 
 class Origin:
-    """`share` draws from 0 to 1, seeded."""
+    """State of the watch on one region; `uniform` draws from 0 to 1, from a seed."""
 
-    def __init__(self, region: str, share: Callable[[], float]) -> None:
+    def __init__(self, region: str, uniform: Callable[[], float]) -> None:
         self.region = region
-        self.uniform = share
+        self.uniform = uniform
         self.seq = -1
-        self.skip_wait = True  # whether the next call is not to wait
-        self.fetch_whole = False  # whether it asks for the whole list
+        self.skip_wait = True  # whether the next call is answered at once
+        self.fetch_whole = False  # whether the next call requests the whole list
         self.older_lists = 0
         self.wait_ms = 0
         self.failures = 0  # in a row
         self.live = False
 
     def request_target(self) -> str:
+        """The target of the next call."""
         self.wait_ms = 0
         if self.seq < 0 or self.fetch_whole:
             return "/discovery/hosts?services=*"
-        part = MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * self.uniform()
-        self.wait_ms = NO_WAIT_MS if self.skip_wait else int(MAX_WAIT_MS * part)
+        fraction = MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * self.uniform()
+        self.wait_ms = NO_WAIT_MS if self.skip_wait else int(MAX_WAIT_MS * fraction)
         return f"/discovery/hosts?since={self.seq}&timeout_ms={self.wait_ms}&services=*"
 
     def silence_limit(self) -> int:
-        """For how long the call that is out may bring nothing."""
+        """Microseconds that the present call may take without any bytes."""
         return self.wait_ms * 1000 + SLACK_US if self.wait_ms > NO_WAIT_MS else ANSWER_TIMEOUT_US
 
     def validate(self, seq: int, whole: bool, servers: int) -> bool:
-        """Raises Refused for what would undo the list in force; whether its versions have begun anew.
+        """Check an answer against the stored list; return whether the origin restarted its versions.
 
-        Guards servers that drain against an older list, which has them ready, and all of them against an
-        empty one.  A list that has halved at once is believed: what left counts as told whether or not we
-        believe it, and a zone that goes takes as much; sidecars' own guard knows no more either.
+        Raises ListRejectedError for an older list, in which draining servers are still ready, and for an
+        empty one. A list that has halved at once is accepted: servers that left count as removed whether or
+        not it is believed, the loss of a zone takes as much, and the sidecars' own check knows no more.
         """
         if whole and not servers:
             raise ListRejectedError("an empty list")
@@ -78,25 +79,28 @@
         return True
 
     def answer_accepted(self, seq: int) -> None:
-        """It has answered within its bound, and is believed."""
+        """The origin answered in time, and the answer is valid."""
         self.seq = seq
         self.skip_wait = self.fetch_whole = False
         self.failures = 0
         self.live = True
 
-    def check_age(self, spent: int) -> bool:
-        """So long after its last answer: whether it is out of touch by that, and was not before.
+    def check_age(self, elapsed: int) -> bool:
+        """Whether the region has just gone out of touch, `elapsed` after its last answer.
 
-        Guards followers, who take a relay in touch that is behind for an origin that has begun anew, against
-        word as old as a dial and a call that does not wait may make it, before these have failed.
+        A dial and a call that does not wait may take longer than this before they fail. Followers would take
+        a relay that claims to be in touch, but has older versions, for evidence that the origin restarted.
         """
-        if not self.live or spent <= LIVE_TIMEOUT_US:
+        if not self.live or elapsed <= LIVE_TIMEOUT_US:
             return False
         self.live = False
         return True
 
     def call_failed(self, silent: bool = False, refused: bool = False) -> int:
-        """Microseconds until it is dialled anew: at once after a first failure, then more and more, drawn."""
+        """Microseconds until the next dial: none after a first failure, then a randomised backoff.
+
+        `silent`: the call got no bytes in time. `refused`: its answer was rejected.
+        """
         self.skip_wait = True
         self.fetch_whole = refused
         self.failures += 1
--- a/pumicepath/distribution/rate_limiter.py
+++ b/pumicepath/distribution/rate_limiter.py
@@ -1,35 +1,39 @@
-"""Whole lists at a pace for all together: a token bucket of bytes, those that want one in turn.
+"""Rate limit for whole lists: one token bucket of bytes for all followers, which queue for their turns.
 
-    pace = Pace(bytes_per_s)
-    pace.admit(number, size, now)       # False: it would wait too long; told so at once
-    pace.turn(now)                      # who is served now, or None; then pace.spent(bytes)
-    pace.overdue(now)                   # those that waited too long after all
+    limiter = ListRateLimiter(bytes_per_s)
+    limiter.admit(number, size, now)    # False: it would wait too long, so reject it at once
+    limiter.take_next(now)              # the follower to serve now, or None; then limiter.charge(bytes)
+    limiter.take_overdue(now)           # those that have waited too long after all
 
-Of a follower that waits nothing is held but its place.  Guards those that follow already against those that
-come: when a relay dies its followers go to the others, and each wants the whole list.
+A queued follower costs only its entry here. When a relay fails, its followers move to the others and each
+wants the whole list; without the limit this would delay changes for those that follow already.
 """
 
 from __future__ import annotations
 
-MAX_QUEUE_US = 2_000_000  # microseconds in the queue: the caller takes 3 s of silence for a failure
-BURST_S = 0.25  # seconds of the rate that may go out at once after a rest
+MAX_QUEUE_US = 2_000_000  # in the queue: a caller takes 3 s of silence for a failure
+BURST_S = 0.25  # seconds of the rate that may go out at once after an idle time
 NEVER = 1 << 62
 
 
 class ListRateLimiter:
+    """The token bucket and the queue of followers that wait for a whole list."""
+
     def __init__(self, bytes_per_s: int) -> None:
         self.rate = bytes_per_s
         self.burst_bytes = bytes_per_s * BURST_S
         self.tokens = self.burst_bytes
         self.refilled_at = 0
-        self.queue: dict[int, tuple[int, int]] = {}  # number: size, and when it came; in turn
+        self.queue: dict[int, tuple[int, int]] = {}  # by follower, in order: size in bytes, time of arrival
         self.queued_bytes = 0
 
     def refill(self, now: int) -> None:
+        """Add the tokens of the time since the last call."""
         self.tokens = min(self.burst_bytes, self.tokens + max(0, now - self.refilled_at) * self.rate / 1e6)
         self.refilled_at = now
 
     def admit(self, number: int, size: int, now: int) -> bool:
+        """Queue a follower for a list of `size` bytes; False if it would wait too long."""
         self.refill(now)
         if (self.queued_bytes - self.tokens) * 1e6 / self.rate > MAX_QUEUE_US:
             return False
@@ -39,11 +43,12 @@
         return True
 
     def leave(self, number: int) -> None:
+        """Remove a follower from the queue, if it is there."""
         size, _ = self.queue.pop(number, (0, 0))
         self.queued_bytes -= size
 
     def take_next(self, now: int) -> int | None:
-        """Whose turn it is, once what went out before is paid for."""
+        """The next follower, once there are tokens for what went out before; None if there is none."""
         if not self.queue:
             return None
         self.refill(now)
@@ -54,25 +59,27 @@
         return number
 
     def charge(self, size: int) -> None:
+        """Take the tokens of a list that goes out; the bucket may become negative."""
         self.tokens -= size
 
     def take_overdue(self, now: int) -> list[int]:
-        """Guards against a queue that got longer in bytes than it was when they came."""
-        found = []
-        for number, (_, came) in self.queue.items():
-            if now - came <= MAX_QUEUE_US:
+        """Remove those that have waited too long, as the lists before them grew after they were admitted."""
+        overdue = []
+        for number, (_, arrived_at) in self.queue.items():
+            if now - arrived_at <= MAX_QUEUE_US:
                 break
-            found.append(number)
-        for number in found:
+            overdue.append(number)
+        for number in overdue:
             self.leave(number)
-        return found
+        return overdue
 
     def is_idle(self, now: int) -> bool:
-        """Whether nobody waits, and what went out is paid for."""
+        """Whether the queue is empty and there are tokens for what went out."""
         self.refill(now)
         return not self.queue and self.tokens >= 0
 
     def next_timer(self, now: int) -> int:
+        """When `take_next` may return a follower."""
         if not self.queue:
             return NEVER
         self.refill(now)
--- a/pumicepath/distribution/regions.py
+++ b/pumicepath/distribution/regions.py
@@ -1,9 +1,9 @@
-"""Which parts of a relay's answer count, so that nothing older ever comes back; pure.
+"""Which regions of a relay's answer a sidecar accepts, so that it never goes back to an older list.
 
 An answer names regions, each with the version of its origin up to which the answer is complete, and whether
-the relay is in touch with that origin.  Of each region the highest version taken is kept here, whichever
-relay told it.  `judge` says which regions' parts of an answer count, `merge` what the list is then, `take`
-keeps it.  Times are whole microseconds of any clock that does not run backwards.
+the relay is in touch with that origin. For each region the highest accepted version is kept, whichever
+relay sent it. `evaluate` decides which regions of an answer are accepted, `merge` returns the resulting
+list, `commit` stores the versions. Times are whole microseconds of any monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,29 +12,28 @@
 from sys import intern
 from typing import Any, NamedTuple
 
-# For which a relay in touch has to name an older version, all the time.  It says that it is in touch by word
-# of its origin that is 2.4 s old at most (`origins.LIVE`) and a turn of its loop; what was asked later than
-# that after a newer version was held is word of an origin that has begun anew.
+# An origin counts as restarted once a relay in touch has named an older version for this long. What a relay
+# says of being in touch is at most 2.4 s old (`origins.LIVE_TIMEOUT_US`) plus one turn of its loop; if the
+# call was sent later than that after a newer version was stored, the older version must be that of a
+# restarted origin.
 RESTART_CONFIRM_US = 3_000_000
-MAX_ANSWER_GAP_US = 4_000_000  # between two answers, past which the relay has not said so all the time
-MIN_ANSWERS = 3  # answers that say so: one may be of a relay that was stopped amid a turn
-MAX_REGIONS = 64  # bounds what odd answers can fill
+MAX_ANSWER_GAP_US = 4_000_000  # between two answers; with a longer gap the relay has not said so all the time
+MIN_ANSWERS = 3  # that say so: a single one may come from a relay that was stopped in a turn of its loop
+MAX_REGIONS = 64  # bounds the memory that wrong answers can take
 
-RegionVersions = dict[
-    str, tuple[int, bool]
-]  # by region: its origin's version, whether the relay is in touch with that
+RegionVersions = dict[str, tuple[int, bool]]  # by region: its origin's version, whether the relay is in touch
 
 
 class Evaluation(NamedTuple):
-    """What is to be made of an answer."""
+    """What is to be done with an answer."""
 
-    accepted: dict[str, None]  # the regions whose part counts
-    restarted: list[str]  # of these or others, those whose origin has begun anew with its versions
-    needs_whole: bool  # whether a whole list is needed for what this answer can't tell
+    accepted: dict[str, None]  # the regions whose entries are accepted
+    restarted: list[str]  # regions, accepted or not, whose origin restarted its versions
+    needs_whole: bool  # whether a whole list has to be requested, as this answer is not sufficient
 
 
 class OlderVersion(NamedTuple):
-    """How long a relay in touch has named an older version."""
+    """Since when, until when and in how many answers a relay in touch has named an older version."""
 
     since: int
     last: int
@@ -42,147 +41,150 @@
 
 
 def parse_regions(data: Any) -> RegionVersions:
-    """Raises ValueError, KeyError, TypeError or AttributeError for what names no regions."""
-    told = {}
-    for name, one in data.items():
-        seq, live = one["seq"], one["live"]
+    """The regions of an answer.
+
+    Raises ValueError, KeyError, TypeError or AttributeError if the data is not that.
+    """
+    versions = {}
+    for name, region in data.items():
+        seq, live = region["seq"], region["live"]
         if type(seq) is not int or seq < 0 or type(live) is not bool:
             raise ValueError(f"region {name!r} has seq {seq!r}, live {live!r}")
-        told[intern(name)] = seq, live
-    if not 0 < len(told) <= MAX_REGIONS:
-        raise ValueError(f"{len(told)} regions, not 1 to {MAX_REGIONS}")
-    return told
+        versions[intern(name)] = seq, live
+    if not 0 < len(versions) <= MAX_REGIONS:
+        raise ValueError(f"{len(versions)} regions, not 1 to {MAX_REGIONS}")
+    return versions
 
 
 class RegionTracker:
-    """What is known of each region's versions, at one sidecar."""
+    """What one sidecar knows of each region's versions."""
 
     def __init__(self) -> None:
-        self.versions: dict[str, int] = {}  # the highest version taken
-        self.relay_versions: RegionVersions = {}  # by the relay followed, in its last answer
-        # Of which what is held is what the relay followed has told: changes can be put to it.
+        self.versions: dict[str, int] = {}  # the highest accepted version
+        self.relay_versions: RegionVersions = {}  # in the last answer of the relay that is followed
+        # Regions whose stored entries came from the relay that is followed: its changes can be applied to
+        # them.
         self.continuous: set[str] = set()
-        self.versions_before_restart: dict[
-            str, int
-        ] = {}  # the highest version kept when the origin began anew
-        self.confirmed: set[str] = set()  # taken from the relay followed while it was in touch
+        self.versions_before_restart: dict[str, int] = {}  # the highest version when the origin restarted
+        self.confirmed: set[str] = set()  # accepted from the relay that is followed while it was in touch
         self.older_versions: dict[str, OlderVersion] = {}
 
     def relay_changed(self) -> None:
-        """Another relay from now on: what the one before said of itself is void, what was taken stays."""
+        """Another relay is followed: forget what the former said of itself, keep what was accepted."""
         self.relay_versions = {}
         self.confirmed.clear()
         self.older_versions.clear()
 
     def disconnected_count(self) -> int:
-        """How many regions the relay followed is not in touch with, or has not heard of."""
+        """How many regions the relay that is followed is out of touch with, or does not name."""
         return sum(not live for _, live in self.relay_versions.values()) + sum(
             region not in self.relay_versions for region in self.versions
         )
 
     def restart_check_at(self) -> int | None:
-        """When the next answer can tell whether an origin has begun anew; None where none is in doubt."""
+        """When the next answer can show that an origin restarted; None if there is no sign of that."""
         if not self.older_versions:
             return None
-        return min(known.since for known in self.older_versions.values()) + RESTART_CONFIRM_US
+        return min(older.since for older in self.older_versions.values()) + RESTART_CONFIRM_US
 
-    def evaluate(self, now: int, told: RegionVersions, whole: bool, asked: int) -> Evaluation:
-        """Which regions' parts count, in an answer that came now to what was asked then."""
-        judged = Evaluation({}, [], False)
-        for region in [region for region in self.older_versions if region not in told]:
+    def evaluate(self, now: int, versions: RegionVersions, whole: bool, asked_at: int) -> Evaluation:
+        """Decide which regions to accept of an answer that arrived now to a call sent at `asked_at`."""
+        evaluation = Evaluation({}, [], False)
+        for region in [region for region in self.older_versions if region not in versions]:
             del self.older_versions[region]
-        for region, (seq, live) in told.items():
+        for region, (seq, live) in versions.items():
             kept = self.versions.get(region, -1)
             if seq >= kept:
                 self.older_versions.pop(region, None)
-            elif self.has_restarted(now, region, live, asked):
-                judged.restarted.append(region)
+            elif self.has_restarted(now, region, live, asked_at):
+                evaluation.restarted.append(region)
             else:
                 continue
-            fresh = kept < self.versions_before_restart.get(region, -1) and region not in self.confirmed
-            if fresh and not live and seq >= kept:
-                continue  # guards the origin's new versions against a relay that knows the old ones only
+            is_new = kept < self.versions_before_restart.get(region, -1) and region not in self.confirmed
+            if is_new and not live and seq >= kept:
+                continue  # a relay out of touch may have only the versions from before the restart
             if whole or kept < 0 or region in self.continuous and seq >= kept:
-                judged.accepted[region] = None
+                evaluation.accepted[region] = None
             else:
-                # Guards against changes on another list than the one held, an older one or one of another
-                # life: who came after that list and has left since is not among them.
-                judged = judged._replace(needs_whole=True)
-        return judged
+                # These are changes to another list than the stored one, older or of another process: a server
+                # that joined after that list and has left since would not be among them.
+                evaluation = evaluation._replace(needs_whole=True)
+        return evaluation
 
-    def has_restarted(self, now: int, region: str, live: bool, asked: int) -> bool:
-        """Whether an older version has been named for so long that the origin must have begun anew.
+    def has_restarted(self, now: int, region: str, live: bool, asked_at: int) -> bool:
+        """Whether an older version has been named for so long that the origin must have restarted.
 
-        Guards against a relay that lags, or that was stopped and still believes itself in touch.
+        A shorter time may come from a relay that is behind, or was stopped and still says that it is in
+        touch.
         """
         if not live:
             self.older_versions.pop(region, None)
             return False
-        known = self.older_versions.get(region)
-        if known is None or now - known.last > MAX_ANSWER_GAP_US:
-            known = OlderVersion(now, now, 0)
-        self.older_versions[region] = known = OlderVersion(known.since, now, known.answers + 1)
-        return asked - known.since >= RESTART_CONFIRM_US and known.answers >= MIN_ANSWERS
-
-    def commit(self, told: RegionVersions, judged: Evaluation) -> None:
-        """Keep what was judged, once the list has been read."""
-        for region in judged.restarted:
+        older = self.older_versions.get(region)
+        if older is None or now - older.last > MAX_ANSWER_GAP_US:
+            older = OlderVersion(now, now, 0)
+        self.older_versions[region] = older = OlderVersion(older.since, now, older.answers + 1)
+        return asked_at - older.since >= RESTART_CONFIRM_US and older.answers >= MIN_ANSWERS
+
+    def commit(self, versions: RegionVersions, evaluation: Evaluation) -> None:
+        """Store the accepted versions, once the list has been read."""
+        for region in evaluation.restarted:
             self.older_versions.pop(region, None)
             self.versions_before_restart[region] = max(
                 self.versions[region], self.versions_before_restart.get(region, -1)
             )
-            self.versions[region] = told[region][0]
-        for region in judged.accepted:
-            seq, live = told[region]
+            self.versions[region] = versions[region][0]
+        for region in evaluation.accepted:
+            seq, live = versions[region]
             self.versions[region] = seq
             if live:
                 self.confirmed.add(region)
         self.continuous.clear()
-        self.continuous.update(judged.accepted)
-        self.relay_versions = told
+        self.continuous.update(evaluation.accepted)
+        self.relay_versions = versions
 
     def merge(
         self,
-        judged: Evaluation,
-        told: RegionVersions,
+        evaluation: Evaluation,
+        versions: RegionVersions,
         whole: bool,
-        lines: Iterable[dict[str, Any]],
+        entries: Iterable[dict[str, Any]],
         held: Mapping[str, dict[str, Any]],
     ) -> list[dict[str, Any]]:
-        """The lines that count: all that there are where `whole`, else those that have changed.
+        """The resulting entries: the full list if `whole`, else those that have changed.
 
-        Raises ValueError for lines that can't be meant, KeyError for those that lack something.
+        Raises ValueError for entries that contradict the answer, KeyError for those that lack a key.
         """
-        fresh: dict[str, dict[str, Any]] = {}
-        for line in lines:
-            name, region = line["host"], line["region"]
-            if region not in told:
+        accepted: dict[str, dict[str, Any]] = {}
+        for entry in entries:
+            name, region = entry["host"], entry["region"]
+            if region not in versions:
                 raise ValueError(f"{name} is of {region!r}, a region that is not named")
-            if region not in judged.accepted:
+            if region not in evaluation.accepted:
                 continue
-            other = fresh.get(name)
+            other = accepted.get(name)
             if other is not None:
-                # A server that has gone over to another region, for a while, is in both.
+                # A server that moves to another region is in both for a while.
                 if other["region"] == region:
                     raise ValueError(f"{name} twice")
-                if entry_rank(line) <= entry_rank(other):
+                if entry_rank(entry) <= entry_rank(other):
                     continue
-            elif line["health"] == "left" and held.get(name, line).get("region", region) != region:
+            elif entry["health"] == "left" and held.get(name, entry).get("region", region) != region:
                 continue
-            line["region"] = intern(region)
-            line.pop("service", None)  # not needed any more: guards the memory with many servers
-            fresh[name] = line
+            entry["region"] = intern(region)
+            entry.pop("service", None)  # not used any more: with many servers it would take memory
+            accepted[name] = entry
         if not whole:
-            return list(fresh.values())
-        # What a whole list does not speak of stays.  Lines of no region are of the list of the start.
-        stays = {
-            name: line
-            for name, line in held.items()
-            if line.get("region") and line["region"] not in judged.accepted
+            return list(accepted.values())
+        # Regions that the whole list does not cover stay. Entries without a region are those of the start.
+        unchanged = {
+            name: entry
+            for name, entry in held.items()
+            if entry.get("region") and entry["region"] not in evaluation.accepted
         }
-        return list({**stays, **fresh}.values())
+        return list({**unchanged, **accepted}.values())
 
 
-def entry_rank(line: dict[str, Any]) -> tuple[bool, int]:
-    """Of two lines for one server the one that counts has more: it serves, or has started later."""
-    return line["health"] != "left", int(line.get("born_ms", 0))
+def entry_rank(entry: dict[str, Any]) -> tuple[bool, int]:
+    """Of two entries for one server the higher one is used: the one that has not left, or started later."""
+    return entry["health"] != "left", int(entry.get("born_ms", 0))
