--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several real sidecars and faults between them: what each sees of the fleet comes right again."""
+"""Membership of real sidecar processes: after each fault every view of the fleet becomes correct again."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from pumicepath.lab.model.views import wrong
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
-TIMEOUT_S = 90.0  # for what must happen; on an idle machine a few seconds
+TIMEOUT_S = 90.0  # until an expected state is reached; on an idle machine this takes a few seconds
 PROBE_INTERVAL_S = 0.2
 PLAN = Plan(
     lasts_s=3600,
@@ -31,109 +31,119 @@
     load=Load(rate=20),
     sidecars=Sidecars(count=6, peers=True, peers_every_s=PROBE_INTERVAL_S),
 )
-# What may never happen, whatever peers do; how soon answers come is the machine's affair, too.
+# Rules that no peer may cause to be broken. Rules on response times are left out: they depend on the machine.
 FORBIDDEN_RULES = ("ran_twice", "deferred_may_run", "late_sends", "pushed_over", "answered_twice")
 
 
 class RunningFleet:
-    """The world with its sidecars up; `until` waits for what must come."""
+    """The running world and its sidecars, with waits for expected states."""
 
     def __init__(self, world: LiveWorld) -> None:
         self.world = world
         self.sidecars = world.sidecars
 
-    async def wait_until(self, holds: Callable[[dict[str, list[tuple[str, str]]]], bool], what: str) -> None:
-        give_up = time.monotonic() + TIMEOUT_S
+    async def wait_until(
+        self, condition: Callable[[dict[str, list[tuple[str, str]]]], bool], what: str
+    ) -> None:
+        """Wait until a condition on the views holds: by sidecar, the names and states of its peers."""
+        deadline = time.monotonic() + TIMEOUT_S
         while True:
-            asked = [each for each in self.sidecars if each.up and not each.stopped]
-            told = await asyncio.gather(*(each.asked("/peers", 5.0) for each in asked))
+            running = [sidecar for sidecar in self.sidecars if sidecar.up and not sidecar.stopped]
+            responses = await asyncio.gather(*(sidecar.asked("/peers", 5.0) for sidecar in running))
             views = {
-                each.name: [(one["name"], one["state"]) for one in view["peers"]]
-                for each, view in zip(asked, told)
+                sidecar.name: [(peer["name"], peer["state"]) for peer in view["peers"]]
+                for sidecar, view in zip(running, responses)
                 if view is not None
             }
-            if holds(views):
+            if condition(views):
                 return
-            assert time.monotonic() < give_up, (what, views)
+            assert time.monotonic() < deadline, (what, views)
             await asyncio.sleep(0.05)
 
     async def wait_until_correct(self, what: str) -> None:
+        """Wait until every sidecar is up and sees all others as alive."""
         await self.wait_until_started()
-        running = [each.name for each in self.sidecars]
+        running = [sidecar.name for sidecar in self.sidecars]
         await self.wait_until(lambda views: not wrong(views, running), what)
 
-    async def wait_until_gone(self, whom: set[int], seers: set[int]) -> None:
-        """Until none of the seers holds one of these for alive."""
-        names = {f"sidecar-{number}" for number in whom}
+    async def wait_until_gone(self, targets: set[int], observers: set[int]) -> None:
+        """Wait until no observer sees any of the targets as alive."""
+        names = {f"sidecar-{number}" for number in targets}
 
-        def holds(views: dict[str, list[tuple[str, str]]]) -> bool:
-            seen = [views.get(f"sidecar-{seer}", [(name, "alive") for name in names]) for seer in seers]
+        def all_gone(views: dict[str, list[tuple[str, str]]]) -> bool:
+            seen = [
+                views.get(f"sidecar-{observer}", [(name, "alive") for name in names])
+                for observer in observers
+            ]
             return not any(name in names and state == "alive" for view in seen for name, state in view)
 
-        await self.wait_until(holds, f"{seers} without {whom}")
+        await self.wait_until(all_gone, f"{observers} without {targets}")
 
     async def wait_until_started(self) -> None:
-        for each in self.sidecars:
-            await self.wait_until(lambda _, each=each: each.up, f"{each.name} up")  # type: ignore[misc]
+        """Wait until every sidecar is up."""
+        for sidecar in self.sidecars:
+            await self.wait_until(lambda _, sidecar=sidecar: sidecar.up, f"{sidecar.name} up")  # type: ignore[misc]
 
 
 def run_fleet(
     folder: Path, work: Callable[[RunningFleet], Coroutine[Any, Any, None]], plan: Plan = PLAN
 ) -> LiveWorld:
-    async def play() -> LiveWorld:
+    """Start the sidecars and clients of a plan, run `work`, and return the stopped world."""
+
+    async def run() -> LiveWorld:
         world = LiveWorld(plan, 1, folder)
-        stage = RunningFleet(world)
+        fleet = RunningFleet(world)
         try:
             assert world.links is not None
             await world.relays.open(len(world.sidecars))
             for sidecar in world.sidecars:
                 sidecar.start()
-            await stage.wait_until_started()
+            await fleet.wait_until_started()
             for sidecar in world.sidecars:
                 world.clients(sidecar, sidecar).begin()
-            await work(stage)
+            await work(fleet)
         finally:
             await world.end()
         return world
 
-    return asyncio.run(play())
+    return asyncio.run(run())
 
 
-def test_views_come_right_after_kills_stops_cuts_and_loss(tmp_path: Path) -> None:
+def test_views_become_correct_after_kills_stops_partitions_and_loss(tmp_path: Path) -> None:
     every = set(range(6))
 
-    async def work(stage: RunningFleet) -> None:
-        links, sidecars = stage.world.links, stage.sidecars
+    async def work(fleet: RunningFleet) -> None:
+        links, sidecars = fleet.world.links, fleet.sidecars
         assert links is not None
-        await stage.wait_until_correct("all have begun")
+        await fleet.wait_until_correct("all have started")
         sidecars[3].kill()
-        await stage.wait_until_gone({3}, every - {3})
+        await fleet.wait_until_gone({3}, every - {3})
         sidecars[3].start()
-        await stage.wait_until_correct("one is back, in a new life")
+        await fleet.wait_until_correct("one is back, as a new instance")
         sidecars[4].stop()
         await asyncio.sleep(3)
         sidecars[4].go_on()
-        await stage.wait_until_correct("one was stopped for 3 s")
+        await fleet.wait_until_correct("one was stopped for 3 s")
         heal = links.cut({0, 1, 2}, {3, 4, 5})
-        await stage.wait_until_gone({3, 4, 5}, {0, 1, 2})
-        await stage.wait_until_gone({0, 1, 2}, {3, 4, 5})
+        await fleet.wait_until_gone({3, 4, 5}, {0, 1, 2})
+        await fleet.wait_until_gone({0, 1, 2}, {3, 4, 5})
         heal()
-        await stage.wait_until_correct("two halves are one")
+        await fleet.wait_until_correct("the partition has healed")
         heal = links.cut({1}, every - {1}, both=False)
-        await stage.wait_until_gone({1}, every - {1})
+        await fleet.wait_until_gone({1}, every - {1})
         heal()
-        await stage.wait_until_correct("nobody heard one")
+        await fleet.wait_until_correct("nobody received from one")
         heal = links.disturb(every, Noise(0.2, 0.1, 0.05, 0, 40_000, 50_000))
         await asyncio.sleep(3)
         heal()
-        await stage.wait_until_correct("bad links")
+        await fleet.wait_until_correct("lossy links")
         for number in (0, 1, 3, 5):
             sidecars[number].kill()
         for number in (0, 1, 3, 5):
             sidecars[number].start()
-        await stage.wait_until_correct("four of six restarted at once")
+        await fleet.wait_until_correct("four of six restarted at once")
         sidecars[2].end()
-        await stage.wait_until_gone({2}, every - {2})
+        await fleet.wait_until_gone({2}, every - {2})
 
     world = run_fleet(tmp_path, work)
     assert [world.judge.broken[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
@@ -141,48 +151,52 @@
     )
 
 
-def test_a_liar_changes_views_and_no_rule(tmp_path: Path) -> None:
-    """It says that all are dead and gone under its own and others' names, and floods them with noise."""
+def test_false_records_and_malformed_datagrams_break_no_rule(tmp_path: Path) -> None:
+    """A sender reports all sidecars as suspected and left, makes up peers, and sends malformed datagrams."""
 
-    async def work(stage: RunningFleet) -> None:
-        await stage.wait_until_correct("all have begun")
-        views = await asyncio.gather(*(each.asked("/peers", 5.0) for each in stage.sidecars))
-        lives = [
+    async def work(fleet: RunningFleet) -> None:
+        await fleet.wait_until_correct("all have started")
+        views = await asyncio.gather(*(sidecar.asked("/peers", 5.0) for sidecar in fleet.sidecars))
+        false_records = [
             Record(view["name"], int(view["born"], 16), view["address"], "a", 1 << 31, state)
             for view in views
             if view is not None
             for state in (SUSPECTED, LEFT)
         ]
-        chance = random.Random(1)
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as liar:
-            liar.bind(("127.0.0.1", 0))
-            mine = Record("sidecar-0", 99, "{}:{}".format(*liar.getsockname()), "a")
+        rng = random.Random(1)
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+            sender.bind(("127.0.0.1", 0))
+            own = Record("sidecar-0", 99, "{}:{}".format(*sender.getsockname()), "a")
             for step in range(300):
-                ghosts = [
-                    Record(f"ghost-{each}", 1000 + each, "127.0.0.1:9", "a", step, ALIVE)
-                    for each in range(step % 10, 30, 10)
+                invented = [
+                    Record(f"ghost-{number}", 1000 + number, "127.0.0.1:9", "a", step, ALIVE)
+                    for number in range(step % 10, 30, 10)
                 ]
-                lies = (Updates(mine, 1, lives), Updates(mine, 2, ghosts), Ping(mine, 3, step, 0, []))
-                for each in stage.sidecars:
-                    for lie in lies:
-                        liar.sendto(encode_message(lie, 0), each.speaks_at)
-                    liar.sendto(bytes((2, *encode_message(lies[0], 0)[1:])), each.speaks_at)
-                    liar.sendto(encode_message(lies[0], 0)[:-7], each.speaks_at)
-                    liar.sendto(chance.randbytes(60_000), each.speaks_at)
+                false_messages = (
+                    Updates(own, 1, false_records),
+                    Updates(own, 2, invented),
+                    Ping(own, 3, step, 0, []),
+                )
+                for sidecar in fleet.sidecars:
+                    for message in false_messages:
+                        sender.sendto(encode_message(message, 0), sidecar.speaks_at)
+                    sender.sendto(bytes((2, *encode_message(false_messages[0], 0)[1:])), sidecar.speaks_at)
+                    sender.sendto(encode_message(false_messages[0], 0)[:-7], sidecar.speaks_at)
+                    sender.sendto(rng.randbytes(60_000), sidecar.speaks_at)
                 await asyncio.sleep(0.01)
-        names = {each.name for each in stage.sidecars}
+        names = {sidecar.name for sidecar in fleet.sidecars}
 
         def all_there(views: dict[str, list[tuple[str, str]]]) -> bool:
             return len(views) == 6 and all(
-                {name for name, state in view if state == "alive"} >= names - {mine}
+                {name for name, state in view if state == "alive"} >= names - {observer}
                 and not any(name.startswith("ghost") and state == "alive" for name, state in view)
-                for mine, view in views.items()
+                for observer, view in views.items()
             )
 
-        await stage.wait_until(all_there, "the liar has gone")
-        told = await stage.sidecars[0].asked("/peers", 5.0)
-        assert told is not None
-        assert told["figures"]["peers_noise"] > 0 and told["figures"]["peers_foreign"] > 0
+        await fleet.wait_until(all_there, "the sender has stopped")
+        response = await fleet.sidecars[0].asked("/peers", 5.0)
+        assert response is not None
+        assert response["figures"]["peers_noise"] > 0 and response["figures"]["peers_foreign"] > 0
 
     world = run_fleet(tmp_path, work)
     assert [world.judge.broken[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
@@ -196,14 +210,14 @@
     return subprocess.run(command, text=True, capture_output=True, timeout=60)
 
 
-def test_a_name_used_twice_is_said_and_harms_nobody(tmp_path: Path) -> None:
+def test_a_duplicate_name_is_logged_and_both_stay_members(tmp_path: Path) -> None:
     peers = {"listen": "127.0.0.1:0", "everyS": 0.05}
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
     with Deployment(tmp_path / "a", 1, admin_addr="127.0.0.1:0", peers=peers).running() as one:
-        told = json.loads(one.call("GET", "/peers").body)  # type: ignore[union-attr]
+        response = json.loads(one.call("GET", "/peers").body)  # type: ignore[union-attr]
         other = Deployment(
-            tmp_path / "b", 1, admin_addr="127.0.0.1:0", peers={**peers, "seeds": [told["address"]]}
+            tmp_path / "b", 1, admin_addr="127.0.0.1:0", peers={**peers, "seeds": [response["address"]]}
         )
         with other.running():
             said = one.event("peers_name_twice")
@@ -212,7 +226,7 @@
             assert ended.returncode == 0 and said["other"] in ended.stdout and "1 alive" in ended.stdout
 
 
-def test_without_peers_nothing_of_them_is_there(tmp_path: Path) -> None:
+def test_without_peers_configured_nothing_of_them_is_loaded(tmp_path: Path) -> None:
     with Deployment(tmp_path, 1, admin_addr="127.0.0.1:0").running() as around:
         assert not [name for name in around.figures() if "peers" in name or "fleet" in name]
         response = around.call("GET", "/peers")
@@ -230,7 +244,7 @@
         ({"listen": "1.2.3.4:9"}, "cannot listen on"),
     ),
 )
-def test_peers_that_cant_be_end_the_start_with_a_name(tmp_path: Path, peers: dict, why: str) -> None:
+def test_invalid_peer_settings_end_the_start_and_name_the_key(tmp_path: Path, peers: dict, why: str) -> None:
     around = Deployment(tmp_path, 1, peers=peers)
     ended = subprocess.run(
         [sys.executable, "-m", "pumicepath", "serve", "--config", str(around.config)],
@@ -241,23 +255,23 @@
     assert ended.returncode == 2 and why in ended.stderr
 
 
-def test_a_process_that_is_replaced_while_it_is_stopped_goes_on_and_ends(tmp_path: Path) -> None:
-    """Found by random faults: the rig let its successor go on, and the stopped one never ended."""
+def test_a_stopped_process_that_is_replaced_exits_once_it_continues(tmp_path: Path) -> None:
+    """The test harness continued the successor instead of the stopped process, which then never exited."""
 
-    async def work(stage: RunningFleet) -> None:
-        await stage.wait_until_correct("all have begun")
-        one = stage.sidecars[4]
+    async def work(fleet: RunningFleet) -> None:
+        await fleet.wait_until_correct("all have started")
+        one = fleet.sidecars[4]
         old = one.process
         assert old is not None
         one.stop()
         one.replace()
-        give_up = time.monotonic() + TIMEOUT_S
+        deadline = time.monotonic() + TIMEOUT_S
         while one.process is old:
-            assert time.monotonic() < give_up
+            assert time.monotonic() < deadline
             await asyncio.sleep(0.02)
         one.go_on()
         await asyncio.wait_for(old.wait(), TIMEOUT_S)
-        await stage.wait_until_correct("the new process alone")
+        await fleet.wait_until_correct("the new process alone")
 
     world = run_fleet(tmp_path, work)
     assert [world.judge.broken[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership alone, in virtual time: real decisions and datagrams on the model's links."""
+"""Membership in virtual time: the real protocol and datagrams on simulated links."""
 
 from __future__ import annotations
 
@@ -30,15 +30,16 @@
 
 
 def make_fleet(count: int, seed: int = 1, **more: int) -> Peering:
+    """A fleet whose sidecars have all been started."""
     timeline = Virtual()
-    made = Peering(timeline, Links(timeline, seed, 300), seed, count, **more)
+    peering = Peering(timeline, Links(timeline, seed, 300), seed, count, **more)
     for number in range(count):
-        made.start(number)
-    return made
+        peering.start(number)
+    return peering
 
 
 def run_until_correct(peering: Peering, limit_s: float = 60.0) -> float:
-    """Seconds until all views are right; fails past the limit."""
+    """Run until all views are correct; return the seconds, fail past the limit."""
     began, step = peering.timeline.now, 100_000
     while peering.wrong():
         assert peering.timeline.now - began < limit_s * SECOND, peering.wrong()
@@ -51,22 +52,23 @@
 
 
 def pause_nodes(peering: Peering, numbers: Iterable[int], seconds: float) -> None:
-    hit = list(numbers)
-    for number in hit:
+    paused = list(numbers)
+    for number in paused:
         peering.stop(number)
     run(peering, seconds)
-    for number in hit:
+    for number in paused:
         peering.go_on(number)
 
 
 def settle(peering: Peering, what: str) -> str:
-    took = run_until_correct(peering)
+    """Run until all views are correct; return a line with the time and the counts of state changes."""
+    elapsed = run_until_correct(peering)
     counts = " ".join(f"{name.replace(' ', '_')} {count}" for name, count in sorted(peering.counts.items()))
     peering.counts.clear()
-    return f"{what:<34} views right after {took:5.1f} s  {counts}"
+    return f"{what:<34} views right after {elapsed:5.1f} s  {counts}"
 
 
-def test_views_come_right_after_each_trouble() -> None:
+def test_views_become_correct_after_each_fault() -> None:
     peering = make_fleet(20)
     links, lines = peering.links, [settle(peering, "all begin at once")]
     run(peering, 10)
@@ -112,7 +114,7 @@
     compare("membership", lines)
 
 
-def test_seeds_that_are_dead_or_come_up_later() -> None:
+def test_joining_while_seeds_are_down() -> None:
     timeline = Virtual()
     peering = Peering(timeline, Links(timeline, 1, 300), 1, 6)
     for number in (5, 4, 3):  # the seeds are 0, 1 and 2
@@ -124,7 +126,7 @@
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
-def test_a_fifth_of_its_messages_lost_is_no_death(seed: int) -> None:
+def test_a_sidecar_that_loses_a_fifth_of_its_messages_is_not_declared_dead(seed: int) -> None:
     peering = make_fleet(30, seed)
     run_until_correct(peering)
     peering.links.disturb([4], Noise(loss=0.2))
@@ -133,7 +135,7 @@
     assert run_until_correct(peering) < 30
 
 
-def test_cost_at_rest_does_not_grow_with_the_fleet() -> None:
+def test_idle_traffic_does_not_grow_with_the_fleet() -> None:
     rates = []
     for count in (10, 100):
         peering = make_fleet(count)
@@ -148,7 +150,7 @@
 
 
 class RecordingCallbacks:
-    """An outlet for one membership alone."""
+    """Callbacks of a single membership: records changes as lines, and sent messages."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -167,64 +169,69 @@
 
 
 def make_membership(**more: object) -> tuple[Membership, RecordingCallbacks, Record]:
-    noted = RecordingCallbacks()
-    me = Record("n0", 1000, "127.0.0.1:1000", "a")
-    given = settings.PeerSettings("127.0.0.1:1000", **more)  # type: ignore[arg-type]
-    return Membership(me, given, 7, noted, SECOND), noted, me
+    callbacks = RecordingCallbacks()
+    own_record = Record("n0", 1000, "127.0.0.1:1000", "a")
+    peer_settings = settings.PeerSettings("127.0.0.1:1000", **more)  # type: ignore[arg-type]
+    return Membership(own_record, peer_settings, 7, callbacks, SECOND), callbacks, own_record
 
 
-def receive(one: Membership, now: float, sender: Record, *news: Record, source: str = "") -> None:
+def receive(membership: Membership, now: float, sender: Record, *updates: Record, source: str = "") -> None:
     at = round(now * SECOND)
-    if one.next_timer() < at:
-        one.expected_timer_at = at  # the clock was read meanwhile; nothing was due for these tests
-    one.receive(at, source or sender.address, Updates(sender, 1, list(news)))
+    if membership.next_timer() < at:
+        membership.expected_timer_at = at  # as if timers had run in time, so that no pause is detected
+    membership.receive(at, source or sender.address, Updates(sender, 1, list(updates)))
 
 
-def test_order_of_what_is_told_of_one_life() -> None:
-    roll = MemberTable(10, random.Random(1))
+def test_precedence_of_records_of_one_instance() -> None:
+    table = MemberTable(10, random.Random(1))
     base = Record("n1", 5, "127.0.0.1:5", "a", 3, ALIVE)
     lines = []
     for state in (ALIVE, SUSPECTED, DEAD, LEFT):
         for other in (ALIVE, SUSPECTED, DEAD, LEFT):
             held = MemberTable(10, random.Random(1)).add(msgspec.structs.replace(base, state=state), 0, "")
             assert held is not None
-            wins = [
-                roll.supersedes(held, msgspec.structs.replace(base, state=other, incarnation=incarnation))
+            accepted = [
+                table.supersedes(held, msgspec.structs.replace(base, state=other, incarnation=incarnation))
                 for incarnation in (2, 3, 4)
             ]
-            told = " ".join(f"{at}: {'yes' if win else 'no ':<3}" for at, win in zip((2, 3, 4), wins))
-            lines.append(f"{messages.STATES[state]:<9} 3, told {messages.STATES[other]:<9} of {told}")
+            results = " ".join(
+                f"{number}: {'yes' if each else 'no ':<3}" for number, each in zip((2, 3, 4), accepted)
+            )
+            lines.append(f"{messages.STATES[state]:<9} 3, told {messages.STATES[other]:<9} of {results}")
     compare("membership-order", [line.rstrip() for line in lines])
 
 
-def test_what_liars_and_restarts_do_to_one_sidecar() -> None:
-    one, noted, me = make_membership(max_peers=6)
+def test_false_records_and_restarts_seen_by_one_sidecar() -> None:
+    membership, callbacks, _ = make_membership(max_peers=6)
     peer = Record("n1", 11, "127.0.0.1:11", "a")
-    receive(one, 1.0, peer)
-    receive(one, 1.1, Record("n1", 12, "127.0.0.1:11", "a"))  # another process at its address
-    receive(one, 1.2, Record("n2", 13, "127.0.0.1:13", "a"), Record("n0", 1000, "x", "a", 7, DEAD))
-    noted.lines.append(f"said to be dead: incarnation {one.own_record.incarnation}")
-    receive(one, 1.3, peer, Record("n0", 1000, "x", "a", 1 << 31, SUSPECTED))
-    noted.lines.append(
-        f"past the bound: another life {one.own_record.instance_id != 1000}, {one.own_record.incarnation}"
+    receive(membership, 1.0, peer)
+    receive(membership, 1.1, Record("n1", 12, "127.0.0.1:11", "a"))  # another process at its address
+    receive(membership, 1.2, Record("n2", 13, "127.0.0.1:13", "a"), Record("n0", 1000, "x", "a", 7, DEAD))
+    callbacks.lines.append(f"said to be dead: incarnation {membership.own_record.incarnation}")
+    receive(membership, 1.3, peer, Record("n0", 1000, "x", "a", 1 << 31, SUSPECTED))
+    callbacks.lines.append(
+        f"past the bound: another life {membership.own_record.instance_id != 1000}, "
+        f"{membership.own_record.incarnation}"
+    )
+    instance_id = membership.own_record.instance_id
+    receive(membership, 1.4, peer, Record("n0", instance_id, "x", "a", 0, LEFT))
+    callbacks.lines.append(
+        f"and again within a second: another life {membership.own_record.instance_id != instance_id}"
     )
-    born = one.own_record.instance_id
-    receive(one, 1.4, peer, Record("n0", born, "x", "a", 0, LEFT))
-    noted.lines.append(f"and again within a second: another life {one.own_record.instance_id != born}")
-    receive(one, 1.5, Record("n0", 77, "127.0.0.1:77", "a"))  # a second process of this name
+    receive(membership, 1.5, Record("n0", 77, "127.0.0.1:77", "a"))  # a second process of this name
     for step in range(8):
-        receive(one, 1.6, peer, Record(f"ghost{step}", 100 + step, f"127.0.0.1:{100 + step}", "a"))
-    noted.lines.append(
-        f"held {len(one.member_table.members)} of at most 6, refused {one.member_table.refused}"
+        receive(membership, 1.6, peer, Record(f"ghost{step}", 100 + step, f"127.0.0.1:{100 + step}", "a"))
+    callbacks.lines.append(
+        f"held {len(membership.member_table.members)} of at most 6, refused {membership.member_table.refused}"
     )
-    one.expected_timer_at = now = round((1.6 + RECENT_INTERVALS + 1) * SECOND)
-    one.on_timer(now)
-    one.expected_timer_at = now = now + 2 * SECOND
-    one.on_timer(now)
-    compare("membership-lies", noted.lines)
+    membership.expected_timer_at = now = round((1.6 + RECENT_INTERVALS + 1) * SECOND)
+    membership.on_timer(now)
+    membership.expected_timer_at = now = now + 2 * SECOND
+    membership.on_timer(now)
+    compare("membership-lies", callbacks.lines)
 
 
-def test_what_was_stopped_suspects_itself_and_nobody_else() -> None:
+def test_a_sidecar_that_was_stopped_suspects_no_peer_after_it_continues() -> None:
     peering = make_fleet(10)
     run_until_correct(peering)
     peering.stop(4)
@@ -233,11 +240,11 @@
     peering.go_on(4)
     membership = peering.nodes[4].membership
     assert membership is not None and membership.local_health_score > 0
-    assert not [seen for seen in membership.members(0) if seen.state in (SUSPECTED, DEAD)]
+    assert not [peer for peer in membership.members(0) if peer.state in (SUSPECTED, DEAD)]
     run_until_correct(peering)
 
 
-def test_bounds_of_the_size_of_the_fleet() -> None:
+def test_fleet_size_bounds() -> None:
     peering = make_fleet(10)
     run_until_correct(peering)
     run(peering, RECENT_INTERVALS)
@@ -246,31 +253,31 @@
     assert node.membership.fleet_size_bounds(node.clock()) == (10, 10, 10)
     peering.kill(9)
     run_until_correct(peering)
-    least, likely, most = node.membership.fleet_size_bounds(node.clock())
-    assert (least, likely, most) == (9, 9, 10), "a dead one may be cut off and at work"
+    minimum, likely, maximum = node.membership.fleet_size_bounds(node.clock())
+    assert (minimum, likely, maximum) == (9, 9, 10), "a dead member may be partitioned and working"
 
 
-def test_datagrams_that_are_no_messages_are_none() -> None:
-    me = Record("n0", 1, "127.0.0.1:1", "a")
-    data = encode_message(Ping(me, 5, 7, 0, [me]), 0)
-    assert decode_message(data, 0) == Ping(me, 5, 7, 0, [me]) and len(data) < 200
-    for spoilt in (b"", data[:4], data[:-1], data + b"x", data[:9] + b"\xff" + data[10:], bytes(64_000)):
+def test_malformed_datagrams_are_rejected() -> None:
+    sender = Record("n0", 1, "127.0.0.1:1", "a")
+    data = encode_message(Ping(sender, 5, 7, 0, [sender]), 0)
+    assert decode_message(data, 0) == Ping(sender, 5, 7, 0, [sender]) and len(data) < 200
+    for malformed in (b"", data[:4], data[:-1], data + b"x", data[:9] + b"\xff" + data[10:], bytes(64_000)):
         with pytest.raises(messages.MalformedMessageError):
-            decode_message(spoilt, 0)
+            decode_message(malformed, 0)
     with pytest.raises(messages.MalformedMessageError):
         decode_message(data, messages.fleet_checksum_seed("another fleet"))
     with pytest.raises(messages.VersionMismatchError):
         decode_message(bytes((2,)) + data[1:], 0)
-    chance = random.Random(3)
+    rng = random.Random(3)
     for _ in range(2000):
-        spoilt = bytes(chance.randrange(256) for _ in range(chance.randrange(60)))
-        seal = messages.crc32(spoilt, 0).to_bytes(4, "big")
+        malformed = bytes(rng.randrange(256) for _ in range(rng.randrange(60)))
+        checksum = messages.crc32(malformed, 0).to_bytes(4, "big")
         with pytest.raises(messages.MalformedMessageError):
-            decode_message(b"\x01" + seal + spoilt, 0)
+            decode_message(b"\x01" + checksum + malformed, 0)
 
 
 @pytest.mark.parametrize(
-    "told, key",
+    "raw, key",
     (
         ([], "peers must be an object"),
         ({}, "peers.listen is missing"),
@@ -293,24 +300,24 @@
         ({"listen": "127.0.0.1:0", "voters": [address(1)], "trials": 1}, "peers.trials"),
     ),
 )
-def test_settings_that_cant_be_meant_are_named(told: object, key: str) -> None:
+def test_errors_in_settings_name_the_key(raw: object, key: str) -> None:
     with pytest.raises(ValueError) as caught:
-        settings.decode(told, {})
+        settings.decode(raw, {})
     assert key in str(caught.value)
 
 
-def test_the_environment_goes_before_the_file() -> None:
-    made = settings.decode(
+def test_the_environment_takes_precedence_over_the_file() -> None:
+    decoded = settings.decode(
         {"listen": "127.0.0.1:1"},
         {"GW_PEERS_LISTEN": "127.0.0.1:2", "GW_PEERS_SEEDS": f"{address(1)}, {address(2)}"},
     )
-    assert made == settings.PeerSettings("127.0.0.1:2", (address(1), address(2)))
+    assert decoded == settings.PeerSettings("127.0.0.1:2", (address(1), address(2)))
 
 
-def test_who_votes_is_taken_as_the_file_changes_and_the_rest_is_not() -> None:
-    told = {"listen": "127.0.0.1:1", "voters": [address(1)], "leaseS": 2, "longestS": 4, "trials": True}
-    made = settings.decode(told, {})
-    assert made.voting == settings.Voting(((address(1),),), 2 * SECOND, 4 * SECOND, 0.01, True)
-    other = settings.decode({**told, "votersBefore": [address(2)]}, {})
+def test_only_the_settings_of_voting_are_reloaded() -> None:
+    raw = {"listen": "127.0.0.1:1", "voters": [address(1)], "leaseS": 2, "longestS": 4, "trials": True}
+    decoded = settings.decode(raw, {})
+    assert decoded.voting == settings.Voting(((address(1),),), 2 * SECOND, 4 * SECOND, 0.01, True)
+    other = settings.decode({**raw, "votersBefore": [address(2)]}, {})
     assert other.voting is not None and other.voting.voter_sets == ((address(1),), (address(2),))
-    assert made != other and made.without_voting() == other.without_voting()
+    assert decoded != other and decoded.without_voting() == other.without_voting()
