--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -1,4 +1,4 @@
-"""Trials of sick servers by one sidecar at a time: words, breakers, virtual fleets, real processes."""
+"""Shared trials of unhealthy servers: reports, breakers, fleets in virtual time, real processes."""
 
 from __future__ import annotations
 
@@ -12,8 +12,7 @@
 import pytest
 
 from pumicepath.fleet.duties import INSTANCE_BITS, Claim, Duties, LeaseSettings
-from pumicepath.fleet.leases import ClaimAnswer
-from pumicepath.fleet.leases import ClaimResult as Said
+from pumicepath.fleet.leases import ClaimAnswer, ClaimResult
 from pumicepath.fleet.messages import (
     MAX_DATAGRAM_BYTES,
     ClaimEntry,
@@ -42,7 +41,7 @@
 
 
 class TrialsHarness:
-    """Trials with duties whose one voter grants all, or nothing, and a note of what comes of it."""
+    """Trials and duties with one voter that grants everything or nothing; records what happens as lines."""
 
     def __init__(self, grants: bool = True) -> None:
         self.now = 0
@@ -53,7 +52,7 @@
         self.claims: list[tuple[int, Claim]] = []
 
     def send_claims(self, voter: str, round_: int, claims: Any) -> None:
-        self.claims += [(round_, one) for one in claims]
+        self.claims += [(round_, claim) for claim in claims]
 
     def duty_changed(self, duty: str, number: int, why: str) -> None:
         self.note(f"{duty}: {'held' if number else why}")
@@ -65,110 +64,118 @@
         self.lines.append(f"{self.now / SECOND:7.1f}  {text}")
 
     def advance_to(self, seconds: float) -> Trials:
+        """Let time pass in steps of 0.1 s, with everything that a fleet node does."""
         while self.now < round(seconds * SECOND):
             self.now += SECOND // 10
             self.trials.check_duties(self.now, self.now // 1000)
             self.duties.set_wanted(self.now, self.trials.wanted_duties(self.now))
             self.duties.on_timer(self.now, self.now // 1000)
             claims, self.claims = self.claims, []
-            for round_, one in claims:
-                if self.grants_all and not one.release:
+            for round_, claim in claims:
+                if self.grants_all and not claim.release:
                     self.duties.receive_answer(
-                        self.now, "v", round_, one.duty, one.number, ClaimAnswer(Said.GRANTED, 0, one.number)
+                        self.now,
+                        "v",
+                        round_,
+                        claim.duty,
+                        claim.number,
+                        ClaimAnswer(ClaimResult.GRANTED, 0, claim.number),
                     )
             self.trials.check_duties(self.now, self.now // 1000)
-            for verdict in self.trials.take_reports(self.now):
+            for report in self.trials.take_reports(self.now):
                 self.note(
-                    f"tells of {verdict.server}: version {verdict.version >> INSTANCE_BITS}, wait "
-                    f"{verdict.wait / SECOND:.1f} s{'' if verdict.finished else ', has it in hand'}"
+                    f"tells of {report.server}: version {report.version >> INSTANCE_BITS}, wait "
+                    f"{report.wait / SECOND:.1f} s{'' if report.finished else ', has it in hand'}"
                 )
         return self.trials
 
     def receive_report(
-        self, seconds: float, version: int, wait_s: float, tried: bool = True, by: int = -1
+        self, seconds: float, version: int, wait_s: float, finished: bool = True, reporter: int = -1
     ) -> None:
-        """Each word from another life, unless it is named."""
-        own = version % 1000 if by < 0 else by
-        word = TrialReport("s", version << INSTANCE_BITS | own, round(wait_s * SECOND), tried)
-        self.advance_to(seconds).receive_report(self.now, word)
-
-
-def test_the_holder_tells_and_gives_up_what_it_cant_find_out() -> None:
-    one = TrialsHarness()
-    one.advance_to(1).breaker_opened(one.now, "s", 5 * SECOND, True)
-    one.advance_to(4)
-    assert one.trials.allowed_trials(one.now)["s"] > one.now
-    one.advance_to(7).trial_finished(one.now, "s", True)
-    one.trials.breaker_opened(one.now, "s", 10 * SECOND, True)
-    one.advance_to(18).trial_finished(one.now, "s", False)
-    one.advance_to(20)
-    assert not one.duties.duties and not one.trials.open_breakers, "what is kept ends with the open breaker"
-    one.trials.breaker_opened(one.now, "s", 5 * SECOND, True)
-    one.advance_to(50)
-    compare("trials-holder", one.lines)
-
-
-def test_words_of_others_put_a_trial_off_within_bounds() -> None:
-    one = TrialsHarness(grants=False)
-    one.advance_to(1).breaker_opened(one.now, "s", 5 * SECOND, True)
-    one.receive_report(2, 70, 8)
-    one.receive_report(2.1, 70, 8)  # the same once more
-    one.receive_report(2.2, 69, 8)  # older
-    one.receive_report(3, 71, 8, False)  # no verdict, and so puts off no trial
-    one.receive_report(5, 72, 59)  # longer than may be asked for
-    one.receive_report(6, 73, 9, by=72)  # from the same life twice in a row
-    one.receive_report(30, 80, 0)  # it serves
-    one.receive_report(31, 90, 5)  # so its own trial is next, whatever is said
-    one.advance_to(32).breaker_opened(one.now, "s", 5 * SECOND, True)
-    one.receive_report(33, 1 << 20, 5)
-    one.receive_report(90, (1 << 20) + 1, 5)
-    one.receive_report(
-        2 * MAX_POSTPONED_US / SECOND + 33, (1 << 20) + 2, 5
-    )  # two minutes by others' eyes alone
-    one.advance_to(160).breaker_opened(one.now, "s", 5 * SECOND, True)
-    one.receive_report(250, (1 << 20) + 3, 5)
-    one.receive_report(330, (1 << 20) + 4, 5)
-    one.receive_report(
+        """Each report comes from a different instance, unless `reporter` names it."""
+        instance = version % 1000 if reporter < 0 else reporter
+        report = TrialReport("s", version << INSTANCE_BITS | instance, round(wait_s * SECOND), finished)
+        self.advance_to(seconds).receive_report(self.now, report)
+
+
+def test_the_holder_reports_and_releases_a_duty_without_a_result() -> None:
+    harness = TrialsHarness()
+    harness.advance_to(1).breaker_opened(harness.now, "s", 5 * SECOND, True)
+    harness.advance_to(4)
+    assert harness.trials.allowed_trials(harness.now)["s"] > harness.now
+    harness.advance_to(7).trial_finished(harness.now, "s", True)
+    harness.trials.breaker_opened(harness.now, "s", 10 * SECOND, True)
+    harness.advance_to(18).trial_finished(harness.now, "s", False)
+    harness.advance_to(20)
+    assert not harness.duties.duties and not harness.trials.open_breakers, (
+        "state is dropped when the breaker closes"
+    )
+    harness.trials.breaker_opened(harness.now, "s", 5 * SECOND, True)
+    harness.advance_to(50)
+    compare("trials-holder", harness.lines)
+
+
+def test_reports_of_others_postpone_a_trial_within_bounds() -> None:
+    harness = TrialsHarness(grants=False)
+    harness.advance_to(1).breaker_opened(harness.now, "s", 5 * SECOND, True)
+    harness.receive_report(2, 70, 8)
+    harness.receive_report(2.1, 70, 8)  # a duplicate
+    harness.receive_report(2.2, 69, 8)  # older
+    harness.receive_report(3, 71, 8, False)  # announces a trial, and so postpones none
+    harness.receive_report(5, 72, 59)  # above the longest wait
+    harness.receive_report(6, 73, 9, reporter=72)  # from the same instance twice in a row
+    harness.receive_report(30, 80, 0)  # a trial succeeded
+    harness.receive_report(31, 90, 5)  # ignored, as its own trial is next
+    harness.advance_to(32).breaker_opened(harness.now, "s", 5 * SECOND, True)
+    harness.receive_report(33, 1 << 20, 5)
+    harness.receive_report(90, (1 << 20) + 1, 5)
+    harness.receive_report(2 * MAX_POSTPONED_US / SECOND + 33, (1 << 20) + 2, 5)  # ignored after two minutes
+    harness.advance_to(160).breaker_opened(harness.now, "s", 5 * SECOND, True)
+    harness.receive_report(250, (1 << 20) + 3, 5)
+    harness.receive_report(330, (1 << 20) + 4, 5)
+    harness.receive_report(
         4 * MAX_POSTPONED_US / SECOND + 161, (1 << 20) + 5, 5
-    )  # four, as its own trial failed again
-    compare("trials-words", one.lines)
-    one.advance_to(one.now / SECOND + RETENTION_US / SECOND + 1)
-    assert not one.trials.open_breakers
-
-
-def test_a_number_too_high_to_be_true_counts_for_a_while_only() -> None:
-    one = TrialsHarness(grants=False)
-    one.advance_to(1).breaker_opened(one.now, "s", 5 * SECOND, True)
-    one.receive_report(2, VERSION_MASK >> INSTANCE_BITS, 1)
-    one.advance_to(2.5)
-    before = len(one.lines)
-    one.receive_report(3, 5, 1)
-    assert len(one.lines) == before
-    one.advance_to(RETENTION_US / SECOND + 3).breaker_opened(one.now, "s", 5 * SECOND, True)
-    one.receive_report(one.now / SECOND + 1, 6, 1)
-    assert "put off" in one.lines[-1] or "put off" in one.lines[-2]
-
-
-def test_who_sends_there_seldom_claims_nothing_and_tells_all_the_same() -> None:
-    one = TrialsHarness()
-    one.advance_to(1).breaker_opened(one.now, "s", 20 * SECOND, False)
-    one.advance_to(30).trial_finished(one.now, "s", True)
-    one.trials.breaker_opened(one.now, "s", 20 * SECOND, False)
-    one.advance_to(60).trial_finished(one.now, "s", False)
-    one.advance_to(61)
-    assert len(one.lines) == 2 and all("tells of s" in line for line in one.lines), one.lines
-
-
-def test_servers_with_names_too_long_are_nobodys_duty() -> None:
-    one = TrialsHarness()
+    )  # after four, as its own trial failed again
+    compare("trials-words", harness.lines)
+    harness.advance_to(harness.now / SECOND + RETENTION_US / SECOND + 1)
+    assert not harness.trials.open_breakers
+
+
+def test_a_report_with_an_implausible_version_counts_for_a_limited_time() -> None:
+    harness = TrialsHarness(grants=False)
+    harness.advance_to(1).breaker_opened(harness.now, "s", 5 * SECOND, True)
+    harness.receive_report(2, VERSION_MASK >> INSTANCE_BITS, 1)
+    harness.advance_to(2.5)
+    before = len(harness.lines)
+    harness.receive_report(3, 5, 1)
+    assert len(harness.lines) == before
+    harness.advance_to(RETENTION_US / SECOND + 3).breaker_opened(harness.now, "s", 5 * SECOND, True)
+    harness.receive_report(harness.now / SECOND + 1, 6, 1)
+    assert "put off" in harness.lines[-1] or "put off" in harness.lines[-2]
+
+
+def test_a_sidecar_that_sends_there_seldom_claims_nothing_but_reports_its_trials() -> None:
+    harness = TrialsHarness()
+    harness.advance_to(1).breaker_opened(harness.now, "s", 20 * SECOND, False)
+    harness.advance_to(30).trial_finished(harness.now, "s", True)
+    harness.trials.breaker_opened(harness.now, "s", 20 * SECOND, False)
+    harness.advance_to(60).trial_finished(harness.now, "s", False)
+    harness.advance_to(61)
+    assert len(harness.lines) == 2 and all("tells of s" in line for line in harness.lines), harness.lines
+
+
+def test_servers_with_too_long_names_have_no_duty() -> None:
+    harness = TrialsHarness()
     name = "s" * 60
-    one.advance_to(1).breaker_opened(one.now, name, 5 * SECOND, True)
-    one.advance_to(20)
-    assert not one.duties.duties and not one.lines
-    assert one.trials.allowed_trials(one.now)[name] > one.now, "nobody need be waited for"
+    harness.advance_to(1).breaker_opened(harness.now, name, 5 * SECOND, True)
+    harness.advance_to(20)
+    assert not harness.duties.duties and not harness.lines
+    assert harness.trials.allowed_trials(harness.now)[name] > harness.now, (
+        "no other sidecar has to be waited for"
+    )
 
 
-def test_messages_of_duties_with_the_longest_names_fit_into_a_datagram() -> None:
+def test_messages_with_the_longest_names_fit_into_a_datagram() -> None:
     sender = Record("n" * 64, (1 << 63) - 1, "255.255.255.255:65535", "z" * 64, (1 << 32) - 1)
     names, high = ["é" * 32] * 100, (1 << 63) - 1
     for batch in batches(names, str, 30):
@@ -180,31 +187,35 @@
         )
         assert len(encode_message(Grants(sender, high, (1 << 32) - 1, grants), 0)) <= MAX_DATAGRAM_BYTES
     for batch in batches(names, str, 24):
-        told = [TrialReport(name, high, 60 * SECOND, False) for name in batch]
-        assert len(encode_message(TrialReports(sender, high, told), 0)) <= MAX_DATAGRAM_BYTES
+        reports = [TrialReport(name, high, 60 * SECOND, False) for name in batch]
+        assert len(encode_message(TrialReports(sender, high, reports), 0)) <= MAX_DATAGRAM_BYTES
     with pytest.raises(MalformedMessageError):
-        decode_message(encode_message(Grants(sender, 0, 1, [GrantEntry("d", 1, max(Said) + 1, 0, 1)]), 0), 0)
-    assert decode_message(encode_message(Grants(sender, 0, 1, [GrantEntry("d", 1, max(Said), 0, 1)]), 0), 0)
+        decode_message(
+            encode_message(Grants(sender, 0, 1, [GrantEntry("d", 1, max(ClaimResult) + 1, 0, 1)]), 0), 0
+        )
+    assert decode_message(
+        encode_message(Grants(sender, 0, 1, [GrantEntry("d", 1, max(ClaimResult), 0, 1)]), 0), 0
+    )
     assert [fanout(count) for count in (1, 10, 100, 1000)] == [2, 4, 7, 9]
 
 
 class Companions:
     def __init__(self) -> None:
-        self.mine = False
-        self.said: list[str] = []
+        self.allowed = False
+        self.events: list[str] = []
 
     def turn(self, name: str) -> bool:
-        return self.mine
+        return self.allowed
 
     def opened(self, name: str, cooldown: int, often: bool) -> None:
-        self.said.append(f"{name} opened for {cooldown / SECOND:g} s")
+        self.events.append(f"{name} opened for {cooldown / SECOND:g} s")
 
     def tried(self, name: str, failed: bool) -> None:
-        self.said.append(f"{name} {'failed' if failed else 'served'}")
+        self.events.append(f"{name} {'failed' if failed else 'served'}")
 
 
 def open_breaker(companions: Companions | None) -> tuple[Bench, int]:
-    """One of three servers has failed until its breaker opened, at about 1 s."""
+    """A balancer with three servers, one of which failed until its breaker opened at about 1 s."""
     bench = Bench(settings(), [entry(1), entry(2), entry(3)])
     bench.balancer.companions = companions
     bench.quick(0, 8, 1, Outcome.ERROR)
@@ -213,39 +224,42 @@
     return bench, int(found[0].split("server ")[1].split()[0])
 
 
-def count_hops(bench: Bench, server: int, first: float, seconds: float, every: float = 0.25) -> int:
-    """How often a server that fails is tried in that time, by keys that go there first."""
+def count_hops(bench: Bench, server: int, first: float, seconds: float, interval: float = 0.25) -> int:
+    """Number of hops to a failing server in that time, from submissions whose keys prefer it."""
     before = len(bench.sent)
     step = 0
-    while step * every < seconds:
-        one = bench.at(first + step * every).take(round(first * 1000) + step, 1)
+    while step * interval < seconds:
+        submission = bench.at(first + step * interval).take(round(first * 1000) + step, 1)
         if bench.sent[-1] == server:
-            bench.at(first + step * every + 0.01).end(one, Outcome.ERROR)
-        while not one.over():
-            bench.end(one, Outcome.OK)
+            bench.at(first + step * interval + 0.01).end(submission, Outcome.ERROR)
+        while not submission.over():
+            bench.end(submission, Outcome.OK)
         step += 1
     return bench.sent[before:].count(server)
 
 
-def test_a_breaker_waits_for_its_turn_and_tries_alone_after_a_cooldown_without_word() -> None:
+def test_a_breaker_waits_for_its_turn_and_tries_by_itself_after_a_cooldown_without_reports() -> None:
     companions = Companions()
     bench, server = open_breaker(companions)
     cooldown = bench.balancer.cooldown[bench.balancer.index[server]] / SECOND
-    assert companions.said == [f"{server} opened for {cooldown:g} s"]
+    assert companions.events == [f"{server} opened for {cooldown:g} s"]
     assert count_hops(bench, server, 2, 2 * cooldown - 2) == 0, "not its turn"
-    assert count_hops(bench, server, 2 * cooldown + 1, 3) == 1, "nobody said anything: alone"
-    assert companions.said[1:] == [f"{server} failed", companions.said[2]] and "opened" in companions.said[2]
+    assert count_hops(bench, server, 2 * cooldown + 1, 3) == 1, "no reports: by itself"
+    assert (
+        companions.events[1:] == [f"{server} failed", companions.events[2]]
+        and "opened" in companions.events[2]
+    )
 
     bench, server = open_breaker(companions)
-    companions.mine = True
+    companions.allowed = True
     assert count_hops(bench, server, 2, cooldown + 2) == 1, "its turn"
 
     bench, server = open_breaker(None)
-    assert count_hops(bench, server, 2, cooldown + 2) == 1, "by itself, without others"
+    assert count_hops(bench, server, 2, cooldown + 2) == 1, "without shared trials"
 
 
-def test_who_sends_seldom_waits_for_no_turn() -> None:
-    """Found at 1,000 sidecars: those whose turn it was had nothing to send there, and nobody else might."""
+def test_a_sidecar_that_sends_seldom_does_not_wait_for_its_turn() -> None:
+    """At 1,000 sidecars the holders had nothing to send there, and no other sidecar was allowed to try."""
     companions = Companions()
     bench, server = open_breaker(companions)
     count_hops(bench, server, 20, 400, 5.0)
@@ -255,15 +269,17 @@
     assert count_hops(bench, server, max(bench.now / SECOND, since + cooldown) + 0.5, 12, 5.0) == 1
 
 
-def test_words_on_a_breaker_put_its_trial_off_or_bring_it_forward_and_close_nothing() -> None:
+def test_reports_postpone_a_trial_or_bring_it_forward_and_close_no_breaker() -> None:
     companions = Companions()
-    companions.mine = True
+    companions.allowed = True
     bench, server = open_breaker(companions)
     bench.balancer.put_off(bench.now, server, 20 * SECOND)
     assert count_hops(bench, server, 2, 18) == 0
     bench.balancer.put_off(bench.now, server, SECOND)
-    assert count_hops(bench, server, 21, 3) == 1, "a shorter word shortens nothing, and the trial comes"
-    companions.mine = False
+    assert count_hops(bench, server, 21, 3) == 1, (
+        "a shorter wait does not shorten a longer one; then the trial is made"
+    )
+    companions.allowed = False
     bench.balancer.put_off(bench.now, server, 0)
     assert bench.balancer.state[bench.balancer.index[server]] == 1, "still open"
     assert count_hops(bench, server, 24.1, 2) == 1, "tried at once, whoever's turn it is"
@@ -271,12 +287,12 @@
     for wait in (0, 30 * SECOND):
         bench.balancer.put_off(bench.now, other, wait)
         bench.balancer.put_off(bench.now, 99, wait)
-    assert bench.balancer.state[bench.balancer.index[other]] == 0, "nothing opens by words"
+    assert bench.balancer.state[bench.balancer.index[other]] == 0, "reports open no breaker"
 
 
 @pytest.mark.parametrize("seed", (1, 2))
-def test_a_fleet_tries_a_sick_server_far_less_often_together(seed: int) -> None:
-    """In virtual time: trials of both by the log, rules kept, and service no worse for it."""
+def test_shared_trials_send_far_fewer_hops_to_an_unhealthy_server(seed: int) -> None:
+    """In virtual time, with and without sharing: failed trials by the log, rules kept, service not worse."""
     found = []
     for trials in (False, True):
         plan = Plan(
@@ -290,7 +306,7 @@
         result = world.run()
         failed = sum("trial failed" in line for line in world.log)
         assert not any(result.rules[rule] for rule in FORBIDDEN_RULES)
-        assert result.breakers[-1] == [0.0] * 12, "all serve again"
+        assert result.breakers[-1] == [0.0] * 12, "all breakers closed again"
         found.append((failed, result.service))
     (alone, before), (together, after) = found
     assert 0 < together < alone / 3, found
@@ -307,50 +323,50 @@
 
 
 class HolderMonitor:
-    """Who says that it holds a duty at the moment, asked again and again, as lines that the check reads."""
+    """Polls all sidecars for the duties that they hold, and records them as history lines for the check."""
 
-    def __init__(self, stage: RunningFleet) -> None:
-        self.stage = stage
+    def __init__(self, fleet: RunningFleet) -> None:
+        self.fleet = fleet
         self.lines: list[dict[str, Any]] = []
         self.latest_holder: dict[str, tuple[int, str]] = {}
         self.over = False
 
     async def __aenter__(self) -> HolderMonitor:
-        self.following = [asyncio.ensure_future(self.poll(each.number)) for each in self.stage.sidecars]
+        self.polls = [asyncio.ensure_future(self.poll(each.number)) for each in self.fleet.sidecars]
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.over = True  # cancelled, they might not notice: wait_for may swallow that
-        await asyncio.gather(*self.following)
+        self.over = True  # not by cancellation, which wait_for may swallow
+        await asyncio.gather(*self.polls)
 
     def now(self) -> int:
         return time.monotonic_ns() // 1000
 
     async def poll(self, number: int) -> None:
-        sidecar = self.stage.sidecars[number]
+        sidecar = self.fleet.sidecars[number]
         while not self.over:
-            asked = self.now()
+            asked_at = self.now()
             view = await sidecar.asked("/peers", TIMEOUT_S) if sidecar.up else None
             for held in view.get("holds", []) if view is not None else []:
-                duty, fence, born = held["duty"], int(held["number"], 16), view["born"]  # type: ignore[index]
+                duty, fence, instance_id = held["duty"], int(held["number"], 16), view["born"]  # type: ignore[index]
                 self.lines.append(
                     {
                         "at": self.now(),
                         "what": "acted",
                         "duty": duty,
-                        "holder": born,
+                        "holder": instance_id,
                         "fence": fence,
                         "accepted": True,
-                        "asked": asked,
+                        "asked": asked_at,
                     }
                 )
                 self.latest_holder[duty] = (fence, sidecar.name)
             await asyncio.sleep(0.02)
 
     async def wait_for_holder(self, duty: str, above: int, but: str = "") -> str:
-        """Who holds it under a higher number, once somebody does."""
-        give_up = time.monotonic() + TIMEOUT_S
-        while time.monotonic() < give_up:
+        """Wait until a sidecar other than `but` holds the duty under a higher number; return its name."""
+        deadline = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < deadline:
             fence, name = self.latest_holder.get(duty, (0, ""))
             if fence > above and name != but:
                 return name
@@ -361,52 +377,52 @@
         return one_holder.check(self.lines)
 
 
-def test_trials_have_one_holder_through_kills_stops_cuts_and_the_end(tmp_path: Path) -> None:
-    async def work(stage: RunningFleet) -> None:
-        world, links = stage.world, stage.world.links
+def test_trials_have_one_holder_through_kills_stops_partitions_and_shutdown(tmp_path: Path) -> None:
+    async def work(fleet: RunningFleet) -> None:
+        world, links = fleet.world, fleet.world.links
         assert links is not None
-        await stage.wait_until_correct("all have begun")
-        async with HolderMonitor(stage) as holding:
-            await faults(world, links, stage, holding)
-        assert not holding.violations(), holding.violations()[:3]
+        await fleet.wait_until_correct("all have started")
+        async with HolderMonitor(fleet) as monitor:
+            await faults(world, links, fleet, monitor)
+        assert not monitor.violations(), monitor.violations()[:3]
 
-    async def faults(world: Any, links: Any, stage: RunningFleet, holding: HolderMonitor) -> None:
-        every = {each.number for each in stage.sidecars}
+    async def faults(world: Any, links: Any, fleet: RunningFleet, monitor: HolderMonitor) -> None:
+        every = {each.number for each in fleet.sidecars}
         for server in (0, 1, 2):
             world.servers[server].failing = 1.0
         duties = [f"trial hall-0 s-{server}" for server in (0, 1, 2)]
         for duty in duties:
-            await holding.wait_for_holder(duty, 0)
+            await monitor.wait_for_holder(duty, 0)
 
         def current(duty: str) -> tuple[int, Any]:
-            fence, name = holding.latest_holder[duty]
-            return fence, next(each for each in stage.sidecars if each.name == name)
+            fence, name = monitor.latest_holder[duty]
+            return fence, next(each for each in fleet.sidecars if each.name == name)
 
         fence, one = current(duties[0])
         one.stop()
-        await holding.wait_for_holder(duties[0], fence, one.name)
+        await monitor.wait_for_holder(duties[0], fence, one.name)
         one.go_on()
         fence, one = current(duties[1])
         heal = links.cut({one.number}, every - {one.number})
-        await holding.wait_for_holder(duties[1], fence, one.name)
+        await monitor.wait_for_holder(duties[1], fence, one.name)
         heal()
         fence, one = current(duties[2])
         one.kill()
-        await holding.wait_for_holder(duties[2], fence, one.name)
+        await monitor.wait_for_holder(duties[2], fence, one.name)
         one.start()
-        await stage.wait_until_started()
+        await fleet.wait_until_started()
         fence, one = current(duties[0])
         assert not await one.resigned("no duty of its")
-        while not await one.resigned(duties[0]):  # it may have given it up by itself just now
-            await holding.wait_for_holder(duties[0], fence)
+        while not await one.resigned(duties[0]):  # it may have released it by itself just now
+            await monitor.wait_for_holder(duties[0], fence)
             fence, one = current(duties[0])
-        await holding.wait_for_holder(duties[0], fence)
+        await monitor.wait_for_holder(duties[0], fence)
         fence, one = current(duties[1])
         one.end()
-        await holding.wait_for_holder(duties[1], fence, one.name)
+        await monitor.wait_for_holder(duties[1], fence, one.name)
         fence, one = current(duties[2])
-        one.replace()  # two processes of one name; the new one inherits nothing
-        await holding.wait_for_holder(duties[2], fence)
+        one.replace()  # two processes with one name; the new one inherits no duty
+        await monitor.wait_for_holder(duties[2], fence)
         for server in (0, 1, 2):
             world.servers[server].failing = 0.0
 
@@ -419,7 +435,7 @@
 def test_a_holder_cut_off_from_servers_but_not_from_voters_keeps_none_from_the_others(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It renews as well as any, and its trials fail by its own fault; for the others the servers serve."""
+    """It still renews its leases, and its trials fail by its own fault; for the others the servers work."""
     came, cut_off = Server.came, set[int]()
 
     def failing(self: Server, job: Job) -> bool:
@@ -427,64 +443,64 @@
         return came(self, job)
 
     monkeypatch.setattr(Server, "came", failing)
-    sick = {"s-0", "s-1", "s-2"}
+    unhealthy = {"s-0", "s-1", "s-2"}
 
-    async def work(stage: RunningFleet) -> None:
-        await stage.wait_until_correct("all have begun")
-        async with HolderMonitor(stage) as holding:
-            for name in sorted(sick):
-                await holding.wait_for_holder(f"trial hall-0 {name}", 0)
+    async def work(fleet: RunningFleet) -> None:
+        await fleet.wait_until_correct("all have started")
+        async with HolderMonitor(fleet) as monitor:
+            for name in sorted(unhealthy):
+                await monitor.wait_for_holder(f"trial hall-0 {name}", 0)
             holder = next(
-                each for each in stage.sidecars if each.name == holding.latest_holder["trial hall-0 s-0"][1]
+                each for each in fleet.sidecars if each.name == monitor.latest_holder["trial hall-0 s-0"][1]
             )
             cut_off.add(holder.number)
             began = time.monotonic()
-            await stage.wait_until(
-                lambda _: not any(each.refused & sick for each in stage.sidecars if each is not holder),
+            await fleet.wait_until(
+                lambda _: not any(each.refused & unhealthy for each in fleet.sidecars if each is not holder),
                 "in use by all others",
             )
             assert time.monotonic() - began < MAX_POSTPONED_US / SECOND, (
-                "not only once nobody is heeded any more"
+                "sooner than the longest postponement"
             )
-            assert holder.refused & sick, "its own eyes see them fail"
+            assert holder.refused & unhealthy, "it sees them fail itself"
             cut_off.add(-1)
             cut_off.discard(holder.number)
-            await stage.wait_until(lambda _: not holder.refused & sick, "the way is back")
-        assert not holding.violations(), holding.violations()[:3]
+            await fleet.wait_until(lambda _: not holder.refused & unhealthy, "the connection is back")
+        assert not monitor.violations(), monitor.violations()[:3]
 
     run_fleet(tmp_path, work, PLAN)
 
 
-def test_nobody_gains_a_duty_while_voters_that_all_restarted_may_have_granted_it(tmp_path: Path) -> None:
-    """By the numbers of what is held, which tell when it was claimed; all clocks are one machine's."""
+def test_no_duty_is_granted_while_restarted_voters_may_have_granted_it_before(tmp_path: Path) -> None:
+    """All voters restart. Fencing numbers tell when duties were claimed; all clocks are one machine's."""
     lease_s = 3.0
     plan = PLAN.model_copy(update={"sidecars": PLAN.sidecars.model_copy(update={"lease_s": lease_s})})
 
-    async def work(stage: RunningFleet) -> None:
-        await stage.wait_until_correct("all have begun")
+    async def work(fleet: RunningFleet) -> None:
+        await fleet.wait_until_correct("all have started")
         for server in (0, 1, 2):
-            stage.world.servers[server].failing = 1.0
+            fleet.world.servers[server].failing = 1.0
         duties = [f"trial hall-0 s-{server}" for server in (0, 1, 2)]
-        async with HolderMonitor(stage) as holding:
+        async with HolderMonitor(fleet) as monitor:
             for duty in duties:
-                await holding.wait_for_holder(duty, 0)
+                await monitor.wait_for_holder(duty, 0)
             for number in (0, 1, 2):
-                stage.sidecars[number].kill()
+                fleet.sidecars[number].kill()
             killed_ms = time.time_ns() // 1_000_000
             for number in (0, 1, 2):
-                stage.sidecars[number].start()
-            await stage.wait_until_started()
+                fleet.sidecars[number].start()
+            await fleet.wait_until_started()
             for duty in duties:
-                await holding.wait_for_holder(duty, (killed_ms + 1) << INSTANCE_BITS)
-        claimed = sorted({line["fence"] >> INSTANCE_BITS for line in holding.lines})
+                await monitor.wait_for_holder(duty, (killed_ms + 1) << INSTANCE_BITS)
+        claimed = sorted({line["fence"] >> INSTANCE_BITS for line in monitor.lines})
         early = [ms - killed_ms for ms in claimed if 50 < ms - killed_ms < lease_s * 500]
         assert not early, (early, killed_ms)
-        assert not holding.violations(), holding.violations()[:3]
+        assert not monitor.violations(), monitor.violations()[:3]
 
     run_fleet(tmp_path, work, plan)
 
 
-def test_voters_come_and_go_with_the_file_and_what_peers_are_stays(tmp_path: Path) -> None:
+def test_voters_are_reloaded_and_other_peer_settings_need_a_restart(tmp_path: Path) -> None:
     peers: dict[str, Any] = {"listen": "127.0.0.1:0", "everyS": 0.2}
     around = Deployment(tmp_path, 1, admin_addr="127.0.0.1:0", peers=peers)
 
@@ -492,19 +508,19 @@
         around.config.write_text(json.dumps({**around.told, "peers": {**peers, **changed}}))
         around.process.send_signal(signal.SIGHUP)
         waiting = around.event("reloaded")["needs_restart"]
-        view = around.call("GET", "/peers")
-        assert view is not None
-        return {"waiting": waiting, **json.loads(view.body)}
+        response = around.call("GET", "/peers")
+        assert response is not None
+        return {"waiting": waiting, **json.loads(response.body)}
 
     with around.running():
-        mine = json.loads(around.call("GET", "/peers").body)["address"]  # type: ignore[union-attr]
-        told = load(voters=[mine], leaseS=1, longestS=40, trials=True)
-        assert told["waiting"] == [] and told["fit"] and told["holds"] == told["granted"] == []
-        assert 30 < told["silent_s"] < 41, "one that becomes a voter knows nothing of what was granted"
-        told = load(voters=["127.0.0.1:1"], votersBefore=[mine], leaseS=1, longestS=40)
-        assert 0 < told["silent_s"] < 41, "still a voter"
-        told = load(voters=["127.0.0.1:1"], leaseS=1)
-        assert "granted" not in told and told["holds"] == []
+        own = json.loads(around.call("GET", "/peers").body)["address"]  # type: ignore[union-attr]
+        view = load(voters=[own], leaseS=1, longestS=40, trials=True)
+        assert view["waiting"] == [] and view["fit"] and view["holds"] == view["granted"] == []
+        assert 30 < view["silent_s"] < 41, "a new voter does not know what was granted before"
+        view = load(voters=["127.0.0.1:1"], votersBefore=[own], leaseS=1, longestS=40)
+        assert 0 < view["silent_s"] < 41, "still a voter"
+        view = load(voters=["127.0.0.1:1"], leaseS=1)
+        assert "granted" not in view and view["holds"] == []
         assert "holds" not in load()
         assert load(everyS=0.3)["waiting"] == ["peers"]
         around.config.write_text(json.dumps({**around.told, "peers": {**peers, "voters": ["nobody"]}}))
@@ -514,8 +530,8 @@
         assert refused is not None and refused.status == 404
 
 
-def test_who_is_sick_itself_keeps_no_server_from_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against one observer: its hops all fail, and those of the others only until 25 s."""
+def test_an_unhealthy_sidecar_keeps_no_server_from_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """All hops of one sidecar fail, those of the others until 25 s: its reports keep no breaker open."""
     came = Server.came
 
     def failing(self: Server, job: Job) -> bool:
