--- a/pumicepath/distribution/regions.py
+++ b/pumicepath/distribution/regions.py
@@ -62,8 +62,7 @@
     def __init__(self) -> None:
         self.versions: dict[str, int] = {}  # the highest accepted version
         self.relay_versions: RegionVersions = {}  # in the last answer of the relay that is followed
-        # Regions whose stored entries came from the relay that is followed: its changes can be applied to
-        # them.
+        # Regions whose stored entries came from the relay that is followed: its changes apply to them.
         self.continuous: set[str] = set()
         self.versions_before_restart: dict[str, int] = {}  # the highest version when the origin restarted
         self.confirmed: set[str] = set()  # accepted from the relay that is followed while it was in touch
--- a/pumicepath/distribution/relay_selector.py
+++ b/pumicepath/distribution/relay_selector.py
@@ -77,8 +77,7 @@
         self.failures += 1
         if self.failures == 1:
             return int(FIRST_WAIT_US * self.uniform())
-        # Backs off: relays that return must not be called by all sidecars at once, and dialling takes CPU
-        # here.
+        # Backs off: relays that return must not be called by all sidecars at once, and dials take CPU here.
         return self.jittered(min(MAX_WAIT_US, FIRST_WAIT_US << min(self.failures - 1, 10)))
 
     def call_answered(self, now: int, live: int, disconnected: int) -> bool:
--- a/pumicepath/distribution/relay_store.py
+++ b/pumicepath/distribution/relay_store.py
@@ -107,9 +107,7 @@
         self.regions = {name: RegionState() for name in regions}
         self.visible: dict[str, EncodedServer] = {}
         self.services: dict[str, ServiceState] = {}
-        self.change_log: deque[tuple[int, str]] = (
-            deque()
-        )  # version and service of each change of all services
+        self.change_log: deque[tuple[int, str]] = deque()  # version and service of every known change
         self.cache: dict[tuple[str, int], tuple[bytes, bool]] = {}
         self.cache_bytes = 0
 
--- a/pumicepath/fleet/member_table.py
+++ b/pumicepath/fleet/member_table.py
@@ -36,9 +36,8 @@
         self.state_since = now
         self.last_contact = 0  # when a message of its own arrived last
         self.reported_by = reported_by  # who reported it last; "" if it did itself
-        self.suspicion_count = (
-            0  # number of suspicions so far: tells the timer of an older one from the current
-        )
+        # Number of suspicions so far, by which the timer of an earlier one is recognised.
+        self.suspicion_count = 0
         self.suspectors: tuple[int, ...] = ()
 
 
--- a/pumicepath/fleet/updates.py
+++ b/pumicepath/fleet/updates.py
@@ -50,8 +50,8 @@
             if member is not None:
                 records.append(member.record)
                 remaining -= member.size
-        again: list[tuple[int, int, int]] = []
-        for times, waiting in enumerate(self.by_send_count):
+        requeued: list[tuple[int, int, int]] = []
+        for send_count, waiting in enumerate(self.by_send_count):
             while waiting and remaining > 0:
                 instance_id, change = waiting.popleft()
                 if self.latest_change.get(instance_id) != change:
@@ -68,14 +68,14 @@
                         waiting.appendleft((instance_id, change))
                         break
                     records.append(member.record)
-                if times + 1 >= max_sends:
+                if send_count + 1 >= max_sends:
                     del self.latest_change[instance_id]
                 else:
-                    again.append((times + 1, instance_id, change))
+                    requeued.append((send_count + 1, instance_id, change))
             if remaining <= 0:
                 break
-        for times, instance_id, change in again:
-            while len(self.by_send_count) <= times:
+        for send_count, instance_id, change in requeued:
+            while len(self.by_send_count) <= send_count:
                 self.by_send_count.append(deque())
-            self.by_send_count[times].append((instance_id, change))
+            self.by_send_count[send_count].append((instance_id, change))
         return records
