--- a/pumicepath/http1/ring.py
+++ b/pumicepath/http1/ring.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..invariants import must
+from ..invariants import check_invariant
 
 FIRST = 2048
 
@@ -40,7 +40,7 @@
         return self.view[tail : self.head] if tail < self.head else self.view[tail:]
 
     def wrote(self, count: int) -> None:
-        must(0 <= count <= len(self.store) - self.size, "ring overrun")
+        check_invariant(0 <= count <= len(self.store) - self.size, "ring overrun")
         self.size += count
 
     def put(self, data: bytes | memoryview) -> int:
@@ -73,7 +73,7 @@
         return taken
 
     def drop(self, count: int) -> None:
-        must(0 <= count <= self.size, "ring underrun")
+        check_invariant(0 <= count <= self.size, "ring underrun")
         self.size -= count
         self.head = (self.head + count) % len(self.store)
 
--- a/pumicepath/lab/virtual/peers.py
+++ b/pumicepath/lab/virtual/peers.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from typing import Any
 
+from ...balancer import Balancer
 from ...fleet import messages
 from ...fleet.membership import Membership
 from ...fleet.messages import STATES, Record
 from ...fleet.node import FleetNode
 from ...fleet.settings import PeerSettings, Voting
-from ...logic import Balancer
 from ..model.links import Links
 from ..model.timeline import Timeline, chance
 from ..model.views import right
@@ -128,7 +128,7 @@
         self.peering.counts["put off" if wait else "brought forward"] += 1
         self.told(int(server), wait)
 
-    def turn(self, name: str) -> bool:
+    def may_try(self, name: str) -> bool:
         fellow = self.fellow
         return (
             fellow is not None
@@ -137,12 +137,12 @@
             and bool(fellow.duties.fencing_number(self.clock(), fellow.trials.duty_name(name)))
         )
 
-    def opened(self, name: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, name: str, cooldown: int, often: bool) -> None:
         if self.fellow is not None and self.fellow.trials is not None:
             self.fellow.trials.breaker_opened(self.clock(), name, cooldown, often)
             self.wake()
 
-    def tried(self, name: str, failed: bool) -> None:
+    def trial_finished(self, name: str, failed: bool) -> None:
         self.peering.counts["trials failed" if failed else "trials served"] += 1
         if self.fellow is not None and self.fellow.trials is not None:
             self.fellow.trials.trial_finished(self.clock(), name, failed)
@@ -195,8 +195,8 @@
         """Have the trials of these decisions agreed on, where the fleet does so."""
         if self.voting is not None and self.voting.shared_trials and isinstance(decisions, Balancer):
             node = self.nodes[number]
-            decisions.companions = node
-            node.told = lambda server, wait: decisions.put_off(self.timeline.now, server, wait)
+            decisions.peer_trials = node
+            node.told = lambda server, wait: decisions.postpone_trial(self.timeline.now, server, wait)
 
     def kill(self, number: int) -> None:
         node = self.nodes[number]
--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -132,10 +132,10 @@
                 continue
             parser.ring.wrote(count)
             self.got += count
-            if parser.step == START and intake.full() and self.turned_away(parser, arrived):
+            if parser.step == START and intake.is_full() and self.turned_away(parser, arrived):
                 if not self.enter(IDLE):
                     return
-                time.sleep(intake.pause / 1e6)
+                time.sleep(intake.read_pause / 1e6)
                 continue
             if self.state != PARTIAL and not self.enter(PARTIAL):
                 return
@@ -178,20 +178,22 @@
         self.head = False
         dispatcher = self.owner.dispatcher
         config, terms = dispatcher.serving
-        tariff = config.tariffs.get(name)
+        tariff = config.request_classes.get(name)
         if tariff is None or not self.enter(BUSY):
             return False
-        patience = terms[tariff].tariff.patience
+        patience = terms[tariff].request_class.deadline
         if expires:
             patience = min(patience, int(expires) * 1000)
-        usual = terms[tariff].usual
+        usual = terms[tariff].typical_latency
         self.inside = dispatcher.entrance.enter(arrived, arrived + patience, tariff, retry, usual)
         if self.inside:
             return False
         parser.ring.drop(size)
         self.group = name
         self.keep = not self.last
-        self.answer(answers.deferred(dispatcher.entrance.intake.back(tariff)), not dispatcher.leaving())
+        self.answer(
+            answers.deferred(dispatcher.entrance.intake.retry_after(tariff)), not dispatcher.leaving()
+        )
         return True
 
     def resume(self) -> None:
@@ -244,9 +246,9 @@
             return None
         config, terms = dispatcher.serving
         name = request.header(TARIFF)
-        self.group = name if name in config.tariffs else ""
+        self.group = name if name in config.request_classes else ""
         try:
-            what = asked(request, config.tariffs, config.settings.tariffs)
+            what = asked(request, config.request_classes, config.settings.request_classes)
         except Malformed as trouble:
             self.refuse(trouble, True)
             return None
@@ -255,18 +257,19 @@
             # The connection stays: a new one would cost more than this answer.
             self.owner.refused["no room"] += 1
             self.answer(
-                answers.deferred(dispatcher.balancer.bound_retry_in(terms[what.tariff])),
+                answers.deferred(dispatcher.balancer.fixed_retry_after(terms[what.tariff])),
                 not dispatcher.leaving(),
             )
             return None
         if not self.inside:
-            usual = terms[what.tariff].usual
+            usual = terms[what.tariff].typical_latency
             self.inside = dispatcher.entrance.enter(
                 arrived, arrived + what.patience, what.tariff, what.retry, usual
             )
             if not self.inside:
                 self.answer(
-                    answers.deferred(dispatcher.entrance.intake.back(what.tariff)), not dispatcher.leaving()
+                    answers.deferred(dispatcher.entrance.intake.retry_after(what.tariff)),
+                    not dispatcher.leaving(),
                 )
                 return None
         if clock.now() - arrived > LATE and self.gone():
@@ -353,7 +356,7 @@
     def finish(self, reset: bool = False) -> None:
         self.outgoing.rest()
         if self.group:
-            self.owner.dispatcher.figures.ended(self.group, self.status)
+            self.owner.dispatcher.figures.submission_finished(self.group, self.status)
             self.group = ""
         if not self.keep:
             self.enter(CLOSING)
--- a/pumicepath/sidecar/clients.py
+++ b/pumicepath/sidecar/clients.py
@@ -54,7 +54,7 @@
     def __init__(self, dispatcher: Dispatcher, listener: socket.socket | None = None) -> None:
         config = dispatcher.serving[0]
         self.dispatcher = dispatcher
-        self.all = self.most = config.from_clients
+        self.all = self.most = config.max_client_connections
         self.open: dict[Client, None] = {}
         self.fresh: dict[Client, None] = {}  # those that have sent nothing yet, the oldest first
         self.refused: Counter[str] = Counter()
@@ -229,11 +229,11 @@
             if state == IDLE or state == FRESH and overdue or state == PARTIAL and ends:
                 client.expire(state)
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Look for connections whose time is up."""
         self.dispatcher.after.append(self.sweep)
         soon = self.scarce() or self.dispatcher.emptied
-        self.dispatcher.wake(now + (SWEEP if soon else SWEEP_AT_EASE), self)
+        self.dispatcher.set_timer(now + (SWEEP if soon else SWEEP_AT_EASE), self)
 
     def scarce(self) -> bool:
         return len(self.open) > self.most // 3
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 
-from ..admin.figures import Figures
-from ..discovery.roster import Update, stable
+from ..admin.metrics import Metrics
+from ..balancer import Balancer, ClassState, Submission
+from ..discovery.server_list import ServerListUpdate, stable_id
 from ..http1 import writing
 from ..http1.messages import Response
 from ..http1.parsing import ResponseParser
-from ..interface import Companions, Listing, Outcome, Wakeable
-from ..invariants import must
-from ..logic import Balancer, Submission, Terms
+from ..interface import ListKind, Outcome, PeerTrials, TimerHandler
+from ..invariants import check_invariant
 from . import answers, clock
 from .config import Config
 from .entrance import Entrance
@@ -27,7 +27,7 @@
 TOO_LATE = 10_000  # from when our own threads' delay tells on what servers are judged by
 
 
-Serving = tuple[Config, tuple[Terms, ...]]
+Serving = tuple[Config, tuple[ClassState, ...]]
 
 
 class Turn:
@@ -50,11 +50,11 @@
     def __init__(self, whom: Submission) -> None:
         self.whom = whom
 
-    def over(self) -> bool:
-        return self.whom.over()
+    def is_finished(self) -> bool:
+        return self.whom.is_finished()
 
-    def woke(self, now: int) -> None:
-        self.whom.woke(now)
+    def on_timer(self, now: int) -> None:
+        self.whom.on_timer(now)
 
 
 class Dispatcher:
@@ -65,7 +65,7 @@
         self.waiting: deque[Turn] = deque()
         self.due = threading.Event()
         self.rest: float | None = None
-        self.alarms: list[tuple[int, int, Wakeable]] = []
+        self.alarms: list[tuple[int, int, TimerHandler]] = []
         self.set_alarms = 0
         self.closing: list[Callable[[], None]] = []
         self.after: list[Callable[[], None]] = []
@@ -74,15 +74,15 @@
         self.draining = False  # since SIGTERM
         self.ends = FOREVER  # by when all that is taken has to be answered, known from then on
         self.emptied = False  # by an operator, until it is called back
-        self.figures = Figures()
+        self.figures = Metrics()
         self.loaded = self.invalid = 0
         self.pool = Pool(self, config, log)
         self.traces: set[str] = set()
         self.expiring: deque[tuple[int, str]] = deque()
         self.balancer = Balancer(config.settings, config.seed, self)
         # What requests are read by, replaced as one: whoever reads one takes it once and keeps to it.
-        self.serving: Serving = (config, self.balancer.terms)
-        self.longest = max(tariff.patience for tariff in config.settings.tariffs)
+        self.serving: Serving = (config, self.balancer.class_states)
+        self.longest = max(tariff.deadline for tariff in config.settings.request_classes)
         self.entrance = Entrance(config)
         self.pace = Pace(self, self.entrance)
 
@@ -148,10 +148,10 @@
             if type(whom) is Submission and self.pace.behind > TOO_LATE and not whom.over():
                 # Guards servers against being judged by how late our own threads are: the answer may have
                 # come, and wait to be read.
-                self.wake(now + self.pace.behind, Later(whom))
+                self.set_timer(now + self.pace.behind, Later(whom))
                 continue
             try:
-                whom.woke(now)
+                whom.on_timer(now)
             except Exception as trouble:  # the thread answers for all silent servers and must go on
                 self.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
         self.drop_idle_alarms()
@@ -161,7 +161,7 @@
         """Guards the core against being woken for each submission that has ended long before its alarms."""
         while self.alarms:
             whom = self.alarms[0][2]
-            if not isinstance(whom, (Submission, Exchange, Later)) or not whom.over():
+            if not isinstance(whom, (Submission, Exchange, Later)) or not whom.is_finished():
                 return
             heappop(self.alarms)
 
@@ -171,15 +171,15 @@
         """Go by another configuration, in one step; what has been read ends under what it was read by."""
 
         def call(now: int) -> None:
-            self.balancer.adopt(now, config.settings)
+            self.balancer.apply_settings(now, config.settings)
             self.pool.adopt(config)
-            self.serving = (config, self.balancer.terms)
-            self.longest = max(self.longest, *(tariff.patience for tariff in config.settings.tariffs))
+            self.serving = (config, self.balancer.class_states)
+            self.longest = max(self.longest, *(tariff.deadline for tariff in config.settings.request_classes))
 
         self.entrance.adopt(config)
         self.decide(call)
 
-    def take(self, exchange: Exchange, terms: Terms, key: int, retry: bool) -> bool:
+    def take(self, exchange: Exchange, terms: ClassState, key: int, retry: bool) -> bool:
         """Whether it was taken.
 
         Guards a submission that may still run against another one under its id, until its patience is over.
@@ -195,11 +195,11 @@
             self.taken += 1
             exchange.number = self.taken
             self.exchanges[exchange.number] = exchange
-            exchange.handle = self.balancer.take_under(
+            exchange.handle = self.balancer.submit_with(
                 now, exchange.number, terms, key, retry, exchange.until, exchange.upload is not None
             )
             if not exchange.answered and exchange.upload is None:
-                self.wake(exchange.until, exchange)
+                self.set_timer(exchange.until, exchange)
             self.forget(exchange)
 
         self.decide(call)
@@ -233,8 +233,8 @@
             if exchange.answered or exchange.handle is None:
                 return
             exchange.until = min(now + exchange.patience, self.ends)
-            exchange.handle.whole(now, hop.number, exchange.until)
-            self.wake(exchange.until, exchange)
+            exchange.handle.body_complete(now, hop.number, exchange.until)
+            self.set_timer(exchange.until, exchange)
 
         self.decide(call)
 
@@ -254,7 +254,7 @@
             if left and not exchange.answered and exchange.handle is not None:
                 # Nobody waits for a further hop.
                 exchange.answered = exchange.left = True
-                exchange.handle.left(now)
+                exchange.handle.client_left(now)
             if hop.ended:
                 return
             if outcome == Outcome.OK and response is not None and not exchange.answered:
@@ -266,7 +266,7 @@
     def started(self, hop: Hop) -> None:
         def call(now: int) -> None:
             if not hop.ended and hop.exchange.handle is not None:
-                hop.exchange.handle.started(now, hop.number)
+                hop.exchange.handle.response_started(now, hop.number)
 
         self.decide(call)
 
@@ -287,7 +287,9 @@
         def call(now: int) -> None:
             if not exchange.answered and not hop.ended and not hop.cancelled and exchange.handle is not None:
                 exchange.answered = hop.ended = True
-                exchange.handle.ended(now, hop.number, Outcome.OK, max(hop.at, hop.came) - hop.at, True)
+                exchange.handle.hop_finished(
+                    now, hop.number, Outcome.OK, max(hop.at, hop.came) - hop.at, True
+                )
                 self.forget(exchange)
                 passed.append(True)
 
@@ -321,17 +323,17 @@
         if exchange.handle is not None:
             # By when it reached this machine: what our threads took to read it is not the server's.
             came = max(hop.at, hop.came) if outcome == Outcome.OK and hop.came else now
-            exchange.handle.ended(now, hop.number, outcome, came - hop.at, exchange.answered)
+            exchange.handle.hop_finished(now, hop.number, outcome, came - hop.at, exchange.answered)
         self.forget(exchange)
 
     def answer(self, exchange: Exchange, answer: answers.Answer) -> None:
-        if must(not exchange.answered, "second final answer"):
+        if check_invariant(not exchange.answered, "second final answer"):
             exchange.answered = True
             client = exchange.client
             self.after.append(lambda: client.answer(answer, not self.leaving()))
 
     def forget(self, exchange: Exchange) -> None:
-        if exchange.over():
+        if exchange.is_finished():
             self.exchanges.pop(exchange.number, None)
             exchange.hops.clear()  # they know it, and would keep each other until the next collection
 
@@ -343,31 +345,31 @@
         """Take a server out, or let it serve again; nothing more goes to it from the return on."""
 
         def call(now: int) -> None:
-            if self.balancer.hand(now, stable(name), out, certain):
-                self.pool.by_hand(stable(name), out)
+            if self.balancer.set_out_of_service(now, stable_id(name), out, certain):
+                self.pool.by_hand(stable_id(name), out)
                 done.append(True)
 
         done: list[bool] = []
         self.decide(call)
         return bool(done)
 
-    def accompany(self, companions: Companions | None) -> None:
+    def accompany(self, companions: PeerTrials | None) -> None:
         """Have trials of sick servers agreed on with other sidecars, or each one's own again."""
 
         def call(now: int) -> None:
-            self.balancer.companions = companions
+            self.balancer.peer_trials = companions
 
         self.decide(call)
 
     def put_off(self, server: int, wait: int) -> None:
         """What another sidecar says of a server whose breaker may be open here."""
-        self.decide(lambda now: self.balancer.put_off(now, server, wait))
+        self.decide(lambda now: self.balancer.postpone_trial(now, server, wait))
 
     def handed(self) -> tuple[dict[int, int], dict[int, int]]:
         """The servers out by hand and those back that may be cold, with the times since when."""
 
         def call(now: int) -> None:
-            told.append((dict(self.balancer.by_hand), dict(self.balancer.returned)))
+            told.append((dict(self.balancer.out_of_service), dict(self.balancer.returned_at)))
 
         told: list[tuple[dict[int, int], dict[int, int]]] = []
         self.decide(call)
@@ -375,7 +377,7 @@
 
     def inherit(self, by_hand: dict[int, int], returned: dict[int, int]) -> None:
         """Before the first list: what the process before this one was told by hand."""
-        self.balancer.by_hand, self.balancer.returned = by_hand, returned
+        self.balancer.out_of_service, self.balancer.returned_at = by_hand, returned
         self.pool.barred = set(by_hand)
 
     def share(self, part: int, parts: int) -> None:
@@ -386,20 +388,20 @@
         """How many servers are listed, and how many of them avoided."""
 
         def call(now: int) -> None:
-            told.append(self.balancer.standing())
+            told.append(self.balancer.server_counts())
 
         told: list[tuple[int, int]] = []
         self.decide(call)
         return told[0]
 
-    def listed(self, kind: Listing, update: Update, spent: int = 0) -> None:
+    def listed(self, kind: ListKind, update: ServerListUpdate, spent: int = 0) -> None:
         def call(now: int) -> None:
-            alone = self.balancer.settings.drain_alone
-            if kind != Listing.FAILED:
+            alone = self.balancer.settings.only_draining_removes
+            if kind != ListKind.FAILED:
                 self.pool.listed(update, alone)
-            self.balancer.listed(now, kind, update.entries, spent)
+            self.balancer.update_servers(now, kind, update.entries, spent)
             if alone:
-                self.pool.prune(self.balancer.index)
+                self.pool.prune(self.balancer.index_by_id)
 
         self.decide(call)
 
@@ -414,12 +416,12 @@
         hop.link = self.pool.link_for(now, hop)
         exchange.pending.append(hop)
         if timeout > 0:
-            self.wake(now + timeout, hop)
+            self.set_timer(now + timeout, hop)
 
-    def defer(self, submission: int, retry_in: int) -> None:
+    def reject(self, submission: int, retry_in: int) -> None:
         self.answer(self.exchanges[submission], answers.deferred(retry_in))
 
-    def forfeit(self, submission: int) -> None:
+    def fail(self, submission: int) -> None:
         self.answer(self.exchanges[submission], answers.FORFEITED)
 
     def sent(self) -> None:
@@ -433,19 +435,19 @@
     def probe(self, server: int) -> None:
         """No decision asks for probes yet."""
 
-    def free_links(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         self.pool.free(server)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """The platform says nothing of messages between sidecars: the hint is lost, as hints may be."""
 
-    def follow(self) -> None:
+    def request_server_list(self) -> None:
         self.after.append(self.on_follow)
 
     def close(self, act: Callable[[], None]) -> None:
         self.closing.append(act)
 
-    def wake(self, at: int, whom: Wakeable) -> None:
+    def set_timer(self, at: int, whom: TimerHandler) -> None:
         self.set_alarms += 1
         heappush(self.alarms, (at, self.set_alarms, whom))
         if self.alarms[0][1] == self.set_alarms:
--- a/pumicepath/sidecar/entrance.py
+++ b/pumicepath/sidecar/entrance.py
@@ -4,7 +4,7 @@
 
 import threading
 
-from ..intake.queue import Intake, Verdict
+from ..admission.queue import AdmissionQueue, AdmissionResult
 from . import clock
 from .config import Config
 
@@ -28,22 +28,22 @@
 
     def __init__(self, config: Config) -> None:
         settings = config.settings
-        self.intake: Intake[Waiting] = Intake(
-            settings.tariffs, settings.most_retry_in, config.from_clients, config.seed
+        self.intake: AdmissionQueue[Waiting] = AdmissionQueue(
+            settings.request_classes, settings.max_retry_after, config.max_client_connections, config.seed
         )
         self.gate = threading.Lock()
 
     def adopt(self, config: Config) -> None:
         with self.gate:
-            self.intake.adopt(config.settings.tariffs, config.settings.most_retry_in)
+            self.intake.apply_settings(config.settings.request_classes, config.settings.max_retry_after)
 
     def enter(self, arrived: int, until: int, tariff: int, retry: bool, usual: float) -> bool:
         """Wait to be taken up; False if the request is turned away.  True must be followed by `leave`."""
         waiting = Waiting()
         with self.gate:
-            verdict = self.intake.came(clock.now(), arrived, until, tariff, retry, usual, waiting)
-            if verdict != Verdict.WAIT:
-                return verdict == Verdict.GO
+            verdict = self.intake.offer(clock.now(), arrived, until, tariff, retry, usual, waiting)
+            if verdict != AdmissionResult.QUEUED:
+                return verdict == AdmissionResult.ADMITTED
             waiting.lock.acquire()  # free until now: nobody is waited for
         waiting.lock.acquire()
         return waiting.go
@@ -52,7 +52,7 @@
         """Wait for a place to go on with what was taken up; must be followed by `leave`."""
         waiting = Waiting()
         with self.gate:
-            if self.intake.again(waiting):
+            if self.intake.resume(waiting):
                 return
             waiting.lock.acquire()  # free until now
         waiting.lock.acquire()
@@ -61,8 +61,8 @@
         """Let another have the place; `out` is how long ago the answer came that was passed on, if any."""
         with self.gate:
             if out > 0:
-                self.intake.answered(out)
-            following, turned = self.intake.left(clock.now())
+                self.intake.record_response_delay(out)
+            following, turned = self.intake.release(clock.now())
         for one in turned:
             one.tell(False)
         if following is not None:
--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
+from ..balancer import Submission
 from ..http1.messages import Request
 from ..http1.parsing import ResponseParser
-from ..interface import Effect, Outcome, Wakeable
-from ..invariants import must
-from ..logic import Submission
+from ..interface import Effect, Outcome, TimerHandler
+from ..invariants import check_invariant
 from . import answers
 
 LATE = 5_000  # from when a client that waits may have gone
@@ -71,7 +71,7 @@
 
     def answer(self, exchange: Exchange, answer: answers.Answer) -> None: ...
 
-    def wake(self, at: int, whom: Wakeable) -> None: ...
+    def set_timer(self, at: int, whom: TimerHandler) -> None: ...
 
     def close(self, act: Callable[[], None]) -> None:
         """Do it once the lock is free, before whatever else was decided under it."""
@@ -125,8 +125,8 @@
         self.patience = patience  # from the last byte of such a body on
         self.arrived = arrived
 
-    def over(self) -> bool:
-        return self.handle is not None and self.handle.over()
+    def is_finished(self) -> bool:
+        return self.handle is not None and self.handle.is_finished()
 
     def begins(self, now: int, hop: Hop) -> bool:
         """Whether a hop may still be written: the last moment at which that can be known.
@@ -138,18 +138,18 @@
         if hop.ended or self.answered or now >= self.until:
             return False
         if hop.number and self.handle is not None:
-            tariff, before = self.handle.terms.tariff, self.handle.hops[: hop.number]
+            tariff, before = self.handle.class_state.request_class, self.handle.hops[: hop.number]
             if tariff.effect == Effect.DEDUPLICATED and any(
-                one.may_have_run and now > one.at + tariff.window for one in before
+                one.may_have_run and now > one.sent_at + tariff.dedup_window for one in before
             ):
                 return False
         return now - self.arrived <= LATE or not self.client.gone()
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Its patience is over: answers for servers that say nothing."""
         for hop in list(self.hops):
             self.owner.end(now, hop, Outcome.TIMEOUT)
-        if not must(self.answered, "no final answer when patience ended"):
+        if not check_invariant(self.answered, "no final answer when patience ended"):
             self.owner.answer(self, answers.FORFEITED)
 
 
@@ -169,6 +169,6 @@
         self.ended = False
         self.cancelled = False
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Its time-out has come, where the balancer sets one."""
         self.exchange.owner.end(now, self, Outcome.TIMEOUT)
--- a/pumicepath/sidecar/pace.py
+++ b/pumicepath/sidecar/pace.py
@@ -18,13 +18,13 @@
         self.behind = 0
         self.met = 0
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         late = now - self.due if self.due else 0
         self.behind = max(late, int(self.behind * KEPT))
-        change = self.entrance.intake.beat(now)
+        change = self.entrance.intake.update_pause(now)
         if change:
             self.owner.log(change)
-        met = self.entrance.intake.taken + self.entrance.intake.turned
+        met = self.entrance.intake.admitted + self.entrance.intake.rejected
         self.due = now + (BEAT if met != self.met or self.behind > BEAT else REST)
         self.met = met
-        self.owner.wake(self.due, self)
+        self.owner.set_timer(self.due, self)
--- a/pumicepath/sidecar/servers.py
+++ b/pumicepath/sidecar/servers.py
@@ -10,12 +10,12 @@
 from contextlib import suppress
 from typing import NamedTuple
 
-from ..discovery.roster import Address, Update
+from ..discovery.server_list import Address, ServerListUpdate
 from ..http1 import writing
 from ..http1.messages import Malformed, Response
 from ..http1.parsing import MOST_BODY, MOST_HEAD, ResponseParser
 from ..http1.ring import Ring
-from ..interface import Outcome, Phase
+from ..interface import Outcome, ServerState
 from . import arrival, clock
 from .config import Config
 from .exchange import Abandoned, Hop, Owner, Upload
@@ -158,7 +158,7 @@
         handle = hop.exchange.handle
         for piece, last in upload.pieces():
             if handle is not None:
-                handle.spent = True
+                handle.body_discarded = True
             if last:
                 self.pool.owner.whole(hop)
             if self.dead or hop.ended:
@@ -270,7 +270,7 @@
     def __init__(self, owner: Owner, config: Config, log: Log) -> None:
         self.owner = owner
         self.log = log
-        self.all = self.most = config.to_servers
+        self.all = self.most = config.max_server_connections
         self.adopt(config)
         self.idle: dict[int, list[Link]] = {}
         self.open = 0
@@ -281,9 +281,12 @@
 
     def adopt(self, config: Config) -> None:
         """Go by other settings from now on."""
-        self.dial = config.dial
+        self.dial = config.connect_timeout_us
         # Well ahead of the server, whose closing would cross a hop that is being written.
-        self.retire = max(config.idle // 2, min(config.idle * 9 // 10, config.idle - 1_000_000))
+        self.retire = max(
+            config.idle_timeout_us // 2,
+            min(config.idle_timeout_us * 9 // 10, config.idle_timeout_us - 1_000_000),
+        )
 
     def free(self, server: int) -> None:
         """Close the idle connections to a server."""
@@ -302,17 +305,17 @@
         else:
             self.barred.discard(server)
 
-    def listed(self, update: Update, drain_alone: bool = False) -> None:
+    def listed(self, update: ServerListUpdate, drain_alone: bool = False) -> None:
         """Forget servers that want nothing new, and the connections to processes that have ended.
 
         Where only draining binds those that the list drops are kept, until `prune` says which are used.
         """
         origins = {} if update.whole and not drain_alone else dict(self.origins)
         for entry, where in zip(update.entries, update.addresses):
-            if entry.phase == Phase.DRAINING or entry.phase == Phase.GONE and not drain_alone:
+            if entry.state == ServerState.DRAINING or entry.state == ServerState.GONE and not drain_alone:
                 origins.pop(entry.server, None)
-            elif entry.phase == Phase.READY:
-                origins[entry.server] = Origin(where, entry.came_up)
+            elif entry.state == ServerState.READY:
+                origins[entry.server] = Origin(where, entry.started_at)
         self.replace(origins)
 
     def prune(self, used: Container[int]) -> None:
@@ -368,7 +371,7 @@
         while self.open > self.most and self.drop_oldest():
             pass
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Retire what has stood idle for long, or is no longer of use."""
         self.rests.forget()
         for idle in list(self.idle.values()):
@@ -376,7 +379,7 @@
                 if now - link.idle_since >= self.retire or not link.quiet():
                     link.kill()
         # Never at once again: guards the timers where servers keep no idle connections at all.
-        self.owner.wake(now + max(100_000, min(1_000_000, self.retire // 10)), self)
+        self.owner.set_timer(now + max(100_000, min(1_000_000, self.retire // 10)), self)
 
 
 def start(run: Callable[[], None]) -> None:
--- a/pumicepath/sidecar/submissions.py
+++ b/pumicepath/sidecar/submissions.py
@@ -4,9 +4,9 @@
 
 from typing import NamedTuple
 
-from ..discovery.roster import stable
+from ..discovery.server_list import stable_id
 from ..http1.messages import Malformed, Request
-from ..interface import Tariff
+from ..interface import RequestClass
 
 MOST_DIGITS = 9  # of milliseconds
 MOST_ID = 256
@@ -21,7 +21,7 @@
     patience: int
 
 
-def asked(request: Request, names: dict[str, int], tariffs: tuple[Tariff, ...]) -> Asked:
+def asked(request: Request, names: dict[str, int], tariffs: tuple[RequestClass, ...]) -> Asked:
     """Raises Malformed for what no server may be asked: servers count on ids and deadlines."""
     for name in (TRACE_ID, TARIFF, EXPIRES):
         if len(request.all(name)) > 1:
@@ -32,11 +32,11 @@
     tariff = names.get(request.header(TARIFF))
     if tariff is None:
         raise Malformed(400, "no such class")
-    patience = tariffs[tariff].patience
+    patience = tariffs[tariff].deadline
     if request.all(EXPIRES):
         expires = request.header(EXPIRES)
         if not expires.isascii() or not expires.isdigit() or len(expires) > MOST_DIGITS or not int(expires):
             raise Malformed(400, "deadline is no number of milliseconds")
         patience = min(patience, int(expires) * 1000)
     key = request.header("x-object")
-    return Asked(trace, tariff, stable(key) if key else 0, request.header("x-second-try") == "1", patience)
+    return Asked(trace, tariff, stable_id(key) if key else 0, request.header("x-second-try") == "1", patience)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Roster
+from pumicepath.discovery.server_list import ServerList
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.interface import Listing
+from pumicepath.interface import ListKind
 from pumicepath.lab.loopback.scripted import Deployment, Peer, next_of
 from pumicepath.sidecar import config
 from pumicepath.sidecar.client import Client
@@ -40,12 +40,12 @@
         told = self.around.told
         for key, value in settings.items():
             told["settings"][key] = value
-        self.config = config.config(told)
+        self.config = config.decode_config(told)
         self.dispatcher = Dispatcher(self.config, Quiet(), lambda: None)  # type: ignore[arg-type]
         self.clients = Clients(self.dispatcher)
         self.clients.listener.settimeout(20)
-        update = Roster(["a"], lambda born: 0).read(self.around.listing(1, True, "active"))
-        self.dispatcher.listed(Listing.FULL, update)
+        update = ServerList(["a"], lambda born: 0).apply(self.around.listing(1, True, "active"))
+        self.dispatcher.listed(ListKind.FULL, update)
         start(self.dispatcher.run_timers)
 
     def connect(self) -> tuple[socket.socket, Client]:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,19 +14,19 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Roster, address, stable
+from pumicepath.discovery.server_list import ServerList, parse_address, stable_id
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.messages import Request
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.interface import Listing, Outcome
+from pumicepath.interface import ListKind, Outcome
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
 from pumicepath.sidecar import arrival, clock
 from pumicepath.sidecar.exchange import Exchange
 from pumicepath.sidecar.servers import Link, start
 from pumicepath.sidecar.watching import Watcher
 
-from .helpers import compare
+from .helpers import check_trace
 from .rig import Rig, full_queue, held, status, until
 
 NEVER = ("X-Never-Ran", "1")
@@ -129,7 +129,7 @@
             (exchange,) = rig.dispatcher.exchanges.values()
             assert exchange.handle is not None
             if over:
-                exchange.handle.hops[0].at -= 31_000_000
+                exchange.handle.hops[0].sent_at -= 31_000_000
             go.release()
             lines.append(
                 f"{group}, window {'over' if over else 'open'}: {status(far)} after "
@@ -139,7 +139,7 @@
     for group in ("all", "zone"):
         repeated(group, False)
         repeated(group, True)
-    compare("crossed-window", lines)
+    check_trace("crossed-window", lines)
 
 
 @pytest.mark.parametrize("what", ["leaving", "left", "not there", "started anew", "by hand"])
@@ -160,7 +160,7 @@
             go.release()
             assert came.acquire(timeout=20)
         (exchange,) = rig.dispatcher.exchanges.values()
-        chosen = next(peer for peer in servers if stable(peer.name) == exchange.hops[-1].server)
+        chosen = next(peer for peer in servers if stable_id(peer.name) == exchange.hops[-1].server)
         before = [line for line in rig.around.lines if line.startswith(chosen.name)]
         if what == "by hand":
             assert rig.dispatcher.by_hand(chosen.name, True)
@@ -169,8 +169,8 @@
             told["hosts"] = [host for host in told["hosts"] if (host["host"] == chosen.name) != told["whole"]]
             for host in told["hosts"] if not told["whole"] else ():
                 host.update({"born_ms": 5} if what == "started anew" else {"health": what})
-            update = Roster(["a"], lambda born: born).read(told)
-            rig.dispatcher.listed(Listing.FULL if told["whole"] else Listing.CHANGES, update)
+            update = ServerList(["a"], lambda born: born).apply(told)
+            rig.dispatcher.listed(ListKind.FULL if told["whole"] else ListKind.CHANGES, update)
         rig.around.script.put((answer(200, "elsewhere"), "end"))
         go.release(100)
         assert status(far) in (200, 503)
@@ -199,8 +199,8 @@
 ) -> None:
     rig = Rig(tmp_path, policyLimits={"mostHops": 1, "connIdleS": 30.0, "dialTimeoutS": 15.0})
     late, full = full_queue(rig.around)
-    update = Roster(["a"], lambda born: 0).read(rig.around.listing(2, True, "active"))
-    rig.dispatcher.listed(Listing.FULL, update)
+    update = ServerList(["a"], lambda born: 0).apply(rig.around.listing(2, True, "active"))
+    rig.dispatcher.listed(ListKind.FULL, update)
     # As on a platform where a dial that another thread shuts goes on.
     monkeypatch.setattr(Link, "shut", lambda link: None)
     if ends == "time-out":
@@ -239,7 +239,7 @@
         parser.feed(answer(200, "in hand"))
         response = parser.next()
         steps = {
-            "deadline": lambda: rig.dispatcher.decide(exchange.woke),
+            "deadline": lambda: rig.dispatcher.decide(exchange.on_timer),
             "answer": lambda: rig.dispatcher.returned(hop, link, Outcome.OK, response, True),
         }
         for name in (first, *(set(steps) - {first})):
@@ -253,7 +253,7 @@
 
     crossed("answer")
     crossed("deadline")
-    compare("crossed-deadline", lines)
+    check_trace("crossed-deadline", lines)
 
 
 def test_an_answer_that_is_cut_or_reset_is_none_and_full_counts_only_when_whole(tmp_path: Path) -> None:
@@ -277,7 +277,7 @@
             if name.startswith("two"):
                 around.ask("once")
     # Which of the two servers it is does not matter here.
-    compare("crossed-answers", [line.replace("s-1", "s-0") for line in around.lines])
+    check_trace("crossed-answers", [line.replace("s-1", "s-0") for line in around.lines])
 
 
 def test_a_client_that_half_closes_still_has_the_answer_of_an_attempt_under_way(tmp_path: Path) -> None:
@@ -335,8 +335,8 @@
     peer = Peer.__new__(Peer)
     peer.name, peer.address = "s-0", f"127.0.0.1:{server.getsockname()[1]}"
     rig.around.servers = [peer]
-    update = Roster(["a"], lambda born: 0).read(rig.around.listing(2, True, "active"))
-    rig.dispatcher.listed(Listing.FULL, update)
+    update = ServerList(["a"], lambda born: 0).apply(rig.around.listing(2, True, "active"))
+    rig.dispatcher.listed(ListKind.FULL, update)
     far, client = rig.connect()
     start(client.run)
     far.sendall(rig.asked("first"))
@@ -425,8 +425,8 @@
     link = exchange.hops[0].link
     assert isinstance(link, Link) and link.sock is not None
     assert all(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for sock in (client.sock, link.sock))
-    where = address(rig.around.servers[0].address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), where)
+    where = parse_address(rig.around.servers[0].address)
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), where)
     assert watcher.connect().getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -7,10 +7,10 @@
 from collections import Counter, deque
 from pathlib import Path
 
+from pumicepath.admission.queue import MAX_ACTIVE, AdmissionResult
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.intake.queue import PLACES, Verdict
-from pumicepath.interface import Listing
+from pumicepath.interface import ListKind
 from pumicepath.lab.loopback.scripted import Deployment, answer, next_of
 from pumicepath.sidecar import arrival, clock, config
 from pumicepath.sidecar.client import BUSY, FRESH, IDLE, LAST, Client
@@ -18,7 +18,7 @@
 from pumicepath.sidecar.entrance import Entrance
 from pumicepath.sidecar.log import Log
 
-from .helpers import compare, entry
+from .helpers import check_trace, make_entry
 
 UP = writing.request("GET", "/up", [("Host", "a")])
 
@@ -36,7 +36,7 @@
     """All connections of the application, with a dispatcher that has no servers."""
 
     def __init__(self, folder: Path) -> None:
-        self.config = config.config(Deployment(folder, 0).told)
+        self.config = config.decode_config(Deployment(folder, 0).told)
         self.dispatcher = Dispatcher(self.config, Log("n0"), None)
         self.fresh: dict = {}
         self.refused: Counter[str] = Counter()
@@ -63,7 +63,7 @@
             f"{', closed' if response and not response.keeps() else ''}"
         )
         thread.join(5)
-    compare("crossed", lines)
+    check_trace("crossed", lines)
 
 
 def test_client_that_does_not_read_has_no_place(tmp_path: Path) -> None:
@@ -83,9 +83,9 @@
 
 
 def test_places_are_handed_on_and_those_turned_away_are_told(tmp_path: Path) -> None:
-    entrance = Entrance(config.config(Deployment(tmp_path, 0).told))
+    entrance = Entrance(config.decode_config(Deployment(tmp_path, 0).told))
     now = clock.now()
-    assert all(entrance.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(PLACES))
+    assert all(entrance.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(MAX_ACTIVE))
     told: deque = deque()
 
     def come() -> None:
@@ -102,23 +102,23 @@
     entrance.leave()
     for thread in threads:
         thread.join(5)
-    assert sorted(told) == [False, True] and entrance.intake.active == PLACES
+    assert sorted(told) == [False, True] and entrance.intake.active == MAX_ACTIVE
 
 
 def test_servers_are_not_judged_while_our_own_threads_are_late(tmp_path: Path) -> None:
     dispatcher = Owner(tmp_path).dispatcher
-    dispatcher.balancer.listed(0, Listing.FULL, [entry(10)])
+    dispatcher.balancer.update_servers(0, ListKind.FULL, [make_entry(10)])
     for behind in (0, 300_000):
         dispatcher.alarms.clear()
         dispatcher.send = lambda *_: None
-        one = dispatcher.balancer.take(0, 1, 0, 1, False, 2_500_000)
+        one = dispatcher.balancer.submit(0, 1, 0, 1, False, 2_500_000)
         dispatcher.pace.behind = behind
         dispatcher.ring(600_000)
-        judged = one.hops[0].judged
+        judged = one.hops[0].outcome_recorded
         later = [at for at, _, whom in dispatcher.alarms if isinstance(whom, Later)]
         assert (judged, later) == ((True, []) if not behind else (False, [900_000]))
     dispatcher.ring(900_000)
-    assert one.hops[0].judged
+    assert one.hops[0].outcome_recorded
 
 
 def stamping() -> tuple[socket.socket, socket.socket]:
@@ -191,7 +191,7 @@
         parser = RequestParser()
         parser.feed(text.encode())
         lines.append(f"{name}: {parser.glance()}")
-    compare("glance", lines)
+    check_trace("glance", lines)
 
 
 def test_advice_is_given_only_where_the_settings_allow_it(tmp_path: Path) -> None:
@@ -200,8 +200,8 @@
         around = Deployment(tmp_path, 0)
         around.told["settings"]["policyLimits"]["retryAfter"] = allowed
         owner = Owner(tmp_path)
-        owner.dispatcher = Dispatcher(config.config(around.told), Log("n0"), None)
-        owner.dispatcher.entrance.intake.came = lambda *_: Verdict.AWAY
+        owner.dispatcher = Dispatcher(config.decode_config(around.told), Log("n0"), None)
+        owner.dispatcher.entrance.intake.offer = lambda *_: AdmissionResult.REJECTED
         near, far = pair()
         client, parser = Client(near, owner, clock.now()), RequestParser()
         parser.feed(b"GET /api HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\n\r\n")
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -21,7 +21,7 @@
 from pumicepath.distribution.relay_store import ListChange, RelayStore, encode_entries
 from pumicepath.distribution.subscriptions import NEVER, SPREAD_US, Subscriptions
 
-from .relay_rig import line
+from .relay_rig import list_line
 
 SECOND = 1_000_000
 SERVICES = ("", "cart", "stock", "pay")
@@ -30,7 +30,7 @@
 def entries(**services: str) -> list[dict[str, Any]]:
     """Entries by host, each with its service, or `left`."""
     return [
-        line(host, "cart", "left") if service == "left" else line(host, service or None)
+        list_line(host, "cart", "left") if service == "left" else list_line(host, service or None)
         for host, service in services.items()
     ]
 
@@ -79,7 +79,7 @@
         self.visible_region: dict[str, str] = {}
 
     def random_entry(self) -> dict[str, Any]:
-        return line(
+        return list_line(
             f"h{self.rng.randrange(9)}",
             self.rng.choice(SERVICES) or None,
             self.rng.choice(("active", "active", "leaving")),
@@ -168,7 +168,7 @@
         assert store.answer(ALL_SERVICES, since)[1], since
     assert not store.answer(ALL_SERVICES, 5000)[1]
     for seq in range(2, 6):
-        apply(store, "eu", seq, False, [line("a", "cart", port=9000 + seq)])
+        apply(store, "eu", seq, False, [list_line("a", "cart", port=9000 + seq)])
     assert store.version == 5005
     for since, whole in ((5000, True), (5001, True), (5002, False), (5005, False)):
         assert store.answer(ALL_SERVICES, since)[1] is whole, since
@@ -176,7 +176,7 @@
 
 def test_a_list_with_more_changes_than_the_log_holds_is_sent_whole() -> None:
     store = RelayStore(0, ("eu",), 3)
-    apply(store, "eu", 1, True, [line(f"h{at}", "cart") for at in range(9)])
+    apply(store, "eu", 1, True, [list_line(f"h{at}", "cart") for at in range(9)])
     assert len(store.change_log) == 3 and store.answer(ALL_SERVICES, 0)[1]
     assert not store.answer(ALL_SERVICES, 1)[1]
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from pumicepath.discovery.roster import BadList, Roster, address, stable
+from pumicepath.discovery.server_list import BadList, ServerList, parse_address, stable_id
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.messages import Malformed, Response
 from pumicepath.http1.parsing import MOST_BODY, Parser, RequestParser, ResponseParser
 from pumicepath.http1.ring import FIRST, Ring
-from pumicepath.interface import Phase
+from pumicepath.interface import ServerState
 
-from .helpers import compare
+from .helpers import check_trace
 
 HOST = b"Host: a\r\n"
 PLAIN = b"\r\nGET /a?b=c HTTP/1.1\r\n" + HOST + b"X-A:  1 \r\nConnection: X-A, keep-alive\r\n\r\n"
@@ -50,7 +50,7 @@
     whole = told(RequestParser(), [data])
     for size in range(1, len(data)):
         assert told(RequestParser(), [data[at : at + size] for at in range(0, len(data), size)]) == whole
-    compare("requests", whole)
+    check_trace("requests", whole)
 
 
 def test_malformed_requests_are_told_apart() -> None:
@@ -81,7 +81,7 @@
         head + b"A: b\r\n" * 200,
         head + b"A: " + b"b" * 17_000 + b"\r\n",
     ]
-    compare("malformed", [f"{data[-30:]!r:<70} {told(RequestParser(), [data])[-1]}" for data in bad])
+    check_trace("malformed", [f"{data[-30:]!r:<70} {told(RequestParser(), [data])[-1]}" for data in bad])
 
 
 def test_responses_end_by_length_chunks_or_close() -> None:
@@ -103,7 +103,7 @@
         b"HTTP/1.1 200 OK\r\n\r\n" + b"a" * (MOST_BODY + 1),
     ):
         lines += told(ResponseParser(), [data])
-    compare("responses", lines)
+    check_trace("responses", lines)
 
 
 def test_body_may_be_held_back_until_the_client_is_told_to_go_on() -> None:
@@ -155,25 +155,25 @@
 
 def test_list_keeps_numbers_starts_and_addresses() -> None:
     clocks = iter((700, 900))
-    roster = Roster(["a", "b"], lambda born: next(clocks))
-    first = roster.read(listing(41, True, host("s-1", born_ms=5), host("s-2", site="c", health="leaving")))
-    again = roster.read(
+    roster = ServerList(["a", "b"], lambda born: next(clocks))
+    first = roster.apply(listing(41, True, host("s-1", born_ms=5), host("s-2", site="c", health="leaving")))
+    again = roster.apply(
         listing(42, False, host("s-1", born_ms=5, dial="127.0.0.9:9001"), host("s-2", health="left"))
     )
-    newer = roster.read(listing(43, False, host("s-1", born_ms=6)))
+    newer = roster.apply(listing(43, False, host("s-1", born_ms=6)))
     one, two = first.entries
-    assert one.server == stable("s-1") != two.server and (one.name, two.name) == ("s-1", "s-2")
-    assert (one.zone, one.cell, one.scale, one.came_up, two.zone, two.phase) == (
+    assert one.server == stable_id("s-1") != two.server and (one.name, two.name) == ("s-1", "s-2")
+    assert (one.zone, one.cell, one.weight, one.started_at, two.zone, two.state) == (
         1,
         3,
         2.0,
         700,
         2,
-        Phase.DRAINING,
+        ServerState.DRAINING,
     )
-    assert [update.entries[0].came_up for update in (again, newer)] == [700, 900]
-    assert again.entries[1].phase == Phase.GONE and again.addresses[0].port == 9001
-    assert list(roster.starts) == ["s-1"], "nothing is kept of what is gone"
+    assert [update.entries[0].started_at for update in (again, newer)] == [700, 900]
+    assert again.entries[1].state == ServerState.GONE and again.addresses[0].port == 9001
+    assert list(roster.start_times) == ["s-1"], "nothing is kept of what is gone"
 
 
 @pytest.mark.parametrize(
@@ -193,14 +193,14 @@
 )
 def test_what_is_no_list_is_told(bad: object) -> None:
     with pytest.raises(BadList):
-        Roster([], lambda born: 0).read(bad)
+        ServerList([], lambda born: 0).apply(bad)
     with pytest.raises(BadList):
-        address("1.2.3.4:99999")
+        parse_address("1.2.3.4:99999")
 
 
 def test_watch_asks_from_the_version_it_has_and_takes_only_lists() -> None:
-    watch = Watch(Roster(["a"], lambda born: 1), "d", 41, 20_000_000)
-    lines = [watch.request().split(b"\r\n")[0].decode()]
+    watch = Watch(ServerList(["a"], lambda born: 1), "d", 41, 20_000_000)
+    lines = [watch.next_request().split(b"\r\n")[0].decode()]
     for status, body in (
         (200, json.dumps(listing(43, False, host("s-1")))),
         (503, ""),
@@ -212,8 +212,8 @@
         assert response is not None
         try:
             lines.append(
-                f"{len(watch.update(response).entries)} changed, then {watch.request()[:46].decode()}"
+                f"{len(watch.handle_response(response).entries)} changed, then {watch.next_request()[:46].decode()}"
             )
         except BadList as trouble:
             lines.append(f"no list: {trouble}")
-    compare("watch", lines)
+    check_trace("watch", lines)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -26,7 +26,7 @@
 from pumicepath.lab.model.timeline import SECOND, Virtual
 from pumicepath.lab.virtual.peers import Peering, address
 
-from .helpers import compare
+from .helpers import check_trace
 
 
 def make_fleet(count: int, seed: int = 1, **more: int) -> Peering:
@@ -111,7 +111,7 @@
         peering.kill(number)
         peering.start(number)
     lines.append(settle(peering, "all restarted in the same moment"))
-    compare("membership", lines)
+    check_trace("membership", lines)
 
 
 def test_joining_while_seeds_are_down() -> None:
@@ -198,7 +198,7 @@
                 f"{number}: {'yes' if each else 'no ':<3}" for number, each in zip((2, 3, 4), accepted)
             )
             lines.append(f"{messages.STATES[state]:<9} 3, told {messages.STATES[other]:<9} of {results}")
-    compare("membership-order", [line.rstrip() for line in lines])
+    check_trace("membership-order", [line.rstrip() for line in lines])
 
 
 def test_false_records_and_restarts_seen_by_one_sidecar() -> None:
@@ -228,7 +228,7 @@
     membership.on_timer(now)
     membership.expected_timer_at = now = now + 2 * SECOND
     membership.on_timer(now)
-    compare("membership-lies", callbacks.lines)
+    check_trace("membership-lies", callbacks.lines)
 
 
 def test_a_sidecar_that_was_stopped_suspects_no_peer_after_it_continues() -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Address, Roster, Update, address
+from pumicepath.discovery.server_list import Address, ServerList, ServerListUpdate, parse_address
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
@@ -27,7 +27,7 @@
 from pumicepath.sidecar.servers import Pool, Rests
 from pumicepath.sidecar.watching import Watcher
 
-from .helpers import compare, entry
+from .helpers import check_trace, make_entry
 
 KNOWN = json.dumps(
     {
@@ -60,7 +60,7 @@
         for name, script in steps.items():
             around.lines.append(f"-- {name}")
             around.ask("once", *script, body="lot 7")
-    compare("outcomes", around.lines)
+    check_trace("outcomes", around.lines)
 
 
 def test_idempotent_goes_on_elsewhere_and_chunked_answers_are_passed_on_whole(tmp_path: Path) -> None:
@@ -70,7 +70,7 @@
     with Deployment(tmp_path, 3).running() as around:
         response = around.ask("read", "reset", answer(500), chunked)
         assert response is not None and response.header("X-Store") == "s"
-    compare("elsewhere", around.lines)
+    check_trace("elsewhere", around.lines)
 
 
 def test_silent_servers_are_answered_for_before_patience_ends(tmp_path: Path) -> None:
@@ -82,7 +82,7 @@
             # Its connection is closed, so that nothing of it can run later and no answer of it be taken.
             around.servers[0].closed.acquire(timeout=5)
         around.ask("read", answer(200, "late ones are not mixed up"))
-    compare("silent", around.lines)
+    check_trace("silent", around.lines)
 
 
 def test_refused_connections_never_ran_and_a_closed_idle_one_is_not_used(tmp_path: Path) -> None:
@@ -97,7 +97,7 @@
         gone.listener.close()
         around.ask("once", "reset")
         around.ask("once", answer(200, "elsewhere"))
-    compare("refused", around.lines)
+    check_trace("refused", around.lines)
 
 
 def test_requests_that_come_together_are_answered_in_turn(tmp_path: Path) -> None:
@@ -114,7 +114,7 @@
             if name == "two":
                 around.client.sendall(both[2][9:])
     # By who saw it: the server has the next request while the client still reads the answer before it.
-    compare("together", sorted(around.lines, key=lambda line: line.startswith("client")))
+    check_trace("together", sorted(around.lines, key=lambda line: line.startswith("client")))
 
 
 def test_bad_clients_get_an_error_or_a_close_and_nothing_of_theirs_is_passed_on(tmp_path: Path) -> None:
@@ -157,7 +157,7 @@
         around.lines.append("-- half a request, and silence")
         around.hear(half, ResponseParser())
         assert silent.recv(1) == b""
-    compare("bad_clients", around.lines)
+    check_trace("bad_clients", around.lines)
 
 
 def test_silent_connections_make_room(tmp_path: Path) -> None:
@@ -176,7 +176,7 @@
 def test_at_the_bound_connections_that_rest_make_room_and_open_requests_do_not(tmp_path: Path) -> None:
     owner = Owner()
     limits = {"memory_mb": 192, "sockets": 60}
-    owner.serving = (config.config({**Deployment(tmp_path, 0).told, "limits": limits}), ())
+    owner.serving = (config.decode_config({**Deployment(tmp_path, 0).told, "limits": limits}), ())
     owner.dispatcher = owner
     around = Clients(owner)
     states = [IDLE, FRESH, BUSY, IDLE, PARTIAL, IDLE, FRESH, BUSY, IDLE, IDLE, IDLE, PARTIAL, IDLE]
@@ -227,7 +227,7 @@
         around.client, around.parser = socket.create_connection(around.where), ResponseParser()
         around.ask("read", answer(200, "for the next"))
         around.ask("no such")
-    compare("left", around.lines)
+    check_trace("left", around.lines)
 
 
 def test_client_that_leaves_before_its_hop_fails_is_forgotten_with_its_thread(tmp_path: Path) -> None:
@@ -266,7 +266,7 @@
             assert sock.recv(1) == b""
             sock.close()
         assert around.event("stopped")["broken"] == {} and around.process.wait() == 0
-    compare("drain", around.lines)
+    check_trace("drain", around.lines)
 
 
 def test_watch_survives_failures_and_what_it_tells_counts_at_once(tmp_path: Path) -> None:
@@ -279,7 +279,7 @@
         for _ in range(4):
             assert around.discovery.met.acquire(timeout=5)
         around.ask("read")
-    compare("watched", around.discovery.lines + around.lines)
+    check_trace("watched", around.discovery.lines + around.lines)
 
 
 def test_sighup_follows_the_new_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
@@ -302,23 +302,23 @@
         around.hear()
         around.ask("read")
     lines = [line.replace(str(tmp_path), "") for line in around.discovery.lines + around.lines]
-    compare("reload", [line for line in lines if not line.startswith("discovery")])
+    check_trace("reload", [line for line in lines if not line.startswith("discovery")])
 
 
 def test_delay_of_the_own_threads_is_noticed_at_once_and_forgotten_slowly(tmp_path: Path) -> None:
     owner = Owner()
-    pace = Pace(owner, Entrance(config.config(Deployment(tmp_path, 0).told)))
+    pace = Pace(owner, Entrance(config.decode_config(Deployment(tmp_path, 0).told)))
     behind = []
     for late in (0, 0, 80_000, 0, 0, 100_000):
-        pace.woke(pace.due + late)
+        pace.on_timer(pace.due + late)
         behind.append(pace.behind)
     assert behind == [0, 0, 80_000, 70_000, 61_250, 100_000] and owner.told[-1] == pace.due
     beats = []
     for taken in (0, 5, 5, 5):  # late still, met something, nothing, nothing
-        pace.entrance.intake.taken = taken
+        pace.entrance.intake.admitted = taken
         at = pace.due
         pace.behind = 60_000 if not taken else 0
-        pace.woke(at)
+        pace.on_timer(at)
         beats.append(pace.due - at)
     assert beats == [25_000, 25_000, 100_000, 100_000]
 
@@ -361,7 +361,7 @@
         self.told.append((kind.name, len(update.entries)))
         self.some.release()
 
-    def wake(self, at, whom) -> None:
+    def set_timer(self, at, whom) -> None:
         self.told.append(at)
 
     def event(self, event, **figures) -> None:
@@ -375,10 +375,10 @@
     around = Deployment(tmp_path, 1)
     for step in (around.listing(7, False, "active"), None, around.listing(8, False, "leaving")):
         around.lists.put("wait" if step is None else answer(200, json.dumps(step)))
-    where = address(around.discovery.address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 1, 1000), where)
+    where = parse_address(around.discovery.address)
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 1, 1000), where)
     watcher.dispatcher = Owner()
-    watcher.follow()
+    watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
     for _ in range(2):
         assert watcher.dispatcher.some.acquire(timeout=5)
@@ -393,8 +393,8 @@
 
 
 def test_idle_connection_that_is_closed_or_brings_bytes_unasked_is_not_used(tmp_path: Path) -> None:
-    pool = Pool(Owner(), config.config(Deployment(tmp_path, 0).told), None)
-    pool.listed(Update(1, True, [entry(10)], [Address("127.0.0.1", 1)]))
+    pool = Pool(Owner(), config.decode_config(Deployment(tmp_path, 0).told), None)
+    pool.listed(ServerListUpdate(1, True, [make_entry(10)], [Address("127.0.0.1", 1)]))
     hop = Hop(Exchange(None, "t", None, 0, None), 0, 10, 0, 0)
     used = []
     for trouble in (b"", b"HTTP/1.1 200 OK\r\n\r\n", None, "gone"):
@@ -406,7 +406,7 @@
         if trouble is None:
             peer.close()
         elif trouble == "gone":
-            pool.listed(Update(2, True, [entry(10, came_up=7)], [Address("127.0.0.1", 1)]))
+            pool.listed(ServerListUpdate(2, True, [make_entry(10, started_at=7)], [Address("127.0.0.1", 1)]))
         else:
             peer.sendall(trouble)
         used.append(pool.link_for(0, hop) is link)
@@ -429,7 +429,7 @@
 def test_calls_made_while_the_lock_is_taken_are_run_by_its_owner_with_their_own_acts(
     tmp_path: Path,
 ) -> None:
-    dispatcher = Dispatcher(config.config(Deployment(tmp_path, 0).told), Log("n0"), None)
+    dispatcher = Dispatcher(config.decode_config(Deployment(tmp_path, 0).told), Log("n0"), None)
     order: list = []
 
     def waits(name: str) -> None:
@@ -498,7 +498,7 @@
             around.hear(sock, ResponseParser())
         around.script.put(answer(200, "room"))
         around.hear()
-    compare("bound", [line for line in around.lines if line.startswith("client")])
+    check_trace("bound", [line for line in around.lines if line.startswith("client")])
 
 
 @pytest.mark.parametrize(
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -36,7 +36,7 @@
 from pumicepath.lab.virtual.run import VirtualWorld
 from pumicepath.lab.virtual.sidecar import Sidecar
 
-from .helpers import SECOND, Bench, compare, entry, settings
+from .helpers import SECOND, ScriptedHost, check_trace, make_entry, make_settings
 from .test_fleet import FORBIDDEN_RULES, TIMEOUT_S, RunningFleet, run_fleet
 
 
@@ -112,7 +112,7 @@
     )
     harness.trials.breaker_opened(harness.now, "s", 5 * SECOND, True)
     harness.advance_to(50)
-    compare("trials-holder", harness.lines)
+    check_trace("trials-holder", harness.lines)
 
 
 def test_reports_of_others_postpone_a_trial_within_bounds() -> None:
@@ -136,7 +136,7 @@
     harness.receive_report(
         4 * MAX_POSTPONED_US / SECOND + 161, (1 << 20) + 5, 5
     )  # after four, as its own trial failed again
-    compare("trials-words", harness.lines)
+    check_trace("trials-words", harness.lines)
     harness.advance_to(harness.now / SECOND + RETENTION_US / SECOND + 1)
     assert not harness.trials.open_breakers
 
@@ -204,44 +204,44 @@
         self.allowed = False
         self.events: list[str] = []
 
-    def turn(self, name: str) -> bool:
+    def may_try(self, name: str) -> bool:
         return self.allowed
 
-    def opened(self, name: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, name: str, cooldown: int, often: bool) -> None:
         self.events.append(f"{name} opened for {cooldown / SECOND:g} s")
 
-    def tried(self, name: str, failed: bool) -> None:
+    def trial_finished(self, name: str, failed: bool) -> None:
         self.events.append(f"{name} {'failed' if failed else 'served'}")
 
 
-def open_breaker(companions: Companions | None) -> tuple[Bench, int]:
+def open_breaker(companions: Companions | None) -> tuple[ScriptedHost, int]:
     """A balancer with three servers, one of which failed until its breaker opened at about 1 s."""
-    bench = Bench(settings(), [entry(1), entry(2), entry(3)])
-    bench.balancer.companions = companions
-    bench.quick(0, 8, 1, Outcome.ERROR)
+    bench = ScriptedHost(make_settings(), [make_entry(1), make_entry(2), make_entry(3)])
+    bench.balancer.peer_trials = companions
+    bench.run_submissions(0, 8, 1, Outcome.ERROR)
     found = [line for line in bench.lines if "open for" in line]
     assert len(found) == 1
     return bench, int(found[0].split("server ")[1].split()[0])
 
 
-def count_hops(bench: Bench, server: int, first: float, seconds: float, interval: float = 0.25) -> int:
+def count_hops(bench: ScriptedHost, server: int, first: float, seconds: float, interval: float = 0.25) -> int:
     """Number of hops to a failing server in that time, from submissions whose keys prefer it."""
-    before = len(bench.sent)
+    before = len(bench.sent_to)
     step = 0
     while step * interval < seconds:
-        submission = bench.at(first + step * interval).take(round(first * 1000) + step, 1)
-        if bench.sent[-1] == server:
-            bench.at(first + step * interval + 0.01).end(submission, Outcome.ERROR)
-        while not submission.over():
-            bench.end(submission, Outcome.OK)
+        submission = bench.advance_to(first + step * interval).submit(round(first * 1000) + step, 1)
+        if bench.sent_to[-1] == server:
+            bench.advance_to(first + step * interval + 0.01).finish_hop(submission, Outcome.ERROR)
+        while not submission.is_finished():
+            bench.finish_hop(submission, Outcome.OK)
         step += 1
-    return bench.sent[before:].count(server)
+    return bench.sent_to[before:].count(server)
 
 
 def test_a_breaker_waits_for_its_turn_and_tries_by_itself_after_a_cooldown_without_reports() -> None:
     companions = Companions()
     bench, server = open_breaker(companions)
-    cooldown = bench.balancer.cooldown[bench.balancer.index[server]] / SECOND
+    cooldown = bench.balancer.cooldowns[bench.balancer.index_by_id[server]] / SECOND
     assert companions.events == [f"{server} opened for {cooldown:g} s"]
     assert count_hops(bench, server, 2, 2 * cooldown - 2) == 0, "not its turn"
     assert count_hops(bench, server, 2 * cooldown + 1, 3) == 1, "no reports: by itself"
@@ -263,9 +263,11 @@
     companions = Companions()
     bench, server = open_breaker(companions)
     count_hops(bench, server, 20, 400, 5.0)
-    at = bench.balancer.index[server]
-    since, cooldown = bench.balancer.since[at] / SECOND, bench.balancer.cooldown[at] / SECOND
-    assert not bench.balancer.often() and cooldown > 15 and bench.now / SECOND < since + 2 * cooldown - 15
+    at = bench.balancer.index_by_id[server]
+    since, cooldown = bench.balancer.breaker_since[at] / SECOND, bench.balancer.cooldowns[at] / SECOND
+    assert (
+        not bench.balancer.sends_often() and cooldown > 15 and bench.now / SECOND < since + 2 * cooldown - 15
+    )
     assert count_hops(bench, server, max(bench.now / SECOND, since + cooldown) + 0.5, 12, 5.0) == 1
 
 
@@ -273,21 +275,21 @@
     companions = Companions()
     companions.allowed = True
     bench, server = open_breaker(companions)
-    bench.balancer.put_off(bench.now, server, 20 * SECOND)
+    bench.balancer.postpone_trial(bench.now, server, 20 * SECOND)
     assert count_hops(bench, server, 2, 18) == 0
-    bench.balancer.put_off(bench.now, server, SECOND)
+    bench.balancer.postpone_trial(bench.now, server, SECOND)
     assert count_hops(bench, server, 21, 3) == 1, (
         "a shorter wait does not shorten a longer one; then the trial is made"
     )
     companions.allowed = False
-    bench.balancer.put_off(bench.now, server, 0)
-    assert bench.balancer.state[bench.balancer.index[server]] == 1, "still open"
+    bench.balancer.postpone_trial(bench.now, server, 0)
+    assert bench.balancer.breaker_states[bench.balancer.index_by_id[server]] == 1, "still open"
     assert count_hops(bench, server, 24.1, 2) == 1, "tried at once, whoever's turn it is"
     other = next(each for each in (1, 2, 3) if each != server)
     for wait in (0, 30 * SECOND):
-        bench.balancer.put_off(bench.now, other, wait)
-        bench.balancer.put_off(bench.now, 99, wait)
-    assert bench.balancer.state[bench.balancer.index[other]] == 0, "reports open no breaker"
+        bench.balancer.postpone_trial(bench.now, other, wait)
+        bench.balancer.postpone_trial(bench.now, 99, wait)
+    assert bench.balancer.breaker_states[bench.balancer.index_by_id[other]] == 0, "reports open no breaker"
 
 
 @pytest.mark.parametrize("seed", (1, 2))
@@ -551,7 +553,7 @@
         (one.number, at)
         for one in world.instances[1:]
         if isinstance(one, Sidecar)
-        for at, state in enumerate(one.decisions.state)
+        for at, state in enumerate(one.decisions.breaker_states)
         if state
     ]
     assert not opened
