--- a/pumicepath/discovery/relayed.py
+++ b/pumicepath/discovery/relayed.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from ..distribution.regions import Regions, understood
+from ..distribution.regions import RegionTracker, parse_regions
 from .server_list import BadList, ServerListUpdate
 from .watch import REQUIRED_CONFIRMATIONS
 
@@ -13,7 +13,7 @@
     from .watch import Watch
 
 
-def merge_relay_answer(watch: Watch, regions: Regions, data: dict[str, Any]) -> ServerListUpdate:
+def merge_relay_answer(watch: Watch, regions: RegionTracker, data: dict[str, Any]) -> ServerListUpdate:
     """Apply a relay's answer to the list of `watch`, without what is older than what is held already.
 
     A whole list is reduced to its differences from the list held, together with the lines held of regions
@@ -24,14 +24,14 @@
     """
     held = watch.server_list.lines
     try:
-        reported, whole, version = understood(data["regions"]), bool(data["whole"]), int(data["seq"])
-        judged = regions.judge(watch.clock(), reported, whole, watch.asked_at)
+        reported, whole, version = parse_regions(data["regions"]), bool(data["whole"]), int(data["seq"])
+        judged = regions.evaluate(watch.clock(), reported, whole, watch.asked_at)
         lines = regions.merge(judged, reported, whole, data["hosts"], held)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise BadList(f"{type(error).__name__}: {error}") from error
     if not whole and version < watch.version or not whole and watch.version < 0:
         raise BadList(f"changes up to {version} after {watch.version}")
-    if not judged.taken:
+    if not judged.accepted:
         lines = []
     elif whole and held and not lines:
         # One empty list must not take all servers out of use. After several in a row it is accepted, since
@@ -41,12 +41,12 @@
             raise BadList("an empty list")
     if lines:
         watch.empty_lists = 0
-    replaces = whole and bool(judged.taken) and not held
-    if whole and judged.taken and held:
+    replaces = whole and bool(judged.accepted) and not held
+    if whole and judged.accepted and held:
         lines = list_differences(held, lines)
     update = watch.server_list.apply({"seq": version, "whole": replaces, "hosts": lines})
-    regions.take(reported, judged)
-    watch.version = -1 if judged.again else version
+    regions.commit(reported, judged)
+    watch.version = -1 if judged.needs_whole else version
     watch.ask_immediately = False
     return update
 
--- a/pumicepath/discovery/watch.py
+++ b/pumicepath/discovery/watch.py
@@ -24,7 +24,7 @@
 from .server_list import BadList, ServerList, ServerListUpdate
 
 if TYPE_CHECKING:
-    from ..distribution.regions import Regions, Told
+    from ..distribution.regions import RegionTracker, RegionVersions
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
 MAX_WAIT_MS = 20_000
@@ -66,8 +66,8 @@
         self.random_fraction = random_fraction
         self.clock = clock
         self.services: str | None = None
-        self.region_versions: Regions | None = None
-        self.merge_relay_answer: Callable[[Watch, Regions, dict[str, Any]], ServerListUpdate]
+        self.region_versions: RegionTracker | None = None
+        self.merge_relay_answer: Callable[[Watch, RegionTracker, dict[str, Any]], ServerListUpdate]
         self.empty_lists = 0  # whole lists in a row that would leave no server
         self.ask_immediately = True  # whether the next request asks for an answer without a wait
         self.older_answers = 0  # in a row
@@ -88,27 +88,29 @@
             self.region_versions = None
         elif self.region_versions is None:
             # Imported here and not at the first answer, when no descriptor may be left to open the module.
-            from ..distribution.regions import Regions
+            from ..distribution.regions import RegionTracker
             from .relayed import merge_relay_answer
 
-            self.region_versions, self.merge_relay_answer = Regions(), merge_relay_answer
+            self.region_versions, self.merge_relay_answer = RegionTracker(), merge_relay_answer
 
     @property
-    def reported_regions(self) -> Told:
+    def reported_regions(self) -> RegionVersions:
         """By region: its version in the relay's last report, and whether the relay is in touch with it."""
-        return self.region_versions.told if self.region_versions is not None else {}
+        return self.region_versions.relay_versions if self.region_versions is not None else {}
 
     def region_counts(self) -> tuple[int, int]:
         """The number of regions that the relay is in touch with, and of known regions that it is not."""
         if self.region_versions is None:
             return 0, 0
-        return sum(live for _, live in self.region_versions.told.values()), self.region_versions.out()
+        return sum(
+            live for _, live in self.region_versions.relay_versions.values()
+        ), self.region_versions.disconnected_count()
 
     def stale_regions(self) -> dict[str, int]:
         """The known regions that the relay is not in touch with, each with the version held of it."""
         if self.region_versions is None:
             return {}
-        reported, kept = self.region_versions.told, self.region_versions.kept
+        reported, kept = self.region_versions.relay_versions, self.region_versions.versions
         return {
             region: kept.get(region, -1)
             for region in {**kept, **reported}
@@ -119,7 +121,7 @@
         """Everything known, for `import_state` in the new process of a hot restart."""
         known = self.server_list.snapshot(self.version)
         if self.region_versions is not None:
-            known["regions"] = dict(self.region_versions.kept)
+            known["regions"] = dict(self.region_versions.versions)
         return known
 
     def import_state(self, known: Any) -> None:
@@ -129,7 +131,7 @@
         """
         kept = known.get("regions")
         if self.region_versions is not None and isinstance(kept, dict):
-            self.region_versions.kept.update(
+            self.region_versions.versions.update(
                 (region, seq) for region, seq in kept.items() if type(seq) is int
             )
 
@@ -143,7 +145,7 @@
         self.version = -1
         self.older_answers = 0
         if self.region_versions is not None:
-            self.region_versions.moved()
+            self.region_versions.relay_changed()
 
     def next_request(self) -> bytes:
         """The bytes of the next request, whose wait is random between half and all of the longest one."""
@@ -170,7 +172,7 @@
         origin has restarted with new versions. What a restarted origin reports counts 6 s later, so longer
         waits would leave that question open for too long.
         """
-        settled_at = self.region_versions.in_doubt() if self.region_versions is not None else None
+        settled_at = self.region_versions.restart_check_at() if self.region_versions is not None else None
         if settled_at is None:
             return MAX_RELAY_WAIT_MS
         return min(
--- a/pumicepath/fleet/trials.py
+++ b/pumicepath/fleet/trials.py
@@ -1,12 +1,12 @@
-"""Trials of sick servers, made by one sidecar of a zone at a time, and what the others hear of them.
+"""Shared trials of unhealthy servers: one sidecar of a zone at a time tries, the others receive its report.
 
-The host tells of its breakers by `opened` and `tried`; `wanted` gives the duties to claim, `turns` the
-servers that this sidecar may try now, and `heard` takes the words of others, which go on to the breakers by
-the outlet.  Times are whole microseconds.
+The host reports its breakers with `breaker_opened` and `trial_finished`. `wanted_duties` returns the duties
+to claim, `allowed_trials` the servers that this sidecar may try now, and `receive_report` takes reports of
+others, which reach the breakers through the callbacks. Times are whole microseconds.
 
-Verdicts of others put a trial off or bring it forward, no more: no breaker opens or closes by them.  A
-sidecar that hears none tries by itself once it has waited for a Cooldown more, and one that is put off again
-and again does so a minute after its own last verdict, later each time that its own trial fails as well.
+Reports of others only postpone a trial or bring it forward; no breaker opens or closes by them. A sidecar
+that receives none tries by itself after waiting for one more cooldown. One that is postponed again and
+again does so a minute after the last result of its own, and later each time its own trial fails as well.
 """
 
 from __future__ import annotations
@@ -16,207 +16,246 @@
 from random import Random
 from typing import Protocol
 
-from .duties import OWN_BITS, WALL, Duties
-from .messages import Verdict
+from .duties import INSTANCE_BITS, WALL_MS_MASK, Duties
+from .messages import TrialReport
 
-PREFIX = "trial"
-LONGEST_DUTY = 64  # bytes of a duty's name; servers with longer ones are tried by each sidecar
-LONGEST_WAIT = 30_000_000  # that others may ask for at once
-OWN_EYES = 60_000_000  # after its own last verdict, that a sidecar lets itself be put off,
-DOUBLED = 4  # twice as long each time that its own trial has failed, as often as this
-KEPT = 120_000_000  # a breaker that nothing is heard of any more, nor any word of it
-NEWEST = 4096  # servers whose last word is known
-HIGHEST = (1 << 63) - 1  # version,
-OWN = (1 << OWN_BITS) - 1  # of which these tell whose life's word it is
-APART = 100_000  # between two tellings: what comes within goes out together
+DUTY_PREFIX = "trial"
+MAX_DUTY_NAME_BYTES = 64  # servers whose duties would have longer names are tried by each sidecar
+MAX_WAIT_US = 30_000_000  # that a report may ask for at once
+# A sidecar accepts being postponed for this long after the last result of its own, and for twice as long
+# after each failed trial of its own, up to this many times.
+MAX_POSTPONED_US = 60_000_000
+MAX_DOUBLINGS = 4
+RETENTION_US = 120_000_000  # of an open breaker without any activity, and of the newest report on a server
+MAX_SERVERS = 4096  # with a known report
+VERSION_MASK = (1 << 63) - 1
+INSTANCE_MASK = (1 << INSTANCE_BITS) - 1  # bits of a version that tell whose report it is
+REPORT_BATCH_US = 100_000  # reports within this time go out together
 
 
-class Outlet(Protocol):
-    def put_off(self, server: str, wait: int) -> None:
-        """Nobody here need try it for so long; 0: it has served another, so try it now."""
+class Callbacks(Protocol):
+    """What trials ask of their host."""
 
+    def postpone_trial(self, server: str, wait: int) -> None:
+        """Postpone this sidecar's trial of a server by `wait`; 0: a trial elsewhere succeeded, so try now."""
 
-class Open:
-    """A server whose breaker is open here."""
+
+class OpenBreaker:
+    """A server whose breaker is open in this sidecar."""
 
     __slots__ = (
         "cooldown",
-        "until",
+        "trial_at",
         "claim_at",
-        "opened",
-        "failed",
-        "claims",
-        "said",
-        "since",
-        "last",
-        "by",
-        "free",
+        "opened_at",
+        "failed_trials",
+        "may_claim",
+        "announced_number",
+        "held_since",
+        "last_activity",
+        "postponed_by",
+        "own_trial_next",
     )
 
     def __init__(self, now: int) -> None:
         self.cooldown = 0
-        self.until = 0  # when the own trial may begin
+        self.trial_at = 0  # when this sidecar's own trial may begin
         self.claim_at = 0
-        self.opened = now  # by this sidecar's own eyes
-        self.failed = -1  # trials of its own, one after the other
-        self.claims = False  # whether it sends there often enough to find out for others
-        self.said = 0  # the number of the duty that others have been told of
-        self.since = 0  # when the duty came
-        self.last = now
-        self.by = -1  # which life's word put the trial off last
-        self.free = False  # another was served: this sidecar's own trial is next, whatever is said since
+        self.opened_at = now  # last result of this sidecar's own
+        self.failed_trials = -1  # own trials that failed in a row
+        self.may_claim = False  # whether this sidecar sends there often enough to try on behalf of others
+        self.announced_number = 0  # fencing number under which the trial was announced to others
+        self.held_since = 0  # when the duty was won
+        self.last_activity = now
+        self.postponed_by = -1  # the instance whose report postponed the trial last
+        # A trial elsewhere succeeded: this sidecar's own trial is next, whatever is reported afterwards.
+        self.own_trial_next = False
 
 
 class Trials:
-    def __init__(self, zone: str, duties: Duties, seed: int, outlet: Outlet) -> None:
+    """This sidecar's open breakers, its duties to try servers, and the reports that it knows."""
+
+    def __init__(self, zone: str, duties: Duties, seed: int, callbacks: Callbacks) -> None:
         self.zone = zone
         self.duties = duties
-        self.chance = Random(seed)
-        self.outlet = outlet
-        self.open: dict[str, Open] = {}
-        self.newest: dict[str, tuple[int, int]] = {}  # version, and when it was heard
-        self.fresh: dict[str, Verdict] = {}  # to be told on
-        self.tell_at = 0
-        self.looked_at = 0
-        self.wall = (0, 0)  # the wall clock's milliseconds, and when it was read
-
-    def duty(self, server: str) -> str:
-        return f"{PREFIX} {self.zone} {server}"
-
-    def shared(self, server: str) -> bool:
-        return len(self.duty(server).encode()) <= LONGEST_DUTY
+        self.rng = Random(seed)
+        self.callbacks = callbacks
+        self.open_breakers: dict[str, OpenBreaker] = {}
+        self.latest_reports: dict[str, tuple[int, int]] = {}  # version, and when it was received
+        self.pending_reports: dict[str, TrialReport] = {}  # to be sent to others
+        self.send_at = 0
+        self.checked_at = 0
+        self.wall_clock = (0, 0)  # the wall clock in milliseconds, and when it was read
+
+    def duty_name(self, server: str) -> str:
+        """Name of the duty to try a server for this zone."""
+        return f"{DUTY_PREFIX} {self.zone} {server}"
+
+    def is_shared(self, server: str) -> bool:
+        """Whether trials of this server are shared: the name of the duty must fit."""
+        return len(self.duty_name(server).encode()) <= MAX_DUTY_NAME_BYTES
 
     # -- this sidecar's breakers
 
-    def breaker_opened(self, now: int, server: str, cooldown: int, often: bool) -> None:
-        """By its own eyes, at first or after a trial; `often`: it would send there within a Cooldown."""
-        one = self.open.get(server)
-        if one is None:
-            if len(self.open) >= NEWEST:
+    def breaker_opened(self, now: int, server: str, cooldown: int, sends_often: bool) -> None:
+        """A breaker opened by this sidecar's own observation, at first or after a failed trial.
+
+        `sends_often`: this sidecar would send there within a cooldown.
+        """
+        breaker = self.open_breakers.get(server)
+        if breaker is None:
+            if len(self.open_breakers) >= MAX_SERVERS:
                 return
-            one = self.open[server] = Open(now)
-        one.failed, one.by, one.free = min(DOUBLED, one.failed + 1), -1, False
-        one.claims = often
-        one.cooldown, one.until, one.opened, one.last = cooldown, now + cooldown, now, now
-        # Claimed early, so that it is settled who tries when the first Cooldown is over; not by all at once.
-        one.claim_at = now + self.chance.randrange(max(1, cooldown // 2))
-        if one.failed > 0:
-            self.say(now, server, cooldown, True)
-            if self.duties.number(now, self.duty(server)):
-                # Guards the others against an observer that is sick itself: somebody else looks next.
-                self.duties.resign(now, self.duty(server), "its trial has failed")
-                one.claim_at = now + cooldown
+            breaker = self.open_breakers[server] = OpenBreaker(now)
+        breaker.failed_trials, breaker.postponed_by, breaker.own_trial_next = (
+            min(MAX_DOUBLINGS, breaker.failed_trials + 1),
+            -1,
+            False,
+        )
+        breaker.may_claim = sends_often
+        breaker.cooldown, breaker.trial_at, breaker.opened_at, breaker.last_activity = (
+            cooldown,
+            now + cooldown,
+            now,
+            now,
+        )
+        # Claimed before the first cooldown ends, so that the holder is known by then; at a random time, so
+        # that not every sidecar claims at once.
+        breaker.claim_at = now + self.rng.randrange(max(1, cooldown // 2))
+        if breaker.failed_trials > 0:
+            self.report(now, server, cooldown, True)
+            if self.duties.fencing_number(now, self.duty_name(server)):
+                # The trial may have failed through this sidecar's own fault: let another one make the next.
+                self.duties.resign(now, self.duty_name(server), "its trial has failed")
+                breaker.claim_at = now + cooldown
 
     def trial_finished(self, now: int, server: str, failed: bool) -> None:
-        """The verdict of an own trial; when it has failed, `opened` follows."""
-        if server in self.open and not failed:
-            self.say(now, server, 0, True)
-            del self.open[server]
-            self.duties.resign(now, self.duty(server), "the server serves")
+        """An own trial has a result; if it failed, `breaker_opened` follows."""
+        if server in self.open_breakers and not failed:
+            self.report(now, server, 0, True)
+            del self.open_breakers[server]
+            self.duties.resign(now, self.duty_name(server), "the server serves")
 
-    def say(self, now: int, server: str, wait: int, tried: bool) -> None:
-        """Tell the zone, whoever's turn it was: a verdict is one.
+    def report(self, now: int, server: str, wait: int, finished: bool) -> None:
+        """Report a trial to the zone; a result counts whether or not this sidecar held the duty.
 
-        Its version is above all that are known, and near the wall clock's time, as a duty's number is.
+        Its version is above every known one and near the wall clock, as fencing numbers are.
         """
-        if self.shared(server):
-            wall_ms = self.wall[0] + (now - self.wall[1]) // 1000
-            above = max(self.newest.get(server, (0, 0))[0] >> OWN_BITS, wall_ms & WALL) + 1
-            version = above << OWN_BITS | self.duties.me & OWN
-            self.note(now, Verdict(server, version & HIGHEST, min(LONGEST_WAIT, wait), tried))
-
-    # -- words of others
-
-    def heard(self, now: int, verdict: Verdict) -> None:
-        server = verdict.server
-        newest = self.newest.get(server)
-        if newest is not None and now - newest[1] < KEPT and verdict.version <= newest[0]:
-            return  # older than what is known, or the same once more
-        self.note(now, verdict)
-        one = self.open.get(server)
-        if one is None:
+        if self.is_shared(server):
+            wall_ms = self.wall_clock[0] + (now - self.wall_clock[1]) // 1000
+            above = (
+                max(self.latest_reports.get(server, (0, 0))[0] >> INSTANCE_BITS, wall_ms & WALL_MS_MASK) + 1
+            )
+            version = above << INSTANCE_BITS | self.duties.own_id & INSTANCE_MASK
+            self.store_report(
+                now, TrialReport(server, version & VERSION_MASK, min(MAX_WAIT_US, wait), finished)
+            )
+
+    # -- reports of others
+
+    def receive_report(self, now: int, report: TrialReport) -> None:
+        """Apply a report of another sidecar, if it is new."""
+        server = report.server
+        latest = self.latest_reports.get(server)
+        if latest is not None and now - latest[1] < RETENTION_US and report.version <= latest[0]:
+            return  # older than the known one, or a duplicate
+        self.store_report(now, report)
+        breaker = self.open_breakers.get(server)
+        if breaker is None:
             return
-        wait = min(LONGEST_WAIT, verdict.wait)
-        if not verdict.tried:
-            one.claim_at = max(one.claim_at, now + wait)
+        wait = min(MAX_WAIT_US, report.wait)
+        if not report.finished:
+            breaker.claim_at = max(breaker.claim_at, now + wait)
             return
-        by = verdict.version & OWN
-        if now - one.opened > OWN_EYES << max(0, one.failed) or one.free or wait and by == one.by:
-            # Guards against words that keep a server out that may serve this sidecar: for long, after another
-            # was served, or from one life twice in a row, which may be sick itself.
+        reporter = report.version & INSTANCE_MASK
+        if (
+            now - breaker.opened_at > MAX_POSTPONED_US << max(0, breaker.failed_trials)
+            or breaker.own_trial_next
+            or wait
+            and reporter == breaker.postponed_by
+        ):
+            # The server may work for this sidecar. Ignore reports that keep it out of use for too long,
+            # after a trial elsewhere succeeded, or twice in a row from one instance, which may be unhealthy
+            # itself.
             return
-        one.by, one.free = by, not wait
-        one.last, one.until = now, now + wait
-        # Before the wait is over, so that it is settled then who tries next; not by all at once.
-        one.claim_at = now + wait // 2 + self.chance.randrange(max(1, wait // 4))
-        self.outlet.put_off(server, wait)
-
-    def note(self, now: int, verdict: Verdict) -> None:
-        self.newest.pop(verdict.server, None)
-        if len(self.newest) >= NEWEST:
-            del self.newest[next(iter(self.newest))]
-        self.newest[verdict.server] = (verdict.version, now)
-        if not self.fresh:
-            self.tell_at = now + APART
-        self.fresh[verdict.server] = verdict
-
-    # -- time
-
-    def due(self) -> int | None:
-        times = [one.claim_at for one in self.open.values() if one.claim_at > self.looked_at]
-        if self.fresh:
-            times.append(self.tell_at)
+        breaker.postponed_by, breaker.own_trial_next = reporter, not wait
+        breaker.last_activity, breaker.trial_at = now, now + wait
+        # Before the wait ends, so that the next holder is known by then; at a random time, not all at once.
+        breaker.claim_at = now + wait // 2 + self.rng.randrange(max(1, wait // 4))
+        self.callbacks.postpone_trial(server, wait)
+
+    def store_report(self, now: int, report: TrialReport) -> None:
+        """Remember a report as the newest on its server, and queue it for others."""
+        self.latest_reports.pop(report.server, None)
+        if len(self.latest_reports) >= MAX_SERVERS:
+            del self.latest_reports[next(iter(self.latest_reports))]
+        self.latest_reports[report.server] = (report.version, now)
+        if not self.pending_reports:
+            self.send_at = now + REPORT_BATCH_US
+        self.pending_reports[report.server] = report
+
+    # -- timers
+
+    def next_timer(self) -> int | None:
+        """When the node has to act on trials next; None if nothing is due."""
+        times = [
+            breaker.claim_at for breaker in self.open_breakers.values() if breaker.claim_at > self.checked_at
+        ]
+        if self.pending_reports:
+            times.append(self.send_at)
         return min(times, default=None)
 
-    def looked(self, now: int, wall_ms: int) -> None:
-        """What has changed with the duties: those won are told of, those of no use are given up."""
-        self.looked_at = now
-        self.wall = (wall_ms, now)
-        for server, one in list(self.open.items()):
-            number = self.duties.number(now, self.duty(server))
-            if now - one.last > KEPT:
-                del self.open[server]
-                self.duties.resign(now, self.duty(server), "no breaker is open")
-            elif number and number != one.said:
-                one.said, one.since = number, now
-                self.say(now, server, max(0, one.until - now) + one.cooldown, False)
-            elif number and now > max(one.until, one.since) + one.cooldown:
-                # Guards against a holder that sends nothing there: another, with more to send, finds out.
-                one.claim_at = now + 2 * one.cooldown
-                self.duties.resign(now, self.duty(server), "no verdict in time")
-
-    def wanted(self, now: int) -> list[str]:
+    def check_duties(self, now: int, wall_ms: int) -> None:
+        """Announce duties that were won, and release those of no further use."""
+        self.checked_at = now
+        self.wall_clock = (wall_ms, now)
+        for server, breaker in list(self.open_breakers.items()):
+            number = self.duties.fencing_number(now, self.duty_name(server))
+            if now - breaker.last_activity > RETENTION_US:
+                del self.open_breakers[server]
+                self.duties.resign(now, self.duty_name(server), "no breaker is open")
+            elif number and number != breaker.announced_number:
+                breaker.announced_number, breaker.held_since = number, now
+                self.report(now, server, max(0, breaker.trial_at - now) + breaker.cooldown, False)
+            elif number and now > max(breaker.trial_at, breaker.held_since) + breaker.cooldown:
+                # The holder has sent nothing there: release the duty to a sidecar with more requests for
+                # the server.
+                breaker.claim_at = now + 2 * breaker.cooldown
+                self.duties.resign(now, self.duty_name(server), "no verdict in time")
+
+    def wanted_duties(self, now: int) -> list[str]:
+        """The duties that this sidecar should claim now."""
         return [
-            self.duty(server)
-            for server, one in self.open.items()
-            if one.claims and now >= one.claim_at and self.shared(server)
+            self.duty_name(server)
+            for server, breaker in self.open_breakers.items()
+            if breaker.may_claim and now >= breaker.claim_at and self.is_shared(server)
         ]
 
-    def turns(self, now: int) -> dict[str, int]:
-        """The servers that are this sidecar's to try, and until when."""
-        held = {duty: left for duty, _, left in self.duties.held(now)}
+    def allowed_trials(self, now: int) -> dict[str, int]:
+        """The servers that this sidecar may try, each with the time until which it may."""
+        held = {duty: remaining for duty, _, remaining in self.duties.held(now)}
         return {
-            server: now + held.get(self.duty(server), KEPT)
-            for server in self.open
-            if self.duty(server) in held or not self.shared(server)
+            server: now + held.get(self.duty_name(server), RETENTION_US)
+            for server in self.open_breakers
+            if self.duty_name(server) in held or not self.is_shared(server)
         }
 
-    def told_on(self, now: int) -> Iterator[Verdict]:
-        """What goes to some others of the zone now: each word once from each sidecar."""
-        if self.fresh and now >= self.tell_at:
-            yield from self.fresh.values()
-            self.fresh = {}
+    def take_reports(self, now: int) -> Iterator[TrialReport]:
+        """The reports to send now; each sidecar sends each report on once."""
+        if self.pending_reports and now >= self.send_at:
+            yield from self.pending_reports.values()
+            self.pending_reports = {}
 
-    def resigned(self, now: int, duty: str) -> None:
-        """Taken away by hand: not claimed here for two Cooldowns."""
-        for server, one in self.open.items():
-            if self.duty(server) == duty:
-                one.claim_at = now + 2 * one.cooldown
+    def duty_resigned(self, now: int, duty: str) -> None:
+        """An operator took the duty away: don't claim it here for two cooldowns."""
+        for server, breaker in self.open_breakers.items():
+            if self.duty_name(server) == duty:
+                breaker.claim_at = now + 2 * breaker.cooldown
 
 
-def audience(members: int) -> int:
-    """To how many each tells a word once, so that nearly always all hear it.
+def fanout(members: int) -> int:
+    """Number of members that each one sends a report to once, so that with high probability all receive it.
 
-    ln n + c reaches all with a probability of exp(-exp(-c)) (Kermarrec et al. 2003).
+    A fanout of ln n + c reaches all of n members with a probability of exp(-exp(-c)) (Kermarrec et al. 2003).
     """
     return round(log(max(1, members))) + 2
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -2,7 +2,7 @@
 
 It does on the loop what `sidecar/watching.py` does on its thread, with the same bounds: how long a dial may
 take, when a call counts as silent, after which failures it asks again at once, and with relays which of them
-it follows (`distribution/homes.py`).  Times are whole
+it follows (`distribution/relay_selector.py`).  Times are whole
 microseconds of the machine's monotonic clock, one for all processes of a run.
 """
 
@@ -18,7 +18,7 @@
 from ...balancer import Balancer, SeededRandom
 from ...discovery.server_list import Address, BadList, ServerList, ServerListUpdate
 from ...discovery.watch import Overtaxed, Watch
-from ...distribution.homes import Homes
+from ...distribution.relay_selector import RelaySelector
 from ...http1.messages import Malformed
 from ...interface import ListKind, ServerState, TimerHandler
 from ...settings import decode_settings
@@ -140,11 +140,11 @@
         self.sock: socket.socket | None = None
         self.step = RESTING
         self.due = 0  # what happens next if nothing comes: see `woke`
-        self.homes: Homes | None = None
+        self.homes: RelaySelector | None = None
         self.before: socket.socket | None = None  # to the relay that is left once another is dialled
         if plan.ask.form == "relayed":
-            self.homes = Homes(self.name, places, SeededRandom(self.chance.next_bits()).next_float)
-        self.where = self.homes.at if self.homes else places[0]
+            self.homes = RelaySelector(self.name, places, SeededRandom(self.chance.next_bits()).next_float)
+        self.where = self.homes.current if self.homes else places[0]
         self.begun = False
         self.dial = CONNECT_TIMEOUT_S
         self.failures = 0  # in a row
@@ -165,7 +165,7 @@
     def begin(self, now: int) -> None:
         """Dial, from one of many addresses, as no single one has ports for all."""
         if self.homes is not None:
-            self.where = self.homes.at
+            self.where = self.homes.current
             if self.step != CHANGING and self.watch.host != self.where:
                 self.watch.switch_to(self.where)
         host, _, port = self.where.rpartition(":")
@@ -261,7 +261,7 @@
         if not response.keeps():
             self.close()
             self.begin(now)
-        elif self.homes is not None and self.homes.answered(
+        elif self.homes is not None and self.homes.call_answered(
             clock.since_monotonic(now), *self.watch.region_counts()
         ):
             self.change(now)
@@ -277,14 +277,14 @@
 
     def stay(self, now: int) -> bool:
         """Go on at the relay that answers, where another was tried beside it in vain."""
-        if self.homes is None or self.before is None or self.homes.before is None:
+        if self.homes is None or self.before is None or self.homes.previous is None:
             return False
-        self.homes.failed(clock.since_monotonic(now))
+        self.homes.call_failed(clock.since_monotonic(now))
         if self.sock is not None:
             self.loop.expect_nothing(self)
             self.sock.close()
         self.sock, self.before = self.before, None
-        self.where, self.step = self.homes.at, CALLING
+        self.where, self.step = self.homes.current, CALLING
         self.watch.ask_immediately = True
         self.loop.expect(self, False)
         return True
@@ -324,7 +324,7 @@
         self.failures += 1
         self.failed_calls += 1
         if self.homes is not None:
-            self.alarm(now + self.homes.failed(clock.since_monotonic(now)))
+            self.alarm(now + self.homes.call_failed(clock.since_monotonic(now)))
         elif self.failures == 1 and not isinstance(trouble, Overtaxed):
             self.begin(now)
         else:
--- a/pumicepath/relay/followers.py
+++ b/pumicepath/relay/followers.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 from urllib.parse import unquote
 
-from ..distribution.interests import PLAIN, Interest, interest_of
+from ..distribution.interests import ALL_PLAIN, Interest, parse_interest
 from ..http1 import writing
 from ..http1.messages import Malformed, Request
 from ..http1.parsing import RequestParser
@@ -68,7 +68,7 @@
         self.state = READING
         self.state_since = now
         self.unsent: memoryview | None = None  # rest of an answer that the socket has not taken
-        self.interest: Interest = PLAIN
+        self.interest: Interest = ALL_PLAIN
         self.keep_alive = True
         self.pipelined_bytes = 0
 
@@ -188,6 +188,6 @@
                 wait = max(0, min(MAX_WAIT_MS, int(value)))
             elif name == "services":
                 services = value
-        return ListRequest(since, wait * 1000, interest_of(services))
+        return ListRequest(since, wait * 1000, parse_interest(services))
     except ValueError as error:
         raise Malformed(400, str(error)) from error
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -17,9 +17,9 @@
 from collections import Counter, deque
 from collections.abc import Callable, Mapping
 
-from ..distribution.held import Held, Line
-from ..distribution.origins import FAILURES, Origin
-from ..distribution.pace import Pace
+from ..distribution.origins import FAILURES_TO_DISCONNECT, Origin
+from ..distribution.rate_limiter import ListRateLimiter
+from ..distribution.relay_store import EncodedServer, RelayStore
 from ..distribution.subscriptions import Subscriptions
 from ..http1 import writing
 from ..http1.messages import Malformed, Request
@@ -57,9 +57,9 @@
         self.config = config
         self.log = log
         self.random_fraction = random_fraction
-        self.store = Held(version, config.sources, config.history_changes)
+        self.store = RelayStore(version, config.sources, config.history_changes)
         self.subscriptions = Subscriptions(config.batch_us, random_fraction)
-        self.whole_list_pacer = Pace(config.whole_bytes_per_s)
+        self.whole_list_pacer = ListRateLimiter(config.whole_bytes_per_s)
         self.selector = selectors.DefaultSelector()
         self.followers: dict[int, Follower] = {}
         self.admin_connections: dict[int, Follower] = {}
@@ -155,8 +155,8 @@
         if self.resume_queue:
             return 0
         return min(
-            self.subscriptions.next_at(),
-            self.whole_list_pacer.next_at(now),
+            self.subscriptions.next_timer(),
+            self.whole_list_pacer.next_timer(now),
             *(upstream.due_at for upstream in self.upstreams),
         )
 
@@ -243,18 +243,18 @@
             return
         call = parse_list_request(request)
         self.counters["calls"] += 1
-        if not self.store.known():
+        if not self.store.has_data():
             self.reject(follower, b"no list yet\n", now)
             return
         follower.interest = call.interest
         self.subscriptions.join(follower.number, call.interest)
-        if not self.store.continues(call.since):
+        if not self.store.can_continue(call.since):
             self.queue_whole_list(follower, now)
-        elif call.since < self.store.turn:
+        elif call.since < self.store.region_change_version:
             self.send_changes(follower, call.since, now)
-        elif self.store.concerned(call.interest, call.since):
+        elif self.store.has_changes(call.interest, call.since):
             if call.wait_us > self.config.batch_us:
-                self.subscriptions.due_soon(follower.number, call.since, now)
+                self.subscriptions.add_pending(follower.number, call.since, now)
             else:
                 self.send_changes(follower, call.since, now)
         elif call.wait_us > 1000:
@@ -264,11 +264,11 @@
 
     def answer_due(self, now: int) -> None:
         """Answer followers for which there are changes, or whose wait is over."""
-        for number, since in self.subscriptions.due(now, MAX_BATCH):
+        for number, since in self.subscriptions.take_due(now, MAX_BATCH):
             follower = self.followers.get(number)
             if follower is None or follower.state != PENDING:
                 continue
-            if since >= 0 and not self.store.continues(since):
+            if since >= 0 and not self.store.can_continue(since):
                 self.queue_whole_list(follower, now)
             else:
                 self.send_changes(follower, since, now)
@@ -277,7 +277,7 @@
         """Answer with the changes after a version, or with none for -1."""
         self.counters["answers"] += 1
         body = (
-            self.store.nothing(follower.interest)
+            self.store.no_change_answer(follower.interest)
             if since < 0
             else self.store.answer(follower.interest, since)[0]
         )
@@ -286,7 +286,7 @@
 
     def queue_whole_list(self, follower: Follower, now: int) -> None:
         """Queue a whole list under the rate limit; 503 if the queue is too long."""
-        if not self.whole_list_pacer.admit(follower.number, self.store.size(follower.interest), now):
+        if not self.whole_list_pacer.admit(follower.number, self.store.whole_size(follower.interest), now):
             self.report_pacing()
             self.counters["refused_whole"] += 1
             self.reject(follower, b"too many whole lists\n", now)
@@ -298,19 +298,19 @@
 
     def send_whole_lists(self, now: int) -> None:
         """Send queued whole lists as the rate limit allows, and reject those that waited too long."""
-        for number in self.whole_list_pacer.overdue(now):
+        for number in self.whole_list_pacer.take_overdue(now):
             self.report_pacing()
             self.counters["refused_whole"] += 1
             self.reject(self.followers[number], b"too many whole lists\n", now)
         for _ in range(MAX_BATCH):
-            next_number = self.whole_list_pacer.turn(now)
+            next_number = self.whole_list_pacer.take_next(now)
             if next_number is None:
                 break
             follower = self.followers[next_number]
             if follower.state != PENDING:
                 continue
             body = self.store.answer(follower.interest, -1)[0]
-            self.whole_list_pacer.spent(len(body))
+            self.whole_list_pacer.charge(len(body))
             self.counters["whole"] += 1
             self.counters["answers"] += 1
             self.counters["bytes"] += len(body)
@@ -326,7 +326,7 @@
             self.log.event(
                 "whole_paced",
                 waiting=len(self.whole_list_pacer.queue),
-                bytes=self.whole_list_pacer.queued,
+                bytes=self.whole_list_pacer.queued_bytes,
                 followers=len(self.followers),
             )
 
@@ -337,7 +337,7 @@
         upstream: Upstream,
         seq: int,
         whole: bool,
-        lines: Mapping[str, Line | None],
+        lines: Mapping[str, EncodedServer | None],
         previous_seq: int | None,
         now: int,
     ) -> None:
@@ -347,9 +347,9 @@
         """
         name = upstream.region
         upstream.refusal_reported = False
-        known = len(self.store.regions[name].lines)
+        known = len(self.store.regions[name].entries)
         first = self.store.regions[name].seq < 0
-        change = self.store.take(name, seq, whole, lines)
+        change = self.store.apply(name, seq, whole, lines)
         if previous_seq is not None:
             self.log.event(
                 "origin_restarted", region=name, before=previous_seq, seq=seq, changed=change.servers
@@ -358,13 +358,15 @@
             self.log.event("list_halved", region=name, seq=seq, before=known, servers=len(lines))
         if change.servers:
             self.counters["changes"] += change.servers
-            self.counters["concerned"] += self.subscriptions.changed(change.services, change.version, now)
+            self.counters["concerned"] += self.subscriptions.services_changed(
+                change.services, change.version, now
+            )
         if first or upstream.loss_reported:
             self.log.event(
                 "region_back",
                 region=name,
                 seq=seq,
-                servers=len(self.store.regions[name].lines),
+                servers=len(self.store.regions[name].entries),
                 changed=change.servers,
             )
             upstream.loss_reported = False
@@ -373,10 +375,10 @@
     def update_liveness(self, upstream: Upstream, why: str, now: int) -> None:
         """Publish whether a region is in touch with its origin, and log once that it is lost."""
         origin = upstream.origin
-        changed = self.store.turned(upstream.region, origin.live)
+        changed = self.store.set_live(upstream.region, origin.live)
         if changed:
-            self.subscriptions.turned(now)
-        never_reached = origin.seq < 0 and origin.failures >= FAILURES
+            self.subscriptions.end_waits_soon(now)
+        never_reached = origin.seq < 0 and origin.failures >= FAILURES_TO_DISCONNECT
         if not origin.live and not upstream.loss_reported and (changed or never_reached):
             upstream.loss_reported = True
             since = upstream.answered_at or self.started_at
@@ -386,7 +388,7 @@
                 why=why,
                 seq=origin.seq,
                 silent_s=round((now - since) / 1e6, 3),
-                servers=len(self.store.regions[upstream.region].lines),
+                servers=len(self.store.regions[upstream.region].entries),
             )
 
     def report_refused_list(self, upstream: Upstream, why: str) -> None:
@@ -399,7 +401,7 @@
                 region=upstream.region,
                 why=why,
                 seq=upstream.origin.seq,
-                servers=len(self.store.regions[upstream.region].lines),
+                servers=len(self.store.regions[upstream.region].entries),
             )
 
     # Everything else
@@ -421,7 +423,7 @@
             self.log.event(
                 "followers_room", followers=len(self.followers), refused=self.counters["refused_full"]
             )
-        if self.paced and self.whole_list_pacer.rested(now):
+        if self.paced and self.whole_list_pacer.is_idle(now):
             self.paced = False
             self.log.event(
                 "whole_done",
--- a/pumicepath/relay/metrics.py
+++ b/pumicepath/relay/metrics.py
@@ -33,14 +33,14 @@
     values: dict[str, int] = {name: relay.counters[name] for name in names}
     values |= {
         "version": store.version,
-        "floor": store.floor,
-        "history": len(store.log),
-        "servers": len(store.shown),
+        "floor": store.min_version,
+        "history": len(store.change_log),
+        "servers": len(store.visible),
         "services": len(store.services),
-        "live": store.live(),
+        "live": store.live_regions(),
         "followers": len(relay.followers),
         "most_followers": relay.max_followers,
-        "waiting": relay.subscriptions.waiting(),
+        "waiting": relay.subscriptions.waiting_count(),
         "interests": len(relay.subscriptions.groups),
         "whole_waiting": len(relay.whole_list_pacer.queue),
         "slow": len(relay.slow_followers),
@@ -51,6 +51,6 @@
         values |= {
             f"region.{name}.seq": region.seq,
             f"region.{name}.live": int(region.live),
-            f"region.{name}.servers": len(region.lines),
+            f"region.{name}.servers": len(region.entries),
         }
     return "".join(f"{PREFIX}.relay.{name}={value}\n" for name, value in values.items())
--- a/pumicepath/relay/upstreams.py
+++ b/pumicepath/relay/upstreams.py
@@ -15,9 +15,9 @@
 import orjson
 
 from ..discovery.server_list import Address, BadList, ServerList
-from ..distribution.held import Line, encoded
-from ..distribution.interests import NAME
-from ..distribution.origins import Origin, Refused
+from ..distribution.interests import NAME_PATTERN
+from ..distribution.origins import ListRejectedError, Origin
+from ..distribution.relay_store import EncodedServer, encode_entries
 from ..http1 import writing
 from ..http1.messages import Malformed, Response
 from ..http1.parsing import ResponseParser
@@ -56,7 +56,7 @@
     def on_timer(self, now: int) -> None:
         """Connect or give up a silent connection when due; report a region whose last answer is too old."""
         if now < self.due_at:
-            if self.origin.aged(now - self.answered_at):
+            if self.origin.check_age(now - self.answered_at):
                 self.relay.update_liveness(self, "late", now)
             return
         if self.sock is None:
@@ -92,10 +92,10 @@
         """Send the next request; raises OSError."""
         assert self.sock is not None
         host = f"{self.address.host}:{self.address.port}"
-        request = writing.request("GET", self.origin.target(), [("Host", host)])
+        request = writing.request("GET", self.origin.request_target(), [("Host", host)])
         self.answer_started = False
         # By the clock, not the iteration's time: decoding a long list may have taken long since then.
-        self.due_at = now_us() + self.origin.silent()
+        self.due_at = now_us() + self.origin.silence_limit()
         if self.sock.send(request) < len(request):
             raise OSError("the socket did not take the whole request")
 
@@ -132,7 +132,7 @@
                 raise ConnectionResetError("ended")
         except BlockingIOError:
             return
-        except (BadList, Refused) as error:
+        except (BadList, ListRejectedError) as error:
             self.relay.report_refused_list(self, str(error))
             self.fail(now, str(error), refused=True)
         except (OSError, Malformed) as error:
@@ -157,9 +157,9 @@
             raise ConnectionError(f"answered {response.status}")
         data, lines = yield from decode_answer(response.body, self.region)
         seq, whole = int(data["seq"]), bool(data["whole"])
-        restarted = self.origin.believed(seq, whole, len(lines))
+        restarted = self.origin.validate(seq, whole, len(lines))
         previous_seq = self.origin.seq
-        self.origin.answered(seq)
+        self.origin.answer_accepted(seq)
         self.answered_at = now
         self.decoding = None
         self.relay.apply_answer(self, seq, whole, lines, previous_seq if restarted else None, now_us())
@@ -172,7 +172,7 @@
     def fail(self, now: int, why: str, silent: bool = False, refused: bool = False) -> None:
         """Close the connection after a failure and schedule the next attempt."""
         self.close()
-        self.due_at = now + self.origin.failed(silent, refused)
+        self.due_at = now + self.origin.call_failed(silent, refused)
         self.relay.update_liveness(self, why, now)
 
     def close(self) -> None:
@@ -188,7 +188,7 @@
 
 def decode_answer(
     body: bytes, region: str
-) -> Generator[None, None, tuple[dict[str, Any], dict[str, Line | None]]]:
+) -> Generator[None, None, tuple[dict[str, Any], dict[str, EncodedServer | None]]]:
     """Decode an origin's answer and its lines in batches of DECODE_BATCH_LINES, yielding between them.
 
     The lines are checked as each sidecar checks them: one invalid line would make followers refuse the whole
@@ -206,15 +206,19 @@
     server_list.apply({**data, "hosts": []})
     if not 0 <= int(data["seq"]) < MAX_SEQ:
         raise BadList(f"seq: {data['seq']!r}")
-    lines: dict[str, Line | None] = {}
+    lines: dict[str, EncodedServer | None] = {}
     for start in range(0, len(hosts), DECODE_BATCH_LINES):
         batch = hosts[start : start + DECODE_BATCH_LINES]
         server_list.apply({**data, "hosts": batch, "whole": False})
         for line in batch:
             host, service = line["host"], line.get("service", "")
-            if not isinstance(host, str) or not isinstance(service, str) or not NAME.fullmatch(service):
+            if (
+                not isinstance(host, str)
+                or not isinstance(service, str)
+                or not NAME_PATTERN.fullmatch(service)
+            ):
                 raise BadList(f"{host!r}: {service!r} is no service")
-        lines |= encoded(region, batch)
+        lines |= encode_entries(region, batch)
         if len(lines) < start + len(batch):
             raise BadList("ValueError: a server twice")
         if start + DECODE_BATCH_LINES < len(hosts):
--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -119,8 +119,8 @@
 
     peer_settings = fleet.decode(raw.get("peers"), os.environ)
     name = str(raw.get("name", ""))
-    if not 0 < len(name.encode()) <= fleet.LONGEST_NAME:
-        raise ValueError(f"name: {name!r} is no name of 1 to {fleet.LONGEST_NAME} bytes, as peers need one")
+    if not 0 < len(name.encode()) <= fleet.MAX_NAME_BYTES:
+        raise ValueError(f"name: {name!r} is no name of 1 to {fleet.MAX_NAME_BYTES} bytes, as peers need one")
     return peer_settings
 
 
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -31,7 +31,7 @@
 from .watching import Watcher
 
 if TYPE_CHECKING:
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
     from ..fleet.settings import PeerSettings
     from .peers import Peers
 
@@ -77,7 +77,7 @@
     relay_selector = create_relay_selector(config)
     watch = Watch(
         server_list,
-        relay_selector.at if relay_selector else f"{config.discovery.host}:{config.discovery.port}",
+        relay_selector.current if relay_selector else f"{config.discovery.host}:{config.discovery.port}",
         -1 if relay_selector or "regions" in raw_list else known.version,
         2 * config.settings.poll_interval,
         SeededRandom(config.seed).next_float,
@@ -179,15 +179,17 @@
     return server_list.apply(config.known_list), config.known_list
 
 
-def create_relay_selector(config: Config) -> Homes | None:
+def create_relay_selector(config: Config) -> RelaySelector | None:
     """Create the choice among the relays, in this sidecar's order; not even imported without relays."""
     if not config.relays:
         return None
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
 
     # Not seeded by the configured seed alone: sidecars that share one would all wait equally long and reach
     # the relays at the same moments.
-    return Homes(config.name, config.relays, SeededRandom(config.seed ^ stable_id(config.name)).next_float)
+    return RelaySelector(
+        config.name, config.relays, SeededRandom(config.seed ^ stable_id(config.name)).next_float
+    )
 
 
 def format_address(address: Address | None) -> str:
@@ -270,7 +272,7 @@
 def restart_only_value(config: Config, key: str) -> object:
     """Return the part of the configuration that belongs to one of `RESTART_ONLY_KEYS`."""
     if key == "peers":
-        return config.peers.lasting() if config.peers is not None else None
+        return config.peers.without_voting() if config.peers is not None else None
     return config.max_connections if key == "limits" else getattr(config, key)
 
 
@@ -283,7 +285,7 @@
 
 def shares_trials(peers: PeerSettings | None) -> bool:
     """Whether the sidecars of a zone coordinate the breakers' trials."""
-    return peers is not None and peers.voting is not None and peers.voting.trials
+    return peers is not None and peers.voting is not None and peers.voting.shared_trials
 
 
 def with_list_numbers(config: Config, server_list: ServerList) -> Config:
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -16,7 +16,7 @@
 from .dispatch import Dispatcher
 
 if TYPE_CHECKING:
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
     from .following import RelayWatch
 
 # A watch that has fallen silent leaves 2 s for the next call; doubled each time a connect takes longer.
@@ -34,13 +34,17 @@
     """
 
     def __init__(
-        self, watch: Watch, discovery: Address, pushed: bool = False, relay_selector: Homes | None = None
+        self,
+        watch: Watch,
+        discovery: Address,
+        pushed: bool = False,
+        relay_selector: RelaySelector | None = None,
     ) -> None:
         self.watch = watch
         self.relay_watch: RelayWatch | None = None
         self.set_relay_selector(relay_selector)
         # The relay selector and the services that take effect with the next connection after a move.
-        self.pending_move: tuple[Homes | None, tuple[str, ...] | None] = relay_selector, None
+        self.pending_move: tuple[RelaySelector | None, tuple[str, ...] | None] = relay_selector, None
         self.skip_wait = threading.Event()  # set: connect to the next relay without waiting
         self.discovery = discovery
         self.pushed = pushed  # whatever discovery has counts as received, whether or not it has been read
@@ -58,11 +62,11 @@
         self.sock: socket.socket | None = None
 
     @property
-    def relay_selector(self) -> Homes | None:
+    def relay_selector(self) -> RelaySelector | None:
         """What chooses among the relays; None if the list comes from discovery."""
         return self.relay_watch.relay_selector if self.relay_watch is not None else None
 
-    def set_relay_selector(self, relay_selector: Homes | None) -> None:
+    def set_relay_selector(self, relay_selector: RelaySelector | None) -> None:
         """Follow these relays, or discovery if None; then the code that follows relays is not imported."""
         if relay_selector is None:
             self.relay_watch = None
@@ -82,7 +86,7 @@
         discovery: Address,
         wait_us: int,
         pushed: bool,
-        relay_selector: Homes | None = None,
+        relay_selector: RelaySelector | None = None,
         services: tuple[str, ...] | None = None,
     ) -> None:
         """Get the list from elsewhere from now on, or with other waits; requests the whole list at once."""
@@ -162,7 +166,7 @@
             self.failures = 0
             if not response.keeps():
                 self.close()
-            if relay_watch is not None and relay_watch.relay_selector.answered(
+            if relay_watch is not None and relay_watch.relay_selector.call_answered(
                 clock.now(), *self.watch.region_counts()
             ):
                 relay_watch.switch_relay()
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -19,8 +19,8 @@
 
 from pumicepath.discovery.server_list import ServerList, parse_address
 from pumicepath.discovery.watch import Watch
-from pumicepath.distribution import homes as deciding
-from pumicepath.distribution.homes import Homes
+from pumicepath.distribution import relay_selector as deciding
+from pumicepath.distribution.relay_selector import RelaySelector
 from pumicepath.lab.loopback.scripted import Deployment, answer
 from pumicepath.sidecar import config, running
 from pumicepath.sidecar.watching import Watcher
@@ -239,7 +239,7 @@
         deployment = Deployment(tmp_path, 0, name=f"n{at}", relays=["127.0.0.1:1"])
         homes = running.create_relay_selector(config.read(str(deployment.config)))
         assert homes is not None
-        drawn.add(homes.failed(0))
+        drawn.add(homes.call_failed(0))
     assert len(drawn) == 8
 
 
@@ -268,10 +268,10 @@
 def following_watcher(
     *relays: ScriptedRelay,
 ) -> Iterator[tuple[Watcher, list[ScriptedRelay], RecordingDispatcher]]:
-    homes = Homes("n", [relay.address for relay in relays], lambda: 0.5)
+    homes = RelaySelector("n", [relay.address for relay in relays], lambda: 0.5)
     by_address = {relay.address: relay for relay in relays}
     recorder = RecordingDispatcher()
-    watch = Watch(ServerList(["a"], lambda unix_ms: 1), homes.at, -1, 100_000, services=("*",))
+    watch = Watch(ServerList(["a"], lambda unix_ms: 1), homes.current, -1, 100_000, services=("*",))
     watcher = Watcher(watch, parse_address("127.0.0.1:1"), relay_selector=homes)
     watcher.dispatcher = recorder  # type: ignore[assignment]
     watcher.request_list()
@@ -297,7 +297,7 @@
 def test_the_watch_returns_to_the_first_relay_without_losing_a_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(deciding, "HOME_US", 500_000)
+    monkeypatch.setattr(deciding, "HOME_RETRY_US", 500_000)
     relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, list_line("s-1")) for at in (1, 2)]
     with following_watcher(*relays) as (watcher, (first, second), recorder):
         until(first.is_caught_up)
@@ -306,7 +306,7 @@
         until(second.is_caught_up)
         # Attempts to connect to the first fail meanwhile; the watch on the second goes on, without another
         # whole list.
-        until(lambda: watcher.relay_selector and watcher.relay_selector.home_span > 500_000)
+        until(lambda: watcher.relay_selector and watcher.relay_selector.home_retry_interval > 500_000)
         until(lambda: sum("since" in target for _, target in second.requests) > 5)
         assert sum("since" not in target for _, target in second.requests) == 1 == second.accepted
         first.listener = socket.create_server((host, int(port)))
@@ -329,7 +329,7 @@
 def test_without_a_descriptor_for_another_relay_the_working_watch_continues(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(deciding, "HOME_US", 500_000)
+    monkeypatch.setattr(deciding, "HOME_RETRY_US", 500_000)
 
     def none_left(where: object) -> socket.socket:
         raise OSError(24, "Too many open files")
@@ -341,7 +341,7 @@
         until(second.is_caught_up)
         monkeypatch.setattr("pumicepath.sidecar.following.new_socket", none_left)
         first.set_state("serving")
-        until(lambda: watcher.relay_selector and watcher.relay_selector.home_span > 500_000)
+        until(lambda: watcher.relay_selector and watcher.relay_selector.home_retry_interval > 500_000)
         calls = len(second.requests)
         until(lambda: len(second.requests) > calls + 3)
         assert second.accepted == 1
@@ -350,7 +350,7 @@
 def test_a_first_relay_that_accepts_but_never_answers_is_left_for_the_previous_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(deciding, "HOME_US", 500_000)
+    monkeypatch.setattr(deciding, "HOME_RETRY_US", 500_000)
     monkeypatch.setattr("pumicepath.discovery.watch.IMMEDIATE_TIMEOUT_S", 0.5)
     relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, list_line("s-1")) for at in (1, 2, 3)]
     with following_watcher(*relays) as (watcher, (first, second, third), recorder):
@@ -367,7 +367,7 @@
 def test_a_relay_in_touch_with_more_regions_is_found_and_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(deciding, "LOOK_US", 400_000)
+    monkeypatch.setattr(deciding, "SEARCH_INTERVAL_US", 400_000)
     relays = [
         ScriptedRelay(1000 * at)
         .publish("eu", 5, True, list_line("s-1"))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership alone, in virtual time: real decisions and datagrams on the model's links."""
+"""Membership in virtual time: the real protocol and datagrams on simulated links."""
 
 from __future__ import annotations
 
@@ -9,9 +9,19 @@
 import pytest
 
 from pumicepath.fleet import messages, settings
-from pumicepath.fleet.membership import RECENT, Membership
-from pumicepath.fleet.messages import ALIVE, DEAD, LEFT, SUSPECTED, News, Ping, Record, packed, unpacked
-from pumicepath.fleet.roll import Roll
+from pumicepath.fleet.member_table import MemberTable
+from pumicepath.fleet.membership import RECENT_INTERVALS, Membership
+from pumicepath.fleet.messages import (
+    ALIVE,
+    DEAD,
+    LEFT,
+    SUSPECTED,
+    Ping,
+    Record,
+    Updates,
+    decode_message,
+    encode_message,
+)
 from pumicepath.lab.model.links import Links, Noise
 from pumicepath.lab.model.timeline import SECOND, Virtual
 from pumicepath.lab.virtual.peers import Peering, address
@@ -19,16 +29,17 @@
 from .helpers import check_trace
 
 
-def fleet(count: int, seed: int = 1, **more: int) -> Peering:
+def make_fleet(count: int, seed: int = 1, **more: int) -> Peering:
+    """A fleet whose sidecars have all been started."""
     timeline = Virtual()
-    made = Peering(timeline, Links(timeline, seed, 300), seed, count, **more)
+    peering = Peering(timeline, Links(timeline, seed, 300), seed, count, **more)
     for number in range(count):
-        made.start(number)
-    return made
+        peering.start(number)
+    return peering
 
 
-def until_right(peering: Peering, limit_s: float = 60.0) -> float:
-    """Seconds until all views are right; fails past the limit."""
+def run_until_correct(peering: Peering, limit_s: float = 60.0) -> float:
+    """Run until all views are correct; return the seconds, fail past the limit."""
     began, step = peering.timeline.now, 100_000
     while peering.wrong():
         assert peering.timeline.now - began < limit_s * SECOND, peering.wrong()
@@ -40,69 +51,70 @@
     peering.timeline.run(peering.timeline.now + round(seconds * SECOND))  # type: ignore[attr-defined]
 
 
-def stopped(peering: Peering, numbers: Iterable[int], seconds: float) -> None:
-    hit = list(numbers)
-    for number in hit:
+def pause_nodes(peering: Peering, numbers: Iterable[int], seconds: float) -> None:
+    paused = list(numbers)
+    for number in paused:
         peering.stop(number)
     run(peering, seconds)
-    for number in hit:
+    for number in paused:
         peering.go_on(number)
 
 
-def told(peering: Peering, what: str) -> str:
-    took = until_right(peering)
+def settle(peering: Peering, what: str) -> str:
+    """Run until all views are correct; return a line with the time and the counts of state changes."""
+    elapsed = run_until_correct(peering)
     counts = " ".join(f"{name.replace(' ', '_')} {count}" for name, count in sorted(peering.counts.items()))
     peering.counts.clear()
-    return f"{what:<34} views right after {took:5.1f} s  {counts}"
+    return f"{what:<34} views right after {elapsed:5.1f} s  {counts}"
 
 
-def test_views_come_right_after_each_trouble() -> None:
-    peering = fleet(20)
-    links, lines = peering.links, [told(peering, "all begin at once")]
+def test_views_become_correct_after_each_fault() -> None:
+    peering = make_fleet(20)
+    links, lines = peering.links, [settle(peering, "all begin at once")]
     run(peering, 10)
     peering.kill(7)
-    lines.append(told(peering, "one is killed"))
+    lines.append(settle(peering, "one is killed"))
     peering.start(7)
-    lines.append(told(peering, "and comes back"))
+    lines.append(settle(peering, "and comes back"))
     peering.kill(8)
     run(peering, 0.01)
     peering.start(8)
-    lines.append(told(peering, "one is back within 10 ms"))
-    stopped(peering, (2, 9), 3)
-    lines.append(told(peering, "two were stopped for 3 s"))
-    stopped(peering, range(20), 30)
-    lines.append(told(peering, "all were stopped for 30 s"))
+    lines.append(settle(peering, "one is back within 10 ms"))
+    pause_nodes(peering, (2, 9), 3)
+    lines.append(settle(peering, "two were stopped for 3 s"))
+    pause_nodes(peering, range(20), 30)
+    lines.append(settle(peering, "all were stopped for 30 s"))
     heal = links.cut(range(10), range(10, 20))
     run(peering, 60)
     assert len(peering.wrong()) == 20
     heal()
-    lines.append(told(peering, "halves were apart for a minute"))
+    lines.append(settle(peering, "halves were apart for a minute"))
     heal = links.cut([3], [each for each in range(20) if each != 3], both=False)
     run(peering, 20)
     heal()
-    lines.append(told(peering, "nobody heard one of them for 20 s"))
+    lines.append(settle(peering, "nobody heard one of them for 20 s"))
     heal = links.cut([each for each in range(20) if each != 3], [3], both=False)
     run(peering, 20)
     heal()
-    lines.append(told(peering, "one heard nobody for 20 s"))
+    lines.append(settle(peering, "one heard nobody for 20 s"))
     heal = links.disturb(range(20), Noise(0.2, 0.1, 0.1, 1000, 200_000, 20_000))
     run(peering, 20)
     heal()
-    lines.append(told(peering, "bad links for 20 s"))
+    lines.append(settle(peering, "bad links for 20 s"))
     for number in range(14):
         peering.kill(number)
     run(peering, 0.1)
     for number in range(14):
         peering.start(number)
-    lines.append(told(peering, "seven in ten restarted at once"))
+    lines.append(settle(peering, "seven in ten restarted at once"))
     for number in range(20):
         peering.kill(number)
         peering.start(number)
-    lines.append(told(peering, "all restarted in the same moment"))
+    lines.append(settle(peering, "all restarted in the same moment"))
     check_trace("membership", lines)
 
 
-def test_seeds_that_are_dead_or_come_up_later() -> None:
+def test_joining_while_seeds_are_down() -> None:
     timeline = Virtual()
     peering = Peering(timeline, Links(timeline, 1, 300), 1, 6)
     for number in (5, 4, 3):  # the seeds are 0, 1 and 2
@@ -110,24 +122,24 @@
     run(peering, 20)
     assert len(peering.wrong()) == 3
     peering.start(2)
-    assert until_right(peering) < 15
+    assert run_until_correct(peering) < 15
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
-def test_a_fifth_of_its_messages_lost_is_no_death(seed: int) -> None:
-    peering = fleet(30, seed)
-    until_right(peering)
+def test_a_sidecar_that_loses_a_fifth_of_its_messages_is_not_declared_dead(seed: int) -> None:
+    peering = make_fleet(30, seed)
+    run_until_correct(peering)
     peering.links.disturb([4], Noise(loss=0.2))
     run(peering, 300)
     assert peering.counts["false deaths"] == 0 and peering.counts["suspected"] > 0
-    assert until_right(peering) < 30
+    assert run_until_correct(peering) < 30
 
 
-def test_cost_at_rest_does_not_grow_with_the_fleet() -> None:
+def test_idle_traffic_does_not_grow_with_the_fleet() -> None:
     rates = []
     for count in (10, 100):
-        peering = fleet(count)
-        until_right(peering)
+        peering = make_fleet(count)
+        run_until_correct(peering)
         run(peering, 20)
         links = peering.links
         links.sent.clear()
@@ -137,126 +149,137 @@
     assert rates[1][0] < 4 and rates[1][1] < 1.3 * rates[0][1] < 300, rates
 
 
-class Noted:
-    """An outlet for one membership alone."""
+class RecordingCallbacks:
+    """Callbacks of a single membership: records changes as lines, and sent messages."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
-        self.sent: list[tuple[str, messages.Any]] = []
+        self.sent: list[tuple[str, messages.AnyMessage]] = []
 
-    def post(self, address: str, message: messages.Any) -> None:
+    def send_message(self, address: str, message: messages.AnyMessage) -> None:
         self.sent.append((address, message))
 
-    def changed(self, record: Record, by: str) -> None:
-        self.lines.append(f"{record.name}/{record.born} {messages.STATES[record.state]} by {by or 'itself'}")
+    def peer_changed(self, record: Record, by: str) -> None:
+        self.lines.append(
+            f"{record.name}/{record.instance_id} {messages.STATES[record.state]} by {by or 'itself'}"
+        )
 
-    def twice(self, record: Record) -> None:
+    def duplicate_name(self, record: Record) -> None:
         self.lines.append(f"{record.name} is also at {record.address}")
 
 
-def alone(**more: object) -> tuple[Membership, Noted, Record]:
-    noted = Noted()
-    me = Record("n0", 1000, "127.0.0.1:1000", "a")
-    given = settings.PeerSettings("127.0.0.1:1000", **more)  # type: ignore[arg-type]
-    return Membership(me, given, 7, noted, SECOND), noted, me
+def make_membership(**more: object) -> tuple[Membership, RecordingCallbacks, Record]:
+    callbacks = RecordingCallbacks()
+    own_record = Record("n0", 1000, "127.0.0.1:1000", "a")
+    peer_settings = settings.PeerSettings("127.0.0.1:1000", **more)  # type: ignore[arg-type]
+    return Membership(own_record, peer_settings, 7, callbacks, SECOND), callbacks, own_record
 
 
-def hear(one: Membership, now: float, sender: Record, *news: Record, source: str = "") -> None:
+def receive(membership: Membership, now: float, sender: Record, *updates: Record, source: str = "") -> None:
     at = round(now * SECOND)
-    if one.due() < at:
-        one.expected = at  # the clock was read meanwhile; nothing was due for these tests
-    one.heard(at, source or sender.address, News(sender, 1, list(news)))
+    if membership.next_timer() < at:
+        membership.expected_timer_at = at  # as if timers had run in time, so that no pause is detected
+    membership.receive(at, source or sender.address, Updates(sender, 1, list(updates)))
 
 
-def test_order_of_what_is_told_of_one_life() -> None:
-    roll = Roll(10, random.Random(1))
+def test_precedence_of_records_of_one_instance() -> None:
+    table = MemberTable(10, random.Random(1))
     base = Record("n1", 5, "127.0.0.1:5", "a", 3, ALIVE)
     lines = []
     for state in (ALIVE, SUSPECTED, DEAD, LEFT):
         for other in (ALIVE, SUSPECTED, DEAD, LEFT):
-            held = Roll(10, random.Random(1)).add(msgspec.structs.replace(base, state=state), 0, "")
+            held = MemberTable(10, random.Random(1)).add(msgspec.structs.replace(base, state=state), 0, "")
             assert held is not None
-            wins = [
-                roll.newer(held, msgspec.structs.replace(base, state=other, incarnation=incarnation))
+            accepted = [
+                table.supersedes(held, msgspec.structs.replace(base, state=other, incarnation=incarnation))
                 for incarnation in (2, 3, 4)
             ]
-            told = " ".join(f"{at}: {'yes' if win else 'no ':<3}" for at, win in zip((2, 3, 4), wins))
-            lines.append(f"{messages.STATES[state]:<9} 3, told {messages.STATES[other]:<9} of {told}")
+            results = " ".join(
+                f"{number}: {'yes' if each else 'no ':<3}" for number, each in zip((2, 3, 4), accepted)
+            )
+            lines.append(f"{messages.STATES[state]:<9} 3, told {messages.STATES[other]:<9} of {results}")
     check_trace("membership-order", [line.rstrip() for line in lines])
 
 
-def test_what_liars_and_restarts_do_to_one_sidecar() -> None:
-    one, noted, me = alone(most=6)
+def test_false_records_and_restarts_seen_by_one_sidecar() -> None:
+    membership, callbacks, _ = make_membership(max_peers=6)
     peer = Record("n1", 11, "127.0.0.1:11", "a")
-    hear(one, 1.0, peer)
-    hear(one, 1.1, Record("n1", 12, "127.0.0.1:11", "a"))  # another process at its address
-    hear(one, 1.2, Record("n2", 13, "127.0.0.1:13", "a"), Record("n0", 1000, "x", "a", 7, DEAD))
-    noted.lines.append(f"said to be dead: incarnation {one.me.incarnation}")
-    hear(one, 1.3, peer, Record("n0", 1000, "x", "a", 1 << 31, SUSPECTED))
-    noted.lines.append(f"past the bound: another life {one.me.born != 1000}, {one.me.incarnation}")
-    born = one.me.born
-    hear(one, 1.4, peer, Record("n0", born, "x", "a", 0, LEFT))
-    noted.lines.append(f"and again within a second: another life {one.me.born != born}")
-    hear(one, 1.5, Record("n0", 77, "127.0.0.1:77", "a"))  # a second process of this name
+    receive(membership, 1.0, peer)
+    receive(membership, 1.1, Record("n1", 12, "127.0.0.1:11", "a"))  # another process at its address
+    receive(membership, 1.2, Record("n2", 13, "127.0.0.1:13", "a"), Record("n0", 1000, "x", "a", 7, DEAD))
+    callbacks.lines.append(f"said to be dead: incarnation {membership.own_record.incarnation}")
+    receive(membership, 1.3, peer, Record("n0", 1000, "x", "a", 1 << 31, SUSPECTED))
+    callbacks.lines.append(
+        f"past the bound: another life {membership.own_record.instance_id != 1000}, "
+        f"{membership.own_record.incarnation}"
+    )
+    instance_id = membership.own_record.instance_id
+    receive(membership, 1.4, peer, Record("n0", instance_id, "x", "a", 0, LEFT))
+    callbacks.lines.append(
+        f"and again within a second: another life {membership.own_record.instance_id != instance_id}"
+    )
+    receive(membership, 1.5, Record("n0", 77, "127.0.0.1:77", "a"))  # a second process of this name
     for step in range(8):
-        hear(one, 1.6, peer, Record(f"ghost{step}", 100 + step, f"127.0.0.1:{100 + step}", "a"))
-    noted.lines.append(f"held {len(one.roll.members)} of at most 6, refused {one.roll.refused}")
-    one.expected = now = round((1.6 + RECENT + 1) * SECOND)
-    one.woke(now)
-    one.expected = now = now + 2 * SECOND
-    one.woke(now)
-    check_trace("membership-lies", noted.lines)
-
-
-def test_what_was_stopped_suspects_itself_and_nobody_else() -> None:
-    peering = fleet(10)
-    until_right(peering)
+        receive(membership, 1.6, peer, Record(f"ghost{step}", 100 + step, f"127.0.0.1:{100 + step}", "a"))
+    callbacks.lines.append(
+        f"held {len(membership.member_table.members)} of at most 6, refused {membership.member_table.refused}"
+    )
+    membership.expected_timer_at = now = round((1.6 + RECENT_INTERVALS + 1) * SECOND)
+    membership.on_timer(now)
+    membership.expected_timer_at = now = now + 2 * SECOND
+    membership.on_timer(now)
+    check_trace("membership-lies", callbacks.lines)
+
+
+def test_a_sidecar_that_was_stopped_suspects_no_peer_after_it_continues() -> None:
+    peering = make_fleet(10)
+    run_until_correct(peering)
     peering.stop(4)
     run(peering, 30)
     peering.counts.clear()
     peering.go_on(4)
     membership = peering.nodes[4].membership
-    assert membership is not None and membership.sick > 0
-    assert not [seen for seen in membership.members(0) if seen.state in (SUSPECTED, DEAD)]
-    until_right(peering)
+    assert membership is not None and membership.local_health_score > 0
+    assert not [peer for peer in membership.members(0) if peer.state in (SUSPECTED, DEAD)]
+    run_until_correct(peering)
 
 
-def test_bounds_of_the_size_of_the_fleet() -> None:
-    peering = fleet(10)
-    until_right(peering)
-    run(peering, RECENT)
+def test_fleet_size_bounds() -> None:
+    peering = make_fleet(10)
+    run_until_correct(peering)
+    run(peering, RECENT_INTERVALS)
     node = peering.nodes[0]
     assert node.membership is not None
-    assert node.membership.bounds(node.clock()) == (10, 10, 10)
+    assert node.membership.fleet_size_bounds(node.clock()) == (10, 10, 10)
     peering.kill(9)
-    until_right(peering)
-    least, likely, most = node.membership.bounds(node.clock())
-    assert (least, likely, most) == (9, 9, 10), "a dead one may be cut off and at work"
-
-
-def test_datagrams_that_are_no_messages_are_none() -> None:
-    me = Record("n0", 1, "127.0.0.1:1", "a")
-    data = packed(Ping(me, 5, 7, 0, [me]), 0)
-    assert unpacked(data, 0) == Ping(me, 5, 7, 0, [me]) and len(data) < 200
-    for spoilt in (b"", data[:4], data[:-1], data + b"x", data[:9] + b"\xff" + data[10:], bytes(64_000)):
-        with pytest.raises(messages.Noise):
-            unpacked(spoilt, 0)
-    with pytest.raises(messages.Noise):
-        unpacked(data, messages.sealed("another fleet"))
-    with pytest.raises(messages.Foreign):
-        unpacked(bytes((2,)) + data[1:], 0)
-    chance = random.Random(3)
+    run_until_correct(peering)
+    minimum, likely, maximum = node.membership.fleet_size_bounds(node.clock())
+    assert (minimum, likely, maximum) == (9, 9, 10), "a dead member may be partitioned and working"
+
+
+def test_malformed_datagrams_are_rejected() -> None:
+    sender = Record("n0", 1, "127.0.0.1:1", "a")
+    data = encode_message(Ping(sender, 5, 7, 0, [sender]), 0)
+    assert decode_message(data, 0) == Ping(sender, 5, 7, 0, [sender]) and len(data) < 200
+    for malformed in (b"", data[:4], data[:-1], data + b"x", data[:9] + b"\xff" + data[10:], bytes(64_000)):
+        with pytest.raises(messages.MalformedMessageError):
+            decode_message(malformed, 0)
+    with pytest.raises(messages.MalformedMessageError):
+        decode_message(data, messages.fleet_checksum_seed("another fleet"))
+    with pytest.raises(messages.VersionMismatchError):
+        decode_message(bytes((2,)) + data[1:], 0)
+    rng = random.Random(3)
     for _ in range(2000):
-        spoilt = bytes(chance.randrange(256) for _ in range(chance.randrange(60)))
-        seal = messages.crc32(spoilt, 0).to_bytes(4, "big")
-        with pytest.raises(messages.Noise):
-            unpacked(b"\x01" + seal + spoilt, 0)
+        malformed = bytes(rng.randrange(256) for _ in range(rng.randrange(60)))
+        checksum = messages.crc32(malformed, 0).to_bytes(4, "big")
+        with pytest.raises(messages.MalformedMessageError):
+            decode_message(b"\x01" + checksum + malformed, 0)
 
 
 @pytest.mark.parametrize(
-    "told, key",
+    "raw, key",
     (
-        ([], "peers is no object"),
+        ([], "peers must be an object"),
         ({}, "peers.listen is missing"),
         ({"listen": "somewhere:1"}, "peers.listen"),
         ({"listen": "127.0.0.1:0", "seeds": ["127.0.0.1"]}, "peers.seeds[0]"),
@@ -267,7 +290,7 @@
         ({"listen": "127.0.0.1:0", "timeoutS": 0.6}, "peers.timeoutS"),
         ({"listen": "127.0.0.1:0", "most": 1.5}, "peers.most"),
         ({"listen": "127.0.0.1:0", "fleet": "x" * 65}, "peers.fleet"),
-        ({"listen": "127.0.0.1:0", "leaseS": 5}, "peers.leaseS: there are no voters"),
+        ({"listen": "127.0.0.1:0", "leaseS": 5}, "peers.leaseS: needs peers.voters"),
         ({"listen": "127.0.0.1:0", "voters": [address(1), address(2)]}, "peers.voters"),
         ({"listen": "127.0.0.1:0", "voters": [address(1)] * 3}, "peers.voters"),
         ({"listen": "127.0.0.1:0", "voters": [address(1)], "votersBefore": ["x"]}, "peers.votersBefore[0]"),
@@ -277,24 +300,24 @@
         ({"listen": "127.0.0.1:0", "voters": [address(1)], "trials": 1}, "peers.trials"),
     ),
 )
-def test_settings_that_cant_be_meant_are_named(told: object, key: str) -> None:
+def test_errors_in_settings_name_the_key(raw: object, key: str) -> None:
     with pytest.raises(ValueError) as caught:
-        settings.decode(told, {})
+        settings.decode(raw, {})
     assert key in str(caught.value)
 
 
-def test_the_environment_goes_before_the_file() -> None:
-    made = settings.decode(
+def test_the_environment_takes_precedence_over_the_file() -> None:
+    decoded = settings.decode(
         {"listen": "127.0.0.1:1"},
         {"GW_PEERS_LISTEN": "127.0.0.1:2", "GW_PEERS_SEEDS": f"{address(1)}, {address(2)}"},
     )
-    assert made == settings.PeerSettings("127.0.0.1:2", (address(1), address(2)))
+    assert decoded == settings.PeerSettings("127.0.0.1:2", (address(1), address(2)))
 
 
-def test_who_votes_is_taken_as_the_file_changes_and_the_rest_is_not() -> None:
-    told = {"listen": "127.0.0.1:1", "voters": [address(1)], "leaseS": 2, "longestS": 4, "trials": True}
-    made = settings.decode(told, {})
-    assert made.voting == settings.Voting(((address(1),),), 2 * SECOND, 4 * SECOND, 0.01, True)
-    other = settings.decode({**told, "votersBefore": [address(2)]}, {})
-    assert other.voting is not None and other.voting.sets == ((address(1),), (address(2),))
-    assert made != other and made.lasting() == other.lasting()
+def test_only_the_settings_of_voting_are_reloaded() -> None:
+    raw = {"listen": "127.0.0.1:1", "voters": [address(1)], "leaseS": 2, "longestS": 4, "trials": True}
+    decoded = settings.decode(raw, {})
+    assert decoded.voting == settings.Voting(((address(1),),), 2 * SECOND, 4 * SECOND, 0.01, True)
+    other = settings.decode({**raw, "votersBefore": [address(2)]}, {})
+    assert other.voting is not None and other.voting.voter_sets == ((address(1),), (address(2),))
+    assert decoded != other and decoded.without_voting() == other.without_voting()
--- a/tests/test_never_back.py
+++ b/tests/test_never_back.py
@@ -11,7 +11,7 @@
 
 from pumicepath.discovery.server_list import BadList, ServerList, ServerListUpdate
 from pumicepath.discovery.watch import MAX_RELAY_WAIT_MS, Overtaxed, Watch
-from pumicepath.distribution.regions import MOST_REGIONS
+from pumicepath.distribution.regions import MAX_REGIONS
 from pumicepath.interface import ServerState
 
 SECOND = 1_000_000
@@ -366,7 +366,7 @@
         relay_answer(11, {"eu": (-1, True)}),
         relay_answer(11, {"eu": (True, True)}),
         relay_answer(11, {"eu": (5, 1)}),  # type: ignore
-        relay_answer(11, {f"r{at}": (1, True) for at in range(MOST_REGIONS + 1)}),
+        relay_answer(11, {f"r{at}": (1, True) for at in range(MAX_REGIONS + 1)}),
         relay_answer(11, {"eu": (6, True)}, line("s2"), line("s3", dial="nowhere"), whole=True),
         SimpleNamespace(status=200, body=b'{"seq": 11, "whole": true, "hosts": [], "regions": [1]}'),
         SimpleNamespace(status=200, body=b"[]"),
@@ -376,7 +376,7 @@
         with pytest.raises(BadList):
             watch.handle_response(answer)
         assert healths(watch) == {"s1": "active"} and watch.version == 10 and watch.reported_regions == eu
-        assert watch.region_versions and watch.region_versions.kept == {"eu": 5}
+        assert watch.region_versions and watch.region_versions.versions == {"eu": 5}
     with pytest.raises(Overtaxed):
         watch.handle_response(SimpleNamespace(status=503, body=b""))
     # Changes without a whole list to apply them to.
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,8 +19,8 @@
 from click.testing import CliRunner
 
 from pumicepath.command import main
-from pumicepath.distribution.held import encoded
-from pumicepath.distribution.origins import ANSWER, LIVE
+from pumicepath.distribution.origins import ANSWER_TIMEOUT_US, LIVE_TIMEOUT_US
+from pumicepath.distribution.relay_store import encode_entries
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
 from pumicepath.lab.loopback.scripted import next_of
@@ -302,17 +302,17 @@
     log = Quiet()
     relay = loop.Relay(settings, log, 0, random.Random(1).random)  # type: ignore[arg-type]
     upstream = relay.upstreams[0]
-    upstream.origin.answered(41)
+    upstream.origin.answer_accepted(41)
     upstream.answered_at = 1_000
-    relay.apply_answer(upstream, 41, True, encoded("eu", [list_line("a", "cart")]), None, 1_000)
+    relay.apply_answer(upstream, 41, True, encode_entries("eu", [list_line("a", "cart")]), None, 1_000)
     upstream.fail(2_000_000, "reset")  # reconnects at once, and asks without a wait
-    upstream.due_at = 2_000_000 + ANSWER
-    upstream.on_timer(1_000 + LIVE)
+    upstream.due_at = 2_000_000 + ANSWER_TIMEOUT_US
+    upstream.on_timer(1_000 + LIVE_TIMEOUT_US)
     assert relay.store.regions["eu"].live
     before = relay.store.version
-    upstream.on_timer(1_001 + LIVE)
+    upstream.on_timer(1_001 + LIVE_TIMEOUT_US)
     assert not relay.store.regions["eu"].live and relay.store.version == before + 1 and upstream.loss_reported
-    upstream.on_timer(2_000_000 + ANSWER - 1)
+    upstream.on_timer(2_000_000 + ANSWER_TIMEOUT_US - 1)
     assert relay.store.version == before + 1
     for sock in (relay.listener, relay.selector):
         sock.close()
@@ -349,7 +349,7 @@
     while relay.resume_queue:
         # Between two batches the loop serves everything else, and nothing of the list is in force.
         batches += 1
-        assert len(relay.store.regions["eu"].lines) == 1 and relay.store.regions["eu"].seq == 40
+        assert len(relay.store.regions["eu"].entries) == 1 and relay.store.regions["eu"].seq == 40
         assert relay.next_timer(3_000) == 0
         if defect == "the end":
             upstream.fail(3_000, "ended")
@@ -358,11 +358,11 @@
         upstream.handle_io(0, 3_000)
     assert batches == (1 if defect == "the end" else 2)
     if defect:
-        assert len(relay.store.regions["eu"].lines) == 1 and upstream.sock is None
+        assert len(relay.store.regions["eu"].entries) == 1 and upstream.sock is None
         assert relay.counters["lists_refused"] == (defect != "the end")
     else:
         assert (
-            len(relay.store.regions["eu"].lines) == 3 * DECODE_BATCH_LINES
+            len(relay.store.regions["eu"].entries) == 3 * DECODE_BATCH_LINES
             and relay.store.regions["eu"].seq == 41
         )
         assert there.recv(4096).startswith(b"GET /discovery/hosts?since=41&")
