--- a/benchmarks/hearing.py
+++ b/benchmarks/hearing.py
@@ -40,10 +40,10 @@
     def hear(self, data: bytes) -> None:
         parser = self.watch.parser
         while data:
-            room = parser.ring.room()
+            room = parser.ring.writable()
             some = data[: len(room)]
             room[: len(some)] = some
-            parser.ring.wrote(len(some))
+            parser.ring.commit(len(some))
             data = data[len(some) :]
             response = parser.next()
         assert response is not None
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -133,7 +133,7 @@
         """`places` are its relays, or the one discovery."""
         self.number, self.name, self.loop = number, f"n{number}", loop
         info = told(plan, number)
-        self.roster = Roster(info["dcs"], clock.since_unix_ms)
+        self.roster = Roster(info["dcs"], clock.from_unix_ms)
         self.balancer = Balancer(decode(info), number + 1, MUTE)
         self.chance = Chance(random.Random(f"sidecar {plan.ask.seed} {number}").getrandbits(63))
         self.addresses: dict[int, Address] = {}
@@ -242,27 +242,27 @@
         parser = self.watch.parser
         while True:
             try:
-                count = self.sock.recv_into(parser.ring.room())
+                count = self.sock.recv_into(parser.ring.writable())
             except BlockingIOError:
                 return
-            parser.ring.wrote(count)
+            parser.ring.commit(count)
             self.bytes += count
             if not self.begun:
                 self.begun = True
                 self.alarm(max(self.due, now + int(1e6 * WHOLE_S)))
             if not count:
-                parser.end()
+                parser.end_input()
             response = parser.next()
             if response is not None:
                 break
             if not count:
                 raise ConnectionResetError("discovery ended the connection")
         self.take(now, self.watch.update(response))
-        if not response.keeps():
+        if not response.keeps_alive():
             self.close()
             self.begin(now)
         elif self.homes is not None and self.homes.answered(
-            clock.since_monotonic(now), *self.watch.standing()
+            clock.from_monotonic(now), *self.watch.standing()
         ):
             self.change(now)
         else:
@@ -279,7 +279,7 @@
         """Go on at the relay that answers, where another was tried beside it in vain."""
         if self.homes is None or self.before is None or self.homes.before is None:
             return False
-        self.homes.failed(clock.since_monotonic(now))
+        self.homes.failed(clock.from_monotonic(now))
         if self.sock is not None:
             self.loop.expect_nothing(self)
             self.sock.close()
@@ -304,7 +304,7 @@
                 else:
                     self.addresses[entry.server] = where
             self.balancer.listed(
-                clock.since_monotonic(now), Listing.FULL if update.whole else Listing.CHANGES, update.entries
+                clock.from_monotonic(now), Listing.FULL if update.whole else Listing.CHANGES, update.entries
             )
             self.updated_at = now
             self.loop.updated(self, update.whole)
@@ -322,7 +322,7 @@
         self.failures += 1
         self.failed_calls += 1
         if self.homes is not None:
-            self.alarm(now + self.homes.failed(clock.since_monotonic(now)))
+            self.alarm(now + self.homes.failed(clock.from_monotonic(now)))
         elif self.failures == 1 and not isinstance(trouble, Overtaxed):
             self.begin(now)
         else:
--- a/pumicepath/lab/loopback/wires.py
+++ b/pumicepath/lab/loopback/wires.py
@@ -137,7 +137,7 @@
     def answered(self, response: Response) -> None:
         ask, self.ask = self.ask, None
         self.used = True
-        if response.keeps():
+        if response.keeps_alive():
             self.among.idle.append(self)
         else:
             self.transport.close()
--- a/pumicepath/relay/followers.py
+++ b/pumicepath/relay/followers.py
@@ -98,7 +98,7 @@
             self.state = OUT
             self.at = now
             self.ahead = 0
-            self.keep = request.keeps()
+            self.keep = request.keeps_alive()
             self.relay.called(self, request, now)
 
     def tell(self, status: int, body: bytes, now: int, headers: list[tuple[str, str]] = JSON) -> None:
@@ -139,7 +139,7 @@
             return
         self.state = READING
         self.at = now
-        if not self.parser.idle():
+        if not self.parser.is_idle():
             # Guards the stack, and the others, against a follower that sends many calls ahead.
             self.relay.again.append(self)
 
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -40,7 +40,7 @@
 WRITTEN = 3_000_000  # from an answer's first byte until its socket has taken the last
 FULL_FOR = 1_000_000  # without one turned away, until there is room again
 LATE = 400_000  # a loop that comes so late has stood still
-FULL = writing.response(503, [], b"", keep=False)
+FULL = writing.response(503, [], b"", keep_alive=False)
 HALF = 2  # a list with less than one in so many left is told in the log
 
 
--- a/pumicepath/relay/upstreams.py
+++ b/pumicepath/relay/upstreams.py
@@ -116,11 +116,11 @@
                 self.at = now + WHOLE
             self.parser.feed(data)
             if not data:
-                self.parser.end()
+                self.parser.end_input()
             response = self.parser.next()
             if response is not None:
                 self.at = NEVER  # the next word is ours
-                self.reading = self.answered(response, response.keeps() and bool(data), now)
+                self.reading = self.answered(response, response.keeps_alive() and bool(data), now)
                 self.read_on()
             elif not data:
                 raise ConnectionResetError("ended")
--- a/pumicepath/sidecar/entrance.py
+++ b/pumicepath/sidecar/admission_gate.py
@@ -9,61 +9,65 @@
 from .config import Config
 
 
-class Waiting:
+class Waiter:
     """A thread that waits; `go` is known once its lock is free."""
 
-    __slots__ = ("lock", "go")
+    __slots__ = ("lock", "admitted")
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.go = False
+        self.admitted = False
 
-    def tell(self, go: bool) -> None:
-        self.go = go
+    def notify(self, admitted: bool) -> None:
+        self.admitted = admitted
         self.lock.release()
 
 
-class Entrance:
+class AdmissionGate:
     """The intake, under a lock that nobody holds for longer than a decision."""
 
     def __init__(self, config: Config) -> None:
         settings = config.settings
-        self.intake: Intake[Waiting] = Intake(
+        self.queue: Intake[Waiter] = Intake(
             settings.tariffs, settings.most_retry_in, config.from_clients, config.seed
         )
-        self.gate = threading.Lock()
+        self.lock = threading.Lock()
 
-    def adopt(self, config: Config) -> None:
-        with self.gate:
-            self.intake.adopt(config.settings.tariffs, config.settings.most_retry_in)
+    def apply_config(self, config: Config) -> None:
+        with self.lock:
+            self.queue.adopt(config.settings.tariffs, config.settings.most_retry_in)
 
-    def enter(self, arrived: int, until: int, tariff: int, retry: bool, usual: float) -> bool:
+    def enter(
+        self, received_at: int, deadline_at: int, request_class: int, retry: bool, typical_latency: float
+    ) -> bool:
         """Wait to be taken up; False if the request is turned away.  True must be followed by `leave`."""
-        waiting = Waiting()
-        with self.gate:
-            verdict = self.intake.came(clock.now(), arrived, until, tariff, retry, usual, waiting)
+        waiting = Waiter()
+        with self.lock:
+            verdict = self.queue.came(
+                clock.now(), received_at, deadline_at, request_class, retry, typical_latency, waiting
+            )
             if verdict != Verdict.WAIT:
                 return verdict == Verdict.GO
             waiting.lock.acquire()  # free until now: nobody is waited for
         waiting.lock.acquire()
-        return waiting.go
+        return waiting.admitted
 
-    def again(self) -> None:
+    def reenter(self) -> None:
         """Wait for a place to go on with what was taken up; must be followed by `leave`."""
-        waiting = Waiting()
-        with self.gate:
-            if self.intake.again(waiting):
+        waiting = Waiter()
+        with self.lock:
+            if self.queue.again(waiting):
                 return
             waiting.lock.acquire()  # free until now
         waiting.lock.acquire()
 
-    def leave(self, out: int = 0) -> None:
+    def leave(self, delay: int = 0) -> None:
         """Let another have the place; `out` is how long ago the answer came that was passed on, if any."""
-        with self.gate:
-            if out > 0:
-                self.intake.answered(out)
-            following, turned = self.intake.left(clock.now())
+        with self.lock:
+            if delay > 0:
+                self.queue.answered(delay)
+            following, turned = self.queue.left(clock.now())
         for one in turned:
-            one.tell(False)
+            one.notify(False)
         if following is not None:
-            following.tell(True)
+            following.notify(True)
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -73,7 +73,7 @@
                 silent_s=round(now - self.heard, 3) if self.answering else 0.0,
             )
             if self.answering:
-                watcher.dispatcher.figures.count("relay_changes")
+                watcher.dispatcher.metrics.count("relay_changes")
             self.answering = homes.at
         self.heard = now
         out_of_touch = watch.stale()
--- a/pumicepath/sidecar/operators.py
+++ b/pumicepath/sidecar/operators.py
@@ -18,7 +18,7 @@
 from . import answers, clock
 from .clients import Clients
 from .dispatch import Dispatcher
-from .servers import start
+from .servers import start_thread
 from .succession import Succession
 
 if TYPE_CHECKING:
@@ -28,11 +28,11 @@
 LONGEST = 5_000_000  # that a call may take to come whole
 LONGEST_WAIT = struct.pack("ll", 5, 0)
 MOST_BODY = 4096
-DONE = answers.plain(200, "done")
-SERVING = answers.plain(200, "serving")
-NO_SERVER = answers.plain(404, "no such server")
-NOT_HELD = answers.plain(404, "this sidecar does not hold that duty")
-NO_PEERS = answers.plain(404, "no peers in the configuration")
+DONE = answers.text_answer(200, "done")
+SERVING = answers.text_answer(200, "serving")
+NO_SERVER = answers.text_answer(404, "no such server")
+NOT_HELD = answers.text_answer(404, "this sidecar does not hold that duty")
+NO_PEERS = answers.text_answer(404, "no peers in the configuration")
 
 
 class Operators:
@@ -84,7 +84,7 @@
                         oldest.shutdown(socket.SHUT_RDWR)
             if more:
                 try:
-                    start(self.run)
+                    start_thread(self.run)
                 except RuntimeError:  # no thread: this one takes the next call when it is done with this
                     with self.gate:
                         self.ready -= 1
@@ -111,7 +111,7 @@
         told = False
         try:
             while (request := parser.next()) is None:
-                if not told and parser.awaited():
+                if not told and parser.awaits_continue():
                     told = True
                     sock.sendall(writing.CONTINUE)
                 data = sock.recv(4096)
@@ -121,7 +121,7 @@
             answer = self.answered(request)
         except Malformed as trouble:
             request = None
-            answer = answers.plain(trouble.status, str(trouble))
+            answer = answers.text_answer(trouble.status, str(trouble))
         if request is not None and request.method == "HEAD":
             head = writing.response(answer.status, answer.headers, b"", False, len(answer.body))
             sock.sendall(head)
@@ -138,7 +138,7 @@
             case Call.CHECK:
                 return SERVING
             case Call.STATS:
-                return answers.plain(200, self.figures().rstrip("\n"))
+                return answers.text_answer(200, self.figures().rstrip("\n"))
             case Call.PEERS:
                 if self.peers is None:
                     return NO_PEERS
@@ -154,25 +154,25 @@
                     return NOT_HELD
             case Call.OUT | Call.IN:
                 out = asked.call == Call.OUT
-                if not dispatcher.by_hand(asked.server, out):
+                if not dispatcher.set_out_of_service(asked.server, out):
                     return NO_SERVER
                 self.succession.agree({"server": asked.server, "out": out})
             case Call.FAIL | Call.OK:
-                self.clients.empty(asked.call == Call.FAIL)
+                self.clients.set_out_of_service(asked.call == Call.FAIL)
                 self.succession.agree({"emptied": asked.call == Call.FAIL})
         return DONE
 
     def figures(self) -> str:
         dispatcher = self.dispatcher
-        listed, avoided = dispatcher.standing()
-        return dispatcher.figures.written(
-            dispatcher.serving[0].tariffs,
+        listed, avoided = dispatcher.server_counts()
+        return dispatcher.metrics.written(
+            dispatcher.active_config[0].tariffs,
             {
-                "current": self.clients.under_way(),
+                "current": self.clients.active_submissions(),
                 "cluster_size": listed,
                 "cluster_unhealthy": avoided,
-                "conf_loaded": dispatcher.loaded,
-                "conf_invalid": dispatcher.invalid,
+                "conf_loaded": dispatcher.config_loads,
+                "conf_invalid": dispatcher.config_failures,
                 **(self.peers.figures() if self.peers is not None else {}),
             },
         )
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -26,7 +26,7 @@
 from .dispatch import Dispatcher
 from .log import Log
 from .operators import Operators
-from .servers import start
+from .servers import start_thread
 from .succession import Inherited, Succession, reach
 from .watching import Watcher
 
@@ -57,7 +57,7 @@
     # short time takes the whole core, and none is needed, as all of them soon wait for a socket.
     sys.setswitchinterval(SWITCH)
     log = Log(config.name)
-    roster = Roster(config.zones, clock.since_unix_ms, config.kinds)
+    roster = Roster(config.zones, clock.from_unix_ms, config.kinds)
     config = localised(config, roster)
     before = reach(config.listen) if config.admin else None
     known, told = first_list(roster, config, before)
@@ -86,26 +86,26 @@
         operators = Operators(config.admin, dispatcher, clients, succession, peers) if config.admin else None
     except OSError as trouble:
         raise BadConfig(f"cannot listen on {named(config.admin)}: {trouble.strerror}") from trouble
-    start(log.run)
-    start(dispatcher.run_timers)
-    start(watcher.run)
+    start_thread(log.run)
+    start_thread(dispatcher.run_timers)
+    start_thread(watcher.run)
     if peers is not None:
-        peers.on_put_off = dispatcher.put_off
+        peers.on_put_off = dispatcher.postpone_trial
         if trying(config.peers):
-            dispatcher.accompany(peers.companions)
-        start(peers.run)
+            dispatcher.set_peer_trials(peers.companions)
+        start_thread(peers.run)
     if before is not None:
-        dispatcher.inherit(before.by_hand, before.returned)
-        dispatcher.emptied = before.emptied
-    dispatcher.listed(Listing.CACHED, known)
+        dispatcher.inherit_operator_state(before.by_hand, before.returned)
+        dispatcher.out_of_service = before.emptied
+    dispatcher.update_servers(Listing.CACHED, known)
     if config.pushed:
         watcher.follow()
         # Guards servers that drain: what discovery has counts as told from here on; the file's list is old.
         watcher.asked.wait(FIRST_S)
-    dispatcher.decide(dispatcher.pool.woke)
-    dispatcher.decide(clients.woke)
-    dispatcher.decide(dispatcher.pace.woke)
-    dispatcher.decide(Watchman(dispatcher, clients).woke)
+    dispatcher.run_locked(dispatcher.pool.woke)
+    dispatcher.run_locked(clients.woke)
+    dispatcher.run_locked(dispatcher.delay_monitor.woke)
+    dispatcher.run_locked(Watchman(dispatcher, clients).woke)
     gc.collect()
     gc.freeze()
     gc.set_threshold(10_000)  # what ends with a submission is freed with it; little is left to collect
@@ -124,11 +124,11 @@
         **({"peers": peers.listens} if peers is not None else {}),
         **({"relays": len(config.relays)} if config.relays else {}),
     )
-    start(clients.run)
+    start_thread(clients.run)
     if operators is not None:
         if before is not None:
             succession.follow(before.line)
-        start(operators.run)
+        start_thread(operators.run)
     while signal.sigwait(signals) == signal.SIGHUP:
         config = reload(config, path, dispatcher, watcher, log, peers)
     drain(dispatcher, clients, log, peers)
@@ -185,7 +185,7 @@
     try:
         new = settings.follow(path, config)
     except BadConfig as trouble:
-        dispatcher.invalid += 1
+        dispatcher.config_failures += 1
         log.event("reload_failed", text=str(trouble))
         return config
     waiting = [key for key in FIXED if fixed(new, key) != fixed(config, key)]
@@ -200,11 +200,11 @@
     )
     if peers is not None and new.peers is not None and new.peers != config.peers:
         peers.adopt(new.peers.voting)
-        dispatcher.accompany(peers.companions if trying(new.peers) else None)
+        dispatcher.set_peer_trials(peers.companions if trying(new.peers) else None)
     before, after = config.settings, localised(new, watcher.watch.roster).settings
     changed = after != before or (new.zones, new.idle, new.dial) != (config.zones, config.idle, config.dial)
     if changed:
-        dispatcher.adopt(replace(new, settings=after))
+        dispatcher.apply_config(replace(new, settings=after))
     wait = 2 * min(before.ask_every, after.ask_every)
     if (new.relays, new.services) != (config.relays, config.services):
         homes = watcher.homes if new.relays == config.relays else following(new)
@@ -215,7 +215,7 @@
     elif changed or new.discovery != config.discovery:
         # Before long the old waits, and what the old discovery told, count for nothing.
         watcher.move(new.discovery, wait, new.pushed)
-    dispatcher.loaded += 1
+    dispatcher.config_loads += 1
     log.event(
         "reloaded",
         discovery=f"{new.discovery.host}:{new.discovery.port}",
@@ -279,13 +279,13 @@
         self.told = 0
 
     def woke(self, now: int) -> None:
-        self.dispatcher.figures.sum()
+        self.dispatcher.metrics.sum()
         count = sum(invariants.broken.values())
         if count > self.told:
             self.told = count
             self.dispatcher.events.event("invariant_broken", counts=dict(invariants.broken))
-        spoilt = self.dispatcher.pool.spoilt
-        for event, counts in (("bad_requests", self.clients.refused), ("bad_answers", spoilt)):
+        spoilt = self.dispatcher.pool.bad_answers
+        for event, counts in (("bad_requests", self.clients.bad_requests), ("bad_answers", spoilt)):
             if counts:
                 self.dispatcher.events.event(event, counts=dict(counts))
                 counts.clear()
@@ -296,16 +296,16 @@
     """Go on accepting and answering, close connections between requests, and end once nothing is owed."""
     began = monotonic()
     dispatcher.draining = True
-    patience = dispatcher.longest / 1e6
-    dispatcher.ends = clock.now() + dispatcher.longest + ANSWERED
+    patience = dispatcher.max_deadline / 1e6
+    dispatcher.shutdown_at = clock.now() + dispatcher.max_deadline + ANSWERED
     if peers is not None:
         peers.end()
     log.event("draining", clients=len(clients.open), out=len(dispatcher.exchanges))
     while monotonic() - began < COMING:
         sleep(0.01)
-    clients.stop()
+    clients.stop_accepting()
     while monotonic() - began < patience + LAST:
-        emptied = clients.empty_queue()
+        emptied = clients.drain_backlog()
         clients.close_idle()
         if emptied and not clients.open:
             break
@@ -316,7 +316,7 @@
         "stopped",
         after_s=round(monotonic() - began, 3),
         clients=len(clients.open),
-        taken=dispatcher.taken,
+        taken=dispatcher.admitted,
         broken=invariants.broken,
     )
     log.flush()
--- a/pumicepath/sidecar/succession.py
+++ b/pumicepath/sidecar/succession.py
@@ -19,7 +19,7 @@
 from . import clock
 from .clients import Clients
 from .dispatch import Dispatcher
-from .servers import start
+from .servers import start_thread
 
 NAME = "pumicepath.succession"
 VERSION = 1  # of what is said on the line
@@ -101,7 +101,7 @@
 
 
 def got(times: list[list[int]]) -> dict[int, int]:
-    return {int(server): clock.since_monotonic(int(then)) for server, then in times}
+    return {int(server): clock.from_monotonic(int(then)) for server, then in times}
 
 
 def place() -> Path | None:
@@ -170,14 +170,14 @@
     def follow(self, before: Line) -> None:
         """This process takes clients: the one before it leaves them to it."""
         self.lines[before] = None
-        self.dispatcher.share(1, 2)
-        self.clients.share(2, 3)
+        self.dispatcher.scale_connection_limit(1, 2)
+        self.clients.scale_limit(2, 3)
         with suppress(OSError):
             before.send({"taking": True})
         # Only once it is told: whoever reads it may end this process, and the one before must know by then
         # that it had stopped taking clients, else it never says that it is alone again.
         self.dispatcher.events.event("succeeding")
-        start(lambda: self.hear(before, False))
+        start_thread(lambda: self.hear(before, False))
 
     def offer(self) -> None:
         """Wait for the process that will come after this one."""
@@ -198,7 +198,7 @@
             # It can still be replaced, with what waits in its queue lost and nothing handed over.
             self.dispatcher.events.event("no_succession", text=str(trouble))
             return
-        start(lambda: self.accept(listener))
+        start_thread(lambda: self.accept(listener))
 
     def accept(self, listener: socket.socket) -> None:
         while True:
@@ -207,7 +207,7 @@
             except OSError as trouble:
                 self.dispatcher.events.event("no_succession", text=str(trouble))
                 return
-            start(lambda line=line: self.hear(line, True))  # type: ignore[misc]
+            start_thread(lambda line=line: self.hear(line, True))  # type: ignore[misc]
 
     def hear(self, line: Line, after: bool) -> None:
         """All that the other process says, until it ends; `after` tells whether it comes after this one."""
@@ -219,8 +219,8 @@
                 message, _ = line.receive()
                 if message.get("taking") and after:
                     taking = self.followed = True
-                    self.clients.pause(True)
-                    self.dispatcher.share(1, 2)
+                    self.clients.pause_accepting(True)
+                    self.dispatcher.scale_connection_limit(1, 2)
                     self.dispatcher.events.event("succeeded", clients=len(self.clients.open))
                 if "done" in message:
                     with line.agreed:
@@ -238,10 +238,10 @@
             if taking:
                 # The new process is gone before this one was told to go: clients are this one's again.
                 self.followed = False
-                self.clients.pause(False)
+                self.clients.pause_accepting(False)
             if taking or not after:
-                self.dispatcher.share(1, 1)
-                self.clients.share(1, 1)
+                self.dispatcher.scale_connection_limit(1, 1)
+                self.clients.scale_limit(1, 1)
                 self.dispatcher.events.event("alone")
 
     def hand_over(self, line: Line) -> None:
@@ -249,11 +249,11 @@
         dispatcher = self.dispatcher
         with line.writing:
             self.lines[line] = None  # what is changed from now on is told behind this, and may be in it too
-            by_hand, returned = dispatcher.handed()
+            by_hand, returned = dispatcher.operator_state()
             told = {
                 "version": VERSION,
                 "known": self.known(),
-                "emptied": dispatcher.emptied,
+                "emptied": dispatcher.out_of_service,
                 "by_hand": put(by_hand),
                 "returned": put(returned),
             }
@@ -262,9 +262,9 @@
 
     def do(self, message: dict[str, Any]) -> None:
         if "server" in message:
-            self.dispatcher.by_hand(str(message["server"]), bool(message["out"]), True)
+            self.dispatcher.set_out_of_service(str(message["server"]), bool(message["out"]), True)
         if "emptied" in message:
-            self.clients.empty(bool(message["emptied"]))
+            self.clients.set_out_of_service(bool(message["emptied"]))
 
     def agree(self, message: dict[str, Any]) -> None:
         for line in list(self.lines):
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -131,7 +131,7 @@
             # Guards what has changed since this call began, which counts as told 6 s later, against a call
             # that was given up late and a long pause after it.
             spent = max(0.0, monotonic() - self.began)
-            self.dispatcher.listed(Listing.FAILED, NOTHING, int(spent * 1e6))
+            self.dispatcher.update_servers(Listing.FAILED, NOTHING, int(spent * 1e6))
 
     def follow_until_it_fails(self) -> None:
         first = True
@@ -140,7 +140,7 @@
             response = self.call(self.sock if self.sock is not None else self.connect())
             update = self.watch.update(response)
             if first or update.whole or update.entries:
-                self.dispatcher.listed(Listing.FULL if update.whole else Listing.CHANGES, update)
+                self.dispatcher.update_servers(Listing.FULL if update.whole else Listing.CHANGES, update)
             first = False
             self.asked.set()
             following = self.following
@@ -149,7 +149,7 @@
             if self.failures > 1:
                 self.dispatcher.events.event("watch_back", failures=self.failures, seq=update.version)
             self.failures = 0
-            if not response.keeps():
+            if not response.keeps_alive():
                 self.close()
             if following is not None and following.homes.answered(clock.now(), *self.watch.standing()):
                 following.change()
@@ -198,12 +198,12 @@
                 sock.sendall(request)
                 request = b""
                 continue
-            count = sock.recv_into(parser.ring.room())
-            parser.ring.wrote(count)
+            count = sock.recv_into(parser.ring.writable())
+            parser.ring.commit(count)
             if not begun:
                 begun, until = True, max(until, monotonic() + WHOLE_S)
             if not count:
-                parser.end()
+                parser.end_input()
             response = parser.next()
             if response is not None:
                 return response
--- a/tests/test_dropped.py
+++ b/tests/test_dropped.py
@@ -12,7 +12,7 @@
 from .helpers import SECOND, Bench, check, compare, entry, settings
 
 
-def used(bench: Bench, what: str, dead: int = 0, seconds: int = 1) -> None:
+def send_and_note(bench: Bench, label: str, dead: int = 0, seconds: int = 1) -> None:
     """Some submissions a second, and how many hops went where; a dead server refuses connections."""
     before = len(bench.sent)
     start = bench.now / SECOND
@@ -22,26 +22,26 @@
             bench.end(one, Outcome.CONNECT_FAILED if bench.sent[-1] == dead else Outcome.OK)
     met = bench.sent[before:]
     bench.lines = [line for line in bench.lines if "submission" not in line]
-    bench.note(f"{what}: {[met.count(server) for server in (1, 2, 3)]}")
+    bench.note(f"{label}: {[met.count(server) for server in (1, 2, 3)]}")
 
 
 @pytest.mark.parametrize("alone", [True, False])
 def test_a_list_that_calls_all_gone_is_held_against_what_answers(alone: bool) -> None:
     bench = Bench(settings(drain_alone=alone), [entry(1), entry(2), entry(3)])
-    used(bench, "listed")
+    send_and_note(bench, "listed")
     bench.balancer.listed(bench.now, Listing.FULL, [])
-    used(bench, "all left out", seconds=3)
+    send_and_note(bench, "all left out", seconds=3)
     bench.balancer.listed(bench.now, Listing.FULL, [entry(1), entry(2), entry(3)])
-    used(bench, "listed again")
+    send_and_note(bench, "listed again")
     bench.balancer.listed(bench.now, Listing.CHANGES, [entry(2, phase=Phase.GONE)])
     for _ in range(6):
-        used(bench, "one called gone, and it is", dead=2)
+        send_and_note(bench, "one called gone, and it is", dead=2)
     bench.at(bench.now / SECOND + HELD_LONGEST / SECOND)
     bench.balancer.listed(bench.now, Listing.FULL, [entry(1), entry(3)])
     bench.note(f"half a minute later {len(bench.balancer.index)} are known")
     bench.balancer.listed(bench.now, Listing.FULL, [entry(1), entry(2), entry(3)])
     for _ in range(2):
-        used(bench, "listed and up again")
+        send_and_note(bench, "listed and up again")
     check(f"dropped_{'alone' if alone else 'binds'}", bench)
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -26,7 +26,7 @@
 from pumicepath.sidecar.watching import Watcher
 
 from .following_rig import Around, Relay
-from .rig import until
+from .rig import wait_until
 
 
 def test_a_drain_told_by_one_relay_holds_at_the_next_that_is_behind(tmp_path: Path) -> None:
@@ -35,15 +35,15 @@
     first.tell("eu", 5, True, *around.lines_now("active", "active"))
     second.tell("eu", 5, False, *around.lines_now("active", "active"))
     with around.running():
-        until(first.taken)
+        wait_until(first.taken)
         assert around.used(20) == {"s-0", "s-1"}
         first.tell("eu", 6, True, around.lines_now("leaving")[0])
-        until(first.taken)
+        wait_until(first.taken)
         assert around.used(10) == {"s-1"}
         # No answer comes any more, while the connection is open: it is left for the next.
         first.turn("silent")
         began = time.monotonic()
-        until(second.taken)
+        wait_until(second.taken)
         # A wait of 3 s at most, 0.4 s of silence, a drawn 0.5 s: the bound for slow machines is wide.
         assert time.monotonic() - began < 15
         assert around.used(30) == {"s-1"}
@@ -55,7 +55,7 @@
         assert (stale["region"], stale["seq"], stale["relay"]) == ("eu", 6, second.address)
         # What is newer than the drain is believed of it as of any other.
         second.tell("eu", 7, True, around.lines_now("active")[0])
-        until(lambda: second.taken() and "s-0" in around.used(10))
+        wait_until(lambda: second.taken() and "s-0" in around.used(10))
         assert around.event("region_back")["region"] == "eu"
 
 
@@ -65,15 +65,15 @@
         relay.tell("eu", 5, True, *around.lines_now("active", "active"))
     first, second, third = around.relays
     with around.running():
-        until(first.taken)
+        wait_until(first.taken)
         first.turn("silent")
-        until(second.taken)
+        wait_until(second.taken)
         began = time.monotonic()
         second.kill()
-        until(lambda: third.asked)
+        wait_until(lambda: third.asked)
         assert time.monotonic() - began < 10
         third.tell("eu", 6, True, around.lines_now("leaving")[0])
-        until(third.taken)
+        wait_until(third.taken)
         assert around.used(10) == {"s-1"}
         assert all("services=*" in target for relay in around.relays for _, target in relay.asked)
         assert not around.discovery.met.acquire(blocking=False), "discovery is not called at all"
@@ -86,7 +86,7 @@
         relay.tell("eu", 5, True, *around.lines_now("leaving", "active"))
     with around.running():
         asked = [relay.asked for relay in around.relays]
-        until(lambda: asked[0] and asked[1])
+        wait_until(lambda: asked[0] and asked[1])
         began = asked[0][0][0]
         time.sleep(2)
         calls = sum(when < began + 2 for calls in asked for when, _ in calls)
@@ -96,7 +96,7 @@
         assert around.used(4) <= {"s-0", "s-1"} and around.used(4)
         for relay in around.relays:
             relay.turn("serving")
-        until(lambda: any(relay.taken() for relay in around.relays))
+        wait_until(lambda: any(relay.taken() for relay in around.relays))
         assert around.used(10) == {"s-1"}
 
 
@@ -107,7 +107,7 @@
     second.tell("eu", 6, True, *around.lines_now("active", "leaving"))
     around.write(relays=[first.address])
     with around.running():
-        until(first.taken)
+        wait_until(first.taken)
         assert all(target.endswith("services=cart") for _, target in first.asked)
 
         def reload(event: str, **changed: Any) -> dict:
@@ -120,15 +120,15 @@
         del around.told["services"]
         assert "services is missing" in reload("reload_failed")["text"]
         calls = len(first.asked)
-        until(lambda: len(first.asked) > calls + 1)
+        wait_until(lambda: len(first.asked) > calls + 1)
         assert all("since=" in target for _, target in first.asked[calls:]), "as if nothing had been"
 
         told = reload("reloaded", services=["stock", "cart"])
         assert told["services"] == ["cart", "stock"] and told["needs_restart"] == []
-        until(lambda: first.asked[-1][1].endswith("&services=cart,stock"))
+        wait_until(lambda: first.asked[-1][1].endswith("&services=cart,stock"))
         assert "/discovery/hosts?services=cart,stock" in [target for _, target in first.asked], "all of it"
         assert reload("reloaded", relays=[second.address])["relays"] == [second.address]
-        until(second.taken)
+        wait_until(second.taken)
         assert around.used(10) == {"s-0"}
         calls = len(first.asked)
         reload("reloaded", relays=None, services=None)
@@ -150,7 +150,7 @@
     first.tell("eu", 6, True, *around.lines_now("leaving", "active"))
     second.tell("eu", 5, True, *around.lines_now("active", "active"))
     with around.running():
-        until(first.taken)
+        wait_until(first.taken)
         first.turn("busy")
         after = around.begun()
         try:
@@ -159,7 +159,7 @@
             around.process.kill()
             around.process.wait()
             calls = len(second.asked)
-            until(lambda: any("since=" in target for _, target in second.asked[calls:]))
+            wait_until(lambda: any("since=" in target for _, target in second.asked[calls:]))
             assert around.used(20) == {"s-1"}
         finally:
             after.kill()
@@ -173,7 +173,7 @@
     (relay,) = around.relays
     relay.tell("eu", 6, True, *around.lines_now("leaving", "active"))
     with around.running():
-        until(relay.taken)
+        wait_until(relay.taken)
         around.write(relays=None)
         after = around.begun()
         try:
@@ -292,20 +292,20 @@
     monkeypatch.setattr(deciding, "HOME_US", 500_000)
     relays = [Relay(1000 * at).tell("eu", 5, True, line("s-1")) for at in (1, 2)]
     with followed(*relays) as (watcher, (first, second), heard):
-        until(first.taken)
+        wait_until(first.taken)
         host, port = first.address.split(":")
         first.kill()
-        until(second.taken)
+        wait_until(second.taken)
         # The first is dialled in vain meanwhile: the watch at the second goes on, with no list asked anew.
-        until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
-        until(lambda: sum("since" in target for _, target in second.asked) > 5)
+        wait_until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
+        wait_until(lambda: sum("since" in target for _, target in second.asked) > 5)
         assert sum("since" not in target for _, target in second.asked) == 1 == second.accepted
         first.listener = socket.create_server((host, int(port)))
         first.listener.settimeout(None)
         threading.Thread(target=first.accept, daemon=True).start()
         calls = len(first.asked)
-        until(lambda: len(first.asked) > calls and first.taken())
-        until(lambda: not second.open)
+        wait_until(lambda: len(first.asked) > calls and first.taken())
+        wait_until(lambda: not second.open)
         changes = [each for each in heard.lines if each.startswith("relay")]
         assert changes[0] == f"relay_changed {first.address} start"
         assert changes[1].startswith(f"relay_changed {second.address} Connection")
@@ -327,14 +327,14 @@
 
     relays = [Relay(1000 * at).tell("eu", 5, True, line("s-1")) for at in (1, 2)]
     with followed(*relays) as (watcher, (first, second), _):
-        until(first.taken)
+        wait_until(first.taken)
         first.turn("busy")
-        until(second.taken)
+        wait_until(second.taken)
         monkeypatch.setattr("pumicepath.sidecar.following.opened", none_left)
         first.turn("serving")
-        until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
+        wait_until(lambda: watcher.homes and watcher.homes.home_span > 500_000)
         calls = len(second.asked)
-        until(lambda: len(second.asked) > calls + 3)
+        wait_until(lambda: len(second.asked) > calls + 3)
         assert second.accepted == 1
 
 
@@ -345,13 +345,13 @@
     monkeypatch.setattr("pumicepath.discovery.watch.ANSWER_S", 0.5)
     relays = [Relay(1000 * at).tell("eu", 5, True, line("s-1")) for at in (1, 2, 3)]
     with followed(*relays) as (watcher, (first, second, third), heard):
-        until(first.taken)
+        wait_until(first.taken)
         first.turn("silent")
-        until(second.taken)
+        wait_until(second.taken)
         calls = len(first.asked)
-        until(lambda: len(first.asked) > calls)  # tried
+        wait_until(lambda: len(first.asked) > calls)  # tried
         calls = len(second.asked)
-        until(lambda: len(second.asked) > calls + 2 and second.taken())
+        wait_until(lambda: len(second.asked) > calls + 2 and second.taken())
         assert not third.asked, "back to the one that answered, not on to the next"
 
 
@@ -363,13 +363,13 @@
         Relay(1000 * at).tell("eu", 5, True, line("s-1")).tell("us", 5, True, line("u-1")) for at in (1, 2, 3)
     ]
     with followed(*relays) as (watcher, (first, second, third), heard):
-        until(first.taken)
+        wait_until(first.taken)
         second.tell("us", 5, False).tell("eu", 5, False)
         first.tell("us", 5, False)
-        until(lambda: second.asked)  # looked at, and left at once as it has fewer
-        until(lambda: third.asked and third.taken())
+        wait_until(lambda: second.asked)  # looked at, and left at once as it has fewer
+        wait_until(lambda: third.asked and third.taken())
         calls = len(third.asked)
-        until(lambda: len(third.asked) > calls + 3)
-        until(lambda: not first.open and not second.open)
+        wait_until(lambda: len(third.asked) > calls + 3)
+        wait_until(lambda: not first.open and not second.open)
         assert f"relay_changed {third.address} a region is out of touch" in heard.lines
         assert heard.lines.count("region_stale") <= 4 and "region_back" in heard.lines
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -28,7 +28,7 @@
 from pumicepath.settings import decode
 
 from .helpers import interruptible
-from .rig import until
+from .rig import wait_until
 
 SMALL = ["lab", "scale", "--sidecars", "12", "--services", "3", "--regions", "2", "--zones", "2", "--json"]
 S = 1_000_000
@@ -363,12 +363,12 @@
         preexec_fn=interruptible,
     )
     children = Path(f"/proc/{run.pid}/task/{run.pid}/children")
-    until(lambda: list(tmp_path.glob("host-*.err")) and len(children.read_text().split()) >= 2)
+    wait_until(lambda: list(tmp_path.glob("host-*.err")) and len(children.read_text().split()) >= 2)
     started = [int(pid) for pid in children.read_text().split()]
     run.send_signal(signal.SIGINT)
     out, err = run.communicate(timeout=60)
     assert run.returncode == 130 and out == "" and "interrupted" in err
-    until(lambda: not any(alive(pid) for pid in started))
+    wait_until(lambda: not any(alive(pid) for pid in started))
 
 
 def alive(pid: int) -> bool:
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -11,11 +11,11 @@
 from .helpers import ONCE, READ, SECOND, Bench, entry, marked, settings
 
 
-def live(*scales: float, kind: int = 0) -> list[Entry]:
+def live_entries(*scales: float, kind: int = 0) -> list[Entry]:
     return [Entry(at + 1, 0, 0, Phase.READY, scale, 0, "", kind) for at, scale in enumerate(scales)]
 
 
-def sent(bench: Bench, count: int, rate: float) -> list[int]:
+def targets_of(bench: Bench, count: int, rate: float) -> list[int]:
     """Where that many submissions go, as many a second, each answered at once."""
     first, start = len(bench.sent), bench.now / SECOND
     for step in range(count):
@@ -25,32 +25,32 @@
 
 @pytest.mark.parametrize("kind", [0, -1])
 def test_no_key_moves_while_live_weights_fall_and_rise_or_are_no_numbers(kind: int) -> None:
-    bench = Bench(settings(live=True), live(2.0, 2.0, 2.0, 2.0, kind=kind))
-    before = sent(bench, 40, 2)
+    bench = Bench(settings(live=True), live_entries(2.0, 2.0, 2.0, 2.0, kind=kind))
+    before = targets_of(bench, 40, 2)
     for scales in ((1.0, 2.0, 1.3, 2.0), (2.0, 0.4, 2.0, 1.0), (math.nan, -1.0, math.inf, 0.0)):
-        bench.balancer.listed(bench.now, Listing.CHANGES, live(*scales, kind=kind))
-    assert sent(bench, 40, 2) == before
+        bench.balancer.listed(bench.now, Listing.CHANGES, live_entries(*scales, kind=kind))
+    assert targets_of(bench, 40, 2) == before
 
 
 def test_cold_server_gets_no_more_than_its_part() -> None:
     got = []
     for scale in (2.0, 0.5):  # beside idle and beside loaded ones
-        bench = Bench(settings(live=True, cold_for=1000 * SECOND), live(2.0, 2.0, 2.0, 2.0))
-        bench.balancer.listed(0, Listing.CHANGES, live(scale, scale, scale))
+        bench = Bench(settings(live=True, cold_for=1000 * SECOND), live_entries(2.0, 2.0, 2.0, 2.0))
+        bench.balancer.listed(0, Listing.CHANGES, live_entries(scale, scale, scale))
         bench.balancer.listed(0, Listing.CHANGES, [Entry(4, 0, 0, Phase.READY, 2.0, 1, "", 0)])
-        got.append(sent(bench, 40, 2).count(4))
+        got.append(targets_of(bench, 40, 2).count(4))
     assert got[0] == got[1] > 0
     servers = [entry(at) for at in range(1, 10)] + [entry(10, came_up=1)]
     for fleet in (20, 200):  # all restarted together, at four times what tenants may ask for
         pool = (Bench(settings(me=me, fleet=fleet, quotas=(100.0,)), servers) for me in range(fleet))
-        assert 0 < sum(sent(bench, 1200 // fleet, 400 / fleet).count(10) for bench in pool) < 27
+        assert 0 < sum(targets_of(bench, 1200 // fleet, 400 / fleet).count(10) for bench in pool) < 27
     plain = settings(fleet=1, cold_for=1000 * SECOND, cold_from=0.5)
     quotas, across = dataclasses.replace(plain, quotas=(40.0,)), []
     for first, then in ((plain, plain), (plain, quotas), (quotas, plain), (quotas, quotas)):
         bench = Bench(first, servers[:3] + [entry(10, came_up=1)])
-        before = sent(bench, 300, 200)
+        before = targets_of(bench, 300, 200)
         bench.balancer.adopt(bench.now, then)
-        across.append((before + sent(bench, 300, 200)).count(10))
+        across.append((before + targets_of(bench, 300, 200)).count(10))
     assert across[1] <= across[0] and across[2] <= across[3] + 1 and min(across) > 10
 
 
@@ -70,7 +70,7 @@
 
 
 def test_full_servers_turn_submissions_away_and_are_not_judged() -> None:
-    bench = Bench(settings(live=True), live(1.0, 1.0, 1.0))
+    bench = Bench(settings(live=True), live_entries(1.0, 1.0, 1.0))
     for step in range(40):
         one = bench.at(step / 4).take(step, step + 1)
         while one.out:
@@ -108,7 +108,7 @@
     assert bench.balancer.rests.limit == 1 << 21 and not bench.lines and not any(bench.balancer.state)
     for leave in (True, False):
         bench = Bench(settings(may_tell=leave), [entry(1)])
-        sent(bench, 6, 0.8)
+        targets_of(bench, 6, 0.8)
         assert any("tells" in line for line in bench.lines) == leave
 
 
@@ -125,7 +125,7 @@
 def test_settings_are_adopted_and_the_stricter_figures_hold_for_a_while() -> None:
     named = dataclasses.replace(READ, name="read"), dataclasses.replace(ONCE, name="once")
     bench = Bench(settings(*named), [entry(1), entry(2), entry(3)])
-    sent(bench, 30, 10)
+    targets_of(bench, 30, 10)
     one, usual = bench.take(100, tariff=1), bench.balancer.terms[0].usual
     new = settings(
         dataclasses.replace(named[0], agreed=SECOND // 5),
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -28,7 +28,7 @@
 from pumicepath.relay.upstreams import PART
 
 from .relay_rig import LONG_S, Follower, Origin, Relay, line, until
-from .rig import Quiet
+from .rig import NullLog
 
 Make = Callable[..., Relay]
 
@@ -285,7 +285,7 @@
 
 def test_by_word_of_more_than_2_4_s_it_is_not_in_touch_though_the_call_that_is_out_has_longer() -> None:
     told = config.config({**GOOD, "listen": "127.0.0.1:0", "sources": {"eu": "127.0.0.1:1"}})
-    log = Quiet()
+    log = NullLog()
     relay = loop.Relay(told, log, 0, random.Random(1).random)  # type: ignore[arg-type]
     upstream = relay.upstreams[0]
     upstream.origin.answered(41)
@@ -311,7 +311,7 @@
 @pytest.mark.parametrize("spoilt", ["", "a server twice", "is no address", "the end"])
 def test_a_long_list_is_read_in_parts_between_which_others_are_served(spoilt: str) -> None:
     told = config.config({**GOOD, "listen": "127.0.0.1:0", "sources": {"eu": "127.0.0.1:1"}})
-    relay = loop.Relay(told, Quiet(), 0, random.Random(1).random)  # type: ignore[arg-type]
+    relay = loop.Relay(told, NullLog(), 0, random.Random(1).random)  # type: ignore[arg-type]
     upstream, (here, there) = relay.upstreams[0], socket.socketpair()
     here.setblocking(False)
     hosts = [line(f"h{at}", "cart") for at in range(3 * PART)]
@@ -576,7 +576,7 @@
         raise ZeroDivisionError("planted")
 
     told = config.config({**GOOD, "listen": "127.0.0.1:0"})
-    relay = loop.Relay(told, Quiet(), 0, random.Random(1).random)  # type: ignore[arg-type]
+    relay = loop.Relay(told, NullLog(), 0, random.Random(1).random)  # type: ignore[arg-type]
     far, other = (socket.create_connection(relay.listener.getsockname()) for _ in range(2))
     until(lambda: relay.accept(0) or len(relay.followers) == 2)
     monkeypatch.setattr(loop, "call_of", fault)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -57,7 +57,7 @@
             if (message := parser.next()) is not None:
                 return f"{message.status} {digest(message.body)}"
         if not data:
-            parser.end()
+            parser.end_input()
             message = parser.next()
             return f"{message.status} {digest(message.body)} at close" if message else "its end is missing"
     return f"{message.status} {digest(message.body)}"
@@ -156,7 +156,7 @@
             sock.sendall(begun + LONG[:900_000])
         around.client.sendall(begun.replace(b"cut", b"odd").replace(b"X-Qos: once", b"X-Qos: gold") + LONG)
         around.hear()
-        send("after", body=b"", length=writing.WHOLE)
+        send("after", body=b"", length=writing.COMPLETE)
     compare("long_bodies", around.lines)
 
 
@@ -213,18 +213,18 @@
 
         def leave(self) -> None: ...
 
-    parser = RequestParser(upload.FAR)
+    parser = RequestParser(upload.MAX_UPLOAD_US)
     parser.feed(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n")
-    assert parser.next() is None and parser.long()
+    assert parser.next() is None and parser.is_long()
     body = upload.Upload(Sender(), parser)
     Sender.far.sendall(b"x" * 4_800)
-    body.waited = upload.FIRST + 90_000  # of 100,000 that these bytes are worth
-    body.receive()
-    assert body.got == 4_800
+    body.waited = upload.INITIAL_ALLOWANCE_US + 90_000  # of 100,000 that these bytes are worth
+    body.read_more()
+    assert body.bytes_read == 4_800
     Sender.far.sendall(b"x")
-    body.waited = upload.FIRST + 101_000
+    body.waited = upload.INITIAL_ALLOWANCE_US + 101_000
     with pytest.raises(ConnectionAbortedError, match="too slow"):
-        body.receive()
+        body.read_more()
 
 
 def test_patience_and_the_hop_begin_with_the_last_byte_and_no_second_hop_has_the_body() -> None:
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -27,7 +27,7 @@
 from pumicepath.logic import Balancer
 
 from .helpers import SECOND, entry, settings
-from .rig import status, until
+from .rig import read_status, wait_until
 from .test_standing_terms import MODES, Always
 
 # -- 3: a cold server falls under the sum of what all sidecars send it
@@ -194,7 +194,7 @@
     try:
         with socket.create_connection(around.where) as sock:
             around.send("read", sock=sock)
-            return status(sock)
+            return read_status(sock)
     except TimeoutError:
         raise
     except OSError:
@@ -239,7 +239,7 @@
         descriptors = Path(f"/proc/{process.pid}/fd")
         # All that there are, or as many clients as the limits let it have.
         clients = (min(told, real) - 48) * 13 // 20
-        until(lambda: len(list(descriptors.iterdir())) >= min(real - 2, clients + 20))
+        wait_until(lambda: len(list(descriptors.iterdir())) >= min(real - 2, clients + 20))
         began, used = time.monotonic(), core_time(process)
         answers = []
         while time.monotonic() < began + 1.0:
@@ -257,9 +257,9 @@
         back = time.monotonic() - returned
         answers.append(ask(around))
         idle.over = True
-        until(lambda: ask(around) == 200)
+        wait_until(lambda: ask(around) == 200)
         around.lists.put(answer(200, json.dumps(around.listing(4, False, "leaving"))))
-        until(lambda: ask(around) == 503)  # what the watch tells is in force
+        wait_until(lambda: ask(around) == 503)  # what the watch tells is in force
         assert process.poll() is None
         process.terminate()
         assert process.wait(20) == 0
@@ -300,7 +300,7 @@
     try:
         with socket.create_connection(where, 1) as sock:
             sock.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-            return status(sock) == 200
+            return read_status(sock) == 200
     except OSError:
         return False
 
@@ -371,7 +371,7 @@
         clients = [threading.Thread(target=load, args=(where, over, answers)) for where in wheres * 2]
         for client in clients:
             client.start()
-        until(lambda: answers[200] > 100)
+        wait_until(lambda: answers[200] > 100)
         for one in sidecars:
             one.process.kill()
         for one in sidecars:
@@ -382,7 +382,7 @@
         times = ready(sidecars, wheres, 4 * allowed)
         print(f"alone {alone:.2f} s; {[round(one, 2) for one in times]} of {allowed:.1f}; {answers}")
         assert len(times) >= 9 and times[8] <= allowed, times
-        until(lambda: answers[200] > served + 100)  # and they serve
+        wait_until(lambda: answers[200] > served + 100)  # and they serve
     finally:
         over.set()
         for one in sidecars:
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -16,10 +16,10 @@
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
 from pumicepath.logic import Chance
 from pumicepath.sidecar import clock
-from pumicepath.sidecar.entrance import Entrance
-from pumicepath.sidecar.servers import Link, start
+from pumicepath.sidecar.admission_gate import AdmissionGate
+from pumicepath.sidecar.servers import ServerConnection, start_thread
 
-from .rig import Rig, held, status, until
+from .rig import Rig, paused, read_status, wait_until
 
 RESET = struct.pack("ii", 1, 0)
 NEVER = ("X-Never-Ran", "1")
@@ -201,16 +201,16 @@
         """0.1 s after the client has gone, as far as the kernel knows."""
         if way:
             WAYS[way](self.far)
-            until(self.client.gone)
+            wait_until(self.client.gone)
         gone = clock.now()
-        until(lambda: clock.now() - gone > 100_000)
+        wait_until(lambda: clock.now() - gone > 100_000)
 
     def over(self, way: str) -> list[str]:
         if not way:
-            assert status(self.far) == 200
+            assert read_status(self.far) == 200
             self.far.close()
-        until(lambda: self.client not in self.rig.clients.open and not self.rig.dispatcher.exchanges)
-        return [line.split(" ", 1)[1] for line in self.rig.around.lines]
+        wait_until(lambda: self.client not in self.rig.clients.open and not self.rig.dispatcher.exchanges)
+        return [line.split(" ", 1)[1] for line in self.rig.deployment.lines]
 
 
 @pytest.mark.parametrize("way", ["", *WAYS])
@@ -222,22 +222,22 @@
     far, client = rig.connect()
     one = Left(rig, far, client)
     first = answer(503, "", NEVER) if trouble == "full" else "reset" if trouble == "late dial" else trouble
-    with held(monkeypatch, Link, "connect", before=False) as (came, go):
-        far.sendall(rig.asked("hangs", "read"))
-        start(client.run)
+    with paused(monkeypatch, ServerConnection, "connect", before=False) as (came, go):
+        far.sendall(rig.request("hangs", "read"))
+        start_thread(client.run)
         assert came.acquire(timeout=20)
         go.release()
-        until(lambda: rig.around.lines)  # the first attempt hangs
+        wait_until(lambda: rig.deployment.lines)  # the first attempt hangs
         if trouble == "late dial":
-            rig.around.script.put(first)
+            rig.deployment.script.put(first)
             assert came.acquire(timeout=20)  # the further one has been dialled for, and is not written yet
             one.leaves(way)
         else:
             one.leaves(way)
-            rig.around.script.put(first)
+            rig.deployment.script.put(first)
         go.release(10)
         if not way:
-            rig.around.script.put(answer(200, "served"))
+            rig.deployment.script.put(answer(200, "served"))
         assert one.over(way) == ["GET /hangs hangs"] * (1 if way else 2)
 
 
@@ -252,30 +252,30 @@
     far, client = rig.connect()
     one = Left(rig, far, client)
     for name in ("first", "second") if where.startswith("behind") else ("second",):
-        far.sendall(rig.asked(name, "read"))
+        far.sendall(rig.request(name, "read"))
     if where.startswith("behind"):
-        start(client.run)
-        until(lambda: rig.around.lines)
+        start_thread(client.run)
+        wait_until(lambda: rig.deployment.lines)
         one.leaves(way)
-        rig.around.script.put(answer(200, "served"))
+        rig.deployment.script.put(answer(200, "served"))
         if not way:
-            assert status(far) == 200
+            assert read_status(far) == 200
     elif where.startswith("before"):
         one.leaves(way)
-        start(client.run)
+        start_thread(client.run)
     else:
         entrance = where == "at the entrance"
-        with held(
+        with paused(
             monkeypatch,
-            *((Entrance, "enter") if entrance else (Link, "carry")),  # type: ignore[arg-type]
+            *((AdmissionGate, "enter") if entrance else (ServerConnection, "carry")),  # type: ignore[arg-type]
             before=not entrance,
         ) as (came, go):
-            start(client.run)
+            start_thread(client.run)
             assert came.acquire(timeout=20)
             one.leaves(way)
             go.release(10)
     if not way:
-        rig.around.script.put(answer(200, "served"))
+        rig.deployment.script.put(answer(200, "served"))
     sent = one.over(way)
     assert ("GET /second second" in sent) == (not way), sent
 
@@ -291,14 +291,14 @@
 
     with around.running():
         around.send("read", 20_000)
-        until(lambda: around.lines)
+        wait_until(lambda: around.lines)
         if way:
             WAYS[way](around.client)
             gone = time.monotonic()
-            until(lambda: time.monotonic() - gone > 0.1)
+            wait_until(lambda: time.monotonic() - gone > 0.1)
         around.script.put("reset")
         if not way:
             around.script.put(answer(200, "served"))
-            assert status(around.client) == 200
-        until(lambda: not under_way())
+            assert read_status(around.client) == 200
+        wait_until(lambda: not under_way())
         assert len(around.lines) == (1 if way else 2)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -19,7 +19,7 @@
 from pumicepath.sidecar.succession import NAME, Line, Short, Succession, reach
 
 from .helpers import compare
-from .rig import Rig, held, until
+from .rig import Rig, paused, wait_until
 
 
 class Counting(Peer):
@@ -226,13 +226,13 @@
             before.bind(short)
         before.listen()
         after = Succession(None, None, dict, Address("127.0.0.1", 1))
-        with held(monkeypatch, os, "replace") as (came, go):
+        with paused(monkeypatch, os, "replace") as (came, go):
             threading.Thread(target=after.offer, daemon=True).start()
             assert came.acquire(timeout=20)
             with socket.socket(socket.AF_UNIX) as met, Short(tmp_path / NAME) as short:
                 met.connect(short)
             go.release()
-            until(lambda: not (tmp_path / f"{NAME}.{os.getpid()}").exists())
+            wait_until(lambda: not (tmp_path / f"{NAME}.{os.getpid()}").exists())
         with socket.socket(socket.AF_UNIX) as met, Short(tmp_path / NAME) as short:
             met.connect(short)
             before.setblocking(False)
