--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -53,9 +53,9 @@
     request, response = RequestParser(), ResponseParser(MAX_BODY_BYTES)
 
     def feed(parser, data: bytes):
-        room = parser.ring.room()
+        room = parser.ring.writable()
         room[: len(data)] = data
-        parser.ring.wrote(len(data))
+        parser.ring.commit(len(data))
 
     def parse(parser, data: bytes):
         feed(parser, data)
--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -16,7 +16,7 @@
 from ..http1.ring import Ring
 from . import answers, arrival, clock
 from .dispatch import Dispatcher
-from .exchange import CLIENT_CHECK_AFTER_US, UploadAborted, Exchange
+from .exchange import CLIENT_CHECK_AFTER_US, Exchange, UploadAborted
 from .submissions import CLASS_HEADER, parse_submission
 from .upload import MAX_UPLOAD_US, Upload
 
--- a/pumicepath/sidecar/clients.py
+++ b/pumicepath/sidecar/clients.py
@@ -8,7 +8,7 @@
 from collections import Counter
 
 from . import arrival, clock, upload
-from .client import BUSY, CLOSING, FRESH, IDLE, DRAINING, PARTIAL, Client
+from .client import BUSY, CLOSING, DRAINING, FRESH, IDLE, PARTIAL, Client
 from .config import Config
 from .dispatch import Dispatcher
 from .servers import start_thread
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -16,12 +16,12 @@
 from ..invariants import must
 from ..logic import Balancer, Submission, Terms
 from . import answers, clock
-from .config import Config
 from .admission_gate import AdmissionGate
+from .config import Config
+from .delay_monitor import DelayMonitor
 from .exchange import Exchange, Hop
 from .log import Log
-from .delay_monitor import DelayMonitor
-from .servers import ServerConnection, Pool
+from .servers import Pool, ServerConnection
 
 NO_DEADLINE_US = (1 << 63) - 1
 MAX_THREAD_DELAY_US = 10_000  # from when our own threads' delay tells on what servers are judged by
@@ -33,7 +33,7 @@
 class PendingCall:
     """A call on the balancer, and what it led to."""
 
-    __slots__ = ("call", "after", "fault", "done")
+    __slots__ = ("call", "after_unlock", "error", "done")
 
     def __init__(self, call: Callable[[int], None]) -> None:
         self.call = call
--- a/pumicepath/sidecar/servers.py
+++ b/pumicepath/sidecar/servers.py
@@ -18,7 +18,7 @@
 from ..interface import Outcome, Phase
 from . import arrival, clock
 from .config import Config
-from .exchange import UploadAborted, Hop, ExchangeOwner, Upload
+from .exchange import ExchangeOwner, Hop, Upload, UploadAborted
 from .log import Log
 
 DEADLINE_HEADER = "x-expires-in-ms"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,7 +27,7 @@
 from pumicepath.sidecar.watching import Watcher
 
 from .helpers import compare
-from .rig import Rig, server_with_full_backlog, paused, read_status, wait_until
+from .rig import Rig, paused, read_status, server_with_full_backlog, wait_until
 
 NEVER = ("X-Never-Ran", "1")
 ENDS = ("Connection", "close")
@@ -202,7 +202,7 @@
     update = Roster(["a"], lambda born: 0).read(rig.deployment.listing(2, True, "active"))
     rig.dispatcher.update_servers(Listing.FULL, update)
     # As on a platform where a dial that another thread shuts goes on.
-    monkeypatch.setattr(ServerConnection, "shut", lambda link: None)
+    monkeypatch.setattr(ServerConnection, "shutdown", lambda link: None)
     if ends == "time-out":
         real = rig.dispatcher.send
         monkeypatch.setattr(rig.dispatcher, "send", lambda name, server, timeout: real(name, server, 200_000))
@@ -369,7 +369,7 @@
 ) -> None:
     rig = Rig(tmp_path, 0)
     server, far, near = idle_connection(rig)
-    with paused(monkeypatch, ServerConnection, "carry") as (came, go):
+    with paused(monkeypatch, ServerConnection, "run_hop") as (came, go):
         far.sendall(rig.request("second"))
         assert came.acquire(timeout=20)
         (exchange,) = rig.dispatcher.exchanges.values()
@@ -461,7 +461,7 @@
         def ask() -> int:
             around.send("read")
             response = next_of(around.client, around.parser)
-            if response is None or not response.keeps():  # ended between two requests, as any may be
+            if response is None or not response.keeps_alive():  # ended between two requests, as any may be
                 around.client, around.parser = socket.create_connection(around.where), ResponseParser()
             return response.status if response is not None else 0
 
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -13,9 +13,9 @@
 from pumicepath.interface import Listing
 from pumicepath.lab.loopback.scripted import Deployment, answer, next_of
 from pumicepath.sidecar import arrival, clock, config
-from pumicepath.sidecar.client import BUSY, FRESH, IDLE, DRAINING, Client
-from pumicepath.sidecar.dispatch import Dispatcher, PostponedTimer
 from pumicepath.sidecar.admission_gate import AdmissionGate
+from pumicepath.sidecar.client import BUSY, DRAINING, FRESH, IDLE, Client
+from pumicepath.sidecar.dispatch import Dispatcher, PostponedTimer
 from pumicepath.sidecar.log import Log
 
 from .helpers import compare, entry
@@ -39,9 +39,9 @@
         self.config = config.config(Deployment(folder, 0).told)
         self.dispatcher = Dispatcher(self.config, Log("n0"), None)
         self.fresh: dict = {}
-        self.refused: Counter[str] = Counter()
-        self.ended = self.fresh.pop
-        self.crowded = lambda: False
+        self.bad_requests: Counter[str] = Counter()
+        self.remove = self.fresh.pop
+        self.is_over_limit = lambda: False
 
 
 def test_what_crossed_the_end_of_a_connection_is_served_however_late_its_thread(tmp_path: Path) -> None:
@@ -52,7 +52,7 @@
         ("rests, nothing came", IDLE, b""),
     ):
         owner = ClientOwner(tmp_path)
-        owner.ended = lambda client, *_: None
+        owner.remove = lambda client, *_: None
         near, far = connected_sockets()
         client = Client(near, owner, clock.now())
         client.state = state
@@ -64,7 +64,7 @@
         response = next_of(far, ResponseParser())
         lines.append(
             f"{name}: {response.status if response else 'closed'}"
-            f"{', closed' if response and not response.keeps() else ''}"
+            f"{', closed' if response and not response.keeps_alive() else ''}"
         )
         thread.join(5)
     compare("crossed", lines)
@@ -211,7 +211,7 @@
         parser.feed(b"GET /api HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\n\r\n")
         assert client.reject_early(parser, clock.now()) and parser.is_idle()
         response = next_of(far, ResponseParser())
-        heads.append((response.status, bool(response.header("Retry-After")), response.keeps()))
+        heads.append((response.status, bool(response.header("Retry-After")), response.keeps_alive()))
     assert heads == [(503, True, True), (503, False, True)]
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -244,10 +244,10 @@
     """In the dispatcher's place."""
 
     def __init__(self) -> None:
-        self.events = self.figures = self
+        self.events = self.metrics = self
         self.lines: list[str] = []
 
-    def listed(self, kind: Any, update: Any) -> None:
+    def update_servers(self, kind: Any, update: Any) -> None:
         if update.entries:
             self.lines.append(f"{kind.name} {' '.join(entry.name for entry in update.entries)}")
 
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -56,7 +56,7 @@
         self.lines.append(text)
         self.some.release()
 
-    def listed(self, kind, update, spent=0) -> None:
+    def update_servers(self, kind, update, elapsed=0) -> None:
         phases = " ".join(f"{entry.name} {entry.phase.name.lower()}" for entry in update.entries)
         self.note(f"    told: {kind.name.lower()} {update.version} {phases}".rstrip())
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,12 +15,12 @@
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, answer, next_of
 from pumicepath.sidecar import arrival, clients, clock, running
-from pumicepath.sidecar.client import IDLE, DRAINING, PARTIAL
-from pumicepath.sidecar.clients import Clients
 from pumicepath.sidecar.admission_gate import AdmissionGate
+from pumicepath.sidecar.client import DRAINING, IDLE, PARTIAL
+from pumicepath.sidecar.clients import Clients
 from pumicepath.sidecar.servers import start_thread
 
-from .rig import Rig, server_with_full_backlog, paused, read_status, wait_until
+from .rig import Rig, paused, read_status, server_with_full_backlog, wait_until
 
 
 def test_half_a_request_that_crosses_the_end_of_a_resting_connection_is_answered(
@@ -42,7 +42,7 @@
         far.sendall(request[20:])
         go.release(100)
         response = next_of(far, ResponseParser())
-    assert response is not None and response.body == b"served" and not response.keeps()
+    assert response is not None and response.body == b"served" and not response.keeps_alive()
     far.close()
     wait_until(lambda: client not in rig.clients.open)
     assert rig.deployment.lines == ["s-0: GET /halves halves"]
@@ -87,7 +87,7 @@
         assert client in rig.clients.open, "the end waits for it"
         go.release()
         response = next_of(far, ResponseParser())
-    assert response is not None and response.body == b"served" and not response.keeps()
+    assert response is not None and response.body == b"served" and not response.keeps_alive()
     far.close()
     wait_until(lambda: not rig.clients.open)
 
@@ -151,7 +151,7 @@
         assert came.acquire(timeout=20)
         looks = iter([False])
         monkeypatch.setattr(
-            arrival, "gone", lambda sock: next(looks, True) if sock is client.sock else real(sock)
+            arrival, "is_closed", lambda sock: next(looks, True) if sock is client.sock else real(sock)
         )
         assert client.expire(IDLE) and client.state == DRAINING
         rig.deployment.script.put("reset")
@@ -191,7 +191,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path)
-    with paused(monkeypatch, Clients, "admit") as (came, go):
+    with paused(monkeypatch, Clients, "add_client") as (came, go):
         accepting = threading.Thread(target=rig.clients.accept)
         accepting.start()
         far = socket.create_connection(rig.clients.listener.getsockname())
@@ -226,7 +226,7 @@
 def test_what_waits_in_the_listeners_queue_at_the_end_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("pumicepath.sidecar.clients.SPARE", 0)
+    monkeypatch.setattr("pumicepath.sidecar.clients.ACCEPT_HEADROOM", 0)
     rig = Rig(tmp_path)
     waiting = [socket.create_connection(rig.clients.listener.getsockname()) for _ in range(5)]
     for number, sock in enumerate(waiting):
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -18,13 +18,13 @@
 from pumicepath.http1.parsing import ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
 from pumicepath.sidecar import clock, config
-from pumicepath.sidecar.clients import BUSY, CLOSING, FRESH, IDLE, DRAINING, PARTIAL, Client, Clients
-from pumicepath.sidecar.dispatch import Dispatcher
 from pumicepath.sidecar.admission_gate import AdmissionGate
+from pumicepath.sidecar.clients import BUSY, CLOSING, DRAINING, FRESH, IDLE, PARTIAL, Client, Clients
+from pumicepath.sidecar.delay_monitor import DelayMonitor
+from pumicepath.sidecar.dispatch import Dispatcher
 from pumicepath.sidecar.exchange import Exchange, Hop
 from pumicepath.sidecar.log import Log
-from pumicepath.sidecar.delay_monitor import DelayMonitor
-from pumicepath.sidecar.servers import Pool, IdleResetTracker
+from pumicepath.sidecar.servers import IdleResetTracker, Pool
 from pumicepath.sidecar.watching import Watcher
 
 from .helpers import compare, entry
@@ -176,7 +176,7 @@
 def test_at_the_bound_connections_that_rest_make_room_and_open_requests_do_not(tmp_path: Path) -> None:
     owner = FakeDispatcher()
     limits = {"memory_mb": 192, "sockets": 60}
-    owner.serving = (config.config({**Deployment(tmp_path, 0).told, "limits": limits}), ())
+    owner.active_config = (config.config({**Deployment(tmp_path, 0).told, "limits": limits}), ())
     owner.dispatcher = owner
     around = Clients(owner)
     states = [IDLE, FRESH, BUSY, IDLE, PARTIAL, IDLE, FRESH, BUSY, IDLE, IDLE, IDLE, PARTIAL, IDLE]
@@ -327,11 +327,11 @@
     script = """if True:
         from pumicepath import invariants
         from pumicepath.sidecar.running import Watchman
-        class Clients: refused = spoilt = {}
+        class Clients: bad_requests = bad_answers = {}
         class Dispatcher:
             events = property(lambda self: self)
             pool = Clients
-            figures = events
+            metrics = events
             def sum(self): pass
             def event(self, event, **figures): print(event, figures)
             def wake(self, at, whom): print("again at", at)
@@ -353,11 +353,11 @@
     def __init__(self) -> None:
         self.calls: list = []
         self.listed_event = threading.Semaphore(0)
-        self.emptied = False
+        self.out_of_service = False
         self.events = self.pool = self
         self.addresses: dict = {}
 
-    def listed(self, kind, update, spent=0) -> None:
+    def update_servers(self, kind, update, elapsed=0) -> None:
         self.calls.append((kind.name, len(update.entries)))
         self.listed_event.release()
 
@@ -367,8 +367,8 @@
     def event(self, event, **figures) -> None:
         self.calls.append(event)
 
-    def close(self, act) -> None:
-        act()
+    def close_after_unlock(self, action) -> None:
+        action()
 
 
 def test_silent_watch_is_begun_again_at_once(tmp_path: Path) -> None:
@@ -381,8 +381,8 @@
     watcher.follow()
     threading.Thread(target=watcher.run, daemon=True).start()
     for _ in range(2):
-        assert watcher.dispatcher.some.acquire(timeout=5)
-    assert watcher.dispatcher.told == [("CHANGES", 1), "watch_failed", ("CHANGES", 1)]
+        assert watcher.dispatcher.listed_event.acquire(timeout=5)
+    assert watcher.dispatcher.calls == [("CHANGES", 1), "watch_failed", ("CHANGES", 1)]
 
 
 def connected_sockets() -> tuple[socket.socket, socket.socket]:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -208,10 +208,10 @@
 
 def test_slow_clients_are_waited_for_at_the_lowest_rate_and_no_longer() -> None:
     class Sender:
-        broken = False
+        upload_failed = False
         sock, far = socket.socketpair()
 
-        def leave(self) -> None: ...
+        def release_slot(self) -> None: ...
 
     parser = RequestParser(upload.MAX_UPLOAD_US)
     parser.feed(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n")
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -201,7 +201,7 @@
         """0.1 s after the client has gone, as far as the kernel knows."""
         if way:
             WAYS[way](self.far)
-            wait_until(self.client.gone)
+            wait_until(self.client.has_left)
         gone = clock.now()
         wait_until(lambda: clock.now() - gone > 100_000)
 
@@ -267,7 +267,7 @@
         entrance = where == "at the entrance"
         with paused(
             monkeypatch,
-            *((AdmissionGate, "enter") if entrance else (ServerConnection, "carry")),  # type: ignore[arg-type]
+            *((AdmissionGate, "enter") if entrance else (ServerConnection, "run_hop")),  # type: ignore[arg-type]
             before=not entrance,
         ) as (came, go):
             start_thread(client.run)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -87,7 +87,7 @@
                 sock.sendall(sending)
                 response = next_of(sock, parser)
             heard.append(response is not None and response.status == 200 and int(response.body) == number)
-            if response is None or not response.keeps() or not keeps:
+            if response is None or not response.keeps_alive() or not keeps:
                 sock.close()
                 sock, parser = socket.create_connection(around.where), ResponseParser()
         sock.close()
