--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -1,4 +1,9 @@
-"""The one lock that owns the balancer; its answers become acts that are done once the lock is free."""
+"""Serializes all access to the balancer under one lock and runs its timers.
+
+The balancer's callbacks are called while the lock is held.  They only queue I/O (answers, socket shutdowns,
+log events), which the calling thread does after the lock is released, so that nothing blocks under the lock.
+Times are whole microseconds of `clock.now()`.
+"""
 
 from __future__ import annotations
 
@@ -24,14 +29,14 @@
 from .servers import Pool, ServerConnection
 
 NO_DEADLINE_US = (1 << 63) - 1
-MAX_THREAD_DELAY_US = 10_000  # from when our own threads' delay tells on what servers are judged by
-
+MAX_THREAD_DELAY_US = 10_000  # above this scheduling delay of our own threads, latency timers are postponed
 
+# The configuration and the terms of its request classes, in the order of the configuration.
 ActiveConfig = tuple[Config, tuple[Terms, ...]]
 
 
 class PendingCall:
-    """A call on the balancer, and what it led to."""
+    """A call to run under the lock, its error, and the work that it queued for afterwards."""
 
     __slots__ = ("call", "after_unlock", "error", "done")
 
@@ -43,7 +48,7 @@
 
 
 class PostponedTimer:
-    """A submission's alarm, put off once."""
+    """A submission's timer, postponed once because our own threads were late."""
 
     __slots__ = ("handler",)
 
@@ -51,13 +56,20 @@
         self.handler = handler
 
     def over(self) -> bool:
+        """Whether the submission has ended, so that the timer can be dropped."""
         return self.handler.over()
 
     def woke(self, now: int) -> None:
+        """Run the submission's timer."""
         self.handler.woke(now)
 
 
 class Dispatcher:
+    """Owns the balancer, the open exchanges and the timers, and is the balancer's host.
+
+    Public methods may be called from any thread unless their docstring says that the lock must be held.
+    """
+
     def __init__(self, config: Config, log: Log, on_list_request: Callable[[], None]) -> None:
         self.events = log
         self.on_list_request = on_list_request
@@ -72,15 +84,15 @@
         self.exchanges: dict[int, Exchange] = {}
         self.admitted = 0
         self.draining = False  # since SIGTERM
-        self.shutdown_at = NO_DEADLINE_US  # by when all that is taken has to be answered, known from then on
-        self.out_of_service = False  # by an operator, until it is called back
+        self.shutdown_at = NO_DEADLINE_US  # when all admitted requests must be answered, set on SIGTERM
+        self.out_of_service = False  # this sidecar, by an operator
         self.metrics = Figures()
         self.config_loads = self.config_failures = 0
         self.pool = Pool(self, config, log)
         self.trace_ids: set[str] = set()
         self.trace_expiries: deque[tuple[int, str]] = deque()
         self.balancer = Balancer(config.settings, config.seed, self)
-        # What requests are read by, replaced as one: whoever reads one takes it once and keeps to it.
+        # Replaced as a whole: a thread reads it once per request and uses that one until the answer.
         self.active_config: ActiveConfig = (config, self.balancer.terms)
         self.max_deadline = max(tariff.patience for tariff in config.settings.tariffs)
         self.admission_gate = AdmissionGate(config)
@@ -89,90 +101,99 @@
     # -- the lock and the timers
 
     def run_locked(self, call: Callable[[int], None]) -> None:
-        """Run a call on the balancer under the lock, then what it led to without it.
+        """Run a call under the lock, then, without the lock, the work that it queued; re-raise its exception.
 
-        Guards against a convoy: with hundreds of threads at the lock, each would have to wait for the
-        interpreter while it owns it.  Whoever has the lock runs the calls of those that wait, and wakes them.
+        The thread that holds the lock also runs the calls of the threads that wait for it (flat combining).
+        With a plain lock and hundreds of threads, each owner would in its turn have to wait for the interpreter
+        lock while all others wait for that owner (a lock convoy).
         """
-        turn = PendingCall(call)
+        pending = PendingCall(call)
         if self.lock.acquire(False):
-            self.run_call(turn)
+            self.run_call(pending)
             self.run_pending_calls()
         else:
-            turn.done = threading.Lock()
-            turn.done.acquire()
-            self.pending_calls.append(turn)
-            if self.lock.acquire(False):  # let go just before
+            pending.done = threading.Lock()
+            pending.done.acquire()
+            self.pending_calls.append(pending)
+            if self.lock.acquire(False):  # released between the two attempts
                 self.run_pending_calls()
-            turn.done.acquire()
-        self.run_actions(turn.after_unlock)
-        if turn.error is not None:
-            raise turn.error
+            pending.done.acquire()
+        self.run_actions(pending.after_unlock)
+        if pending.error is not None:
+            raise pending.error
 
     def run_call(self, pending: PendingCall) -> None:
+        """Run one call with the lock held and collect the work that it queued."""
         try:
             pending.call(clock.now())
-        except Exception as trouble:  # told to the caller once what was decided before it is done
-            pending.error = trouble
+        except Exception as error:  # raised in the caller after the work queued before it
+            pending.error = error
         pending.after_unlock, self.after_unlock = self.pending_closes + self.after_unlock, []
         self.pending_closes = []
 
     def run_pending_calls(self) -> None:
-        """With the lock, which is free afterwards; what waits then has found it free or is run here."""
+        """Run all queued calls and release the lock, which the caller must hold.
+
+        The queue is checked again after the release: a thread that queued its call just before that may have
+        found the lock taken and now waits for someone to run it.
+        """
         while True:
             while self.pending_calls:
-                turn = self.pending_calls.popleft()
-                self.run_call(turn)
-                if turn.done is not None:
-                    turn.done.release()
+                pending = self.pending_calls.popleft()
+                self.run_call(pending)
+                if pending.done is not None:
+                    pending.done.release()
             self.lock.release()
             if not self.pending_calls or not self.lock.acquire(False):
                 return
 
     def run_actions(self, actions: list[Callable[[], None]]) -> None:
-        for each in actions:
+        """Run queued work without the lock; exceptions are logged."""
+        for action in actions:
             try:
-                each()
-            except Exception as trouble:  # one connection's fault must not keep others from their answers
-                self.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
+                action()
+            except Exception as error:  # a failure on one connection must not stop the others' answers
+                self.events.event("fault", text=f"{type(error).__name__}: {error}")
 
     def run_timers(self) -> None:
+        """Run due timers for as long as the process lives; the body of the timer thread."""
         while True:
             self.run_locked(self.fire_timers)
             self.timers_changed.wait(self.timer_wait_s)
             self.timers_changed.clear()
 
     def fire_timers(self, now: int) -> None:
+        """Run all timers that are due; called with the lock held."""
         while self.timers and self.timers[0][0] <= now:
-            whom = heappop(self.timers)[2]
+            handler = heappop(self.timers)[2]
             if (
-                type(whom) is Submission
+                type(handler) is Submission
                 and self.delay_monitor.delay > MAX_THREAD_DELAY_US
-                and not whom.over()
+                and not handler.over()
             ):
-                # Guards servers against being judged by how late our own threads are: the answer may have
-                # come, and wait to be read.
-                self.wake(now + self.delay_monitor.delay, PostponedTimer(whom))
+                # Our own threads are late, so the response may already be in the socket's buffer, unread.
+                # Running the timer now would count our delay as the server's latency.
+                self.wake(now + self.delay_monitor.delay, PostponedTimer(handler))
                 continue
             try:
-                whom.woke(now)
-            except Exception as trouble:  # the thread answers for all silent servers and must go on
-                self.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
+                handler.woke(now)
+            except Exception as error:  # this thread ends all timed-out submissions and must go on
+                self.events.event("fault", text=f"{type(error).__name__}: {error}")
         self.drop_finished_timers()
         self.timer_wait_s = max(0.0, (self.timers[0][0] - now) / 1e6) if self.timers else None
 
     def drop_finished_timers(self) -> None:
-        """Guards the core against being woken for each submission that has ended long before its alarms."""
+        """Drop timers of finished submissions at the head of the queue, which would only wake the thread."""
         while self.timers:
-            whom = self.timers[0][2]
-            if not isinstance(whom, (Submission, Exchange, PostponedTimer)) or not whom.over():
+            handler = self.timers[0][2]
+            if not isinstance(handler, (Submission, Exchange, PostponedTimer)) or not handler.over():
                 return
             heappop(self.timers)
 
-    # -- what happens to submissions
+    # -- configuration and submissions
 
     def apply_config(self, config: Config) -> None:
-        """Go by another configuration, in one step; what has been read ends under what it was read by."""
+        """Switch to another configuration atomically; requests that were read before keep the old one."""
 
         def call(now: int) -> None:
             self.balancer.adopt(now, config.settings)
@@ -186,9 +207,10 @@
         self.run_locked(call)
 
     def submit(self, exchange: Exchange, terms: Terms, key: int, retry: bool) -> bool:
-        """Whether it was taken.
+        """Submit an exchange to the balancer; False if its trace id is in use.
 
-        Guards a submission that may still run against another one under its id, until its patience is over.
+        A trace id stays in use until the submission's deadline, even when it has been answered: a hop of it
+        may still run at a server, and servers identify submissions by this id.
         """
 
         def call(now: int) -> None:
@@ -214,27 +236,32 @@
         return exchange.number > 0
 
     def run_hops(self, exchange: Exchange) -> None:
-        """By the client's thread: carry out the hops, one after the other, until none follows."""
+        """Run the exchange's hops one after the other until no further one is pending.
+
+        Called by the client's thread, which does the I/O of the hops.
+        """
         while exchange.pending_hops:
             hop = exchange.pending_hops.popleft()
-            link = hop.connection
-            assert isinstance(link, ServerConnection)
+            connection = hop.connection
+            assert isinstance(connection, ServerConnection)
             try:
-                outcome, response, reuse = link.run_hop(hop)
+                outcome, response, reuse = connection.run_hop(hop)
             except Exception:
-                self.run_locked(lambda now, link=link: self.discard_connection(link))  # type: ignore[misc]
+                self.run_locked(lambda now, failed=connection: self.discard_connection(failed))  # type: ignore[misc]
                 raise
             exchange.client.acquire_slot()
             try:
-                self.complete_hop(hop, link, outcome, response, reuse)
+                self.complete_hop(hop, connection, outcome, response, reuse)
             finally:
                 exchange.client.release_slot(clock.now() - hop.received_at if hop.received_at else 0)
 
     def discard_connection(self, connection: ServerConnection) -> None:
+        """Close a connection whose hop ended with an exception; called with the lock held."""
         connection.hop = None
         connection.close()
 
     def upload_received(self, hop: Hop) -> None:
+        """Start the deadline of a submission whose body was streamed, now that its last byte has arrived."""
         exchange = hop.exchange
 
         def call(now: int) -> None:
@@ -249,9 +276,9 @@
     def complete_hop(
         self, hop: Hop, connection: ServerConnection, outcome: Outcome, response: Response | None, reuse: bool
     ) -> None:
-        """A hop has ended; its connection is ready for another, or it is closed."""
+        """Report the outcome of a hop, and return its connection to the pool if `reuse`, else close it."""
         exchange = hop.exchange
-        left = outcome != Outcome.OK and not exchange.answered and exchange.client.has_left()
+        client_left = outcome != Outcome.OK and not exchange.answered and exchange.client.has_left()
 
         def call(now: int) -> None:
             connection.hop = None
@@ -259,8 +286,8 @@
                 self.pool.release(now, connection)
             else:
                 connection.close()
-            if left and not exchange.answered and exchange.submission is not None:
-                # Nobody waits for a further hop.
+            if client_left and not exchange.answered and exchange.submission is not None:
+                # No further hop is needed: the client has closed its connection.
                 exchange.answered = exchange.client_left = True
                 exchange.submission.left(now)
             if hop.ended:
@@ -272,6 +299,8 @@
         self.run_locked(call)
 
     def response_started(self, hop: Hop) -> None:
+        """Tell the balancer that the first bytes of a response have arrived."""
+
         def call(now: int) -> None:
             if not hop.ended and hop.exchange.submission is not None:
                 hop.exchange.submission.started(now, hop.number)
@@ -279,14 +308,15 @@
         self.run_locked(call)
 
     def stream_response(self, hop: Hop, parser: ResponseParser) -> bool:
-        """Guards the memory limit: an answer too long to be held is passed on as it comes.
+        """Start to stream a response that is too large to buffer; False if it can't become the final answer.
 
-        For the balancer the hop has ended: what slows the rest may be the client, and nothing cuts it.
+        The hop ends here for the balancer, as the rest may be slowed down by the client as well as by the
+        server, and no timer ends it.
         """
-        exchange, begun = hop.exchange, parser.incoming()
-        if begun is None:
+        exchange, incoming = hop.exchange, parser.incoming()
+        if incoming is None:
             return False
-        head, length = begun
+        head, length = incoming
         if not isinstance(head, Response) or head.status != 200:
             return False
         if length == writing.CHUNKED and not exchange.request.minor:
@@ -304,16 +334,16 @@
                     now, hop.number, Outcome.OK, max(hop.started_at, hop.received_at) - hop.started_at, True
                 )
                 self.remove_if_finished(exchange)
-                passed.append(True)
+                accepted.append(True)
 
-        passed: list[bool] = []
+        accepted: list[bool] = []
         self.run_locked(call)
-        if passed:
+        if accepted:
             exchange.client.start_response(answers.succeeded(head), length, not self.closes_connections())
-        return bool(passed)
+        return bool(accepted)
 
     def abort_exchange(self, exchange: Exchange) -> None:
-        """A fault of our own on the client's side: hops are called off and the client is told."""
+        """Close the hops of an exchange and answer 502, after an exception in the client's thread."""
 
         def call(now: int) -> None:
             for hop in exchange.hops:
@@ -327,6 +357,7 @@
         self.run_locked(call)
 
     def end_hop(self, now: int, hop: Hop, outcome: Outcome) -> None:
+        """Report a hop's outcome to the balancer once; called with the lock held."""
         if hop.ended:
             return
         hop.ended = True
@@ -334,40 +365,47 @@
             hop.connection.close()
         exchange = hop.exchange
         if exchange.submission is not None:
-            # By when it reached this machine: what our threads took to read it is not the server's.
-            came = max(hop.started_at, hop.received_at) if outcome == Outcome.OK and hop.received_at else now
-            exchange.submission.ended(now, hop.number, outcome, came - hop.started_at, exchange.answered)
+            # Measured up to when the kernel received the last bytes: the server is not charged for the time
+            # that our threads took to read them.
+            end = max(hop.started_at, hop.received_at) if outcome == Outcome.OK and hop.received_at else now
+            exchange.submission.ended(now, hop.number, outcome, end - hop.started_at, exchange.answered)
         self.remove_if_finished(exchange)
 
     def answer(self, exchange: Exchange, answer: answers.Answer) -> None:
+        """Queue the final answer of an exchange, of which there is exactly one; called with the lock held."""
         if must(not exchange.answered, "second final answer"):
             exchange.answered = True
             client = exchange.client
             self.after_unlock.append(lambda: client.answer(answer, not self.closes_connections()))
 
     def remove_if_finished(self, exchange: Exchange) -> None:
+        """Forget an exchange that has its final answer and no hop in flight; called with the lock held."""
         if exchange.over():
             self.exchanges.pop(exchange.number, None)
-            exchange.hops.clear()  # they know it, and would keep each other until the next collection
+            exchange.hops.clear()  # breaks the reference cycle, so that both are freed at once
 
     def closes_connections(self) -> bool:
-        """Whether clients are sent away: every answer ends its connection."""
+        """Whether every response closes its connection, because this sidecar drains or is out of service."""
         return self.draining or self.out_of_service
 
     def set_out_of_service(self, name: str, out: bool, certain: bool = False) -> bool:
-        """Take a server out, or let it serve again; nothing more goes to it from the return on."""
+        """Take a server out of service (`out`) or back into it; False if the balancer refuses.
+
+        Once this has returned, no request is written to a server that is out of service.  `certain`: the other
+        process of a hot restart knows the server, so it is accepted even if this one's list lacks it.
+        """
 
         def call(now: int) -> None:
             if self.balancer.hand(now, stable(name), out, certain):
                 self.pool.set_out_of_service(stable(name), out)
-                done.append(True)
+                accepted.append(True)
 
-        done: list[bool] = []
+        accepted: list[bool] = []
         self.run_locked(call)
-        return bool(done)
+        return bool(accepted)
 
     def set_peer_trials(self, peer_trials: Companions | None) -> None:
-        """Have trials of sick servers agreed on with other sidecars, or each one's own again."""
+        """Coordinate half-open trials of unhealthy servers with other sidecars, or with none of them."""
 
         def call(now: int) -> None:
             self.balancer.companions = peer_trials
@@ -375,56 +413,62 @@
         self.run_locked(call)
 
     def postpone_trial(self, server: int, wait: int) -> None:
-        """What another sidecar says of a server whose breaker may be open here."""
+        """Postpone the trial of a server by `wait` on the word of another sidecar."""
         self.run_locked(lambda now: self.balancer.put_off(now, server, wait))
 
     def operator_state(self) -> tuple[dict[int, int], dict[int, int]]:
-        """The servers out by hand and those back that may be cold, with the times since when."""
+        """Servers that an operator took out of service, and those put back, with the times of the changes."""
 
         def call(now: int) -> None:
-            told.append((dict(self.balancer.by_hand), dict(self.balancer.returned)))
+            states.append((dict(self.balancer.by_hand), dict(self.balancer.returned)))
 
-        told: list[tuple[dict[int, int], dict[int, int]]] = []
+        states: list[tuple[dict[int, int], dict[int, int]]] = []
         self.run_locked(call)
-        return told[0]
+        return states[0]
 
     def inherit_operator_state(self, out_of_service: dict[int, int], back_in_service: dict[int, int]) -> None:
-        """Before the first list: what the process before this one was told by hand."""
+        """Take over what operators told the old process; must be called before the first server list."""
         self.balancer.by_hand, self.balancer.returned = out_of_service, back_in_service
         self.pool.out_of_service = set(out_of_service)
 
     def scale_connection_limit(self, numerator: int, denominator: int) -> None:
-        """Hold only so many connections to servers: guards the limits while two processes share them."""
+        """Limit the pool to a fraction of its connections.
+
+        During a hot restart two processes share the limits of memory and descriptors.
+        """
         self.run_locked(lambda now: self.pool.scale_limit(numerator, denominator))
 
     def server_counts(self) -> tuple[int, int]:
-        """How many servers are listed, and how many of them avoided."""
+        """The number of listed servers, and how many of them are avoided."""
 
         def call(now: int) -> None:
-            told.append(self.balancer.standing())
+            counts.append(self.balancer.standing())
 
-        told: list[tuple[int, int]] = []
+        counts: list[tuple[int, int]] = []
         self.run_locked(call)
-        return told[0]
+        return counts[0]
 
     def update_servers(self, kind: Listing, update: Update, elapsed: int = 0) -> None:
+        """Apply a server list, or note that fetching one failed (kind FAILED) after `elapsed` microseconds."""
+
         def call(now: int) -> None:
-            alone = self.balancer.settings.drain_alone
+            drain_alone = self.balancer.settings.drain_alone
             if kind != Listing.FAILED:
-                self.pool.update_servers(update, alone)
+                self.pool.update_servers(update, drain_alone)
             self.balancer.listed(now, kind, update.entries, elapsed)
-            if alone:
+            if drain_alone:
                 self.pool.keep_only(self.balancer.index)
 
         self.run_locked(call)
 
-    # -- the outlet of the balancer, called under the lock
+    # -- callbacks of the balancer and of connections; called with the lock held, except `hop_sent`
 
     def send(self, submission: int, server: int, timeout: int) -> None:
+        """Choose a connection for the next hop and queue it for the client's thread."""
         exchange = self.exchanges[submission]
         now = clock.now()
-        ends = min(exchange.deadline_at, now + timeout) if timeout > 0 else exchange.deadline_at
-        hop = Hop(exchange, len(exchange.hops), server, now, ends)
+        ends_at = min(exchange.deadline_at, now + timeout) if timeout > 0 else exchange.deadline_at
+        hop = Hop(exchange, len(exchange.hops), server, now, ends_at)
         exchange.hops.append(hop)
         hop.connection = self.pool.connection_for(now, hop)
         exchange.pending_hops.append(hop)
@@ -432,39 +476,48 @@
             self.wake(now + timeout, hop)
 
     def defer(self, submission: int, retry_in: int) -> None:
+        """Answer 503 with the time after which the client may retry, in microseconds."""
         self.answer(self.exchanges[submission], answers.rejected(retry_in))
 
     def forfeit(self, submission: int) -> None:
+        """Answer 502: the submission may have run at a server, and no further hop is allowed."""
         self.answer(self.exchanges[submission], answers.FAILED)
 
     def hop_sent(self) -> None:
+        """Count a request that was written completely."""
         self.metrics.count("sends")
 
     def cancel(self, submission: int, hop: int) -> None:
-        given_up = self.exchanges[submission].hops[hop]
-        given_up.cancelled = True
-        given_up.connection.close()
+        """Abort a hop by closing its connection."""
+        cancelled = self.exchanges[submission].hops[hop]
+        cancelled.cancelled = True
+        cancelled.connection.close()
 
     def probe(self, server: int) -> None:
-        """No decision asks for probes yet."""
+        """Do nothing: the balancer does not request probes yet."""
 
     def free_links(self, server: int) -> None:
+        """Close the idle connections to a server."""
         self.pool.close_idle(server)
 
     def tell(self, peer: int, data: bytes) -> None:
-        """The platform says nothing of messages between sidecars: the hint is lost, as hints may be."""
+        """Drop the message: the platform has no channel for hints between sidecars, and hints may be lost."""
 
     def follow(self) -> None:
+        """Request the server list once the lock is released."""
         self.after_unlock.append(self.on_list_request)
 
     def close_after_unlock(self, action: Callable[[], None]) -> None:
+        """Queue a socket shutdown, done after the lock is released and before all other queued work."""
         self.pending_closes.append(action)
 
-    def wake(self, at: int, whom: Wakeable) -> None:
+    def wake(self, at: int, handler: Wakeable) -> None:
+        """Set a timer; it is dropped early only if its submission has ended."""
         self.timer_sequence += 1
-        heappush(self.timers, (at, self.timer_sequence, whom))
+        heappush(self.timers, (at, self.timer_sequence, handler))
         if self.timers[0][1] == self.timer_sequence:
             self.timers_changed.set()
 
     def log(self, text: str) -> None:
+        """Queue a log event with a text of the balancer."""
         self.after_unlock.append(lambda: self.events.event("mode", text=text))
