--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -1,4 +1,7 @@
-"""A connection of the application: its thread reads a request, carries it, answers, and reads the next."""
+"""One client connection: its thread reads a request, runs the submission, answers, and reads the next.
+
+Times are whole microseconds of `clock.now()`.
+"""
 
 from __future__ import annotations
 
@@ -20,49 +23,58 @@
 from .submissions import CLASS_HEADER, parse_submission
 from .upload import MAX_UPLOAD_US, Upload
 
-# Taken off a client's patience for the way to and fro and for threads that wait their turn.
+# Subtracted from a client's deadline for the network both ways and for threads that wait to run.
 DELIVERY_ALLOWANCE_US = 25_000
-WRITE_TIMEOUT = struct.pack("ll", 10, 0)
-LINGER_RESET = struct.pack("ii", 1, 0)
-POLL_INTERVAL_S = 0.005  # between two looks at a connection that wakes nobody any more
-DISCARD_BUFFER = bytearray(256 * 1024)  # what nobody reads goes there; the kernel does not even copy it
-MAX_UPLOAD_BYTES = 40 << 20  # what says that it is longer is refused
-MAX_CONSECUTIVE_ERRORS = 3  # in a row, until the connection is closed
-# What a connection is doing: LAST has been told to end between requests, and serves what crossed that.
+WRITE_TIMEOUT = struct.pack("ll", 10, 0)  # 10 s, as a struct timeval
+LINGER_RESET = struct.pack("ii", 1, 0)  # struct linger: close() sends a reset
+POLL_INTERVAL_S = 0.005  # between reads after the read side was shut down, when a read no longer blocks
+DISCARD_BUFFER = bytearray(256 * 1024)  # length of discarding reads; with MSG_TRUNC the kernel copies nothing
+MAX_UPLOAD_BYTES = 40 << 20  # a request that announces a longer body is rejected
+MAX_CONSECUTIVE_ERRORS = 3  # after these the connection is closed
+# States of a connection.  FRESH: nothing received yet; PARTIAL: part of a request received; BUSY: a request
+# is being served; CLOSING: no further request is read; DRAINING: it was idle or fresh when its read side was
+# shut down, and a request that had already arrived by then is still served.
 FRESH, PARTIAL, BUSY, IDLE, CLOSING, DRAINING = range(6)
 
 
 class ClientOwner(Protocol):
-    """All connections of the application, as one of them sees them."""
+    """What a connection needs of the set of all client connections."""
 
     dispatcher: Dispatcher
     fresh: dict[Client, None]
     bad_requests: Counter[str]
 
-    def is_over_limit(self) -> bool: ...
+    def is_over_limit(self) -> bool:
+        """Whether more connections are in use than the limits allow."""
 
-    def remove(self, client: Client) -> None: ...
+    def remove(self, client: Client) -> None:
+        """Forget a connection that has ended."""
 
 
 class Client:
+    """A client's connection; `run` is the body of the one thread that reads from it.
+
+    Other threads may write the answer, and may close the connection by `expire`.
+    """
+
     def __init__(self, sock: socket.socket, owner: ClientOwner, now: int) -> None:
         self.sock = sock
         self.owner = owner
         self.state = FRESH
         self.state_since = now
-        self.received_after = now  # before which nothing that is read next can have come
+        self.received_after = now  # lower bound of the arrival time of what is read next
         self.keep_alive = True
         self.consecutive_errors = 0
         self.requests_served = 0
         self.chunked = self.until_close = self.was_reset = False
         self.draining = self.close_undetectable = False
-        self.class_name = ""  # the class of the submission under way, and its answer's status
-        self.status = 0
-        self.head_only = False  # whether the answer has no body, as to HEAD
+        self.class_name = ""  # of the submission in progress, if its class is known
+        self.status = 0  # of its answer
+        self.head_only = False  # the request is HEAD, so the response has no body
         self.upload: Upload | None = None
-        self.upload_failed = False  # whether it broke a body off, or sent it too slowly
-        self.partial_bytes = 0  # of a request that is not whole
-        self.holds_slot = False  # at the entrance, which others wait for
+        self.upload_failed = False  # the client broke off a body or sent it too slowly
+        self.partial_bytes = 0  # received of an incomplete request
+        self.holds_slot = False  # of the admission gate
         self.answered = threading.Event()
         self.state_lock = threading.Lock()
         self.write_buffer = Ring(MAX_HEAD_BYTES + MAX_BODY_BYTES + 1024)
@@ -70,9 +82,10 @@
     # -- reading, by the connection's own thread
 
     def run(self) -> None:
+        """Serve the connection until it ends, then close it."""
         try:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            # Guards the thread that answers against a client that does not read.
+            # A client that does not read its response must not block the thread that writes it for ever.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, WRITE_TIMEOUT)
             arrival.enable_timestamps(self.sock)
             self.received_after = arrival.last_received_at(self.sock, self.state_since)
@@ -82,38 +95,38 @@
                 and not self.was_reset
                 and self.sock.recv_into(DISCARD_BUFFER, 0, socket.MSG_TRUNC)
             ):
-                pass  # guards the answer: closed with bytes unread, it would be lost on its way
+                pass  # close() with unread bytes sends a reset, which could destroy the answer in transit
         except OSError:
-            pass  # the client has broken the connection off
-        except Exception as trouble:  # ends this connection only
-            self.owner.dispatcher.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
+            pass  # the client closed or reset the connection
+        except Exception as error:  # must end this connection only
+            self.owner.dispatcher.events.event("fault", text=f"{type(error).__name__}: {error}")
         finally:
             self.release_slot()
             self.owner.remove(self)
             self.sock.close()
 
     def read_requests(self) -> None:
-        """Until the connection is to be closed."""
+        """Read and serve requests until the connection is to be closed."""
         parser = RequestParser(MAX_UPLOAD_BYTES)
-        intake = self.owner.dispatcher.admission_gate.queue
-        told = False
-        arrived = 0
+        queue = self.owner.dispatcher.admission_gate.queue
+        continue_sent = False
+        received_at = 0
         while True:
             try:
                 request = parser.next()
                 if request is None and parser.is_long():
                     request = parser.normalize(parser.message)
                     self.upload = Upload(self, parser)
-            except Malformed as trouble:
+            except Malformed as error:
                 if self.set_state(BUSY):
-                    self.send_error(trouble, False)
+                    self.send_error(error, False)
                 return
             if request is not None:
                 if not self.set_state(BUSY):
                     return
-                if self.upload is not None and not told and parser.awaits_continue():
+                if self.upload is not None and not continue_sent and parser.awaits_continue():
                     self.sock.sendall(writing.CONTINUE)
-                self.serve(request, arrived)
+                self.serve(request, received_at)
                 if self.upload is not None:
                     if not self.upload.complete and not self.upload_failed:
                         with suppress(UploadAborted):
@@ -121,33 +134,34 @@
                     self.upload = None
                     if self.upload_failed:
                         self.set_state(CLOSING)
-                told = False
+                continue_sent = False
                 if not self.set_state(IDLE if parser.is_idle() else PARTIAL):
                     return
                 continue
-            self.release_slot()  # not to be held while we wait, whatever was made of what came
-            if not told and parser.awaits_continue():
-                told = True
+            self.release_slot()  # never held while waiting for the client's bytes
+            if not continue_sent and parser.awaits_continue():
+                continue_sent = True
                 self.sock.sendall(writing.CONTINUE)
-            count, arrived = arrival.receive(self.sock, parser.ring.writable(), self.received_after)
+            count, received_at = arrival.receive(self.sock, parser.ring.writable(), self.received_after)
             if not count:
                 if parser.is_idle() or not self.is_read_shutdown():
                     return
                 continue
             parser.ring.commit(count)
             self.partial_bytes += count
-            if parser.state == START and intake.full() and self.reject_early(parser, arrived):
+            if parser.state == START and queue.full() and self.reject_early(parser, received_at):
                 if not self.set_state(IDLE):
                     return
-                time.sleep(intake.pause / 1e6)
+                time.sleep(queue.pause / 1e6)
                 continue
             if self.state != PARTIAL and not self.set_state(PARTIAL):
                 return
 
     def is_read_shutdown(self) -> bool:
-        """Whether reading has ended by our own doing, in the middle of what the client still sends.
+        """Whether a read that returned nothing did so because `expire` shut the read side down.
 
-        Then what comes wakes nobody any more: it waits a step, for who asks to look again.
+        The client may then still be sending, but a read no longer blocks until its bytes arrive; so this
+        waits for POLL_INTERVAL_S and the caller reads again.
         """
         if not self.draining or self.has_left():
             return False
@@ -155,7 +169,10 @@
         return True
 
     def set_state(self, state: int) -> bool:
-        """Go on to a state of the connection, unless it is being closed; what crossed its end is served."""
+        """Enter a state, or return False if the connection is to end.
+
+        A draining connection may still enter BUSY or PARTIAL: its request was sent before the shutdown.
+        """
         with self.state_lock:
             if self.state == CLOSING or self.state == DRAINING and state == IDLE:
                 return False
@@ -170,27 +187,27 @@
         return True
 
     def reject_early(self, parser: RequestParser, received_at: int) -> bool:
-        """Ask to be taken up before anything costs, at a glance.
+        """Ask the admission gate before parsing, and answer 503 if it refuses; False if it doesn't.
 
-        Guards a core that is short of time: what it can't serve must not cost it as much as what it can, so
-        there is no parsing, no turn at the lock, and the connection is kept.
+        On an overloaded core a rejection must be much cheaper than a served request: it needs neither parsing
+        nor the dispatcher's lock, and the connection stays open.
         """
-        seen = parser.peek_request()
-        if seen is None:
+        peeked = parser.peek_request()
+        if peeked is None:
             return False
-        size, name, expires, retry = seen
+        size, name, expires, retry = peeked
         self.head_only = False
         dispatcher = self.owner.dispatcher
         config, terms = dispatcher.active_config
-        tariff = config.tariffs.get(name)
-        if tariff is None or not self.set_state(BUSY):
+        request_class = config.tariffs.get(name)
+        if request_class is None or not self.set_state(BUSY):
             return False
-        patience = terms[tariff].tariff.patience
+        deadline = terms[request_class].tariff.patience
         if expires:
-            patience = min(patience, int(expires) * 1000)
-        usual = terms[tariff].usual
+            deadline = min(deadline, int(expires) * 1000)
+        typical_latency = terms[request_class].usual
         self.holds_slot = dispatcher.admission_gate.enter(
-            received_at, received_at + patience, tariff, retry, usual
+            received_at, received_at + deadline, request_class, retry, typical_latency
         )
         if self.holds_slot:
             return False
@@ -198,27 +215,27 @@
         self.class_name = name
         self.keep_alive = not self.draining
         self.answer(
-            answers.rejected(dispatcher.admission_gate.queue.back(tariff)),
+            answers.rejected(dispatcher.admission_gate.queue.back(request_class)),
             not dispatcher.closes_connections(),
         )
         return True
 
     def acquire_slot(self) -> None:
-        """Wait for a place to go on with what was taken up."""
+        """Wait for a slot to go on with a request that was admitted earlier."""
         self.owner.dispatcher.admission_gate.reenter()
         self.holds_slot = True
 
     def release_slot(self, delay: int = 0) -> None:
-        """Others may have the place, if this has one; `out` is how long ago the answer passed on came."""
+        """Release the slot, if it is held; `delay`: how long a received response waited to be passed on."""
         if not self.holds_slot:
             return
         with self.state_lock:
-            inside, self.holds_slot = self.holds_slot, False
-        if inside:
+            held_slot, self.holds_slot = self.holds_slot, False
+        if held_slot:
             self.owner.dispatcher.admission_gate.leave(delay)
 
     def serve(self, request: Request, received_at: int) -> None:
-        """Carry a request to its final answer."""
+        """Run a request up to its final answer."""
         dispatcher = self.owner.dispatcher
         self.requests_served += 1
         try:
@@ -233,15 +250,16 @@
             dispatcher.abort_exchange(exchange)
             raise
         if exchange.client_left and self.draining:
-            self.answer(answers.FAILED, False)  # guards what crossed our end; its client may go then
+            # `has_left` may be wrong after our own shutdown, so the request must be answered.
+            self.answer(answers.FAILED, False)
         elif exchange.client_left:
             self.class_name = ""
             self.set_state(CLOSING)
         else:
-            self.answered.wait()  # by the timers, if patience has ended
+            self.answered.wait()  # set by the timer thread if the deadline has passed
 
     def start_submission(self, request: Request, received_at: int) -> Exchange | None:
-        """The submission, its first hop still to be carried out; None if its client is answered or gone."""
+        """Submit a request, its first hop still to be run; None if the client was answered or has left."""
         dispatcher = self.owner.dispatcher
         self.keep_alive = request.keeps_alive() and not self.draining
         self.head_only = request.method == "HEAD"
@@ -255,49 +273,54 @@
         name = request.header(CLASS_HEADER)
         self.class_name = name if name in config.tariffs else ""
         try:
-            what = parse_submission(request, config.tariffs, config.settings.tariffs)
-        except Malformed as trouble:
-            self.send_error(trouble, True)
+            params = parse_submission(request, config.tariffs, config.settings.tariffs)
+        except Malformed as error:
+            self.send_error(error, True)
             return None
         if self.owner.is_over_limit():
-            # All connections that the limits allow are in use: nothing went out, so trying again is harmless.
-            # The connection stays: a new one would cost more than this answer.
+            # All connections that the limits allow are in use.  Nothing was sent to a server, so a retry is
+            # safe.  The connection stays open: a new one would cost more than this answer.
             self.owner.bad_requests["no room"] += 1
             self.answer(
-                answers.rejected(dispatcher.balancer.bound_retry_in(terms[what.request_class])),
+                answers.rejected(dispatcher.balancer.bound_retry_in(terms[params.request_class])),
                 not dispatcher.closes_connections(),
             )
             return None
         if not self.holds_slot:
-            usual = terms[what.request_class].usual
+            typical_latency = terms[params.request_class].usual
             self.holds_slot = dispatcher.admission_gate.enter(
-                received_at, received_at + what.deadline, what.request_class, what.retry, usual
+                received_at,
+                received_at + params.deadline,
+                params.request_class,
+                params.retry,
+                typical_latency,
             )
             if not self.holds_slot:
                 self.answer(
-                    answers.rejected(dispatcher.admission_gate.queue.back(what.request_class)),
+                    answers.rejected(dispatcher.admission_gate.queue.back(params.request_class)),
                     not dispatcher.closes_connections(),
                 )
                 return None
         if clock.now() - received_at > CLIENT_CHECK_AFTER_US and self.has_left():
             self.class_name = ""
-            self.set_state(CLOSING)  # guards a crowded core: nobody waits for this one any more
+            self.set_state(CLOSING)  # a busy core should not work for a client that has left
             return None
-        # The way out will take about as long as a thread now waits for its turn: guards against patience that
-        # ends unseen on a crowded core.  A quarter at most: a hiccup must not cost what could be served.
-        allowance = min(DELIVERY_ALLOWANCE_US, what.deadline // 20) + min(
-            dispatcher.delay_monitor.delay, what.deadline // 4
+        # Delivering the answer takes about as long as threads now wait to run; on a busy core the deadline
+        # would otherwise pass before the answer is sent.  At most a quarter of the deadline: a short stall must
+        # not fail requests that could still be served.
+        allowance = min(DELIVERY_ALLOWANCE_US, params.deadline // 20) + min(
+            dispatcher.delay_monitor.delay, params.deadline // 4
         )
-        patience = what.deadline - allowance
-        until = received_at + (patience if self.upload is None else MAX_UPLOAD_US)
-        if dispatcher.shutdown_at < until and self.upload is None:
-            until = dispatcher.shutdown_at  # guards what comes late against the end of the process
+        deadline = params.deadline - allowance
+        deadline_at = received_at + (deadline if self.upload is None else MAX_UPLOAD_US)
+        if dispatcher.shutdown_at < deadline_at and self.upload is None:
+            deadline_at = dispatcher.shutdown_at  # the process ends then
         exchange = Exchange(
-            self, what.trace_id, request, until, dispatcher, self.upload, patience, received_at
+            self, params.trace_id, request, deadline_at, dispatcher, self.upload, deadline, received_at
         )
         self.answered.clear()
         try:
-            if dispatcher.submit(exchange, terms[what.request_class], what.key, what.retry):
+            if dispatcher.submit(exchange, terms[params.request_class], params.key, params.retry):
                 self.consecutive_errors = 0
                 return exchange
         except Exception:
@@ -307,17 +330,19 @@
         return None
 
     def send_error(self, error: Malformed, keep_alive: bool) -> None:
+        """Answer a malformed request; after several in a row the connection is closed."""
         self.owner.bad_requests[str(error)] += 1
         self.consecutive_errors += 1
-        # Guards the core against a client that sends the same again as soon as it is told what is wrong.
+        # A client that repeats the same malformed request at once would otherwise keep a core busy.
         self.answer(
             answers.text_answer(error.status, str(error)),
             keep_alive and self.consecutive_errors < MAX_CONSECUTIVE_ERRORS,
         )
 
-    # -- answering, by whichever thread ended the submission
+    # -- answering, by the thread that ended the submission
 
     def answer(self, answer: answers.Answer, keep_alive: bool) -> None:
+        """Write the final answer and finish the request."""
         self.keep_alive = keep_alive and self.keep_alive
         self.status = answer.status
         if self.head_only:
@@ -329,7 +354,7 @@
         self.finish()
 
     def start_response(self, answer: answers.Answer, length: int, keep_alive: bool) -> None:
-        """The head of an answer that is passed on as it comes; `more` has its body, or `cut` ends it."""
+        """Write the head of a streamed response; `write_body` or `abort_response` must follow."""
         self.keep_alive = keep_alive and self.keep_alive and length != writing.UNTIL_CLOSE
         self.status = answer.status
         self.chunked = length == writing.CHUNKED
@@ -337,39 +362,45 @@
         self.write(writing.response(*answer, self.keep_alive, length))
 
     def write_body(self, piece: bytes, last: bool) -> bool:
-        """Whether the client still takes it."""
-        done = self.write(writing.chunk(piece, last) if self.chunked else piece)
+        """Write a piece of a streamed body; False if the client does not receive it."""
+        written = self.write(writing.chunk(piece, last) if self.chunked else piece)
         if last:
             self.finish()
-        return done
+        return written
 
     def abort_response(self) -> None:
-        """The rest of the answer will not come: the client can tell, as it lacks its end or is reset."""
+        """End a streamed response whose rest will not come.
+
+        The client can tell: a framed body lacks its end, and a body that ends at the close is reset.
+        """
         self.keep_alive = False
         self.status = 502
         self.finish(self.until_close)
 
     def write(self, data: bytes) -> bool:
-        rest = memoryview(data)
+        """Write all of the data; False if the connection broke or timed out."""
+        remaining = memoryview(data)
         try:
-            while rest:
-                rest = rest[self.write_buffer.write(rest) :]
+            while remaining:
+                remaining = remaining[self.write_buffer.write(remaining) :]
                 while len(self.write_buffer):
                     self.write_buffer.consume(self.send(self.write_buffer.readable()))
         except OSError:
-            self.keep_alive = False  # gone, or it does not read: what it has is not whole
+            self.keep_alive = False  # the client left or does not read: the response is incomplete
             return False
         return True
 
     def send(self, data: memoryview) -> int:
+        """Send what the socket accepts, blocking if it accepts nothing."""
         try:
             return self.sock.send(data, socket.MSG_DONTWAIT)
         except BlockingIOError:
-            # Guards the places, and all who wait for them, against clients that do not read.
+            # While this blocks, a client that does not read must not hold a slot that others wait for.
             self.release_slot()
             return self.sock.send(data)
 
     def finish(self, reset: bool = False) -> None:
+        """Count the answer, shut the connection down unless it is kept alive, and wake its thread."""
         self.write_buffer.shrink()
         if self.class_name:
             self.owner.dispatcher.metrics.ended(self.class_name, self.status)
@@ -385,16 +416,17 @@
         self.answered.set()
 
     def has_left(self) -> bool:
-        """Whether the client has closed its connection, as far as that has come."""
+        """Whether the client is known to have closed the connection, or failed to send its body."""
         return self.upload_failed or not self.close_undetectable and arrival.is_closed(self.sock)
 
     # -- closing, by other threads
 
     def expire(self, state: int) -> bool:
-        """Have the connection end if it is still in that state.
+        """End the connection if it is still in the given state; returns whether it was.
 
-        Between requests only its own thread closes it, once it has looked for what came meanwhile.  Guards
-        what was sent long before on a crowded core: its thread may be late by a second, with it in its hands.
+        A connection between requests is closed only by its own thread, after it has read what had arrived by
+        then: on a busy core that thread may be a second late, and the request it is about to read must not be
+        lost.  An incomplete request is answered 408.
         """
         with self.state_lock:
             if self.state != state or state == PARTIAL and self.has_unread_bytes():
@@ -403,9 +435,9 @@
             self.state_since = self.received_after = clock.now()
         if state == PARTIAL:
             self.owner.bad_requests["unfinished"] += 1
-            late = answers.text_answer(408, "unfinished")
+            timeout_answer = answers.text_answer(408, "unfinished")
             with suppress(OSError):
-                self.sock.send(writing.response(*late, False), socket.MSG_DONTWAIT)
+                self.sock.send(writing.response(*timeout_answer, False), socket.MSG_DONTWAIT)
             self.shutdown(socket.SHUT_WR)
         else:
             self.close_undetectable = arrival.shutdown(
@@ -414,12 +446,13 @@
         return True
 
     def has_unread_bytes(self) -> bool:
-        """Whether its thread only has to come to read what is there."""
+        """Whether bytes are waiting that the connection's thread has not read yet."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
             return False
 
     def shutdown(self, how: int) -> None:
-        with suppress(OSError):  # the client was first
+        """Shut the socket down (`how` as in socket.shutdown), even if the client closed it first."""
+        with suppress(OSError):  # already closed by the client
             self.sock.shutdown(how)
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -104,8 +104,8 @@
         """Run a call under the lock, then, without the lock, the work that it queued; re-raise its exception.
 
         The thread that holds the lock also runs the calls of the threads that wait for it (flat combining).
-        With a plain lock and hundreds of threads, each owner would in its turn have to wait for the interpreter
-        lock while all others wait for that owner (a lock convoy).
+        With a plain lock and hundreds of threads, each owner would have to wait for the interpreter lock
+        while all others wait for that owner (a lock convoy).
         """
         pending = PendingCall(call)
         if self.lock.acquire(False):
@@ -391,8 +391,8 @@
     def set_out_of_service(self, name: str, out: bool, certain: bool = False) -> bool:
         """Take a server out of service (`out`) or back into it; False if the balancer refuses.
 
-        Once this has returned, no request is written to a server that is out of service.  `certain`: the other
-        process of a hot restart knows the server, so it is accepted even if this one's list lacks it.
+        Once this has returned, no request is written to a server that is out of service.  `certain`: the
+        other process of a hot restart knows the server, so it is accepted even if this one's list lacks it.
         """
 
         def call(now: int) -> None:
@@ -449,7 +449,7 @@
         return counts[0]
 
     def update_servers(self, kind: Listing, update: Update, elapsed: int = 0) -> None:
-        """Apply a server list, or note that fetching one failed (kind FAILED) after `elapsed` microseconds."""
+        """Apply a server list, or note that fetching one failed (kind FAILED) after `elapsed` us."""
 
         def call(now: int) -> None:
             drain_alone = self.balancer.settings.drain_alone
@@ -489,9 +489,9 @@
 
     def cancel(self, submission: int, hop: int) -> None:
         """Abort a hop by closing its connection."""
-        cancelled = self.exchanges[submission].hops[hop]
-        cancelled.cancelled = True
-        cancelled.connection.close()
+        cancelled_hop = self.exchanges[submission].hops[hop]
+        cancelled_hop.cancelled = True
+        cancelled_hop.connection.close()
 
     def probe(self, server: int) -> None:
         """Do nothing: the balancer does not request probes yet."""
