--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -306,8 +306,8 @@
             self.set_state(CLOSING)  # a busy core should not work for a client that has left
             return None
         # Delivering the answer takes about as long as threads now wait to run; on a busy core the deadline
-        # would otherwise pass before the answer is sent.  At most a quarter of the deadline: a short stall must
-        # not fail requests that could still be served.
+        # would otherwise pass before the answer is sent.  At most a quarter of the deadline: a short stall
+        # must not fail requests that could still be served.
         allowance = min(DELIVERY_ALLOWANCE_US, params.deadline // 20) + min(
             dispatcher.delay_monitor.delay, params.deadline // 4
         )
--- a/pumicepath/sidecar/clients.py
+++ b/pumicepath/sidecar/clients.py
@@ -1,4 +1,7 @@
-"""The listener, all connections of the application, and how long each may do what it does."""
+"""The listener, all client connections, and the time limits of their states.
+
+Times ending in _US are whole microseconds of `clock.now()`, those ending in _S are seconds.
+"""
 
 from __future__ import annotations
 
@@ -15,33 +18,34 @@
 
 __all__ = ["BUSY", "CLOSING", "FRESH", "IDLE", "DRAINING", "PARTIAL", "Client", "Clients"]
 
-CROWDED_SWEEP_INTERVAL_US = 50_000  # between two looks for connections whose time is up, while room is scarce
-SWEEP_INTERVAL_US = 250_000  # and while it is not: all that is closed then has waited a second and more
+# The sidecar is crowded when more than a third of its client connections are open.
+CROWDED_SWEEP_INTERVAL_US = 50_000  # between searches for expired connections, while crowded
+SWEEP_INTERVAL_US = 250_000  # and while not: all that expires then has waited for a second or more
 FIRST_BYTE_TIMEOUT_US = 2_000_000  # until a connection that has sent nothing is closed
-PARTIAL_REQUEST_TIMEOUT_US = (
-    upload.INITIAL_ALLOWANCE_US
-)  # until a request that has begun must be whole, and more for what has come of it
-IDLE_TIMEOUT_US = 15_000_000  # between requests, while there is room
-CROWDED_IDLE_TIMEOUT_US = 300_000  # and while more than a third of it is taken
-SINGLE_USE_IDLE_TIMEOUT_US = 60_000  # then, on a connection that has been used only once
-DRAIN_FIRST_BYTE_TIMEOUT_US = (
-    300_000  # for the first request on a new connection, while clients are sent away
-)
-LINGER_TIMEOUT_US = 1_000_000  # for the client to close after we did
-# At the bound, from when a connection makes room for a new one: its first bytes are overdue, or it rests.
+# Until a request whose first byte has arrived must be complete; what has arrived of it extends the time.
+PARTIAL_REQUEST_TIMEOUT_US = upload.INITIAL_ALLOWANCE_US
+IDLE_TIMEOUT_US = 15_000_000  # between requests
+CROWDED_IDLE_TIMEOUT_US = 300_000  # between requests, while crowded
+SINGLE_USE_IDLE_TIMEOUT_US = 60_000  # while crowded, on a connection that has been used only once
+DRAIN_FIRST_BYTE_TIMEOUT_US = 300_000  # for a new connection's first request, while connections are drained
+LINGER_TIMEOUT_US = 1_000_000  # for the client to close after this side has
+# At the limit, after how long in a state a connection may be closed to make place for a new one.
 EVICTABLE_AFTER_US = {FRESH: 50_000, CLOSING: 100_000, IDLE: 100_000, PARTIAL: 2_100_000}
-EVICTION_INTERVAL_US = 5_000  # between two looks for such connections
-EXTRA_EVICTIONS = 8  # at a time more than needed, since many come together
-ACCEPT_HEADROOM = 24
-ACCEPT_POLL_S = 0.2  # between two looks whether connections are still to be accepted, where another
-ACCEPT_POLL_ALONE_S = 0.4  # process may take them, and where only the end of this one ends that, which is
-ACCEPT_POLL_DRAINING_S = 0.02  # seen before connections stop coming, and looked for from then on
-MAX_READY_THREADS = 64  # that wait for the next connection at most
-CAPACITY_POLL_S = 0.005  # between two looks for room
+EVICTION_INTERVAL_US = 5_000  # between searches for such connections
+EXTRA_EVICTIONS = 8  # closed at a time beyond what is needed, since new connections come in bursts
+ACCEPT_HEADROOM = 24  # accepted beyond the limit, while others are being closed
+# Between checks whether this process still accepts: where another process may share the listener (hot
+# restart), where it may not, and while draining.  The first two must be shorter than the time for which
+# `running` expects new connections after SIGTERM, so that draining is noticed before that is over.
+ACCEPT_POLL_S = 0.2
+ACCEPT_POLL_ALONE_S = 0.4
+ACCEPT_POLL_DRAINING_S = 0.02
+MAX_READY_THREADS = 64  # that wait for the next connection
+CAPACITY_POLL_S = 0.005  # between checks whether another connection may be accepted
 
 
 def create_listener(config: Config) -> socket.socket:
-    """A socket of this process's own, beside which another may listen where the process can be replaced."""
+    """A listening socket; with an admin address (hot restart) another process may listen beside it."""
     family = socket.AF_INET6 if ":" in config.listen.host else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -60,7 +64,7 @@
         self.dispatcher = dispatcher
         self.max_connections = self.connection_limit = config.from_clients
         self.open: dict[Client, None] = {}
-        self.fresh: dict[Client, None] = {}  # those that have sent nothing yet, the oldest first
+        self.fresh: dict[Client, None] = {}  # those that have sent nothing yet, oldest first
         self.bad_requests: Counter[str] = Counter()
         self.ready_lock = threading.Lock()
         self.ready_threads = 1
@@ -69,16 +73,17 @@
         self.accept_enabled = threading.Event()
         self.accept_enabled.set()
         self.listener = listener or create_listener(config)
-        arrival.enable_timestamps(self.listener)  # what it accepts is stamped from the first byte on
+        arrival.enable_timestamps(self.listener)  # inherited by accepted connections, from the first byte on
         self.stopped = False
-        # The process that will take this one's place accepts from the same queue: each looks now and then
-        # whether it is still to.  They share the socket, and so whether it blocks.
+        # During a hot restart both processes accept from the same queue, and each must notice when it is no
+        # longer to accept.  They share the socket's non-blocking flag, so it can't be changed instead.
         self.listener.settimeout(ACCEPT_POLL_S if config.admin else ACCEPT_POLL_ALONE_S)
 
     def run(self) -> None:
-        """Accept a connection, see it through, and accept the next; enough threads stand ready to accept.
+        """Accept a connection, serve it to its end, and accept the next; the body of a client thread.
 
-        Guards a busy core: a thread begun for each connection would have to be waited for each time.
+        Another thread is started when none is left to accept.  Threads are reused, as on a busy core each new
+        connection would otherwise have to wait for its thread to start.
         """
         while True:
             client = self.accept()
@@ -91,8 +96,8 @@
             if more:
                 try:
                     start_thread(self.run)
-                except RuntimeError as trouble:  # those there are go on; the next that ends accepts again
-                    self.dispatcher.events.event("fault", text=f"no thread for a client: {trouble}")
+                except RuntimeError as error:  # existing threads go on; the next that is free accepts again
+                    self.dispatcher.events.event("fault", text=f"no thread for a client: {error}")
                     with self.ready_lock:
                         self.ready_threads -= 1
             if len(self.open) >= self.connection_limit:
@@ -104,20 +109,20 @@
                 self.ready_threads += 1
 
     def accept(self) -> Client | None:
-        """The next connection, among the open ones; None once no more are to come.
+        """Accept the next connection and add it to the open ones; None once no more are accepted.
 
-        One thread at a time waits for it, and for room.  Guards the core at the bound: sixty threads that
-        each looked for room every 5 ms took half of it.
+        One thread at a time waits here: at the limit, sixty threads that each checked every 5 ms whether a
+        connection had ended used half a core.
         """
         with self.accept_lock:
             while not self.stopped:
                 if len(self.fresh) > self.connection_limit // 3:
-                    # Paced: those that came by hundreds are read, or found silent, before more are begun.
+                    # Slows down bursts: connections are read, or found silent, before more are accepted.
                     self.evict_idle()
                     time.sleep(CAPACITY_POLL_S)
                 if len(self.open) >= self.connection_limit + ACCEPT_HEADROOM:
                     self.evict_idle()
-                    time.sleep(CAPACITY_POLL_S)  # new ones wait in the listener's queue
+                    time.sleep(CAPACITY_POLL_S)  # new ones wait in the listener's backlog
                     continue
                 if not self.accept_enabled.wait(
                     ACCEPT_POLL_DRAINING_S if self.dispatcher.draining else ACCEPT_POLL_S
@@ -127,40 +132,42 @@
                     return self.add_client(self.listener.accept()[0])
                 except TimeoutError:
                     if self.dispatcher.draining:
-                        # Guards clients with short deadlines: by these the end waits for whoever accepts.
+                        # `stop_accepting` waits for this thread, and clients with short deadlines wait for
+                        # that, so accept() must return soon from now on.
                         self.listener.settimeout(ACCEPT_POLL_DRAINING_S)
                     continue
-                except OSError as trouble:
+                except OSError as error:
                     if self.listener.fileno() < 0:
                         return None
-                    self.dispatcher.events.event("accept_failed", text=str(trouble))
+                    self.dispatcher.events.event("accept_failed", text=str(error))
                     self.evict_idle()
-                    time.sleep(2 * CAPACITY_POLL_S)  # out of descriptors or memory: others must end first
+                    time.sleep(2 * CAPACITY_POLL_S)  # out of descriptors or memory until connections end
 
         return None
 
     def add_client(self, sock: socket.socket) -> Client:
+        """Add an accepted socket to the open connections."""
         client = Client(sock, self, clock.now())
         self.open[client] = self.fresh[client] = None
         return client
 
     def stop_accepting(self) -> None:
-        """Accept no more; whoever has accepted a connection has put it among the open ones on return.
+        """Stop accepting; on return, every connection accepted so far is among the open ones.
 
-        Guards the end, which comes once none is open, against a connection in the hands of a thread that has
-        not told of it yet.
+        The process exits once none is open, and must not miss a connection that a thread has just accepted
+        and not yet added.
         """
         self.stopped = True
         with self.accept_lock:
             pass
 
     def drain_backlog(self) -> bool:
-        """Take what the listener still holds, as far as there is room; whether that was all.
+        """Accept the backlog up to the limit, then close the listener; False if some of it is left.
 
-        Guards what has connected, and may have sent, against being reset by the end of the listener.
+        Closing the listener resets connections in its backlog, on which requests may already have been sent.
         """
         if self.listener.fileno() < 0 or not self.accept_enabled.is_set():
-            return True  # it is another process's by now
+            return True  # the new process accepts from it
         self.listener.setblocking(False)
         while len(self.open) < self.connection_limit + ACCEPT_HEADROOM:
             try:
@@ -169,31 +176,34 @@
                 self.listener.close()
                 return True
             except OSError:
-                return False  # out of descriptors: others end soon
+                return False  # out of descriptors: open connections will end soon
             try:
                 start_thread(client.run)
-            except RuntimeError:  # no thread for it: it can only be told by its end
+            except RuntimeError:  # no thread for it: it can only be closed
                 self.remove(client)
                 client.sock.close()
         return False
 
     def remove(self, client: Client) -> None:
+        """Forget a connection that has ended."""
         self.open.pop(client, None)
         self.fresh.pop(client, None)
 
     def is_over_limit(self) -> bool:
+        """Whether more connections than the limit have sent something."""
         return len(self.open) - len(self.fresh) > self.connection_limit
 
     def evict_idle(self) -> None:
-        """Close what is least missed: the silent first, then what is closing anyway, then what rests.
+        """Close overdue connections at the limit: silent and closing ones first, then the longest idle ones.
 
-        Guards against clients that connect by hundreds and say nothing, or ask once and stay.  A fresh
-        connection is not taken for a silent one at once: its first submission may be on the way and would be
-        lost, while a client sends again what crosses the closing of a connection it has used.
+        Otherwise clients that connect by hundreds and send nothing, or send one request and stay, would use
+        up all connections.  A fresh connection gets some time first: its first request may be on its way and
+        would be lost, while a client repeats a request that crosses the closing of a connection it has used
+        before.
         """
         now = clock.now()
         if now - self.last_eviction_at < EVICTION_INTERVAL_US:
-            return  # guards the core against looking through all of them for each new one
+            return  # a search for each new connection would cost too much
         self.last_eviction_at = now
         overdue: list[tuple[bool, int, int, int, Client]] = []
         for client in list(self.open):
@@ -206,18 +216,18 @@
             client.expire(state)
 
     def pause_accepting(self, paused: bool) -> None:
-        """Leave new connections to another process, or take them again."""
+        """Leave new connections to another process (`paused`), or accept them again."""
         if paused:
             self.accept_enabled.clear()
         else:
             self.accept_enabled.set()
 
     def scale_limit(self, numerator: int, denominator: int) -> None:
-        """Hold only so much of the connections: guards the limits while two processes share them."""
+        """Use only a fraction of the connections: during a hot restart two processes share the limits."""
         self.connection_limit = self.max_connections * numerator // denominator
 
     def active_submissions(self) -> int:
-        """How many submissions are taken and not ended."""
+        """The number of submissions that have been received and not answered."""
         return sum(
             1
             for client in list(self.open)
@@ -225,38 +235,41 @@
         )
 
     def set_out_of_service(self, out: bool) -> None:
-        """Send clients away, or take them again."""
+        """Take this sidecar out of service (`out`), so that responses close their connections, or back in."""
         if out != self.dispatcher.out_of_service:
             self.dispatcher.out_of_service = out
             self.dispatcher.events.event("emptied" if out else "back_to_work", clients=len(self.open))
 
     def close_idle(self) -> None:
+        """Close connections without a request in progress, as the process drains or is out of service."""
         now = clock.now()
-        ends = now >= self.dispatcher.shutdown_at  # what comes whole from here on would find nobody
+        is_ending = now >= self.dispatcher.shutdown_at  # a request completed after this can't be answered
         for client in list(self.open):
             state = client.state
             overdue = client.state_since <= now - DRAIN_FIRST_BYTE_TIMEOUT_US
-            if state == IDLE or state == FRESH and overdue or state == PARTIAL and ends:
+            if state == IDLE or state == FRESH and overdue or state == PARTIAL and is_ending:
                 client.expire(state)
 
     def woke(self, now: int) -> None:
-        """Look for connections whose time is up."""
+        """Queue a search for expired connections and set the next timer; called with the lock held."""
         self.dispatcher.after_unlock.append(self.sweep)
-        soon = self.is_crowded() or self.dispatcher.out_of_service
-        self.dispatcher.wake(now + (CROWDED_SWEEP_INTERVAL_US if soon else SWEEP_INTERVAL_US), self)
+        is_urgent = self.is_crowded() or self.dispatcher.out_of_service
+        self.dispatcher.wake(now + (CROWDED_SWEEP_INTERVAL_US if is_urgent else SWEEP_INTERVAL_US), self)
 
     def is_crowded(self) -> bool:
+        """Whether more than a third of the connections are open, so that idle times are shorter."""
         return len(self.open) > self.connection_limit // 3
 
     def sweep(self) -> None:
-        # Guards clients whose own connections are used up by those among them that ask once and stay: what
-        # was used once has shown no further use, and goes first.
+        """Close connections that have been in their state for too long."""
         if self.dispatcher.out_of_service:
             self.close_idle()
         now = clock.now()
-        scarce = self.is_crowded()
-        idle = CROWDED_IDLE_TIMEOUT_US if scarce else IDLE_TIMEOUT_US
-        longest = {
+        # A client may use up its connections with ones on which it sends a single request and which it keeps
+        # open.  Those have shown no further use and are closed first.
+        crowded = self.is_crowded()
+        idle = CROWDED_IDLE_TIMEOUT_US if crowded else IDLE_TIMEOUT_US
+        time_limits = {
             FRESH: FIRST_BYTE_TIMEOUT_US,
             PARTIAL: PARTIAL_REQUEST_TIMEOUT_US,
             IDLE: idle,
@@ -264,8 +277,8 @@
         }
         for client in list(self.open):
             state = client.state
-            once = scarce and state == IDLE and client.requests_served < 2
-            limit = SINGLE_USE_IDLE_TIMEOUT_US if once else longest.get(state, now)
+            used_once = crowded and state == IDLE and client.requests_served < 2
+            limit = SINGLE_USE_IDLE_TIMEOUT_US if used_once else time_limits.get(state, now)
             if state == PARTIAL:
                 limit += int(client.partial_bytes / upload.MIN_BYTES_PER_US)
             if now - client.state_since >= limit:
--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -1,4 +1,4 @@
-"""A submission as its client sent it, and its hops; what each part of the sidecar may ask of the others."""
+"""A submission with its request and hops, and the interfaces between the parts of the sidecar."""
 
 from __future__ import annotations
 
@@ -13,74 +13,98 @@
 from ..logic import Submission
 from . import answers
 
-CLIENT_CHECK_AFTER_US = 5_000  # from when a client that waits may have gone
+CLIENT_CHECK_AFTER_US = 5_000  # before this, a client is assumed to be still there
 
 
 class ExchangeClient(Protocol):
-    def answer(self, answer: answers.Answer, keep_alive: bool) -> None: ...
+    """The client's connection, as seen by its exchange."""
 
-    def start_response(self, answer: answers.Answer, length: int, keep_alive: bool) -> None: ...
+    def answer(self, answer: answers.Answer, keep_alive: bool) -> None:
+        """Write the final answer."""
 
-    def write_body(self, piece: bytes, last: bool) -> bool: ...
+    def start_response(self, answer: answers.Answer, length: int, keep_alive: bool) -> None:
+        """Write the head of a streamed response; `length` as in `writing.response`."""
 
-    def abort_response(self) -> None: ...
+    def write_body(self, piece: bytes, last: bool) -> bool:
+        """Write a piece of a streamed body; False if the client does not receive it."""
 
-    def has_left(self) -> bool: ...
+    def abort_response(self) -> None:
+        """End a streamed response whose rest will not come."""
 
-    def acquire_slot(self) -> None: ...
+    def has_left(self) -> bool:
+        """Whether the client is known to have closed its connection."""
 
-    def release_slot(self, delay: int) -> None: ...
+    def acquire_slot(self) -> None:
+        """Wait for a slot of the admission gate."""
+
+    def release_slot(self, delay: int) -> None:
+        """Release the slot; `delay` is how long a received response waited to be passed on, or 0."""
 
 
 class HopConnection(Protocol):
+    """A connection to a server, as seen by the hop on it."""
+
     hop: Hop | None
     closed: bool
 
     def close(self) -> None:
-        """Nothing goes out on it from now on."""
+        """Make sure that nothing is sent on it from now on."""
 
 
 class Upload(Protocol):
-    """A body that is too long to be held."""
+    """A request body that is too long to be buffered."""
 
     length: int
     started: bool
 
     def pieces(self) -> Iterator[tuple[bytes, bool]]:
-        """What comes of it, and whether that is the last; raises Abandoned if its client ends it."""
+        """Yield pieces of the body as they arrive, and whether each is the last.
+
+        Raises UploadAborted if the client breaks the body off or sends too slowly.
+        """
 
 
 class UploadAborted(Exception):
-    """The client has broken its body off, or sends too slowly."""
+    """The client has broken off its body, or sends it too slowly."""
 
 
 class ExchangeOwner(Protocol):
+    """The dispatcher, as seen by exchanges, hops and connections."""
+
     def response_started(self, hop: Hop) -> None:
-        """More of a hop's answer has come, but not all of it."""
+        """Note that part of a hop's response has arrived."""
 
     def upload_received(self, hop: Hop) -> None:
-        """The last of the body that a hop carries has come."""
+        """Note that the last byte of the body that a hop streams has arrived."""
 
     def hop_sent(self) -> None:
-        """A hop has been written whole."""
+        """Note that a request has been written completely."""
 
     def stream_response(self, hop: Hop, parser: ResponseParser) -> bool:
-        """Whether a hop's answer becomes the final one before it is whole; its head is written then."""
+        """Make an incomplete response the final answer, if possible, and write its head; whether it was."""
 
-    def end_hop(self, now: int, hop: Hop, outcome: Outcome) -> None: ...
+    def end_hop(self, now: int, hop: Hop, outcome: Outcome) -> None:
+        """Report the outcome of a hop; called with the lock held."""
 
-    def answer(self, exchange: Exchange, answer: answers.Answer) -> None: ...
+    def answer(self, exchange: Exchange, answer: answers.Answer) -> None:
+        """Queue the final answer of an exchange; called with the lock held."""
 
-    def wake(self, at: int, whom: Wakeable) -> None: ...
+    def wake(self, at: int, whom: Wakeable) -> None:
+        """Set a timer; called with the lock held."""
 
     def close_after_unlock(self, action: Callable[[], None]) -> None:
-        """Do it once the lock is free, before whatever else was decided under it."""
+        """Queue an action to be done after the lock is released, before all other queued work."""
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Queue a log event; called with the lock held."""
 
 
 class Exchange:
-    """Its client's thread carries it: what is sent is `pending` until that thread takes it up."""
+    """A submission with its request, its client and its hops.
+
+    The client's thread does the I/O: a hop that the balancer starts is in `pending_hops` until that thread
+    runs it.  `deadline_at` is when the final answer is due; `number` is 0 until the submission is accepted.
+    """
 
     __slots__ = (
         "number",
@@ -122,31 +146,32 @@
         self.answered = False
         self.client_left = False
         self.upload = upload
-        self.deadline = deadline  # from the last byte of such a body on
+        self.deadline = deadline  # a duration, counted from the last byte of an upload
         self.received_at = received_at
 
     def over(self) -> bool:
+        """Whether it has its final answer and no hop in flight."""
         return self.submission is not None and self.submission.over()
 
     def may_write(self, now: int, hop: Hop) -> bool:
-        """Whether a hop may still be written: the last moment at which that can be known.
+        """Whether a hop may still be sent, checked just before its request is written.
 
-        Guards what was true when it was chosen against a dial that took long and a thread that waited: its
-        client may have gone or have been answered, and the servers that would have dropped a copy of what an
-        earlier hop did may not know of it any more.
+        Connecting may have taken long and the thread may have waited, so what held when the hop was chosen
+        may hold no longer: the client may have left or been answered, and the servers that deduplicate it may
+        have forgotten an earlier hop, so that its work would be done twice.
         """
         if hop.ended or self.answered or now >= self.deadline_at:
             return False
         if hop.number and self.submission is not None:
-            tariff, before = self.submission.terms.tariff, self.submission.hops[: hop.number]
-            if tariff.effect == Effect.DEDUPLICATED and any(
-                one.may_have_run and now > one.at + tariff.window for one in before
+            request_class, earlier = self.submission.terms.tariff, self.submission.hops[: hop.number]
+            if request_class.effect == Effect.DEDUPLICATED and any(
+                other.may_have_run and now > other.at + request_class.window for other in earlier
             ):
                 return False
         return now - self.received_at <= CLIENT_CHECK_AFTER_US or not self.client.has_left()
 
     def woke(self, now: int) -> None:
-        """Its patience is over: answers for servers that say nothing."""
+        """End all hops at the deadline: this answers for servers that have not responded."""
         for hop in list(self.hops):
             self.owner.end_hop(now, hop, Outcome.TIMEOUT)
         if not must(self.answered, "no final answer when patience ended"):
@@ -154,7 +179,7 @@
 
 
 class Hop:
-    """`ends` is when it is over at the latest: its time-out or the deadline, whichever comes first."""
+    """One attempt at a server; `ends_at` is its time-out or the deadline, whichever comes first."""
 
     __slots__ = (
         "exchange",
@@ -174,11 +199,11 @@
         self.server = server
         self.started_at = started_at
         self.ends_at = ends_at
-        self.received_at = 0  # when the last bytes of its answer reached this machine
+        self.received_at = 0  # when the kernel received the latest bytes of its response; 0 before
         self.connection: HopConnection
         self.ended = False
         self.cancelled = False
 
     def woke(self, now: int) -> None:
-        """Its time-out has come, where the balancer sets one."""
+        """End the hop at its time-out, where the balancer sets one."""
         self.exchange.owner.end_hop(now, self, Outcome.TIMEOUT)
