--- a/pumicepath/http1/messages.py
+++ b/pumicepath/http1/messages.py
@@ -22,7 +22,7 @@
 )
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """The peer does not speak HTTP/1.1 as it should; `status` is the answer that says so."""
 
     def __init__(self, status: int, reason: str) -> None:
--- a/pumicepath/http1/parsing.py
+++ b/pumicepath/http1/parsing.py
@@ -5,7 +5,7 @@
 import re
 from collections import deque
 
-from .messages import Malformed, Message, Request, Response
+from .messages import MalformedMessageError, Message, Request, Response
 from .ring import Ring
 
 MAX_HEAD_BYTES = 16 * 1024
@@ -52,7 +52,7 @@
 
     def feed(self, data: bytes) -> None:
         if self.ring.write(data) < len(data):
-            raise Malformed(413, "more bytes than a message may have")
+            raise MalformedMessageError(413, "more bytes than a message may have")
 
     def end_input(self) -> None:
         """The peer has ended its sending."""
@@ -88,13 +88,13 @@
             at = at + 3 if at >= 0 else self.ring.find(b"\n", self.scanned)
             self.scanned = 0 if at >= 0 else len(self.ring)
             if self.head_size + max(at + 1, self.scanned) > MAX_HEAD_BYTES:
-                raise Malformed(431, f"head or trailers of more than {MAX_HEAD_BYTES} bytes")
+                raise MalformedMessageError(431, f"head or trailers of more than {MAX_HEAD_BYTES} bytes")
             if at < 0:
                 return None
             self.head_size += at + 1
             raw = self.ring.read(at + 1).decode("latin-1")
             if raw.count("\n") != raw.count("\r\n"):
-                raise Malformed(400, "line that does not end in CR LF")
+                raise MalformedMessageError(400, "line that does not end in CR LF")
             self.lines.extend(raw[:-2].split("\r\n"))
         return self.lines.popleft()
 
@@ -167,20 +167,20 @@
             if line:
                 self.message.add_header(*self.parse_field(line))
                 if len(self.message.headers) > MAX_HEADERS:
-                    raise Malformed(431, f"more than {MAX_HEADERS} headers")
+                    raise MalformedMessageError(431, f"more than {MAX_HEADERS} headers")
             else:
                 return self.choose_framing()
         elif self.state == CHUNK_SIZE:
             size = CHUNK_HEADER.fullmatch(line)
             if size is None:
-                raise Malformed(400, "malformed size of a chunk")
+                raise MalformedMessageError(400, "malformed size of a chunk")
             self.remaining = int(size[1], 16)
             self.head_size = 0  # bounded by itself: a long body in small chunks has many such lines
             self.add_body_size(self.remaining)
             self.state = CHUNK_DATA if self.remaining else TRAILERS
         elif self.state == CHUNK_END:
             if line:
-                raise Malformed(400, "chunk longer than its size")
+                raise MalformedMessageError(400, "chunk longer than its size")
             self.state = CHUNK_SIZE
         elif line:
             self.parse_field(line)
@@ -191,7 +191,7 @@
     def add_body_size(self, count: int) -> None:
         self.body_size += count
         if self.body_size > self.max_body:
-            raise Malformed(413, f"body of more than {self.max_body} bytes")
+            raise MalformedMessageError(413, f"body of more than {self.max_body} bytes")
 
     @staticmethod
     def parse_field(line: str) -> tuple[str, str]:
@@ -200,7 +200,7 @@
         # Most values need no more than a look: long ones would cost more than all else together.
         plain = value.isascii() and value.isprintable()
         if not colon or not TOKEN.fullmatch(name) or not plain and not FIELD_VALUE.fullmatch(value):
-            raise Malformed(400, "malformed header")
+            raise MalformedMessageError(400, "malformed header")
         return name, value
 
     def choose_framing(self) -> Message | None:
@@ -211,16 +211,16 @@
         if "transfer-encoding" in message.headers_by_name:
             codings = message.tokens("transfer-encoding")
             if codings != ["chunked"]:
-                raise Malformed(501, "transfer coding other than chunked")
+                raise MalformedMessageError(501, "transfer coding other than chunked")
             if "content-length" in message.headers_by_name or not message.minor:
                 # Guards against two readers of one connection that disagree on where a message ends.
-                raise Malformed(400, "chunked body with a length or in HTTP/1.0")
+                raise MalformedMessageError(400, "chunked body with a length or in HTTP/1.0")
             self.state = CHUNK_SIZE
         elif "content-length" in message.headers_by_name:
             lengths = message.header_values("content-length")
             length = lengths[0] if len(lengths) == 1 else ""
             if not DIGITS.fullmatch(length):
-                raise Malformed(400, "malformed length")
+                raise MalformedMessageError(400, "malformed length")
             self.remaining = int(length)
             self.add_body_size(self.remaining)
             self.state = FIXED_LENGTH
@@ -257,7 +257,7 @@
     def parse_minor(version: str) -> int:
         known = VERSION.fullmatch(version)
         if known is None:
-            raise Malformed(505, "not HTTP/1")
+            raise MalformedMessageError(505, "not HTTP/1")
         return int(known[1])
 
 
@@ -265,7 +265,7 @@
     def parse_start_line(self, line: str) -> Message:
         words = line.split(" ")
         if len(words) != 3 or not TOKEN.fullmatch(words[0]) or not TARGET.fullmatch(words[1]):
-            raise Malformed(400, "malformed request line")
+            raise MalformedMessageError(400, "malformed request line")
         return Request(minor=self.parse_minor(words[2]), method=words[0], target=words[1])
 
     def build_message(
@@ -282,7 +282,7 @@
         """With its target as servers are asked for it, whichever form it came in (RFC 9112, 3.2)."""
         assert isinstance(message, Request)
         if message.minor and len(message.header_values("host")) != 1:
-            raise Malformed(400, "not one Host header")
+            raise MalformedMessageError(400, "not one Host header")
         if message.target[:7].lower() == "http://":
             _, slash, path = message.target[7:].partition("/")
             message.target = "/" + path if slash else "/"
@@ -343,7 +343,7 @@
         version, _, rest = line.partition(" ")
         code = rest[:3]
         if not STATUS_CODE.fullmatch(code) or rest[3:4] not in ("", " "):
-            raise Malformed(502, "malformed status line")
+            raise MalformedMessageError(502, "malformed status line")
         return Response(minor=self.parse_minor(version), status=int(code))
 
     def next(self) -> Response | None:
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -18,7 +18,7 @@
 from ...discovery.roster import Address, BadList, Roster, Update
 from ...discovery.watch import Overtaxed, Watch
 from ...distribution.homes import Homes
-from ...http1.messages import Malformed
+from ...http1.messages import MalformedMessageError
 from ...interface import Listing, Phase, Wakeable
 from ...logic import Balancer, Chance
 from ...settings import decode
@@ -209,7 +209,7 @@
                 self.dialled(now)
             else:
                 self.read(now)
-        except (OSError, Malformed, BadList) as trouble:
+        except (OSError, MalformedMessageError, BadList) as trouble:
             self.failed(now, trouble)
 
     def dialled(self, now: int) -> None:
--- a/pumicepath/lab/loopback/servers.py
+++ b/pumicepath/lab/loopback/servers.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ...http1 import writing
-from ...http1.messages import Malformed, Request
+from ...http1.messages import MalformedMessageError, Request
 from ...interface import Outcome
 from ...sidecar.servers import NEVER_RAN_HEADER
 from ..model.servers import Job, Server
@@ -146,7 +146,7 @@
         elif not self.job.gone:
             self.server.cancelled(self.job)
 
-    def malformed(self, trouble: Malformed) -> None:
+    def malformed(self, trouble: MalformedMessageError) -> None:
         self.world.note(f"server got {trouble}")
         self.reset()
 
--- a/pumicepath/lab/loopback/wires.py
+++ b/pumicepath/lab/loopback/wires.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from ...http1 import writing
-from ...http1.messages import Malformed, Response
+from ...http1.messages import MalformedMessageError, Response
 from ...interface import Tariff
 from ..model.clients import Ask
 from ..model.judge import Judge
@@ -130,7 +130,7 @@
             )
         )
 
-    def malformed(self, trouble: Malformed) -> None:
+    def malformed(self, trouble: MalformedMessageError) -> None:
         self.among.around.note(f"client got {trouble}")
         self.transport.abort()
 
--- a/pumicepath/relay/followers.py
+++ b/pumicepath/relay/followers.py
@@ -14,7 +14,7 @@
 
 from ..distribution.interests import PLAIN, Interest, interest_of
 from ..http1 import writing
-from ..http1.messages import Malformed, Request
+from ..http1.messages import MalformedMessageError, Request
 from ..http1.parsing import RequestParser
 
 if TYPE_CHECKING:
@@ -70,7 +70,7 @@
                 self.read(now)
             if not mask and self.state == READING:
                 self.next(now)
-        except Malformed as trouble:
+        except MalformedMessageError as trouble:
             self.keep = False
             self.tell(trouble.status, f"{trouble}\n".encode(), now, TEXT)
         except BlockingIOError:
@@ -154,9 +154,9 @@
     """Raises Malformed for what is no call of discovery's protocol."""
     path, _, query = request.target.partition("?")
     if path != "/discovery/hosts":
-        raise Malformed(404, "no such call")
+        raise MalformedMessageError(404, "no such call")
     if request.method != "GET":
-        raise Malformed(400, f"{request.method} is not GET")
+        raise MalformedMessageError(400, f"{request.method} is not GET")
     since, wait, services = -1, 0, None
     try:
         for part in query.split("&") if query else ():
@@ -171,4 +171,4 @@
                 services = value
         return Call(since, wait * 1000, interest_of(services))
     except ValueError as trouble:
-        raise Malformed(400, str(trouble)) from trouble
+        raise MalformedMessageError(400, str(trouble)) from trouble
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -21,7 +21,7 @@
 from ..distribution.pace import Pace
 from ..distribution.subscriptions import Subscriptions
 from ..http1 import writing
-from ..http1.messages import Malformed, Request
+from ..http1.messages import MalformedMessageError, Request
 from . import figures
 from .clock import clock
 from .config import Config
@@ -401,8 +401,8 @@
 
     def operator(self, follower: Follower, request: Request, now: int) -> None:
         if request.target.partition("?")[0] != "/stats":
-            raise Malformed(404, "no such call")
+            raise MalformedMessageError(404, "no such call")
         if request.method != "GET":
-            raise Malformed(400, f"{request.method} is not GET")
+            raise MalformedMessageError(400, f"{request.method} is not GET")
         follower.keep = False
         follower.tell(200, figures.written(self, now).encode(), now, TEXT)
--- a/pumicepath/relay/upstreams.py
+++ b/pumicepath/relay/upstreams.py
@@ -19,7 +19,7 @@
 from ..distribution.interests import NAME
 from ..distribution.origins import Origin, Refused
 from ..http1 import writing
-from ..http1.messages import Malformed, Response
+from ..http1.messages import MalformedMessageError, Response
 from ..http1.parsing import ResponseParser
 from .clock import clock
 
@@ -129,7 +129,7 @@
         except (BadList, Refused) as trouble:
             self.relay.refused(self, str(trouble))
             self.failed(now, str(trouble), refused=True)
-        except (OSError, Malformed) as trouble:
+        except (OSError, MalformedMessageError) as trouble:
             self.failed(now, str(trouble))
 
     def read_on(self) -> None:
--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -14,12 +14,12 @@
 from typing import Protocol
 
 from ..http1 import writing
-from ..http1.messages import Malformed, Request
+from ..http1.messages import MalformedMessageError, Request
 from ..http1.parsing import MAX_BODY_BYTES, MAX_HEAD_BYTES, START, RequestParser
 from ..http1.ring import Ring
 from . import answers, arrival, clock
 from .dispatch import Dispatcher
-from .exchange import CLIENT_CHECK_AFTER_US, Exchange, UploadAborted
+from .exchange import CLIENT_CHECK_AFTER_US, Exchange, UploadError
 from .submissions import CLASS_HEADER, parse_submission
 from .upload import MAX_UPLOAD_US, Upload
 
@@ -117,7 +117,7 @@
                 if request is None and parser.is_long():
                     request = parser.normalize(parser.message)
                     self.upload = Upload(self, parser)
-            except Malformed as error:
+            except MalformedMessageError as error:
                 if self.set_state(BUSY):
                     self.send_error(error, False)
                 return
@@ -129,7 +129,7 @@
                 self.serve(request, received_at)
                 if self.upload is not None:
                     if not self.upload.complete and not self.upload_failed:
-                        with suppress(UploadAborted):
+                        with suppress(UploadError):
                             self.upload.discard()
                     self.upload = None
                     if self.upload_failed:
@@ -274,7 +274,7 @@
         self.class_name = name if name in config.tariffs else ""
         try:
             params = parse_submission(request, config.tariffs, config.settings.tariffs)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.send_error(error, True)
             return None
         if self.owner.is_over_limit():
@@ -326,10 +326,10 @@
         except Exception:
             dispatcher.abort_exchange(exchange)
             raise
-        self.send_error(Malformed(409, "id of a request that is open, or was just now"), True)
+        self.send_error(MalformedMessageError(409, "id of a request that is open, or was just now"), True)
         return None
 
-    def send_error(self, error: Malformed, keep_alive: bool) -> None:
+    def send_error(self, error: MalformedMessageError, keep_alive: bool) -> None:
         """Answer a malformed request; after several in a row the connection is closed."""
         self.owner.bad_requests[str(error)] += 1
         self.consecutive_errors += 1
--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -60,11 +60,11 @@
     def pieces(self) -> Iterator[tuple[bytes, bool]]:
         """Yield pieces of the body as they arrive, and whether each is the last.
 
-        Raises UploadAborted if the client breaks the body off or sends too slowly.
+        Raises UploadError if the client breaks the body off or sends too slowly.
         """
 
 
-class UploadAborted(Exception):
+class UploadError(Exception):
     """The client has broken off its body, or sends it too slowly."""
 
 
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from ..discovery.roster import Address, BadList, address
-from ..http1.messages import Malformed
+from ..http1.messages import MalformedMessageError
 from . import clock
 from .watching import DIAL_S, opened
 
@@ -44,7 +44,7 @@
         watcher, homes = self.watcher, self.homes
         watcher.failures += 1
         self.trouble = f"{type(trouble).__name__}: {trouble}"
-        expected = isinstance(trouble, (OSError, Malformed, BadList))
+        expected = isinstance(trouble, (OSError, MalformedMessageError, BadList))
         if watcher.failures == 1 or not expected:
             watcher.dispatcher.events.event(
                 "watch_failed" if expected else "fault", text=self.trouble, relay=homes.at
--- a/pumicepath/sidecar/operators.py
+++ b/pumicepath/sidecar/operators.py
@@ -13,7 +13,7 @@
 from ..admin.calls import Call, understood
 from ..discovery.roster import Address
 from ..http1 import writing
-from ..http1.messages import Malformed, Request
+from ..http1.messages import MalformedMessageError, Request
 from ..http1.parsing import RequestParser
 from . import answers, clock
 from .clients import Clients
@@ -119,7 +119,7 @@
                     return
                 parser.feed(data)
             answer = self.answered(request)
-        except Malformed as trouble:
+        except MalformedMessageError as trouble:
             request = None
             answer = answers.text_answer(trouble.status, str(trouble))
         if request is not None and request.method == "HEAD":
--- a/pumicepath/sidecar/servers.py
+++ b/pumicepath/sidecar/servers.py
@@ -12,13 +12,13 @@
 
 from ..discovery.roster import Address, Update
 from ..http1 import writing
-from ..http1.messages import Malformed, Response
+from ..http1.messages import MalformedMessageError, Response
 from ..http1.parsing import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResponseParser
 from ..http1.ring import Ring
 from ..interface import Outcome, Phase
 from . import arrival, clock
 from .config import Config
-from .exchange import ExchangeOwner, Hop, Upload, UploadAborted
+from .exchange import ExchangeOwner, Hop, Upload, UploadError
 from .log import Log
 
 DEADLINE_HEADER = "x-expires-in-ms"
@@ -93,13 +93,13 @@
             if not hop.exchange.may_write(clock.now(), hop):
                 return Outcome.MOOT, None, not hop.ended  # the connection has carried nothing
             self.send_request(hop)
-        except UploadAborted:
+        except UploadError:
             return Outcome.CANCELLED, None, False
         except OSError:
             return Outcome.CONNECT_FAILED, None, False
         try:
             outcome, response, reuse = self.read_response(hop)
-        except Malformed as trouble:
+        except MalformedMessageError as trouble:
             self.pool.bad_answers[str(trouble)] += 1
             outcome, response, reuse = Outcome.ERROR, None, False
         except OSError:
@@ -207,7 +207,7 @@
                     owner.response_started(hop)
                     if parser.is_long():
                         if not (passing := owner.stream_response(hop, parser)):
-                            raise Malformed(502, "answer too large to be held")
+                            raise MalformedMessageError(502, "answer too large to be held")
                         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, STALL_TIMEOUT)
                 if passing and not client.write_body(parser.take_body(), False):
                     return Outcome.CANCELLED, None, False
--- a/pumicepath/sidecar/submissions.py
+++ b/pumicepath/sidecar/submissions.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from ..discovery.roster import stable
-from ..http1.messages import Malformed, Request
+from ..http1.messages import MalformedMessageError, Request
 from ..interface import Tariff
 
 MAX_EXPIRES_DIGITS = 9  # of milliseconds
@@ -27,13 +27,13 @@
     """Raises Malformed for what no server may be asked: servers count on ids and deadlines."""
     for name in (TRACE_ID_HEADER, CLASS_HEADER, EXPIRES_HEADER):
         if len(request.header_values(name)) > 1:
-            raise Malformed(400, f"more than one {name}")
+            raise MalformedMessageError(400, f"more than one {name}")
     trace = request.header(TRACE_ID_HEADER)
     if not trace or len(trace) > MAX_TRACE_ID_BYTES:
-        raise Malformed(400, "no id" if not trace else "id too long")
+        raise MalformedMessageError(400, "no id" if not trace else "id too long")
     tariff = class_numbers.get(request.header(CLASS_HEADER))
     if tariff is None:
-        raise Malformed(400, "no such class")
+        raise MalformedMessageError(400, "no such class")
     patience = request_classes[tariff].patience
     if request.header_values(EXPIRES_HEADER):
         expires = request.header(EXPIRES_HEADER)
@@ -43,7 +43,7 @@
             or len(expires) > MAX_EXPIRES_DIGITS
             or not int(expires)
         ):
-            raise Malformed(400, "deadline is no number of milliseconds")
+            raise MalformedMessageError(400, "deadline is no number of milliseconds")
         patience = min(patience, int(expires) * 1000)
     key = request.header("x-object")
     return SubmissionParams(
--- a/pumicepath/sidecar/upload.py
+++ b/pumicepath/sidecar/upload.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterator
 from typing import Protocol
 
-from ..http1.messages import Malformed
+from ..http1.messages import MalformedMessageError
 from ..http1.parsing import RequestParser
 from . import clock
-from .exchange import UploadAborted
+from .exchange import UploadError
 
 MIN_BYTES_PER_US = 0.048  # bytes in a microsecond of waiting that a client must send on the whole
 INITIAL_ALLOWANCE_US = 2_400_000  # that it may take until then
@@ -56,9 +56,9 @@
                 if request is not None:
                     self.started = self.complete = True
                     yield request.body, True
-        except (Malformed, OSError) as trouble:
+        except (MalformedMessageError, OSError) as trouble:
             self.client.upload_failed = True
-            raise UploadAborted(str(trouble)) from trouble
+            raise UploadError(str(trouble)) from trouble
         finally:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, NO_TIMEOUT)
 
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -10,7 +10,7 @@
 
 from ..discovery.roster import NOTHING, Address, BadList
 from ..discovery.watch import Overtaxed, Watch
-from ..http1.messages import Malformed, Response
+from ..http1.messages import MalformedMessageError, Response
 from ..interface import Listing
 from . import clock
 from .dispatch import Dispatcher
@@ -113,7 +113,7 @@
             self.wanted.set()
             return
         self.failures += 1
-        expected = isinstance(trouble, (OSError, Malformed, BadList))
+        expected = isinstance(trouble, (OSError, MalformedMessageError, BadList))
         if self.failures == 1 or not expected:
             self.dispatcher.events.event(
                 "watch_failed" if expected else "fault", text=f"{type(trouble).__name__}: {trouble}"
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -7,7 +7,7 @@
 from pumicepath.discovery.roster import BadList, Roster, address, stable
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
-from pumicepath.http1.messages import Malformed, Response
+from pumicepath.http1.messages import MalformedMessageError, Response
 from pumicepath.http1.parsing import MAX_BODY_BYTES, Parser, RequestParser, ResponseParser
 from pumicepath.http1.ring import INITIAL_CAPACITY, Ring
 from pumicepath.interface import Phase
@@ -40,7 +40,7 @@
                     f"{first} {message.body!r:.40} of {len(message.body)} "
                     f"{'kept' if message.keeps_alive() else 'closed'} {message.end_to_end_headers()}"
                 )
-    except Malformed as trouble:
+    except MalformedMessageError as trouble:
         lines.append(f"{trouble.status}: {trouble}")
     return lines
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,7 +8,7 @@
 
 from pumicepath.admin.calls import understood
 from pumicepath.admin.figures import Figures
-from pumicepath.http1.messages import Malformed, Request
+from pumicepath.http1.messages import MalformedMessageError, Request
 from pumicepath.interface import Listing, Outcome, Phase
 from pumicepath.lab.loopback.scripted import Deployment, answer
 
@@ -45,7 +45,7 @@
         try:
             call, server = understood(Request(method=method, target=target))
             lines.append(f"{line}: {call.value} {server}".rstrip())
-        except Malformed as trouble:
+        except MalformedMessageError as trouble:
             lines.append(f"{line}: {trouble.status} {trouble}")
     compare("calls", lines)
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -12,7 +12,7 @@
 import pytest
 
 from pumicepath.http1 import writing
-from pumicepath.http1.messages import Malformed
+from pumicepath.http1.messages import MalformedMessageError
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.interface import Effect, Outcome, Tariff
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
@@ -277,7 +277,7 @@
     parser = RequestParser(40 << 20)
     parser.feed(f"POST {target} HTTP/1.1\r\nHost: a\r\n{head}\r\n\r\n".encode())
     if becomes is None:
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessageError):
             parser.next()
     else:
         assert parser.next().target == becomes
