--- a/pumicepath/sidecar/admission_gate.py
+++ b/pumicepath/sidecar/admission_gate.py
@@ -1,4 +1,7 @@
-"""Where clients' threads wait to be taken up, off the interpreter, each on a lock of its own."""
+"""The admission queue for threads: each waits on a lock of its own, without using the interpreter.
+
+Times are whole microseconds of `clock.now()`.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 class Waiter:
-    """A thread that waits; `go` is known once its lock is free."""
+    """A waiting thread; `admitted` is valid once its lock is released."""
 
     __slots__ = ("lock", "admitted")
 
@@ -19,12 +22,13 @@
         self.admitted = False
 
     def notify(self, admitted: bool) -> None:
+        """Wake the thread with the decision on its request."""
         self.admitted = admitted
         self.lock.release()
 
 
 class AdmissionGate:
-    """The intake, under a lock that nobody holds for longer than a decision."""
+    """The admission queue, under a lock that is held only for single decisions."""
 
     def __init__(self, config: Config) -> None:
         settings = config.settings
@@ -34,40 +38,44 @@
         self.lock = threading.Lock()
 
     def apply_config(self, config: Config) -> None:
+        """Use the request classes and limits of another configuration from now on."""
         with self.lock:
             self.queue.adopt(config.settings.tariffs, config.settings.most_retry_in)
 
     def enter(
         self, received_at: int, deadline_at: int, request_class: int, retry: bool, typical_latency: float
     ) -> bool:
-        """Wait to be taken up; False if the request is turned away.  True must be followed by `leave`."""
-        waiting = Waiter()
+        """Wait for a slot for a new request; False if the request is rejected.
+
+        After True, `leave` must be called.  `typical_latency` is what requests of the class usually take.
+        """
+        waiter = Waiter()
         with self.lock:
-            verdict = self.queue.came(
-                clock.now(), received_at, deadline_at, request_class, retry, typical_latency, waiting
+            result = self.queue.came(
+                clock.now(), received_at, deadline_at, request_class, retry, typical_latency, waiter
             )
-            if verdict != Verdict.WAIT:
-                return verdict == Verdict.GO
-            waiting.lock.acquire()  # free until now: nobody is waited for
-        waiting.lock.acquire()
-        return waiting.admitted
+            if result != Verdict.WAIT:
+                return result == Verdict.GO
+            waiter.lock.acquire()  # still free, so this does not block
+        waiter.lock.acquire()
+        return waiter.admitted
 
     def reenter(self) -> None:
-        """Wait for a place to go on with what was taken up; must be followed by `leave`."""
-        waiting = Waiter()
+        """Wait for a slot to go on with an admitted request; `leave` must be called afterwards."""
+        waiter = Waiter()
         with self.lock:
-            if self.queue.again(waiting):
+            if self.queue.again(waiter):
                 return
-            waiting.lock.acquire()  # free until now
-        waiting.lock.acquire()
+            waiter.lock.acquire()  # still free, so this does not block
+        waiter.lock.acquire()
 
     def leave(self, delay: int = 0) -> None:
-        """Let another have the place; `out` is how long ago the answer came that was passed on, if any."""
+        """Release the slot; `delay` is how long the response waited to be passed on, or 0 without one."""
         with self.lock:
             if delay > 0:
                 self.queue.answered(delay)
-            following, turned = self.queue.left(clock.now())
-        for one in turned:
-            one.notify(False)
-        if following is not None:
-            following.notify(True)
+            admitted, rejected = self.queue.left(clock.now())
+        for waiter in rejected:
+            waiter.notify(False)
+        if admitted is not None:
+            admitted.notify(True)
--- a/pumicepath/sidecar/answers.py
+++ b/pumicepath/sidecar/answers.py
@@ -1,4 +1,4 @@
-"""What a client is told at the end of its submission."""
+"""The final answers that clients get."""
 
 from __future__ import annotations
 
@@ -8,12 +8,15 @@
 
 
 class Answer(NamedTuple):
+    """Status, headers and body of a response, without its framing."""
+
     status: int
     headers: list[tuple[str, str]]
     body: bytes
 
 
 def text_answer(status: int, text: str) -> Answer:
+    """Return a plain-text answer of one line."""
     return Answer(status, [("Content-Type", "text/plain; charset=utf-8")], text.encode() + b"\n")
 
 
@@ -24,6 +27,7 @@
 
 
 def rejected(retry_after: int) -> Answer:
+    """Return a 503 with the time after which to retry, in microseconds; 0 gives no advice."""
     status, headers, body = text_answer(503, "deferred")
     if retry_after > 0:
         headers = [*headers, ("Retry-After", f"{retry_after / 1e6:.3f}")]
@@ -31,4 +35,5 @@
 
 
 def succeeded(response: Response) -> Answer:
+    """Return a server's response as the answer, without the headers of that connection."""
     return Answer(200, response.end_to_end_headers(), response.body)
--- a/pumicepath/sidecar/arrival.py
+++ b/pumicepath/sidecar/arrival.py
@@ -1,7 +1,7 @@
-"""What the kernel knows of a connection: when bytes reached this machine, what waits, who is still there.
+"""What the kernel knows of a connection: arrival times of bytes, unread bytes, and whether the peer is there.
 
-SO_TIMESTAMPNS (socket(7)): a control message with each read, in Unix time, of the last segment read.  Where a
-kernel gives none, the time of reading stands for it.
+SO_TIMESTAMPNS (socket(7)) adds a control message to each read, with the Unix time at which the last segment
+read was received.  Where a kernel sends none, the time of the read is used.
 """
 
 from __future__ import annotations
@@ -14,65 +14,65 @@
 
 from . import clock
 
-TCP_ESTABLISHED = 1  # of the kernel's states (tcp_states.h)
-BYTES_RECEIVED = slice(128, 136)  # tcpi_bytes_received of struct tcp_info (linux/tcp.h)
-SO_TIMESTAMPNS = 35  # SO_TIMESTAMPNS of asm-generic/socket.h, on all machines this is meant for
-LAST_DATA_RECV = slice(52, 56)  # tcpi_last_data_recv, in milliseconds
+TCP_ESTABLISHED = 1  # a TCP state (tcp_states.h)
+BYTES_RECEIVED = slice(128, 136)  # tcpi_bytes_received in struct tcp_info (linux/tcp.h)
+SO_TIMESTAMPNS = 35  # asm-generic/socket.h; the socket module does not define it
+LAST_DATA_RECV = slice(52, 56)  # tcpi_last_data_recv in struct tcp_info, in milliseconds
 TIMESPEC = struct.Struct("qq")
 CONTROL_BYTES = socket.CMSG_SPACE(TIMESPEC.size)
 
 
 def enable_timestamps(sock: socket.socket) -> None:
-    """Have the kernel stamp what comes on this connection."""
+    """Have the kernel add timestamps to what is received; accepted sockets inherit it from their listener."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
 
 
 def last_received_at(sock: socket.socket, now: int) -> int:
-    """When something came on a connection last, or it was made, as far as the kernel tells; else `now`.
+    """When the last bytes were received, or the connection was made; `now` if the kernel does not tell.
 
-    Guards against taking what has waited to be accepted for new: after a process was stopped, or had no core,
-    clients have long gone, and what they asked for must not be done any more.
+    Connections may have waited long to be accepted, after this process was stopped or got no CPU time.  Their
+    clients may have left long ago, and what they requested must not be done any more.
     """
     with suppress(OSError):
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, BYTES_RECEIVED.stop)
-        if len(told) >= LAST_DATA_RECV.stop:
-            return now - int.from_bytes(told[LAST_DATA_RECV], sys.byteorder) * 1000
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, BYTES_RECEIVED.stop)
+        if len(info) >= LAST_DATA_RECV.stop:
+            return now - int.from_bytes(info[LAST_DATA_RECV], sys.byteorder) * 1000
     return now
 
 
 def receive(sock: socket.socket, buffer: memoryview, since: int) -> tuple[int, int]:
-    """Read once, and tell how many bytes that were and when they came, no earlier than `since`.
+    """Read once; returns the number of bytes and when they were received, no earlier than `since`.
 
-    Raises OSError as reading does.
+    Raises OSError.
     """
-    count, told, _, _ = sock.recvmsg_into((buffer,), CONTROL_BYTES)
+    count, control, _, _ = sock.recvmsg_into((buffer,), CONTROL_BYTES)
     now = clock.now()
-    if told and len(told[0][2]) == TIMESPEC.size:
-        seconds, nanoseconds = TIMESPEC.unpack(told[0][2])
-        waited = (time.time_ns() - seconds * 1_000_000_000 - nanoseconds) // 1000
-        if waited > 0:
-            # The bound guards against a clock of the machine that was set between the two.
-            return count, max(min(since, now), now - waited)
+    if control and len(control[0][2]) == TIMESPEC.size:
+        seconds, nanoseconds = TIMESPEC.unpack(control[0][2])
+        delay = (time.time_ns() - seconds * 1_000_000_000 - nanoseconds) // 1000
+        if delay > 0:
+            # Bounded by `since`, as the wall clock may have been set between the arrival and the read.
+            return count, max(min(since, now), now - delay)
     return count, now
 
 
 def is_quiet(sock: socket.socket, bytes_read: int) -> bool:
-    """Whether the connection stands and nothing waits on it, after so many bytes that were read from it.
+    """Whether the connection is open and has no unread bytes, after `bytes_read` were read in total.
 
-    By TCP_INFO (tcp(7)), in which, unlike in a look at the next byte, a thread never loses the interpreter to
-    another.
+    Uses TCP_INFO (tcp(7)): unlike a peek at the next byte, getsockopt does not release the interpreter lock,
+    which another thread could take.
     """
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, BYTES_RECEIVED.stop)
-        if told[0] != TCP_ESTABLISHED:
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, BYTES_RECEIVED.stop)
+        if info[0] != TCP_ESTABLISHED:
             return False
         if (
-            len(told) == BYTES_RECEIVED.stop
-            and (count := int.from_bytes(told[BYTES_RECEIVED], sys.byteorder)) >= bytes_read
+            len(info) == BYTES_RECEIVED.stop
+            and (count := int.from_bytes(info[BYTES_RECEIVED], sys.byteorder)) >= bytes_read
         ):
             return count == bytes_read
-        # An older kernel, or one that keeps no such count: it can't have received less than was read.
+        # An older kernel, or one without this count, as it can't have received less than was read.
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return True
@@ -82,7 +82,7 @@
 
 
 def is_closed(sock: socket.socket) -> bool:
-    """Whether the peer has closed the connection, as far as that has come."""
+    """Whether the peer has closed the connection, as far as the kernel knows."""
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != TCP_ESTABLISHED
     except OSError:
@@ -90,12 +90,12 @@
 
 
 def shutdown(sock: socket.socket, how: int) -> bool:
-    """Shut a connection's reading, or both ways; whether `gone` is true since, though its peer had not gone.
+    """Shut down a socket (`how` as in socket.shutdown); True if `is_closed` is meaningless from now on.
 
-    Guards what crossed that end, on a platform where our own shutdown looks like the peer's: whether it has
-    gone can't be known from there on.
+    On some platforms our own shutdown looks like the peer's, and from then on it is unknown whether the peer
+    has closed the connection.
     """
-    before = is_closed(sock)
-    with suppress(OSError):  # the peer was first
+    was_closed = is_closed(sock)
+    with suppress(OSError):  # already closed by the peer
         sock.shutdown(how)
-    return not before and is_closed(sock)
+    return not was_closed and is_closed(sock)
--- a/pumicepath/sidecar/delay_monitor.py
+++ b/pumicepath/sidecar/delay_monitor.py
@@ -1,16 +1,24 @@
-"""How far behind the sidecar is: the delay with which its threads get their turn on a crowded core."""
+"""Measures how late the sidecar's own threads run on a busy core, by the delay of a periodic timer.
+
+Times are whole microseconds of `clock.now()`.
+"""
 
 from __future__ import annotations
 
 from .admission_gate import AdmissionGate
 from .exchange import ExchangeOwner
 
-BUSY_INTERVAL_US = 25_000
-IDLE_INTERVAL_US = 100_000  # between two beats while nothing comes: many sidecars at rest share a machine
-DECAY = 7 / 8  # of the delay, from one beat to the next
+BUSY_INTERVAL_US = 25_000  # between measurements
+IDLE_INTERVAL_US = 100_000  # while no requests arrive, as many idle sidecars may share a machine
+DECAY = 7 / 8  # of the delay, from one measurement to the next
 
 
 class DelayMonitor:
+    """Keeps `delay`, which rises at once to the latest measurement and then falls slowly.
+
+    Also lets the admission queue adjust its mode at the same intervals.
+    """
+
     def __init__(self, owner: ExchangeOwner, admission_gate: AdmissionGate) -> None:
         self.owner = owner
         self.admission_gate = admission_gate
@@ -19,16 +27,17 @@
         self.requests_seen = 0
 
     def woke(self, now: int) -> None:
+        """Measure the delay of this timer, update the admission queue, and set the next timer."""
         late = now - self.due_at if self.due_at else 0
         self.delay = max(late, int(self.delay * DECAY))
         change = self.admission_gate.queue.beat(now)
         if change:
             self.owner.log(change)
-        met = self.admission_gate.queue.taken + self.admission_gate.queue.turned
+        requests_seen = self.admission_gate.queue.taken + self.admission_gate.queue.turned
         self.due_at = now + (
             BUSY_INTERVAL_US
-            if met != self.requests_seen or self.delay > BUSY_INTERVAL_US
+            if requests_seen != self.requests_seen or self.delay > BUSY_INTERVAL_US
             else IDLE_INTERVAL_US
         )
-        self.requests_seen = met
+        self.requests_seen = requests_seen
         self.owner.wake(self.due_at, self)
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -308,7 +308,9 @@
         self.run_locked(call)
 
     def stream_response(self, hop: Hop, parser: ResponseParser) -> bool:
-        """Start to stream a response that is too large to buffer; False if it can't become the final answer.
+        """Start to stream a response that is too large to buffer; False if it can't be the final answer.
+
+        Holding it until it is complete would exceed the memory limit.
 
         The hop ends here for the balancer, as the rest may be slowed down by the client as well as by the
         server, and no timer ends it.
--- a/pumicepath/sidecar/servers.py
+++ b/pumicepath/sidecar/servers.py
@@ -1,4 +1,8 @@
-"""Connections to servers: the thread that carries a submission dials, writes and reads them."""
+"""Connections to servers and their pool.
+
+Connecting, writing and reading block, and are done by the client's thread that runs a hop.  Times are whole
+microseconds of `clock.now()`.
+"""
 
 from __future__ import annotations
 
@@ -23,23 +27,26 @@
 
 DEADLINE_HEADER = "x-expires-in-ms"
 NEVER_RAN_HEADER = "X-Never-Ran"
-MIN_SAMPLES = 5  # rests of about one length, from which their resets tell something
-DECAY = 0.99  # of what is known about rests, from one look at the connections to the next
-MAX_RESPONSE_BYTES = 40 << 20  # what says that it is larger is taken for spoilt
-DIAL_GRACE_US = 5_000  # of a dial past the end of its hop, which has timed out by then
-STALL_TIMEOUT = struct.pack("ll", 10, 0)  # for how long nothing may move of what goes through as it comes
+MIN_SAMPLES = 5  # uses after idle times of similar length, below which resets are not judged
+DECAY = 0.99  # of those counts, each time the idle connections are checked
+MAX_RESPONSE_BYTES = 40 << 20  # larger responses count as malformed
+DIAL_GRACE_US = 5_000  # how long a connect may outlast its hop, which the timers have ended by then
+STALL_TIMEOUT = struct.pack("ll", 10, 0)  # 10 s without progress while streaming a body, as a struct timeval
 NO_TIMEOUT = struct.pack("ll", 0, 0)
 
 
 class ServerInstance(NamedTuple):
-    """One run of a server's process at its address; connections to it are of no use to the next."""
+    """One run of a server's process at an address; connections to it can't be used for the next run."""
 
     address: Address
     started_at: int
 
 
 class ServerConnection:
-    """One connection; `hop` and `dead` change under the dispatcher's lock only."""
+    """One connection to a server; `hop` and `closed` change under the dispatcher's lock only.
+
+    Without an instance there was no capacity for another connection, and a hop on it fails at once.
+    """
 
     def __init__(self, pool: Pool, server: int, instance: ServerInstance | None) -> None:
         self.pool = pool
@@ -51,47 +58,49 @@
         self.parser = ResponseParser(MAX_RESPONSE_BYTES)
         self.closed = False
         self.idle_since = 0
-        self.bytes_read = 0  # bytes read so far
+        self.bytes_read = 0  # in total
 
     def close(self) -> None:
-        """Nothing goes out on it any more; whoever carries a hop on it wakes up and finds it broken.
+        """Make sure that nothing more is sent; a thread that runs a hop on it is woken by an error.
 
-        It is shut once the lock is free, ahead of all else that was decided: guards the lock, whose owner
-        would lose the interpreter to hundreds of threads in any call that may block.
+        Called with the lock held.  The socket is shut down only after the lock is released, before other
+        queued work: a call that may block gives up the interpreter lock, and with hundreds of threads it
+        would take long to get it back while all others wait for the dispatcher's lock.
         """
         if not self.closed:
             self.closed = True
             self.pool.remove(self)
-            if self.sock is not None:  # else not connected yet: `dead` is looked at before a byte is written
+            if self.sock is not None:  # else not connected yet; `closed` is checked before the first write
                 self.pool.owner.close_after_unlock(self.shutdown)
         if self.hop is None and self.sock is not None:
             self.pool.owner.close_after_unlock(self.sock.close)
 
     def shutdown(self) -> None:
-        sock = self.sock  # its own thread may be about to take another
-        with suppress(OSError):  # the server was first
+        """Shut the socket down, which wakes a thread that blocks on it."""
+        sock = self.sock  # the connection's thread may replace it at any time
+        with suppress(OSError):  # already closed by the server
             if sock is not None:
                 sock.shutdown(socket.SHUT_RDWR)
 
     def is_reusable(self) -> bool:
-        """Whether an idle connection is still open, and nothing came on it that nobody asked for.
+        """Whether an idle connection is still open and has no unread bytes.
 
-        Guards a hop against a connection that its server has closed, or on which bytes that followed the
-        last answer would be taken for its own.
+        The server may have closed it, and bytes that followed the last response would be taken for the
+        response to the next request.
         """
         return self.sock is not None and arrival.is_quiet(self.sock, self.bytes_read)
 
     def run_hop(self, hop: Hop) -> tuple[Outcome, Response | None, bool]:
-        """Send a hop and wait for its answer; also tells whether the connection can be used again."""
+        """Send a hop's request and read the response; also returns whether the connection can be reused."""
         if self.instance is None:
-            return Outcome.MOOT, None, False  # no room for a connection: nothing went out
+            return Outcome.MOOT, None, False  # no capacity for a connection: nothing was sent
         try:
             if self.sock is not None and not self.is_reusable():
                 self.discard_socket()
             if self.sock is None:
                 self.connect(self.instance.address, hop)
             if not hop.exchange.may_write(clock.now(), hop):
-                return Outcome.MOOT, None, not hop.ended  # the connection has carried nothing
+                return Outcome.MOOT, None, not hop.ended  # nothing was sent on the connection
             self.send_request(hop)
         except UploadError:
             return Outcome.CANCELLED, None, False
@@ -99,8 +108,8 @@
             return Outcome.CONNECT_FAILED, None, False
         try:
             outcome, response, reuse = self.read_response(hop)
-        except MalformedMessageError as trouble:
-            self.pool.bad_answers[str(trouble)] += 1
+        except MalformedMessageError as error:
+            self.pool.bad_answers[str(error)] += 1
             outcome, response, reuse = Outcome.ERROR, None, False
         except OSError:
             outcome, response, reuse = Outcome.RESET, None, False
@@ -109,36 +118,38 @@
         return outcome, response, reuse
 
     def discard_socket(self) -> None:
-        """Guards a hop against what came on a resting connection after it was chosen.
+        """Drop the socket of an idle connection that became unusable after it was chosen for a hop.
 
-        Its server has closed it, or sent more than an answer: nothing has been written, so a new one will do.
+        The server has closed it, or sent unexpected bytes.  Nothing has been written yet, so the hop can go
+        out on a new socket.
         """
-        old, self.sock = self.sock, None
-        if old is not None:
-            old.close()
+        stale, self.sock = self.sock, None
+        if stale is not None:
+            stale.close()
         self.parser = ResponseParser(MAX_RESPONSE_BYTES)
         self.idle_since = self.bytes_read = 0
 
     def connect(self, address: Address, hop: Hop) -> None:
-        """Dial for no longer than the hop may last; that it is over then is for the timers to say, before.
+        """Connect, for little longer than the hop may last; raises OSError.
 
-        Guards what the client sends next against a thread that still dials for what has been answered: not
-        every platform wakes a dial that is shut by another thread.
+        Not every platform wakes a blocked connect when another thread shuts the socket down.  Without the
+        limit, the client's next request would wait for this thread although this hop has long been answered.
+        The grace time lets the timers report the end of the hop first.
         """
-        left = min(self.pool.connect_timeout, hop.ends_at + DIAL_GRACE_US - clock.now())
-        if left <= 0:
+        timeout = min(self.pool.connect_timeout, hop.ends_at + DIAL_GRACE_US - clock.now())
+        if timeout <= 0:
             raise TimeoutError
         self.sock = sock = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET)
-        sock.settimeout(left / 1e6)
+        sock.settimeout(timeout / 1e6)
         sock.connect(address)
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         arrival.enable_timestamps(sock)
 
     def send_request(self, hop: Hop) -> None:
-        """Raises OSError if the last byte is not written."""
+        """Write the request; raises OSError if that fails, UploadError if the client's body fails."""
         if self.closed or hop.ended or self.sock is None or self.pool.instance(self.server) != self.instance:
-            # Guards a server that was taken out, or drains, since the hop was chosen: dialling takes time.
+            # While this thread was connecting, the server may have been drained or taken out of service.
             raise ConnectionAbortedError
         self.write_buffer.write(
             build_request(hop, self.instance.address if self.instance else Address("", 0))
@@ -150,17 +161,18 @@
         self.pool.owner.hop_sent()
 
     def flush(self) -> None:
+        """Send all buffered bytes."""
         while len(self.write_buffer) and self.sock is not None:
             self.write_buffer.consume(self.sock.send(self.write_buffer.readable()))
 
     def stream_body(self, hop: Hop, upload: Upload) -> None:
-        """Guards the memory limit: a body too long to be held goes on as it comes."""
+        """Pass on a body as it arrives, as it is too long to be buffered within the memory limit."""
         assert self.sock is not None
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, STALL_TIMEOUT)
-        handle = hop.exchange.submission
+        submission = hop.exchange.submission
         for piece, last in upload.pieces():
-            if handle is not None:
-                handle.spent = True
+            if submission is not None:
+                submission.spent = True
             if last:
                 self.pool.owner.upload_received(hop)
             if self.closed or hop.ended:
@@ -172,12 +184,15 @@
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, NO_TIMEOUT)
 
     def read_response(self, hop: Hop) -> tuple[Outcome, Response | None, bool]:
-        """Read the answer; what is too large to be held until it is whole is passed on as it comes."""
+        """Read the response; one too large for the memory limit is streamed to the client as it arrives.
+
+        Raises MalformedMessageError and OSError.
+        """
         sock, parser, owner = self.sock, self.parser, self.pool.owner
         assert sock is not None
         parser.method = hop.exchange.request.method
         client = hop.exchange.client
-        passing = False
+        streaming = False
         try:
             while True:
                 count, hop.received_at = arrival.receive(
@@ -186,56 +201,60 @@
                 parser.ring.commit(count)
                 self.bytes_read += count
                 if self.closed:
-                    # Guards against what we broke off ourselves being taken for an answer that ends there.
+                    # Closed by this process: the end of the data must not be taken for the end of a response.
                     return Outcome.RESET, None, False
                 if not count:
                     parser.end_input()
                 response = parser.next()
                 if response is not None:
-                    # What follows a good answer unasked is the connection's trouble, not the answer's.
+                    # Unexpected bytes after a valid response make only the connection unusable.
                     reuse = (
                         response.keeps_alive() and not response.until_close and parser.is_idle() and count > 0
                     )
-                    if passing:
+                    if streaming:
                         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, NO_TIMEOUT)
-                    if passing and client.write_body(response.body, True):
-                        passing = False
+                    if streaming and client.write_body(response.body, True):
+                        streaming = False
                     return outcome_of(response), response, reuse
                 if not count:
                     return Outcome.RESET, None, False
-                if not passing:
+                if not streaming:
                     owner.response_started(hop)
                     if parser.is_long():
-                        if not (passing := owner.stream_response(hop, parser)):
+                        if not (streaming := owner.stream_response(hop, parser)):
                             raise MalformedMessageError(502, "answer too large to be held")
                         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, STALL_TIMEOUT)
-                if passing and not client.write_body(parser.take_body(), False):
+                if streaming and not client.write_body(parser.take_body(), False):
                     return Outcome.CANCELLED, None, False
         finally:
-            if passing:
+            if streaming:
                 client.abort_response()
 
 
 def build_request(hop: Hop, address: Address) -> bytes:
+    """Return the bytes of a hop's request, or of its head if its body is streamed."""
     exchange = hop.exchange
-    left = max(1, (exchange.deadline_at - clock.now()) // 1000)
-    came = exchange.request
+    expires_in_ms = max(1, (exchange.deadline_at - clock.now()) // 1000)
+    original = exchange.request
     upload = exchange.upload
     if upload is not None:
-        left = max(1, exchange.deadline // 1000)
-    headers = [(name, value) for name, value in came.end_to_end_headers() if name.lower() != DEADLINE_HEADER]
-    if not came.header_values("host"):
+        expires_in_ms = max(1, exchange.deadline // 1000)
+    headers = [
+        (name, value) for name, value in original.end_to_end_headers() if name.lower() != DEADLINE_HEADER
+    ]
+    if not original.header_values("host"):
         headers.insert(0, ("Host", f"{address.host}:{address.port}"))  # HTTP/1.0 needs none, HTTP/1.1 does
     return writing.request(
-        came.method,
-        came.target,
-        [*headers, (DEADLINE_HEADER, str(left))],
-        came.body,
+        original.method,
+        original.target,
+        [*headers, (DEADLINE_HEADER, str(expires_in_ms))],
+        original.body,
         upload.length if upload is not None else writing.COMPLETE,
     )
 
 
 def outcome_of(response: Response) -> Outcome:
+    """Classify a response; a server marks a rejected request that did not run with X-Never-Ran."""
     if response.status == 200:
         return Outcome.OK
     if response.status in (503, 504) and response.header(NEVER_RAN_HEADER) == "1":
@@ -244,10 +263,11 @@
 
 
 class IdleResetTracker:
-    """How often a hop is reset that is the first after a rest of its connection, by how long that was.
+    """Counts how often the first hop on an idle connection is reset, by idle time.
 
-    Guards hops, unrepeatable ones above all, against servers and what lies before them that drop connections
-    sooner than the settings say, and say nothing.
+    Servers, and devices in front of them, may silently drop idle connections earlier than configured.  A hop
+    on such a connection is reset, and a non-idempotent one can't be retried.  Idle times are grouped by
+    powers of two of microseconds, and old counts decay.
     """
 
     def __init__(self) -> None:
@@ -255,23 +275,27 @@
         self.resets = [0.0] * 64
 
     def record(self, idle_us: int, reset: bool) -> None:
-        at = idle_us.bit_length()
-        self.uses[at] += 1
-        self.resets[at] += reset
+        """Count a use after an idle time, and whether it was reset."""
+        bucket = idle_us.bit_length()
+        self.uses[bucket] += 1
+        self.resets[bucket] += reset
 
     def is_safe(self, idle_us: int) -> bool:
-        """Whether a connection that has rested so long is about as good as others."""
-        at = idle_us.bit_length()
-        usual = sum(self.resets) / max(1.0, sum(self.uses))
-        return self.uses[at] < MIN_SAMPLES or self.resets[at] < (2 * usual + 0.1) * self.uses[at]
+        """Whether a connection idle for so long is reset about as rarely as others, or little is known."""
+        bucket = idle_us.bit_length()
+        mean_rate = sum(self.resets) / max(1.0, sum(self.uses))
+        return (
+            self.uses[bucket] < MIN_SAMPLES or self.resets[bucket] < (2 * mean_rate + 0.1) * self.uses[bucket]
+        )
 
     def decay(self) -> None:
+        """Reduce the weight of all counts so far."""
         self.uses = [count * DECAY for count in self.uses]
         self.resets = [count * DECAY for count in self.resets]
 
 
 class Pool:
-    """All connections to servers; everything here is called under the dispatcher's lock."""
+    """All connections to servers; methods need the dispatcher's lock unless they say otherwise."""
 
     def __init__(self, owner: ExchangeOwner, config: Config, log: Log) -> None:
         self.owner = owner
@@ -281,27 +305,27 @@
         self.idle: dict[int, list[ServerConnection]] = {}
         self.open_count = 0
         self.instances: dict[int, ServerInstance] = {}
-        self.out_of_service: set[int] = set()  # servers out by hand
+        self.out_of_service: set[int] = set()  # servers, by an operator
         self.bad_answers: Counter[str] = Counter()
         self.idle_resets = IdleResetTracker()
 
     def apply_config(self, config: Config) -> None:
-        """Go by other settings from now on."""
+        """Use the time limits of another configuration from now on."""
         self.connect_timeout = config.dial
-        # Well ahead of the server, whose closing would cross a hop that is being written.
+        # Well before the server's own limit, as its close could cross a request that is being written.
         self.max_idle = max(config.idle // 2, min(config.idle * 9 // 10, config.idle - 1_000_000))
 
     def close_idle(self, server: int) -> None:
         """Close the idle connections to a server."""
-        for link in self.idle.pop(server, []):
-            link.close()
+        for connection in self.idle.pop(server, []):
+            connection.close()
 
     def instance(self, server: int) -> ServerInstance | None:
-        """Where hops to a server go now, from any thread."""
+        """The instance that hops to a server go to, or None; may be called from any thread."""
         return None if server in self.out_of_service else self.instances.get(server)
 
     def set_out_of_service(self, server: int, out: bool) -> None:
-        """Nothing is written to a server that is out, whatever the list says of it."""
+        """Stop writing to a server (`out`), whatever the list says, or use it again."""
         if out:
             self.out_of_service.add(server)
             self.close_idle(server)
@@ -309,38 +333,45 @@
             self.out_of_service.discard(server)
 
     def update_servers(self, update: Update, drain_alone: bool = False) -> None:
-        """Forget servers that want nothing new, and the connections to processes that have ended.
+        """Forget servers that are draining or gone, and connections to instances that have ended.
 
-        Where only draining binds those that the list drops are kept, until `prune` says which are used.
+        With `drain_alone`, servers missing from the list are kept until `keep_only` tells which are in use.
         """
-        origins = {} if update.whole and not drain_alone else dict(self.instances)
-        for entry, where in zip(update.entries, update.addresses):
+        instances = {} if update.whole and not drain_alone else dict(self.instances)
+        for entry, address in zip(update.entries, update.addresses):
             if entry.phase == Phase.DRAINING or entry.phase == Phase.GONE and not drain_alone:
-                origins.pop(entry.server, None)
+                instances.pop(entry.server, None)
             elif entry.phase == Phase.READY:
-                origins[entry.server] = ServerInstance(where, entry.came_up)
-        self.set_instances(origins)
+                instances[entry.server] = ServerInstance(address, entry.came_up)
+        self.set_instances(instances)
 
     def keep_only(self, used: Container[int]) -> None:
-        self.set_instances({server: origin for server, origin in self.instances.items() if server in used})
+        """Forget all servers except those in `used`."""
+        self.set_instances(
+            {server: instance for server, instance in self.instances.items() if server in used}
+        )
 
     def set_instances(self, instances: dict[int, ServerInstance]) -> None:
+        """Replace the instances and close the idle connections to those that are gone."""
         before, self.instances = self.instances, instances
-        for server, origin in before.items():
-            if instances.get(server) != origin:
-                for link in self.idle.pop(server, []):
-                    link.close()
+        for server, instance in before.items():
+            if instances.get(server) != instance:
+                for connection in self.idle.pop(server, []):
+                    connection.close()
 
     def connection_for(self, now: int, hop: Hop) -> ServerConnection:
-        """A connection for the hop: the one used last, or a new one, or one that says there is no room."""
+        """Return a connection for the hop: the idle one used last, or a new one.
+
+        At the limit the oldest idle connection makes place; if there is none, the new one has no instance.
+        """
         idle = self.idle.get(hop.server, [])
         while idle:
-            link = idle.pop()
-            rest = now - link.idle_since
-            if rest < self.max_idle and self.idle_resets.is_safe(rest) and link.is_reusable():
-                link.hop = hop
-                return link
-            link.close()
+            connection = idle.pop()
+            idle_us = now - connection.idle_since
+            if idle_us < self.max_idle and self.idle_resets.is_safe(idle_us) and connection.is_reusable():
+                connection.hop = hop
+                return connection
+            connection.close()
         if self.open_count >= self.connection_limit:
             self.close_oldest_idle()
         fresh = ServerConnection(
@@ -351,6 +382,7 @@
         return fresh
 
     def release(self, now: int, connection: ServerConnection) -> None:
+        """Put a connection back among the idle ones, or close it if it can't be used again."""
         if connection.closed or self.instance(connection.server) != connection.instance:
             connection.close()
         else:
@@ -358,34 +390,41 @@
             self.idle.setdefault(connection.server, []).append(connection)
 
     def remove(self, connection: ServerConnection) -> None:
+        """Forget a connection that is being closed."""
         self.open_count -= 1
         idle = self.idle.get(connection.server, [])
         if connection in idle:
             idle.remove(connection)
 
     def close_oldest_idle(self) -> bool:
+        """Close the connection that has been idle longest; False if none is idle."""
         oldest = min(
-            (idle[0] for idle in self.idle.values() if idle), key=lambda link: link.idle_since, default=None
+            (idle[0] for idle in self.idle.values() if idle),
+            key=lambda connection: connection.idle_since,
+            default=None,
         )
         if oldest is not None:
             oldest.close()
         return oldest is not None
 
     def scale_limit(self, numerator: int, denominator: int) -> None:
+        """Use only a fraction of the connections: during a hot restart two processes share the limits."""
         self.connection_limit = self.max_connections * numerator // denominator
         while self.open_count > self.connection_limit and self.close_oldest_idle():
             pass
 
     def woke(self, now: int) -> None:
-        """Retire what has stood idle for long, or is no longer of use."""
+        """Close connections that have been idle for too long or are unusable, and set the next timer."""
         self.idle_resets.decay()
         for idle in list(self.idle.values()):
-            for link in list(idle):
-                if now - link.idle_since >= self.max_idle or not link.is_reusable():
-                    link.close()
-        # Never at once again: guards the timers where servers keep no idle connections at all.
+            for connection in list(idle):
+                if now - connection.idle_since >= self.max_idle or not connection.is_reusable():
+                    connection.close()
+        # At least 0.1 s: where servers keep no idle connections the interval would be 0 and the timer always
+        # due.
         self.owner.wake(now + max(100_000, min(1_000_000, self.max_idle // 10)), self)
 
 
 def start_thread(run: Callable[[], None]) -> None:
+    """Run a function in a new daemon thread; raises RuntimeError if none can be started."""
     threading.Thread(target=run, daemon=True).start()
--- a/pumicepath/sidecar/submissions.py
+++ b/pumicepath/sidecar/submissions.py
@@ -1,4 +1,4 @@
-"""What a request asks for: a submission, or an answer that says why it is none."""
+"""Parses the headers that make a request a submission."""
 
 from __future__ import annotations
 
@@ -8,12 +8,18 @@
 from ..http1.messages import MalformedMessageError, Request
 from ..interface import Tariff
 
-MAX_EXPIRES_DIGITS = 9  # of milliseconds
+MAX_EXPIRES_DIGITS = 9  # of a deadline in milliseconds
 MAX_TRACE_ID_BYTES = 256
 TRACE_ID_HEADER, CLASS_HEADER, EXPIRES_HEADER = "x-trace-id", "x-qos", "x-expires-in-ms"
 
 
 class SubmissionParams(NamedTuple):
+    """What a request's headers say.
+
+    `request_class` is the number of its class, `key` the hash of its object or 0, `retry` whether the client
+    marks it as a retry, `deadline` a duration in microseconds.
+    """
+
     trace_id: str
     request_class: int
     key: int
@@ -24,17 +30,21 @@
 def parse_submission(
     request: Request, class_numbers: dict[str, int], request_classes: tuple[Tariff, ...]
 ) -> SubmissionParams:
-    """Raises Malformed for what no server may be asked: servers count on ids and deadlines."""
+    """Read the headers of a submission.
+
+    Raises MalformedMessageError where they are missing or invalid: servers rely on the trace id and the
+    deadline.
+    """
     for name in (TRACE_ID_HEADER, CLASS_HEADER, EXPIRES_HEADER):
         if len(request.header_values(name)) > 1:
             raise MalformedMessageError(400, f"more than one {name}")
-    trace = request.header(TRACE_ID_HEADER)
-    if not trace or len(trace) > MAX_TRACE_ID_BYTES:
-        raise MalformedMessageError(400, "no id" if not trace else "id too long")
-    tariff = class_numbers.get(request.header(CLASS_HEADER))
-    if tariff is None:
+    trace_id = request.header(TRACE_ID_HEADER)
+    if not trace_id or len(trace_id) > MAX_TRACE_ID_BYTES:
+        raise MalformedMessageError(400, "no id" if not trace_id else "id too long")
+    request_class = class_numbers.get(request.header(CLASS_HEADER))
+    if request_class is None:
         raise MalformedMessageError(400, "no such class")
-    patience = request_classes[tariff].patience
+    deadline = request_classes[request_class].patience
     if request.header_values(EXPIRES_HEADER):
         expires = request.header(EXPIRES_HEADER)
         if (
@@ -44,8 +54,8 @@
             or not int(expires)
         ):
             raise MalformedMessageError(400, "deadline is no number of milliseconds")
-        patience = min(patience, int(expires) * 1000)
+        deadline = min(deadline, int(expires) * 1000)
     key = request.header("x-object")
     return SubmissionParams(
-        trace, tariff, stable(key) if key else 0, request.header("x-second-try") == "1", patience
+        trace_id, request_class, stable(key) if key else 0, request.header("x-second-try") == "1", deadline
     )
