--- a/pumicepath/http1/__init__.py
+++ b/pumicepath/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 without sockets: ring buffers, parsers that are fed bytes, and writers."""
+"""HTTP/1.1 without I/O: ring buffers, incremental parsers and serializers."""
--- a/pumicepath/http1/parsing.py
+++ b/pumicepath/http1/parsing.py
@@ -1,4 +1,7 @@
-"""Parsers as state machines: bytes go into their ring, whole messages come out."""
+"""Incremental HTTP/1.1 parsers (RFC 9112): bytes go into a ring buffer, complete messages come out.
+
+The text of a MalformedMessageError is sent to the client and counted under its own name.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,8 @@
 DIGITS = re.compile(r"[0-9]{1,15}")
 STATUS_CODE = re.compile(r"[1-5][0-9]{2}")
 CHUNK_HEADER = re.compile(r"([0-9A-Fa-f]{1,8})[ \t]*(;[\t -~\x80-\xff]*)?")
-# Whole heads up to their empty line, as most come; what does not fit goes line by line, to find its fault.
+# Complete heads without their empty line, the usual case.  Others are parsed line by line, which finds the
+# error.
 FIELDS = rb"((?:[!#$%&'*+.^_`|~0-9A-Za-z-]+:[\t -~\x80-\xff]*\r\n)*)"
 REQUEST_HEAD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([!-~]+) HTTP/1\.([0-9])\r\n" + FIELDS)
 FRAMING = re.compile(rb"\r\n(?:(content-length)|transfer-encoding|expect|connection):([^\r]*)", re.I)
@@ -28,12 +32,16 @@
 RETRY_MARK = b"\r\nX-Second-Try: 1\r\n"
 RESPONSE_HEAD = re.compile(rb"HTTP/1\.([0-9]) ([1-5][0-9]{2})(?: [\t -~\x80-\xff]*)?\r\n" + FIELDS)
 
-
+# States of a parser: what it expects next.
 START, HEADERS, FIXED_LENGTH, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILERS, UNTIL_CLOSE = range(8)
 
 
 class Parser:
-    """What requests and responses share; `next` gives a message once its last byte is in the ring."""
+    """The common part of both parsers; `next` returns a message once its last byte is in the ring.
+
+    Heads and buffered bodies are bounded by MAX_HEAD_BYTES and MAX_BODY_BYTES.  With a larger `max_body`, the
+    caller must take longer bodies piece by piece (`is_long`, `take_body`).
+    """
 
     head_pattern = REQUEST_HEAD
 
@@ -43,45 +51,46 @@
         self.state = START
         self.message: Message = Message()
         self.body_parts: list[bytes] = []
-        self.remaining = 0
-        self.body_size = 0
-        self.head_size = 0
-        self.scanned = 0
-        self.lines: deque[str] = deque()
+        self.remaining = 0  # bytes of the body or chunk that are still to be read
+        self.body_size = 0  # as announced so far
+        self.head_size = 0  # bytes of the head or trailers read so far
+        self.scanned = 0  # bytes of the ring known to hold no line end
+        self.lines: deque[str] = deque()  # read and not yet parsed
         self.input_ended = False
 
     def feed(self, data: bytes) -> None:
+        """Write bytes to the ring; raises MalformedMessageError if they do not fit."""
         if self.ring.write(data) < len(data):
             raise MalformedMessageError(413, "more bytes than a message may have")
 
     def end_input(self) -> None:
-        """The peer has ended its sending."""
+        """Note that the peer has closed its side: a body without framing is complete."""
         self.input_ended = True
 
     def is_idle(self) -> bool:
-        """Whether no byte of a next message has come."""
+        """Whether no byte of the next message has been received."""
         return self.state == START and not len(self.ring) and not self.lines
 
     def is_long(self) -> bool:
-        """Whether a body is coming that is longer than what is held of one."""
+        """Whether the body being read is longer than MAX_BODY_BYTES, so that it can't be buffered."""
         return self.state > HEADERS and self.body_size > MAX_BODY_BYTES
 
     def incoming(self) -> tuple[Message, int] | None:
-        """The message whose body is coming, and its length, or -1 where that is not known yet."""
+        """The message whose body is being read, and the body's length, or -1 if that is not known yet."""
         if self.state <= HEADERS:
             return None
         return self.message, self.body_size if self.state == FIXED_LENGTH else -1
 
     def take_body(self) -> bytes:
-        """What has come of the body since it was taken last; `next` brings the rest."""
+        """Take the part of the body read since the last call; `next` returns the message with the rest."""
         parts, self.body_parts = self.body_parts, []
         return b"".join(parts)
 
     def read_line(self) -> str | None:
-        """The next line without its end, or None while it is not whole."""
+        """Return the next line without its line end, or None while it is incomplete."""
         if not self.lines:
-            # A head that is whole is taken in one piece, unless its last line alone is left, after which a
-            # body may hold the same bytes; what else has lines comes line by line.
+            # The rest of a complete head is read at once.  If only its empty line is left, the next CR LF CR
+            # LF could be part of the body.  Trailers and chunk sizes are read line by line.
             at = -1
             if self.state <= HEADERS and self.ring.peek(2) != b"\r\n":
                 at = self.ring.find(b"\r\n\r\n")
@@ -99,16 +108,16 @@
         return self.lines.popleft()
 
     def parse_head(self) -> bool:
-        """Take a head in one piece if it is whole and as it should be: half the work of line by line."""
+        """Parse a complete, well-formed head at once, which takes half the time of parsing by line."""
         ring = self.ring
-        at = ring.find(b"\r\n\r\n")
-        if not 0 < at <= MAX_HEAD_BYTES - 4:
+        end = ring.find(b"\r\n\r\n")
+        if not 0 < end <= MAX_HEAD_BYTES - 4:
             return False
-        found = self.head_pattern.fullmatch(ring.buffer, ring.head, ring.head + at + 2)
-        if found is None:
+        head = self.head_pattern.fullmatch(ring.buffer, ring.head, ring.head + end + 2)
+        if head is None:
             return False
-        lines = found[found.re.groups].decode("latin-1").split("\r\n")
-        if len(lines) > MAX_HEADERS:  # the last is empty
+        lines = head[head.re.groups].decode("latin-1").split("\r\n")
+        if len(lines) > MAX_HEADERS:  # the last one is empty
             return False
         headers: list[tuple[str, str]] = []
         index: dict[str, list[str]] = {}
@@ -122,18 +131,19 @@
                     index[folded].append(value)
                 else:
                     index[folded] = [value]
-        self.message = self.build_message(found, headers, index)
-        ring.consume(at + 4)
-        self.head_size = at + 4
+        self.message = self.build_message(head, headers, index)
+        ring.consume(end + 4)
+        self.head_size = end + 4
         self.scanned = 0
         self.state = HEADERS
         return True
 
     def next(self) -> Message | None:
+        """Return the next message, or None while it is incomplete; raises MalformedMessageError."""
         if self.state == START and self.ring.size and not self.lines and self.parse_head():
-            done = self.choose_framing()
-            if done is not None:
-                return done
+            message = self.choose_framing()
+            if message is not None:
+                return message
         while True:
             if self.state == FIXED_LENGTH or self.state == CHUNK_DATA:
                 piece = self.ring.read(min(self.remaining, len(self.ring)))
@@ -154,11 +164,12 @@
                 line = self.read_line()
                 if line is None:
                     return None
-                done = self.parse_line(line)
-                if done is not None:
-                    return done
+                message = self.parse_line(line)
+                if message is not None:
+                    return message
 
     def parse_line(self, line: str) -> Message | None:
+        """Parse a line of the head, a chunk size or a trailer; returns a message if it is complete."""
         if self.state == START:
             if line:
                 self.message = self.parse_start_line(line)
@@ -175,7 +186,7 @@
             if size is None:
                 raise MalformedMessageError(400, "malformed size of a chunk")
             self.remaining = int(size[1], 16)
-            self.head_size = 0  # bounded by itself: a long body in small chunks has many such lines
+            self.head_size = 0  # limited per line: a long body in small chunks has many of them
             self.add_body_size(self.remaining)
             self.state = CHUNK_DATA if self.remaining else TRAILERS
         elif self.state == CHUNK_END:
@@ -189,22 +200,24 @@
         return None
 
     def add_body_size(self, count: int) -> None:
+        """Count announced or received bytes of the body, up to the limit."""
         self.body_size += count
         if self.body_size > self.max_body:
             raise MalformedMessageError(413, f"body of more than {self.max_body} bytes")
 
     @staticmethod
     def parse_field(line: str) -> tuple[str, str]:
+        """Return name and value of a header line."""
         name, colon, value = line.partition(":")
         value = value.strip(" \t")
-        # Most values need no more than a look: long ones would cost more than all else together.
+        # Printable ASCII needs no pattern match, which for long values would cost more than all other steps.
         plain = value.isascii() and value.isprintable()
         if not colon or not TOKEN.fullmatch(name) or not plain and not FIELD_VALUE.fullmatch(value):
             raise MalformedMessageError(400, "malformed header")
         return name, value
 
     def choose_framing(self) -> Message | None:
-        """The head is whole: choose how the body ends."""
+        """Choose by the complete head how the body ends; returns the message if it has no body."""
         message = self.message
         if self.has_no_body():
             return self.finish()
@@ -213,7 +226,7 @@
             if codings != ["chunked"]:
                 raise MalformedMessageError(501, "transfer coding other than chunked")
             if "content-length" in message.headers_by_name or not message.minor:
-                # Guards against two readers of one connection that disagree on where a message ends.
+                # Request smuggling: two readers of a connection could disagree on where the message ends.
                 raise MalformedMessageError(400, "chunked body with a length or in HTTP/1.0")
             self.state = CHUNK_SIZE
         elif "content-length" in message.headers_by_name:
@@ -231,6 +244,7 @@
         return None
 
     def finish(self) -> Message:
+        """Return the complete message and get ready for the next one."""
         message = self.message
         message.body = self.body_parts[0] if len(self.body_parts) == 1 else b"".join(self.body_parts)
         self.ring.shrink()
@@ -240,29 +254,37 @@
         return message
 
     def parse_start_line(self, line: str) -> Message:
+        """Parse the first line of a message."""
         raise NotImplementedError
 
     def build_message(
         self, head: re.Match[bytes], headers: list[tuple[str, str]], index: dict[str, list[str]]
     ) -> Message:
+        """Build a message from a match of `head_pattern` and its headers."""
         raise NotImplementedError
 
     def has_no_body(self) -> bool:
+        """Whether the message ends with its head whatever its headers say."""
         return False
 
     def ends_at_close(self) -> bool:
+        """Whether a body without framing headers ends with the connection."""
         return False
 
     @staticmethod
     def parse_minor(version: str) -> int:
-        known = VERSION.fullmatch(version)
-        if known is None:
+        """Return the minor version of HTTP/1."""
+        match = VERSION.fullmatch(version)
+        if match is None:
             raise MalformedMessageError(505, "not HTTP/1")
-        return int(known[1])
+        return int(match[1])
 
 
 class RequestParser(Parser):
+    """Parses requests."""
+
     def parse_start_line(self, line: str) -> Message:
+        """Parse a request line."""
         words = line.split(" ")
         if len(words) != 3 or not TOKEN.fullmatch(words[0]) or not TARGET.fullmatch(words[1]):
             raise MalformedMessageError(400, "malformed request line")
@@ -271,15 +293,17 @@
     def build_message(
         self, head: re.Match[bytes], headers: list[tuple[str, str]], index: dict[str, list[str]]
     ) -> Message:
+        """Build a request."""
         return Request(int(head[3]), headers, b"", index, head[1].decode(), head[2].decode())
 
     def next(self) -> Request | None:
+        """Return the next request, or None while it is incomplete; raises MalformedMessageError."""
         message = super().next()
         return None if message is None else self.normalize(message)
 
     @staticmethod
     def normalize(message: Message) -> Request:
-        """With its target as servers are asked for it, whichever form it came in (RFC 9112, 3.2)."""
+        """Check for exactly one Host header and make the target origin-form (RFC 9112, 3.2)."""
         assert isinstance(message, Request)
         if message.minor and len(message.header_values("host")) != 1:
             raise MalformedMessageError(400, "not one Host header")
@@ -289,40 +313,40 @@
         return message
 
     def peek_request(self) -> tuple[int, str, str, bool] | None:
-        """The size, class, deadline and mark of a retry of the one plain request in the ring, or None.
+        """Return size, class, deadline and retry mark of the one plain request in the ring, or None.
 
-        For an answer that says only to come back: nothing is parsed that this doesn't need, and whatever has
-        more to it than a head and its length is left to `next`.  The head must be as `next` wants it, to the
-        letter: guards against a length read otherwise here, whose body would be taken for the next request.
+        Used to reject a request without parsing it.  Requests with anything but a head and a body with
+        Content-Length are left to `next`.  The head must match exactly what `next` accepts: if the length
+        were read differently here, the body could be taken for the next request (request smuggling).
         """
         ring = self.ring
-        at = ring.find(b"\r\n\r\n")
-        if self.state != START or self.lines or at <= 0:
+        head_end = ring.find(b"\r\n\r\n")
+        if self.state != START or self.lines or head_end <= 0:
             return None
-        end = ring.head + at + 2
+        end = ring.head + head_end + 2
         head = REQUEST_HEAD.fullmatch(ring.buffer, ring.head, end)
         if head is None or head[3] == b"0" or head[1] == b"HEAD":
             return None
         framing = FRAMING.findall(ring.buffer, ring.head, end)
-        size = at + 4
+        size = head_end + 4
         if framing:
             length = LENGTH_VALUE.fullmatch(framing[0][1])
             if len(framing) > 1 or not framing[0][0] or length is None:
                 return None
             size += int(length[1])
-        found = CLASS_HEADER.search(ring.buffer, ring.head, end)
-        if size != len(ring) or found is None:
+        class_header = CLASS_HEADER.search(ring.buffer, ring.head, end)
+        if size != len(ring) or class_header is None:
             return None
         expires = EXPIRES_HEADER.search(ring.buffer, ring.head, end)
         return (
             size,
-            found[1].decode(),
+            class_header[1].decode(),
             expires[1].decode() if expires else "",
             ring.buffer.find(RETRY_MARK, ring.head, end) >= 0,
         )
 
     def awaits_continue(self) -> bool:
-        """Whether the client holds its body back until it is told to go on."""
+        """Whether the client waits for 100 Continue before it sends the body."""
         return (
             self.state in (FIXED_LENGTH, CHUNK_SIZE)
             and not self.body_parts
@@ -331,15 +355,19 @@
 
 
 class ResponseParser(Parser):
+    """Parses responses; `method` must be set to that of the request before each one."""
+
     method = "GET"
     head_pattern = RESPONSE_HEAD
 
     def build_message(
         self, head: re.Match[bytes], headers: list[tuple[str, str]], index: dict[str, list[str]]
     ) -> Message:
+        """Build a response."""
         return Response(int(head[1]), headers, b"", index, int(head[2]))
 
     def parse_start_line(self, line: str) -> Message:
+        """Parse a status line."""
         version, _, rest = line.partition(" ")
         code = rest[:3]
         if not STATUS_CODE.fullmatch(code) or rest[3:4] not in ("", " "):
@@ -347,6 +375,7 @@
         return Response(minor=self.parse_minor(version), status=int(code))
 
     def next(self) -> Response | None:
+        """Return the next final response, or None while it is incomplete; skips 1xx."""
         while True:
             message = super().next()
             if message is None:
@@ -356,10 +385,12 @@
                 return message
 
     def has_no_body(self) -> bool:
+        """Whether the status or the request's method rules out a body."""
         status = self.message.status if isinstance(self.message, Response) else 0
         return status < 200 or status in (204, 304) or self.method == "HEAD"
 
     def ends_at_close(self) -> bool:
+        """Mark the response: without framing headers its body ends with the connection."""
         assert isinstance(self.message, Response)
         self.message.until_close = True
         return True
--- a/pumicepath/http1/ring.py
+++ b/pumicepath/http1/ring.py
@@ -1,4 +1,4 @@
-"""A ring buffer for one direction of a connection; it grows by doubling up to its limit."""
+"""A ring buffer for one direction of a connection."""
 
 from __future__ import annotations
 
@@ -8,6 +8,8 @@
 
 
 class Ring:
+    """A ring buffer of bytes that grows by doubling, up to its limit."""
+
     __slots__ = ("limit", "buffer", "view", "head", "size")
 
     def __init__(self, limit: int) -> None:
@@ -20,14 +22,15 @@
         return self.size
 
     def resize(self, capacity: int) -> None:
-        kept = self.peek(self.size) if self.size else b""
+        """Move the content to a new buffer of that capacity, starting at its beginning."""
+        content = self.peek(self.size) if self.size else b""
         self.buffer = bytearray(capacity)
-        self.buffer[: len(kept)] = kept
+        self.buffer[: len(content)] = content
         self.view = memoryview(self.buffer)
         self.head = 0
 
     def writable(self, wanted: int = 0) -> memoryview:
-        """Where the next bytes may be written, in one piece; empty only when the limit is reached."""
+        """Return contiguous free space, if empty for `wanted` bytes; none only when the limit is reached."""
         if not self.size and wanted > len(self.buffer):
             self.resize(min(wanted, self.limit))
         elif self.size == len(self.buffer) < self.limit:
@@ -40,27 +43,29 @@
         return self.view[tail : self.head] if tail < self.head else self.view[tail:]
 
     def commit(self, count: int) -> None:
+        """Add bytes that were written to the start of `writable()`."""
         must(0 <= count <= len(self.buffer) - self.size, "ring overrun")
         self.size += count
 
     def write(self, chunk: bytes | memoryview) -> int:
-        """Store as much of the data as the limit allows, and tell how much that was."""
-        done = 0
-        while done < len(chunk):
-            room = self.writable(len(chunk))
-            count = min(len(room), len(chunk) - done)
+        """Store as much as the limit allows, and return how many bytes that was."""
+        written = 0
+        while written < len(chunk):
+            space = self.writable(len(chunk))
+            count = min(len(space), len(chunk) - written)
             if not count:
                 break
-            room[:count] = chunk[done : done + count]
+            space[:count] = chunk[written : written + count]
             self.commit(count)
-            done += count
-        return done
+            written += count
+        return written
 
     def readable(self) -> memoryview:
-        """The oldest bytes held, in one piece."""
+        """Return the oldest bytes as far as they are contiguous."""
         return self.view[self.head : min(self.head + self.size, len(self.buffer))]
 
     def peek(self, count: int) -> bytes:
+        """Return up to `count` of the oldest bytes without removing them."""
         count = min(count, self.size)
         end = self.head + count
         if end <= len(self.buffer):
@@ -68,23 +73,25 @@
         return bytes(self.view[self.head :]) + bytes(self.view[: end - len(self.buffer)])
 
     def read(self, count: int) -> bytes:
-        taken = self.peek(count)
+        """Remove and return up to `count` of the oldest bytes."""
+        data = self.peek(count)
         self.consume(count)
-        return taken
+        return data
 
     def consume(self, count: int) -> None:
+        """Remove the oldest `count` bytes."""
         must(0 <= count <= self.size, "ring underrun")
         self.size -= count
         self.head = (self.head + count) % len(self.buffer)
 
     def shrink(self) -> None:
-        """Guards the memory limit against many idle connections that once were busy."""
+        """Free the memory of an empty buffer, which many idle connections that were busy would keep."""
         if not self.size and len(self.buffer) > INITIAL_CAPACITY:
             self.resize(INITIAL_CAPACITY)
 
     def find(self, pattern: bytes, start: int = 0) -> int:
-        """Where the bytes first stand from `start` on, counted from the oldest; -1 if they do not."""
+        """Return the offset of the first match at or after `start`, counted from the oldest byte, or -1."""
         if self.head + self.size > len(self.buffer):
-            self.resize(len(self.buffer))  # in one piece, so that nothing is missed over the edge
-        at = self.buffer.find(pattern, self.head + start, self.head + self.size)
-        return at - self.head if at >= 0 else -1
+            self.resize(len(self.buffer))  # makes the content contiguous, so that a match can't wrap around
+        position = self.buffer.find(pattern, self.head + start, self.head + self.size)
+        return position - self.head if position >= 0 else -1
--- a/pumicepath/http1/writing.py
+++ b/pumicepath/http1/writing.py
@@ -1,10 +1,11 @@
-"""Messages as bytes."""
+"""Serializes HTTP/1.1 messages."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-UNTIL_CLOSE, COMPLETE, CHUNKED = -3, -2, -1  # in place of a length
+# In place of a body's length: it ends with the connection, it is passed with the head, or it is chunked.
+UNTIL_CLOSE, COMPLETE, CHUNKED = -3, -2, -1
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 REASON_PHRASES = {
     200: "OK",
@@ -22,6 +23,7 @@
 
 
 def message(start_line: str, headers: Iterable[tuple[str, str]], body: bytes) -> bytes:
+    """Return a message from its start line, headers and body."""
     head = [start_line, *(f"{name}: {value}" for name, value in headers), "", ""]
     return "\r\n".join(head).encode("latin-1") + body
 
@@ -29,7 +31,7 @@
 def request(
     method: str, target: str, headers: list[tuple[str, str]], body: bytes = b"", length: int = COMPLETE
 ) -> bytes:
-    """A whole request, or the head of one whose body follows, with its length or in chunks."""
+    """Return a complete request, or the head of one whose body follows, framed by `length`."""
     if length == CHUNKED:
         headers = [*headers, ("Transfer-Encoding", "chunked")]
     elif length != COMPLETE:
@@ -42,7 +44,7 @@
 def response(
     status: int, headers: list[tuple[str, str]], body: bytes, keep_alive: bool, length: int = COMPLETE
 ) -> bytes:
-    """A whole answer, or the head of one whose body follows, with its length or in chunks."""
+    """Return a complete response, or the head of one whose body follows, framed by `length`."""
     framing = []
     if length == CHUNKED:
         framing.append(("Transfer-Encoding", "chunked"))
@@ -54,5 +56,6 @@
 
 
 def chunk(piece: bytes, last: bool) -> bytes:
+    """Return a piece of a chunked body, with the end of the body after the last one."""
     data = b"%x\r\n%b\r\n" % (len(piece), piece) if piece else b""
     return data + b"0\r\n\r\n" if last else data
