--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""The sidecar's parts in the test's own process, and barriers that force the order of what they do."""
+"""A test harness: the sidecar's parts in the test's own process, and barriers that order their steps."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 from pumicepath.sidecar.dispatch import Dispatcher
 from pumicepath.sidecar.servers import start_thread
 
-socket.setdefaulttimeout(20)  # what should come and does not must fail a test, not hold it up
+socket.setdefaulttimeout(20)  # a test must fail, not hang, if something does not arrive
 
 
 class NullLog:
-    """In the place of the log."""
+    """A log that drops all events."""
 
     def event(self, event: str, **figures: object) -> None: ...
 
 
 class Rig:
-    """The sidecar's parts in this process, so that a test can stand between any two steps of theirs."""
+    """The sidecar's parts in this process, so that a test can run code between any two of their steps."""
 
     def __init__(self, folder: Path, servers: int = 1, **settings: Any) -> None:
         self.deployment = Deployment(folder, servers)
-        told = self.deployment.told
+        configuration = self.deployment.told
         for key, value in settings.items():
-            told["settings"][key] = value
-        self.config = config.config(told)
+            configuration["settings"][key] = value
+        self.config = config.config(configuration)
         self.dispatcher = Dispatcher(self.config, NullLog(), lambda: None)  # type: ignore[arg-type]
         self.clients = Clients(self.dispatcher)
         self.clients.listener.settimeout(20)
@@ -49,14 +49,15 @@
         start_thread(self.dispatcher.run_timers)
 
     def connect(self) -> tuple[socket.socket, Client]:
-        """A client's end, and what the sidecar has of it; nobody reads there yet."""
-        far = socket.create_connection(self.clients.listener.getsockname())
+        """Connect a client; returns its socket and the sidecar's connection, whose thread isn't started."""
+        client_socket = socket.create_connection(self.clients.listener.getsockname())
         client = self.clients.accept()
         assert client is not None
-        client.sock.settimeout(None)  # as in the program, whatever tests have for a default
-        return far, client
+        client.sock.settimeout(None)  # blocking, as in production; tests set a default time-out
+        return client_socket, client
 
     def request(self, name: str, request_class: str = "once", expires: int = 5000) -> bytes:
+        """Return the bytes of a request."""
         headers = [
             ("Host", "api"),
             ("X-Qos", request_class),
@@ -67,10 +68,10 @@
 
 
 def wait_until(condition: Callable[[], object]) -> None:
-    """Wait for what must come, however slow the machine is."""
+    """Wait up to 20 s for a condition, as the machine may be slow."""
     end = time.monotonic() + 20
     while not condition():
-        assert time.monotonic() < end, "it did not come"
+        assert time.monotonic() < end, "the condition did not become true"
         time.sleep(0.001)
 
 
@@ -78,38 +79,42 @@
 def paused(
     monkeypatch: pytest.MonkeyPatch, owner: Any, name: str, before: bool = True
 ) -> Iterator[tuple[threading.Semaphore, threading.Semaphore]]:
-    """Stop each call of something at its begin, or at its end: `came` tells of one, `go` lets one go on."""
-    came, go, real = threading.Semaphore(0), threading.Semaphore(0), getattr(owner, name)
+    """Pause each call of an attribute of `owner` at its start, or at its end with `before` False.
 
-    def instead(*given: Any, **named: Any) -> Any:
-        result = None if before else real(*given, **named)
-        came.release()
-        assert go.acquire(timeout=20)
-        return real(*given, **named) if before else result
+    Yields two semaphores: `reached` is released by each call that is paused, `resume` lets one of them go on.
+    """
+    reached, resume, original = threading.Semaphore(0), threading.Semaphore(0), getattr(owner, name)
+
+    def pausing(*args: Any, **kwargs: Any) -> Any:
+        result = None if before else original(*args, **kwargs)
+        reached.release()
+        assert resume.acquire(timeout=20)
+        return original(*args, **kwargs) if before else result
 
     with monkeypatch.context() as patch:
-        patch.setattr(owner, name, instead)
-        yield came, go
-        go.release(100)
+        patch.setattr(owner, name, pausing)
+        yield reached, resume
+        resume.release(100)
 
 
 def read_status(sock: socket.socket) -> int:
+    """Return the status of the next response, or 0 if there is none."""
     response = next_of(sock, ResponseParser())
     return response.status if response is not None else 0
 
 
-def server_with_full_backlog(around: Deployment) -> tuple[socket.socket, list[socket.socket]]:
-    """The only server there is: dials to it come up once one is taken out of its full queue.
+def server_with_full_backlog(deployment: Deployment) -> tuple[socket.socket, list[socket.socket]]:
+    """Make a server with a full backlog the only one; returns its listener and the connections that fill it.
 
-    That is when the kernel tries again; until then they hang.
+    Connecting to it hangs until one of those is accepted, when the kernel tries again.
     """
-    late = socket.create_server(("127.0.0.1", 0), backlog=0)
-    full = [socket.socket() for _ in range(2)]
-    for sock in full:
+    listener = socket.create_server(("127.0.0.1", 0), backlog=0)
+    filling = [socket.socket() for _ in range(2)]
+    for sock in filling:
         sock.setblocking(False)
-        sock.connect_ex(late.getsockname())
+        sock.connect_ex(listener.getsockname())
     peer = Peer.__new__(Peer)
-    peer.name, peer.address = "late", f"127.0.0.1:{late.getsockname()[1]}"
-    around.servers = [peer]
-    around.told["known"] = around.listing(1, True, "active")
-    return late, full
+    peer.name, peer.address = "late", f"127.0.0.1:{listener.getsockname()[1]}"
+    deployment.servers = [peer]
+    deployment.told["known"] = deployment.listing(1, True, "active")
+    return listener, filling
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that cross on sockets, each order forced: retries, idle closes (docs/crossings.md)."""
+"""Races between two events on sockets, in each order: retries and idle closes (docs/crossings.md)."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 RESET = struct.pack("ii", 1, 0)
 
 
-# -- retries: what was true when an attempt was chosen, and is no longer when it could be written
+# -- retries: conditions that held when a hop was chosen, and no longer hold when it could be written
 
 
 def test_a_request_whose_client_left_during_the_dial_is_not_sent(
@@ -42,72 +42,72 @@
 ) -> None:
     rig = Rig(tmp_path)
 
-    def dialled(name: str, leaves: bool) -> None:
-        far, client = rig.connect()
-        # The dial has come up, and nothing is written yet.
-        with paused(monkeypatch, ServerConnection, "connect", before=False) as (came, go):
-            far.sendall(rig.request(name))
+    def run_request(name: str, leaves: bool) -> None:
+        client_socket, client = rig.connect()
+        # The connection to the server is established, and nothing has been written yet.
+        with paused(monkeypatch, ServerConnection, "connect", before=False) as (reached, resume):
+            client_socket.sendall(rig.request(name))
             start_thread(client.run)
-            assert came.acquire(timeout=20)
+            assert reached.acquire(timeout=20)
             if leaves:
-                far.close()
+                client_socket.close()
                 wait_until(client.has_left)
             wait_until(lambda: clock.now() - client.state_since > 10_000)
-            go.release()
+            resume.release()
             if not leaves:
                 rig.deployment.script.put(answer(200, "served", ENDS))
-                assert read_status(far) == 200
-                far.close()
+                assert read_status(client_socket) == 200
+                client_socket.close()
             wait_until(lambda: client not in rig.clients.open)
 
-    dialled("stays", False)
-    dialled("leaves", True)
+    run_request("stays", False)
+    run_request("leaves", True)
     assert rig.deployment.lines == ["s-0: GET /stays stays"]
     wait_until(lambda: not rig.dispatcher.exchanges)
-    # The connection that was dialled for nobody serves the next.
-    far, client = rig.connect()
-    far.sendall(rig.request("next"))
+    # The unused connection serves the next request.
+    client_socket, client = rig.connect()
+    client_socket.sendall(rig.request("next"))
     rig.deployment.script.put(answer(200, "served"))
     start_thread(client.run)
-    assert read_status(far) == 200 and rig.dispatcher.pool.open_count == 1
+    assert read_status(client_socket) == 200 and rig.dispatcher.pool.open_count == 1
 
 
 def test_a_request_whose_client_left_before_a_late_dial_is_not_sent_by_the_program(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 0)
-    late, full = server_with_full_backlog(around)
-    around.told["settings"]["policyLimits"]["dialTimeoutS"] = 15.0
-    around.told["settings"]["tariffs"][1]["patienceS"] = 20.0
-    around.told["admin_addr"] = "127.0.0.1:0"
-    around.config.write_text(json.dumps(around.told))
-    with around.running():
-        around.send("once", 20_000)
-        wait_until(lambda: any(value for name, value in around.figures().items() if "current" in name))
-        around.client.close()
-        ours = [sock.getsockname() for sock in full]
-        late.settimeout(20)
-        while (came := late.accept())[1] in ours:
+    deployment = Deployment(tmp_path, 0)
+    listener, full = server_with_full_backlog(deployment)
+    deployment.told["settings"]["policyLimits"]["dialTimeoutS"] = 15.0
+    deployment.told["settings"]["tariffs"][1]["patienceS"] = 20.0
+    deployment.told["admin_addr"] = "127.0.0.1:0"
+    deployment.config.write_text(json.dumps(deployment.told))
+    with deployment.running():
+        deployment.send("once", 20_000)
+        wait_until(lambda: any(value for name, value in deployment.figures().items() if "current" in name))
+        deployment.client.close()
+        filling = [sock.getsockname() for sock in full]
+        listener.settimeout(20)
+        while (accepted := listener.accept())[1] in filling:
             pass
-        # The next request is the first that is written anywhere, on that connection or on one of its own.
-        around.client = socket.create_connection(around.where)
-        around.send("once", 20_000)
-        open_ones = [came[0]]
+        # The next request must be the first that is written, on that connection or on one of its own.
+        deployment.client = socket.create_connection(deployment.where)
+        deployment.send("once", 20_000)
+        sockets = [accepted[0]]
         data = b""
         while not data:
-            some = select.select([late, *open_ones], [], [], 20)[0]
-            assert some, "nothing is sent at all"
-            if late in some:
-                open_ones.append(late.accept()[0])
-            data = b"".join(sock.recv(65536) for sock in some if sock is not late)
+            readable = select.select([listener, *sockets], [], [], 20)[0]
+            assert readable, "no request was sent"
+            if listener in readable:
+                sockets.append(listener.accept()[0])
+            data = b"".join(sock.recv(65536) for sock in readable if sock is not listener)
         assert b"X-Trace-Id: t2" in data
 
 
-def test_a_repeat_is_not_sent_once_the_servers_have_forgotten_the_first(
+def test_a_retry_is_not_sent_once_the_servers_have_forgotten_the_first_hop(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines = []
 
-    def repeated(group: str, over: bool) -> None:
-        tariff = {
+    def run_request(group: str, expired: bool) -> None:
+        request_class = {
             "name": "once",
             "effect": "deduplicated",
             "group": group,
@@ -116,70 +116,72 @@
             "agreedTimeS": 20.0,
             "patienceS": 60.0,
         }
-        rig = Rig(tmp_path, 2, tariffs=[tariff])
-        far, client = rig.connect()
+        rig = Rig(tmp_path, 2, tariffs=[request_class])
+        client_socket, client = rig.connect()
         rig.deployment.script.put("reset")
         rig.deployment.script.put(answer(200, "served", ENDS))
-        with paused(monkeypatch, ServerConnection, "connect", before=False) as (came, go):
-            far.sendall(rig.request("twice", expires=60_000))
+        with paused(monkeypatch, ServerConnection, "connect", before=False) as (reached, resume):
+            client_socket.sendall(rig.request("twice", expires=60_000))
             start_thread(client.run)
-            assert came.acquire(timeout=20)
-            go.release()
-            assert came.acquire(timeout=20)  # the dial of the repeat
+            assert reached.acquire(timeout=20)
+            resume.release()
+            assert reached.acquire(timeout=20)  # the connect of the retry
             (exchange,) = rig.dispatcher.exchanges.values()
             assert exchange.submission is not None
-            if over:
+            if expired:
                 exchange.submission.hops[0].at -= 31_000_000
-            go.release()
+            resume.release()
             lines.append(
-                f"{group}, window {'over' if over else 'open'}: {read_status(far)} after "
+                f"{group}, window {'over' if expired else 'open'}: {read_status(client_socket)} after "
                 f"{len(rig.deployment.lines)} sends"
             )
 
     for group in ("all", "zone"):
-        repeated(group, False)
-        repeated(group, True)
+        run_request(group, False)
+        run_request(group, True)
     compare("crossed-window", lines)
 
 
-@pytest.mark.parametrize("what", ["leaving", "left", "not there", "started anew", "by hand"])
+@pytest.mark.parametrize("change", ["leaving", "left", "not there", "started anew", "by hand"])
 @pytest.mark.parametrize("attempt", ["first", "retry"])
-def test_a_server_that_is_gone_when_its_dial_ends_gets_nothing(
-    what: str, attempt: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_nothing_is_sent_to_a_server_that_became_unavailable_during_the_connect(
+    change: str, attempt: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path, 2)
     servers = rig.deployment.servers
-    far, client = rig.connect()
+    client_socket, client = rig.connect()
     if attempt == "retry":
         rig.deployment.script.put("reset")
-    with paused(monkeypatch, ServerConnection, "connect", before=False) as (came, go):
-        far.sendall(rig.request("crossed", "read"))
+    with paused(monkeypatch, ServerConnection, "connect", before=False) as (reached, resume):
+        client_socket.sendall(rig.request("crossed", "read"))
         start_thread(client.run)
-        assert came.acquire(timeout=20)
+        assert reached.acquire(timeout=20)
         if attempt == "retry":
-            go.release()
-            assert came.acquire(timeout=20)
+            resume.release()
+            assert reached.acquire(timeout=20)
         (exchange,) = rig.dispatcher.exchanges.values()
         chosen = next(peer for peer in servers if stable(peer.name) == exchange.hops[-1].server)
         before = [line for line in rig.deployment.lines if line.startswith(chosen.name)]
-        if what == "by hand":
+        if change == "by hand":
             assert rig.dispatcher.set_out_of_service(chosen.name, True)
         else:
-            told = rig.deployment.listing(2, what == "not there", "active")
-            told["hosts"] = [host for host in told["hosts"] if (host["host"] == chosen.name) != told["whole"]]
-            for host in told["hosts"] if not told["whole"] else ():
-                host.update({"born_ms": 5} if what == "started anew" else {"health": what})
-            update = Roster(["a"], lambda born: born).read(told)
-            rig.dispatcher.update_servers(Listing.FULL if told["whole"] else Listing.CHANGES, update)
+            listing = rig.deployment.listing(2, change == "not there", "active")
+            listing["hosts"] = [
+                host for host in listing["hosts"] if (host["host"] == chosen.name) != listing["whole"]
+            ]
+            for host in listing["hosts"] if not listing["whole"] else ():
+                host.update({"born_ms": 5} if change == "started anew" else {"health": change})
+            update = Roster(["a"], lambda born: born).read(listing)
+            rig.dispatcher.update_servers(Listing.FULL if listing["whole"] else Listing.CHANGES, update)
         rig.deployment.script.put((answer(200, "elsewhere"), "end"))
-        go.release(100)
-        assert read_status(far) in (200, 503)
+        resume.release(100)
+        assert read_status(client_socket) in (200, 503)
         assert [line for line in rig.deployment.lines if line.startswith(chosen.name)] == before
 
 
-def test_nothing_is_written_once_the_deadline_has_passed_or_another_has_answered(tmp_path: Path) -> None:
+def test_nothing_is_written_after_the_deadline_or_the_final_answer(tmp_path: Path) -> None:
     rig = Rig(tmp_path)
-    far, client = rig.connect()
+    client_socket, client = rig.connect()
     now = clock.now()
     request = Request(method="GET", target="/")
     exchange = Exchange(client, "t", request, now + 1000, rig.dispatcher, received_at=now)
@@ -190,73 +192,75 @@
     assert not exchange.may_write(now, hop)
     hop.ended, exchange.answered = False, True
     assert not exchange.may_write(now, hop)
-    far.close()
+    client_socket.close()
 
 
 @pytest.mark.parametrize("ends", ["deadline", "time-out"])
-def test_a_late_dial_holds_the_next_request_up_no_longer_than_its_own_may_last(
+def test_a_slow_connect_delays_the_next_request_no_longer_than_its_hop_may_last(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ends: str
 ) -> None:
     rig = Rig(tmp_path, policyLimits={"mostHops": 1, "connIdleS": 30.0, "dialTimeoutS": 15.0})
-    late, full = server_with_full_backlog(rig.deployment)
+    listener, filling = server_with_full_backlog(rig.deployment)
     update = Roster(["a"], lambda born: 0).read(rig.deployment.listing(2, True, "active"))
     rig.dispatcher.update_servers(Listing.FULL, update)
-    # As on a platform where a dial that another thread shuts goes on.
-    monkeypatch.setattr(ServerConnection, "shutdown", lambda link: None)
+    # As on a platform where a connect goes on although another thread shuts the socket down.
+    monkeypatch.setattr(ServerConnection, "shutdown", lambda connection: None)
     if ends == "time-out":
-        real = rig.dispatcher.send
-        monkeypatch.setattr(rig.dispatcher, "send", lambda name, server, timeout: real(name, server, 200_000))
-    far, client = rig.connect()
-    far.sendall(rig.request("waits", expires=400 if ends == "deadline" else 8000))
+        original = rig.dispatcher.send
+        monkeypatch.setattr(
+            rig.dispatcher, "send", lambda name, server, timeout: original(name, server, 200_000)
+        )
+    client_socket, client = rig.connect()
+    client_socket.sendall(rig.request("waits", expires=400 if ends == "deadline" else 8000))
     start_thread(client.run)
     began = clock.now()
-    assert read_status(far) in (502, 503)
-    far.sendall(rig.request("next", expires=200))
-    assert read_status(far) in (502, 503)
-    # The dial alone would have lasted 15 s.
+    assert read_status(client_socket) in (502, 503)
+    client_socket.sendall(rig.request("next", expires=200))
+    assert read_status(client_socket) in (502, 503)
+    # The connect alone would have taken 15 s.
     assert clock.now() - began < 8_000_000
-    far.close()
-    late.close()
-    assert len(full) == 2
+    client_socket.close()
+    listener.close()
+    assert len(filling) == 2
 
 
-def test_the_deadline_and_an_answer_that_cross_bring_one_final_answer_in_either_order(tmp_path: Path) -> None:
+def test_a_deadline_and_a_response_that_cross_give_one_final_answer_in_either_order(tmp_path: Path) -> None:
     lines = []
 
-    def crossed(first: str) -> None:
+    def run_both(first: str) -> None:
         rig = Rig(tmp_path)
-        far, client = rig.connect()
+        client_socket, client = rig.connect()
         now = clock.now()
         exchange = Exchange(
             client, "t", Request(method="GET", target="/"), now + 60_000_000, rig.dispatcher, received_at=now
         )
         rig.dispatcher.submit(exchange, rig.dispatcher.active_config[1][1], 0, False)
         hop = exchange.pending_hops.popleft()
-        link = hop.connection
-        assert isinstance(link, ServerConnection) and link.instance is not None
-        link.connect(link.instance.address, hop)
+        connection = hop.connection
+        assert isinstance(connection, ServerConnection) and connection.instance is not None
+        connection.connect(connection.instance.address, hop)
         parser = ResponseParser()
         parser.feed(answer(200, "in hand"))
         response = parser.next()
         steps = {
             "deadline": lambda: rig.dispatcher.run_locked(exchange.woke),
-            "answer": lambda: rig.dispatcher.complete_hop(hop, link, Outcome.OK, response, True),
+            "answer": lambda: rig.dispatcher.complete_hop(hop, connection, Outcome.OK, response, True),
         }
         for name in (first, *(set(steps) - {first})):
             steps[name]()
-        far.settimeout(0.5)
-        told = far.recv(65536)
+        client_socket.settimeout(0.5)
+        received = client_socket.recv(65536)
         lines.append(
-            f"{first} first: {told.count(b'HTTP/1.1')} answer, {told.split()[1].decode()}; "
+            f"{first} first: {received.count(b'HTTP/1.1')} answer, {received.split()[1].decode()}; "
             f"{rig.dispatcher.pool.open_count} connection kept, {len(rig.dispatcher.exchanges)} open"
         )
 
-    crossed("answer")
-    crossed("deadline")
+    run_both("answer")
+    run_both("deadline")
     compare("crossed-deadline", lines)
 
 
-def test_an_answer_that_is_cut_or_reset_is_none_and_full_counts_only_when_whole(tmp_path: Path) -> None:
+def test_a_truncated_or_reset_response_is_not_used_and_full_counts_only_when_complete(tmp_path: Path) -> None:
     unframed = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nsome of it"
     steps = {
         "full, whole, then a reset": [(answer(503, "", NEVER), "reset"), answer(200, "elsewhere")],
@@ -270,26 +274,26 @@
             answer(200, "its own"),
         ],
     }
-    with Deployment(tmp_path, 2).running() as around:
+    with Deployment(tmp_path, 2).running() as deployment:
         for name, script in steps.items():
-            around.lines.append(f"-- {name}")
-            around.ask("once", *script)
+            deployment.lines.append(f"-- {name}")
+            deployment.ask("once", *script)
             if name.startswith("two"):
-                around.ask("once")
-    # Which of the two servers it is does not matter here.
-    compare("crossed-answers", [line.replace("s-1", "s-0") for line in around.lines])
+                deployment.ask("once")
+    # Which of the two servers is used does not matter.
+    compare("crossed-answers", [line.replace("s-1", "s-0") for line in deployment.lines])
 
 
-def test_a_client_that_half_closes_still_has_the_answer_of_an_attempt_under_way(tmp_path: Path) -> None:
-    with Deployment(tmp_path, 1).running() as around:
-        around.send("once")
-        assert around.servers[0].met.acquire(timeout=20)
-        around.client.shutdown(socket.SHUT_WR)
-        around.script.put(answer(200, "all the same"))
-        assert read_status(around.client) == 200
+def test_a_client_that_half_closes_still_gets_the_response_of_a_hop_in_flight(tmp_path: Path) -> None:
+    with Deployment(tmp_path, 1).running() as deployment:
+        deployment.send("once")
+        assert deployment.servers[0].met.acquire(timeout=20)
+        deployment.client.shutdown(socket.SHUT_WR)
+        deployment.script.put(answer(200, "all the same"))
+        assert read_status(deployment.client) == 200
 
 
-def test_a_window_that_a_reload_makes_shorter_holds_for_what_is_read_from_then_on(
+def test_a_shorter_dedup_window_applies_to_requests_read_after_the_reload(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def tariffs(window: float) -> list[dict]:
@@ -308,28 +312,28 @@
     rig = Rig(tmp_path, 2, tariffs=tariffs(30.0))
     shorter = Rig(tmp_path, 2, tariffs=tariffs(0.000_001)).config
 
-    def repeated(name: str, adopts: bool) -> int:
-        far, client = rig.connect()
+    def run_request(name: str, reloads: bool) -> int:
+        client_socket, client = rig.connect()
         rig.deployment.script.put("reset")
         rig.deployment.script.put(answer(200, "served", ENDS))
-        with paused(monkeypatch, ServerConnection, "connect", before=False) as (came, go):
-            far.sendall(rig.request(name, expires=60_000))
+        with paused(monkeypatch, ServerConnection, "connect", before=False) as (reached, resume):
+            client_socket.sendall(rig.request(name, expires=60_000))
             start_thread(client.run)
-            assert came.acquire(timeout=20)
-            if adopts:
+            assert reached.acquire(timeout=20)
+            if reloads:
                 rig.dispatcher.apply_config(shorter)
-            go.release(100)
-            return read_status(far)
+            resume.release(100)
+            return read_status(client_socket)
 
-    assert repeated("before", True) == 200 and len(rig.deployment.lines) == 2
-    assert repeated("after", False) == 503 and len(rig.deployment.lines) == 3
+    assert run_request("before", True) == 200 and len(rig.deployment.lines) == 2
+    assert run_request("after", False) == 503 and len(rig.deployment.lines) == 3
 
 
 # -- idle closes
 
 
 def idle_connection(rig: Rig) -> tuple[socket.socket, socket.socket, socket.socket]:
-    """A listener in the place of all servers, a client, and the server's end of a connection that rests."""
+    """A listener as the only server, a client's socket, and the server's end of an idle connection."""
     server = socket.create_server(("127.0.0.1", 0))
     server.settimeout(20)
     peer = Peer.__new__(Peer)
@@ -337,101 +341,110 @@
     rig.deployment.servers = [peer]
     update = Roster(["a"], lambda born: 0).read(rig.deployment.listing(2, True, "active"))
     rig.dispatcher.update_servers(Listing.FULL, update)
-    far, client = rig.connect()
+    client_socket, client = rig.connect()
     start_thread(client.run)
-    far.sendall(rig.request("first"))
-    near = server.accept()[0]
-    assert b"first" in near.recv(65536)
-    near.sendall(answer(200, "first"))
-    assert read_status(far) == 200
-    return server, far, near
+    client_socket.sendall(rig.request("first"))
+    server_socket = server.accept()[0]
+    assert b"first" in server_socket.recv(65536)
+    server_socket.sendall(answer(200, "first"))
+    assert read_status(client_socket) == 200
+    return server, client_socket, server_socket
+
 
+def test_an_unexpected_second_response_affects_only_one_request(tmp_path: Path) -> None:
+    """It can't be distinguished from that request's own response, as responses carry no id.
 
-def test_a_second_answer_behind_the_next_request_spoils_no_more_than_that(tmp_path: Path) -> None:
-    """It can't be told from that request's own answer, which carries no id; then the connection is left."""
+    The connection is not used again afterwards.
+    """
     rig = Rig(tmp_path, 0)
-    server, far, near = idle_connection(rig)
-    far.sendall(rig.request("second"))
-    assert b"second" in near.recv(65536)
-    near.sendall(answer(200, "first") + answer(200, "second"))
-    assert read_status(far) == 200
-    far.sendall(rig.request("third"))
-    again = server.accept()[0]
-    assert b"third" in again.recv(65536)
-    again.sendall(answer(200, "third"))
-    response = next_of(far, ResponseParser())
+    server, client_socket, server_socket = idle_connection(rig)
+    client_socket.sendall(rig.request("second"))
+    assert b"second" in server_socket.recv(65536)
+    server_socket.sendall(answer(200, "first") + answer(200, "second"))
+    assert read_status(client_socket) == 200
+    client_socket.sendall(rig.request("third"))
+    new_socket = server.accept()[0]
+    assert b"third" in new_socket.recv(65536)
+    new_socket.sendall(answer(200, "third"))
+    response = next_of(client_socket, ResponseParser())
     assert response is not None and response.body == b"third"
 
 
-@pytest.mark.parametrize("trouble", ["closed", "reset", "an answer that nobody asked for"])
-def test_what_comes_on_a_resting_connection_after_it_was_chosen_costs_no_request(
-    trouble: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("event", ["closed", "reset", "an answer that nobody asked for"])
+def test_a_connection_that_becomes_unusable_after_it_was_chosen_costs_no_request(
+    event: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path, 0)
-    server, far, near = idle_connection(rig)
-    with paused(monkeypatch, ServerConnection, "run_hop") as (came, go):
-        far.sendall(rig.request("second"))
-        assert came.acquire(timeout=20)
+    server, client_socket, server_socket = idle_connection(rig)
+    with paused(monkeypatch, ServerConnection, "run_hop") as (reached, resume):
+        client_socket.sendall(rig.request("second"))
+        assert reached.acquire(timeout=20)
         (exchange,) = rig.dispatcher.exchanges.values()
-        link = exchange.hops[0].connection
-        assert isinstance(link, ServerConnection) and link.sock is not None and link.is_reusable()
-        if trouble == "reset":
-            near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        if trouble.startswith("an answer"):
-            near.sendall(answer(200, "nobody's"))
+        connection = exchange.hops[0].connection
+        assert (
+            isinstance(connection, ServerConnection)
+            and connection.sock is not None
+            and connection.is_reusable()
+        )
+        if event == "reset":
+            server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        if event.startswith("an answer"):
+            server_socket.sendall(answer(200, "nobody's"))
         else:
-            near.close()
-        wait_until(lambda: not link.is_reusable())
-        go.release()
+            server_socket.close()
+        wait_until(lambda: not connection.is_reusable())
+        resume.release()
         server.settimeout(20)
-        again = server.accept()[0]
-        assert b"second" in again.recv(65536)
-        again.sendall(answer(200, "second"))
-        response = next_of(far, ResponseParser())
+        new_socket = server.accept()[0]
+        assert b"second" in new_socket.recv(65536)
+        new_socket.sendall(answer(200, "second"))
+        response = next_of(client_socket, ResponseParser())
     assert response is not None and response.body == b"second"
 
 
-def test_a_kernel_that_keeps_no_count_of_bytes_does_not_make_resting_connections_useless() -> None:
+def test_idle_connections_are_reused_on_a_kernel_without_a_count_of_received_bytes() -> None:
     class Uncounted(socket.socket):
-        def getsockopt(self, *what: int) -> Any:  # type: ignore[override]
-            told = super().getsockopt(*what)
-            return told[:128] + bytes(8) if isinstance(told, bytes) and len(told) == 136 else told
+        def getsockopt(self, *args: int) -> Any:  # type: ignore[override]
+            info = super().getsockopt(*args)
+            return info[:128] + bytes(8) if isinstance(info, bytes) and len(info) == 136 else info
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
         near = Uncounted()
         near.connect(listener.getsockname())
-        near.settimeout(None)  # as a connection to a server has it
-        far = listener.accept()[0]
-    looks = [arrival.is_quiet(near, 0), arrival.is_quiet(near, 5)]
-    far.sendall(b"unasked")
+        near.settimeout(None)  # blocking, as connections to servers are
+        client_socket = listener.accept()[0]
+    results = [arrival.is_quiet(near, 0), arrival.is_quiet(near, 5)]
+    client_socket.sendall(b"unasked")
     wait_until(lambda: near.recv(1, socket.MSG_PEEK))
-    looks += [arrival.is_quiet(near, 5)]
+    results += [arrival.is_quiet(near, 5)]
     near.recv(7)
-    looks += [arrival.is_quiet(near, 12)]
-    far.close()
+    results += [arrival.is_quiet(near, 12)]
+    client_socket.close()
     wait_until(lambda: arrival.is_closed(near))
-    looks += [arrival.is_quiet(near, 12)]
-    assert looks == [True, True, False, True, False]
+    results += [arrival.is_quiet(near, 12)]
+    assert results == [True, True, False, True, False]
     near.close()
 
 
-def test_nothing_small_is_held_back_by_the_kernel(tmp_path: Path) -> None:
+def test_all_connections_use_tcp_nodelay(tmp_path: Path) -> None:
     rig = Rig(tmp_path)
-    far, client = rig.connect()
+    client_socket, client = rig.connect()
     start_thread(client.run)
-    far.sendall(rig.request("one"))
+    client_socket.sendall(rig.request("one"))
     assert rig.deployment.servers[0].met.acquire(timeout=20)
     (exchange,) = rig.dispatcher.exchanges.values()
-    link = exchange.hops[0].connection
-    assert isinstance(link, ServerConnection) and link.sock is not None
-    assert all(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for sock in (client.sock, link.sock))
-    where = address(rig.deployment.servers[0].address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), where)
+    connection = exchange.hops[0].connection
+    assert isinstance(connection, ServerConnection) and connection.sock is not None
+    assert all(
+        sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for sock in (client.sock, connection.sock)
+    )
+    server_address = address(rig.deployment.servers[0].address)
+    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), server_address)
     assert watcher.connect().getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
 class AnsweringPeer(Peer):
-    """Answers whatever comes."""
+    """A server that answers every request."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
@@ -440,34 +453,39 @@
                 sock.sendall(answer(200, "served"))
 
 
-def test_clients_that_send_much_at_once_and_go_starve_no_honest_one(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 0, limits={"memory_mb": 192, "sockets": 120})
-    around.servers = [AnsweringPeer("s-0", queue.SimpleQueue(), [])]
-    around.told["known"] = around.listing(1, True, "active")
-    around.config.write_text(json.dumps(around.told))
+def test_clients_that_flood_and_disconnect_do_not_starve_others(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 0, limits={"memory_mb": 192, "sockets": 120})
+    deployment.servers = [AnsweringPeer("s-0", queue.SimpleQueue(), [])]
+    deployment.told["known"] = deployment.listing(1, True, "active")
+    deployment.config.write_text(json.dumps(deployment.told))
 
     def flood(number: int) -> None:
         for turn in range(40):
             headers = [("Host", "api"), ("X-Qos", "read"), ("X-Trace-Id", f"flood-{number}-{turn}")]
-            with contextlib.suppress(OSError), socket.create_connection(around.where) as sock:
+            with contextlib.suppress(OSError), socket.create_connection(deployment.where) as sock:
                 sock.sendall(writing.request("GET", "/", headers) * 3 + b"GET / HTTP/9\r\n\r\nand so on")
 
-    with around.running():
+    with deployment.running():
         floods = [threading.Thread(target=flood, args=(number,)) for number in range(8)]
         for thread in floods:
             thread.start()
         statuses = []
 
         def ask() -> int:
-            around.send("read")
-            response = next_of(around.client, around.parser)
-            if response is None or not response.keeps_alive():  # ended between two requests, as any may be
-                around.client, around.parser = socket.create_connection(around.where), ResponseParser()
+            deployment.send("read")
+            response = next_of(deployment.client, deployment.parser)
+            if (
+                response is None or not response.keeps_alive()
+            ):  # closed between two requests, as any connection may be
+                deployment.client, deployment.parser = (
+                    socket.create_connection(deployment.where),
+                    ResponseParser(),
+                )
             return response.status if response is not None else 0
 
         while any(thread.is_alive() for thread in floods) or len(statuses) < 20:
             statuses.append(ask())
-        # Each is answered in its time, unless its connection ends before it is read.
+        # Each request is answered in time, unless its connection is closed before it is read.
         assert set(statuses) <= {0, 200, 503} and 10 * statuses.count(200) > len(statuses), statuses
         wait_until(lambda: ask() == 200)
-        assert around.process.poll() is None
+        assert deployment.process.poll() is None
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""Parsers, rings and writers, fed with bytes; no socket."""
+"""Parsers, ring buffers and serializers without sockets; server lists and watches."""
 
 import json
 
@@ -25,7 +25,7 @@
 
 
 def parse_all(parser: Parser, chunks: list[bytes]) -> list[str]:
-    """What comes out, a line a message; the last line says what was wrong, if anything was."""
+    """One line for each parsed message; the last one is the error, if there was one."""
     lines = []
     try:
         for piece in chunks:
@@ -40,12 +40,12 @@
                     f"{first} {message.body!r:.40} of {len(message.body)} "
                     f"{'kept' if message.keeps_alive() else 'closed'} {message.end_to_end_headers()}"
                 )
-    except MalformedMessageError as trouble:
-        lines.append(f"{trouble.status}: {trouble}")
+    except MalformedMessageError as error:
+        lines.append(f"{error.status}: {error}")
     return lines
 
 
-def test_messages_come_out_alike_however_their_bytes_are_split() -> None:
+def test_messages_are_parsed_alike_however_their_bytes_are_split() -> None:
     data = PLAIN + SIZED + CHUNKED + OLD
     whole = parse_all(RequestParser(), [data])
     for size in range(1, len(data)):
@@ -53,7 +53,7 @@
     compare("requests", whole)
 
 
-def test_malformed_requests_are_told_apart() -> None:
+def test_each_malformed_request_has_its_own_error() -> None:
     head = b"POST / HTTP/1.1\r\n" + HOST
     bad = [
         b"GET  / HTTP/1.1\r\n",
@@ -106,7 +106,7 @@
     compare("responses", lines)
 
 
-def test_body_may_be_held_back_until_the_client_is_told_to_go_on() -> None:
+def test_a_client_that_expects_100_continue_is_detected() -> None:
     parser = RequestParser()
     parser.feed(b"POST / HTTP/1.1\r\n" + HOST + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
     assert parser.next() is None and parser.awaits_continue()
@@ -114,24 +114,25 @@
     assert parser.next() is not None and not parser.awaits_continue() and parser.is_idle()
 
 
-def test_ring_keeps_order_over_its_edge_grows_to_its_limit_and_shrinks_when_empty() -> None:
-    ring, kept, data = Ring(3 * INITIAL_CAPACITY), b"", bytes(range(256)) * 40
+def test_ring_keeps_order_when_wrapping_grows_to_its_limit_and_shrinks_when_empty() -> None:
+    ring, content, data = Ring(3 * INITIAL_CAPACITY), b"", bytes(range(256)) * 40
     for step in range(1, 200):
         piece = data[step : step + 37 * step % 1000]
-        kept += piece[: ring.write(piece)]
+        content += piece[: ring.write(piece)]
         assert (
-            ring.find(kept[-1:], 0) == kept.find(kept[-1:]) and len(ring) == len(kept) <= 3 * INITIAL_CAPACITY
+            ring.find(content[-1:], 0) == content.find(content[-1:])
+            and len(ring) == len(content) <= 3 * INITIAL_CAPACITY
         )
         count = 29 * step % 700
-        assert ring.read(min(count, len(kept))) == kept[:count]
-        kept = kept[count:]
-    assert ring.write(data) + len(kept) == 3 * INITIAL_CAPACITY and not len(ring.writable())
+        assert ring.read(min(count, len(content))) == content[:count]
+        content = content[count:]
+    assert ring.write(data) + len(content) == 3 * INITIAL_CAPACITY and not len(ring.writable())
     ring.consume(len(ring))
     ring.shrink()
     assert len(ring.buffer) == INITIAL_CAPACITY
 
 
-def test_what_is_written_can_be_read_back() -> None:
+def test_a_serialized_request_can_be_parsed() -> None:
     parser = RequestParser()
     parser.feed(writing.request("POST", "/a", [("Host", "h"), ("X-A", "b")], b"body"))
     request = parser.next()
@@ -155,7 +156,7 @@
     }
 
 
-def test_list_keeps_numbers_starts_and_addresses() -> None:
+def test_server_list_keeps_ids_start_times_and_addresses() -> None:
     clocks = iter((700, 900))
     roster = Roster(["a", "b"], lambda born: next(clocks))
     first = roster.read(
@@ -177,7 +178,7 @@
     )
     assert [update.entries[0].came_up for update in (again, newer)] == [700, 900]
     assert again.entries[1].phase == Phase.GONE and again.addresses[0].port == 9001
-    assert list(roster.starts) == ["s-1"], "nothing is kept of what is gone"
+    assert list(roster.starts) == ["s-1"], "start times of servers that are gone are forgotten"
 
 
 @pytest.mark.parametrize(
@@ -195,14 +196,14 @@
         server_list(1, True, host("s", born_ms="x")),
     ],
 )
-def test_what_is_no_list_is_told(bad: object) -> None:
+def test_an_invalid_server_list_raises_bad_list(bad: object) -> None:
     with pytest.raises(BadList):
         Roster([], lambda born: 0).read(bad)
     with pytest.raises(BadList):
         address("1.2.3.4:99999")
 
 
-def test_watch_asks_from_the_version_it_has_and_takes_only_lists() -> None:
+def test_watch_requests_changes_since_its_version_and_accepts_only_lists() -> None:
     watch = Watch(Roster(["a"], lambda born: 1), "d", 41, 20_000_000)
     lines = [watch.request().split(b"\r\n")[0].decode()]
     for status, body in (
@@ -218,6 +219,6 @@
             lines.append(
                 f"{len(watch.update(response).entries)} changed, then {watch.request()[:46].decode()}"
             )
-        except BadList as trouble:
-            lines.append(f"no list: {trouble}")
+        except BadList as error:
+            lines.append(f"no list: {error}")
     compare("watch", lines)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Decisions for pools of sidecars: live weights, few connections, dropped ones, full servers, settings."""
+"""Balancer decisions: live weights, cold and full servers, connection costs, idle losses, new settings."""
 
 import dataclasses
 import math
@@ -16,7 +16,7 @@
 
 
 def targets_of(bench: Bench, count: int, rate: float) -> list[int]:
-    """Where that many submissions go, as many a second, each answered at once."""
+    """Servers to which `count` submissions go, `rate` a second, each answered at once."""
     first, start = len(bench.sent), bench.now / SECOND
     for step in range(count):
         bench.end(bench.at(start + step / rate).take(step, step % 40 + 1), Outcome.OK)
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("kind", [0, -1])
-def test_no_key_moves_while_live_weights_fall_and_rise_or_are_no_numbers(kind: int) -> None:
+def test_keys_stay_while_live_weights_fall_and_rise_or_are_not_finite(kind: int) -> None:
     bench = Bench(settings(live=True), live_entries(2.0, 2.0, 2.0, 2.0, kind=kind))
     before = targets_of(bench, 40, 2)
     for scales in ((1.0, 2.0, 1.3, 2.0), (2.0, 0.4, 2.0, 1.0), (math.nan, -1.0, math.inf, 0.0)):
@@ -32,26 +32,31 @@
     assert targets_of(bench, 40, 2) == before
 
 
-def test_cold_server_gets_no_more_than_its_part() -> None:
-    got = []
-    for scale in (2.0, 0.5):  # beside idle and beside loaded ones
+def test_cold_server_gets_no_more_than_its_fraction() -> None:
+    counts = []
+    for scale in (2.0, 0.5):  # the other servers are idle, then loaded
         bench = Bench(settings(live=True, cold_for=1000 * SECOND), live_entries(2.0, 2.0, 2.0, 2.0))
         bench.balancer.listed(0, Listing.CHANGES, live_entries(scale, scale, scale))
         bench.balancer.listed(0, Listing.CHANGES, [Entry(4, 0, 0, Phase.READY, 2.0, 1, "", 0)])
-        got.append(targets_of(bench, 40, 2).count(4))
-    assert got[0] == got[1] > 0
+        counts.append(targets_of(bench, 40, 2).count(4))
+    assert counts[0] == counts[1] > 0
     servers = [entry(at) for at in range(1, 10)] + [entry(10, came_up=1)]
-    for fleet in (20, 200):  # all restarted together, at four times what tenants may ask for
-        pool = (Bench(settings(me=me, fleet=fleet, quotas=(100.0,)), servers) for me in range(fleet))
-        assert 0 < sum(targets_of(bench, 1200 // fleet, 400 / fleet).count(10) for bench in pool) < 27
-    plain = settings(fleet=1, cold_for=1000 * SECOND, cold_from=0.5)
-    quotas, across = dataclasses.replace(plain, quotas=(40.0,)), []
-    for first, then in ((plain, plain), (plain, quotas), (quotas, plain), (quotas, quotas)):
+    for fleet in (20, 200):  # all sidecars restarted together, at four times the quota of the tenants
+        benches = (Bench(settings(me=me, fleet=fleet, quotas=(100.0,)), servers) for me in range(fleet))
+        assert 0 < sum(targets_of(bench, 1200 // fleet, 400 / fleet).count(10) for bench in benches) < 27
+    without_quotas = settings(fleet=1, cold_for=1000 * SECOND, cold_from=0.5)
+    quotas, changed = dataclasses.replace(without_quotas, quotas=(40.0,)), []
+    for first, then in (
+        (without_quotas, without_quotas),
+        (without_quotas, quotas),
+        (quotas, without_quotas),
+        (quotas, quotas),
+    ):
         bench = Bench(first, servers[:3] + [entry(10, came_up=1)])
         before = targets_of(bench, 300, 200)
         bench.balancer.adopt(bench.now, then)
-        across.append((before + targets_of(bench, 300, 200)).count(10))
-    assert across[1] <= across[0] and across[2] <= across[3] + 1 and min(across) > 10
+        changed.append((before + targets_of(bench, 300, 200)).count(10))
+    assert changed[1] <= changed[0] and changed[2] <= changed[3] + 1 and min(changed) > 10
 
 
 def test_each_sidecar_uses_few_servers_where_connections_cost() -> None:
@@ -62,14 +67,14 @@
         near, at = list(reach.near), reach.near[0]
         for each in near:
             used[balancer.ids[each]] += 1
-        balancer.trip(0, at, "test")  # stood in for by another, and back after a trial
+        balancer.trip(0, at, "test")  # replaced by another server, until a trial succeeds
         assert len(near) == 5 and set(near) < set(reach.near) and len(reach.near) == 6
         balancer.answered(SECOND, balancer.terms[0], balancer.admit(20 * SECOND, balancer.terms[0], at), 1000)
         assert reach.near == near
     assert max(used) < 45 and min(used[1:61]) > 8
 
 
-def test_full_servers_turn_submissions_away_and_are_not_judged() -> None:
+def test_full_servers_cause_rejections_and_open_no_breaker() -> None:
     bench = Bench(settings(live=True), live_entries(1.0, 1.0, 1.0))
     for step in range(40):
         one = bench.at(step / 4).take(step, step + 1)
@@ -78,7 +83,7 @@
     assert len(bench.sent) < 30 and not any("open for" in line for line in bench.lines)
 
 
-def test_rests_that_kill_are_learnt_within_few_losses_and_tried_anew() -> None:
+def test_lossy_idle_times_are_learnt_within_few_losses_and_tried_again() -> None:
     bench, dropped, freed = Bench(settings(), [entry(1), entry(2), entry(3)]), [], []
     for step in range(70):
         before = len(bench.lines)
@@ -90,18 +95,18 @@
             bench.balancer.overdue(bench.now, one.terms, one.hops[0])
         bench.end(one, Outcome.TIMEOUT if step in dropped else Outcome.OK)
     assert len(dropped) == 6 < len(freed) and freed[0] > dropped[-1] and freed[-1] < 45
-    rests = Rests()  # what is lost alike after any rest is no dropped connection
+    rests = Rests()  # losses that do not depend on the idle time are not dropped connections
     for step in range(100):
         rests.note(step * 100_000, 0 if step % 2 else 3 * SECOND, step % 4 < 2)
     assert rests.limit > 60 * SECOND
 
 
-def test_hints_are_weighed_and_never_passed_on_and_what_cannot_be_read_is_counted() -> None:
+def test_hints_are_weighted_and_never_forwarded_and_malformed_ones_are_counted() -> None:
     good = bytes([1]) + 2 * bytes([0, 0, 0, 0, 0, 9, 0, 0])
     bench = Bench(settings(may_tell=True), [entry(1), entry(2)])
     for bad in (b"", b"\1", good[:-1], good + b"\0", b"\2" + good[1:], bytes(17), b"\xff" * 17):
         bench.balancer.told(0, bad)
-    bench.balancer.told(0, bytes([1]) + bytes(8) + b"\xff" * 8)  # more in vain than used
+    bench.balancer.told(0, bytes([1]) + bytes(8) + b"\xff" * 8)  # more losses than uses
     assert bench.balancer.ignored == 7 and bench.balancer.rests.limit > 60 * SECOND
     bench.balancer.told(SECOND, good)
     bench.balancer.tell(2 * SECOND)
@@ -113,7 +118,7 @@
 
 
 @pytest.mark.parametrize("tariff", [READ, ONCE, marked(Group.ALL), marked(Group.ZONE)])
-def test_given_up_means_answered_in_the_same_call(tariff) -> None:  # type: ignore[no-untyped-def]
+def test_a_submission_without_further_hops_is_answered_in_the_same_call(tariff) -> None:  # type: ignore[no-untyped-def]
     bench = Bench(settings(tariff), [entry(1, zone=0), entry(2, zone=1)])
     for outcome in (Outcome.ERROR, Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.TIMEOUT):
         one = bench.at(bench.now / SECOND + 30).take(int(outcome))
@@ -122,7 +127,7 @@
         assert one.done and bench.lines[-1].endswith(("deferred", "forfeited"))
 
 
-def test_settings_are_adopted_and_the_stricter_figures_hold_for_a_while() -> None:
+def test_new_settings_apply_and_the_stricter_values_stay_in_force_for_a_while() -> None:
     named = dataclasses.replace(READ, name="read"), dataclasses.replace(ONCE, name="once")
     bench = Bench(settings(*named), [entry(1), entry(2), entry(3)])
     targets_of(bench, 30, 10)
@@ -138,5 +143,5 @@
     held = bench.balancer.settings
     assert (held.cold_from, held.cold_for, held.fall_multiple) == (0.1, 20 * SECOND, 2.5)
     assert bench.balancer.terms[0].usual == usual and len(bench.balancer.terms) == 1
-    bench.end(one, Outcome.RESET)  # unrepeatable, under a tariff that is no longer known
+    bench.end(one, Outcome.RESET)  # non-idempotent, of a request class that is no longer configured
     assert bench.lines[-1].endswith("forfeited") and bench.at(23.5).balancer.settings == new
