--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -37,7 +37,7 @@
 # -- retries: conditions that held when a hop was chosen, and no longer hold when it could be written
 
 
-def test_a_request_whose_client_left_during_the_dial_is_not_sent(
+def test_a_request_whose_client_left_during_the_connect_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path)
@@ -72,7 +72,7 @@
     assert read_status(client_socket) == 200 and rig.dispatcher.pool.open_count == 1
 
 
-def test_a_request_whose_client_left_before_a_late_dial_is_not_sent_by_the_program(tmp_path: Path) -> None:
+def test_a_request_whose_client_left_during_a_slow_connect_is_not_sent_by_the_process(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 0)
     listener, full = server_with_full_backlog(deployment)
     deployment.told["settings"]["policyLimits"]["dialTimeoutS"] = 15.0
@@ -409,21 +409,21 @@
             return info[:128] + bytes(8) if isinstance(info, bytes) and len(info) == 136 else info
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        near = Uncounted()
-        near.connect(listener.getsockname())
-        near.settimeout(None)  # blocking, as connections to servers are
-        client_socket = listener.accept()[0]
-    results = [arrival.is_quiet(near, 0), arrival.is_quiet(near, 5)]
-    client_socket.sendall(b"unasked")
-    wait_until(lambda: near.recv(1, socket.MSG_PEEK))
-    results += [arrival.is_quiet(near, 5)]
-    near.recv(7)
-    results += [arrival.is_quiet(near, 12)]
-    client_socket.close()
-    wait_until(lambda: arrival.is_closed(near))
-    results += [arrival.is_quiet(near, 12)]
+        sock = Uncounted()
+        sock.connect(listener.getsockname())
+        sock.settimeout(None)  # blocking, as connections to servers are
+        peer = listener.accept()[0]
+    results = [arrival.is_quiet(sock, 0), arrival.is_quiet(sock, 5)]
+    peer.sendall(b"unasked")
+    wait_until(lambda: sock.recv(1, socket.MSG_PEEK))
+    results += [arrival.is_quiet(sock, 5)]
+    sock.recv(7)
+    results += [arrival.is_quiet(sock, 12)]
+    peer.close()
+    wait_until(lambda: arrival.is_closed(sock))
+    results += [arrival.is_quiet(sock, 12)]
     assert results == [True, True, False, True, False]
-    near.close()
+    sock.close()
 
 
 def test_all_connections_use_tcp_nodelay(tmp_path: Path) -> None:
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -1,4 +1,4 @@
-"""The sidecar's parts when threads come late: nothing taken is lost, nobody is judged by our own delay."""
+"""The sidecar's parts on a busy core, when threads run late: no request is lost, no server is blamed."""
 
 import signal
 import socket
@@ -24,16 +24,16 @@
 
 
 def connected_sockets() -> tuple[socket.socket, socket.socket]:
-    """Two ends of one connection over TCP; the near one blocks."""
+    """Two ends of a TCP connection; the first one is blocking."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        far = socket.create_connection(listener.getsockname())
-        near = listener.accept()[0]
-        near.settimeout(None)
-        return near, far
+        client_socket = socket.create_connection(listener.getsockname())
+        server_socket = listener.accept()[0]
+        server_socket.settimeout(None)
+        return server_socket, client_socket
 
 
 class ClientOwner:
-    """All connections of the application, with a dispatcher that has no servers."""
+    """A stand-in for the set of client connections, with a dispatcher that has no servers."""
 
     def __init__(self, folder: Path) -> None:
         self.config = config.config(Deployment(folder, 0).told)
@@ -44,7 +44,7 @@
         self.is_over_limit = lambda: False
 
 
-def test_what_crossed_the_end_of_a_connection_is_served_however_late_its_thread(tmp_path: Path) -> None:
+def test_a_request_that_crosses_an_idle_close_is_served_even_if_its_thread_is_late(tmp_path: Path) -> None:
     lines = []
     for name, state, sent in (
         ("rests", IDLE, UP_REQUEST),
@@ -53,15 +53,15 @@
     ):
         owner = ClientOwner(tmp_path)
         owner.remove = lambda client, *_: None
-        near, far = connected_sockets()
-        client = Client(near, owner, clock.now())
+        server_socket, client_socket = connected_sockets()
+        client = Client(server_socket, owner, clock.now())
         client.state = state
-        far.sendall(sent)
-        # Its thread has not run since: the request waits to be read.
+        client_socket.sendall(sent)
+        # The connection's thread has not run yet: the request is still unread.
         assert client.expire(state) and client.state == DRAINING
         thread = threading.Thread(target=client.run)
         thread.start()
-        response = next_of(far, ResponseParser())
+        response = next_of(client_socket, ResponseParser())
         lines.append(
             f"{name}: {response.status if response else 'closed'}"
             f"{', closed' if response and not response.keeps_alive() else ''}"
@@ -70,108 +70,111 @@
     compare("crossed", lines)
 
 
-def test_client_that_does_not_read_has_no_place(tmp_path: Path) -> None:
+def test_a_client_that_does_not_read_holds_no_slot(tmp_path: Path) -> None:
     owner = ClientOwner(tmp_path)
-    near, far = connected_sockets()
-    client = Client(near, owner, clock.now())
-    near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, struct.pack("ll", 0, 50_000))
-    entrance, left = owner.dispatcher.admission_gate, []
+    server_socket, client_socket = connected_sockets()
+    client = Client(server_socket, owner, clock.now())
+    server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, struct.pack("ll", 0, 50_000))
+    gate, released = owner.dispatcher.admission_gate, []
     client.acquire_slot()
-    assert entrance.queue.active == 1
-    entrance.leave = lambda out: left.append(out) or AdmissionGate.leave(entrance, out)
+    assert gate.queue.active == 1
+    gate.leave = lambda out: released.append(out) or AdmissionGate.leave(gate, out)
     written = client.write(b"x" * 30_000_000)
-    # The place was free before the write blocked, and once only.
+    # The slot was released before the write blocked, and only once.
     client.release_slot()
-    assert not written and left == [0] and entrance.queue.active == 0
-    far.close()
+    assert not written and released == [0] and gate.queue.active == 0
+    client_socket.close()
 
 
-def test_places_are_handed_on_and_those_turned_away_are_told(tmp_path: Path) -> None:
-    entrance = AdmissionGate(config.config(Deployment(tmp_path, 0).told))
+def test_slots_are_passed_on_and_rejected_waiters_are_woken(tmp_path: Path) -> None:
+    gate = AdmissionGate(config.config(Deployment(tmp_path, 0).told))
     now = clock.now()
-    assert all(entrance.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(PLACES))
-    told: deque = deque()
+    assert all(gate.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(PLACES))
+    results: deque = deque()
 
-    def come() -> None:
-        told.append(entrance.enter(now, now + 2_000_000, 0, False, 5000.0))
+    def enter() -> None:
+        results.append(gate.enter(now, now + 2_000_000, 0, False, 5000.0))
 
-    threads = [threading.Thread(target=come) for _ in range(2)]
+    threads = [threading.Thread(target=enter) for _ in range(2)]
     for at, thread in enumerate(threads):
         thread.start()
-        while len(entrance.queue.waiting) <= at:
+        while len(gate.queue.waiting) <= at:
             pass
-    # The first of the two has waited too long by the time that a place is free.
-    _, first = entrance.queue.waiting[0]
-    entrance.queue.waiting[0] = (clock.now() - 1, first)
-    entrance.leave()
+    # The first of the two has waited too long when a slot becomes free.
+    _, first = gate.queue.waiting[0]
+    gate.queue.waiting[0] = (clock.now() - 1, first)
+    gate.leave()
     for thread in threads:
         thread.join(5)
-    assert sorted(told) == [False, True] and entrance.queue.active == PLACES
+    assert sorted(results) == [False, True] and gate.queue.active == PLACES
 
 
-def test_servers_are_not_judged_while_our_own_threads_are_late(tmp_path: Path) -> None:
+def test_latency_timers_are_postponed_while_our_own_threads_are_late(tmp_path: Path) -> None:
     dispatcher = ClientOwner(tmp_path).dispatcher
     dispatcher.balancer.listed(0, Listing.FULL, [entry(10)])
-    for behind in (0, 300_000):
+    for delay in (0, 300_000):
         dispatcher.timers.clear()
         dispatcher.send = lambda *_: None
         one = dispatcher.balancer.take(0, 1, 0, 1, False, 2_500_000)
-        dispatcher.delay_monitor.delay = behind
+        dispatcher.delay_monitor.delay = delay
         dispatcher.fire_timers(600_000)
-        judged = one.hops[0].judged
-        later = [at for at, _, whom in dispatcher.timers if isinstance(whom, PostponedTimer)]
-        assert (judged, later) == ((True, []) if not behind else (False, [900_000]))
+        checked = one.hops[0].judged
+        postponed = [at for at, _, handler in dispatcher.timers if isinstance(handler, PostponedTimer)]
+        assert (checked, postponed) == ((True, []) if not delay else (False, [900_000]))
     dispatcher.fire_timers(900_000)
     assert one.hops[0].judged
 
 
 def enable_kernel_timestamps() -> tuple[socket.socket, socket.socket]:
-    """A pair that keeps the kernel stamping, which it begins only some time after the first socket asked."""
-    near, far = connected_sockets()
-    arrival.enable_timestamps(near)
-    room = memoryview(bytearray(1))
+    """Two ends of a connection that keep kernel timestamps on.
+
+    The kernel starts to add them only some time after the first socket has asked for them.
+    """
+    server_socket, client_socket = connected_sockets()
+    arrival.enable_timestamps(server_socket)
+    buffer = memoryview(bytearray(1))
     give_up = clock.now() + 20_000_000
-    late = 0
-    while late < 5_000 and clock.now() < give_up:
-        far.sendall(b"x")
+    delay = 0
+    while delay < 5_000 and clock.now() < give_up:
+        client_socket.sendall(b"x")
         read_at = clock.now() + 10_000
         while clock.now() < read_at:
             pass
-        late = clock.now() - arrival.receive(near, room, 0)[1]
-    return near, far
+        delay = clock.now() - arrival.receive(server_socket, buffer, 0)[1]
+    return server_socket, client_socket
 
 
-def test_arrival_is_when_the_kernel_had_the_bytes_and_quiet_is_what_it_knows() -> None:
-    near, far = connected_sockets()
-    kept = enable_kernel_timestamps()
-    arrival.enable_timestamps(near)
-    far.sendall(b"one")
-    while not near.recv(3, socket.MSG_PEEK):
+def test_arrival_times_and_connection_state_are_those_of_the_kernel() -> None:
+    server_socket, client_socket = connected_sockets()
+    stamped = enable_kernel_timestamps()
+    arrival.enable_timestamps(server_socket)
+    client_socket.sendall(b"one")
+    while not server_socket.recv(3, socket.MSG_PEEK):
         pass
     read_at = clock.now() + 200_000
     while clock.now() < read_at:
         pass
-    room = memoryview(bytearray(10))
-    count, came = arrival.receive(near, room, 0)
-    late = clock.now() - came
-    bounded = arrival.receive(near, room, clock.now())[1] if far.send(b"two") else 0
-    assert count == 3 and late > 190_000 and bounded <= clock.now()
-    looks = [arrival.is_quiet(near, 6), arrival.is_closed(near)]
-    far.sendall(b"unasked")
-    while not near.recv(1, socket.MSG_PEEK):
+    buffer = memoryview(bytearray(10))
+    count, received_at = arrival.receive(server_socket, buffer, 0)
+    delay = clock.now() - received_at
+    bounded = arrival.receive(server_socket, buffer, clock.now())[1] if client_socket.send(b"two") else 0
+    assert count == 3 and delay > 190_000 and bounded <= clock.now()
+    states = [arrival.is_quiet(server_socket, 6), arrival.is_closed(server_socket)]
+    client_socket.sendall(b"unasked")
+    while not server_socket.recv(1, socket.MSG_PEEK):
         pass
-    looks += [arrival.is_quiet(near, 6), arrival.is_closed(near)]
-    near.recv(7)
-    far.close()
-    while near.recv(1):
+    states += [arrival.is_quiet(server_socket, 6), arrival.is_closed(server_socket)]
+    server_socket.recv(7)
+    client_socket.close()
+    while server_socket.recv(1):
         pass
-    looks += [arrival.is_quiet(near, 13), arrival.is_closed(near)]
-    assert looks == [True, False, False, False, False, True]
-    for sock in kept:
+    states += [arrival.is_quiet(server_socket, 13), arrival.is_closed(server_socket)]
+    assert states == [True, False, False, False, False, True]
+    for sock in stamped:
         sock.close()
 
 
-def test_glance_tells_plain_requests_and_leaves_all_others_to_the_parser() -> None:
+def test_peek_accepts_plain_requests_and_leaves_all_others_to_the_parser() -> None:
     head = "POST /api HTTP/1.1\r\nHost: a\r\nx-qos:  read \r\n"
     cases = {
         "no body": head + "X-Expires-In-Ms: 480\r\n\r\n",
@@ -198,48 +201,48 @@
     compare("glance", lines)
 
 
-def test_advice_is_given_only_where_the_settings_allow_it(tmp_path: Path) -> None:
+def test_retry_after_is_sent_only_where_the_settings_allow_it(tmp_path: Path) -> None:
     heads = []
     for allowed in (True, False):
-        around = Deployment(tmp_path, 0)
-        around.told["settings"]["policyLimits"]["retryAfter"] = allowed
+        deployment = Deployment(tmp_path, 0)
+        deployment.told["settings"]["policyLimits"]["retryAfter"] = allowed
         owner = ClientOwner(tmp_path)
-        owner.dispatcher = Dispatcher(config.config(around.told), Log("n0"), None)
+        owner.dispatcher = Dispatcher(config.config(deployment.told), Log("n0"), None)
         owner.dispatcher.admission_gate.queue.came = lambda *_: Verdict.AWAY
-        near, far = connected_sockets()
-        client, parser = Client(near, owner, clock.now()), RequestParser()
+        server_socket, client_socket = connected_sockets()
+        client, parser = Client(server_socket, owner, clock.now()), RequestParser()
         parser.feed(b"GET /api HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\n\r\n")
         assert client.reject_early(parser, clock.now()) and parser.is_idle()
-        response = next_of(far, ResponseParser())
+        response = next_of(client_socket, ResponseParser())
         heads.append((response.status, bool(response.header("Retry-After")), response.keeps_alive()))
     assert heads == [(503, True, True), (503, False, True)]
 
 
-def test_busy_connections_are_left_alone(tmp_path: Path) -> None:
+def test_busy_connections_are_not_expired(tmp_path: Path) -> None:
     client = Client(connected_sockets()[0], ClientOwner(tmp_path), 0)
     client.set_state(BUSY)
     assert not client.expire(IDLE) and not client.expire(FRESH) and client.state == BUSY
 
 
-def test_what_piled_up_while_no_thread_ran_is_answered_once_each_in_the_whole_sidecar(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 3)
-    with around.running():
-        clients = [socket.create_connection(around.where) for _ in range(40)]
+def test_requests_that_piled_up_while_the_sidecar_was_stopped_are_answered_once_each(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 3)
+    with deployment.running():
+        clients = [socket.create_connection(deployment.where) for _ in range(40)]
         for sock in clients:
-            around.script.put(answer(200, "first"))
-            around.send("once", sock=sock, body="lot")
-            around.hear(sock, ResponseParser())
-        around.process.send_signal(signal.SIGSTOP)
+            deployment.script.put(answer(200, "first"))
+            deployment.send("once", sock=sock, body="lot")
+            deployment.hear(sock, ResponseParser())
+        deployment.process.send_signal(signal.SIGSTOP)
         for sock in clients:
-            around.script.put(answer(200, "second"))
-            around.send("once", sock=sock, body="lot")
-        around.process.send_signal(signal.SIGCONT)
+            deployment.script.put(answer(200, "second"))
+            deployment.send("once", sock=sock, body="lot")
+        deployment.process.send_signal(signal.SIGCONT)
         for sock in clients:
-            around.hear(sock, ResponseParser())
-        around.process.send_signal(signal.SIGTERM)
-        stopped = around.event("stopped")
-    ends = Counter(line.split(" ", 1)[1] for line in around.lines if line.startswith("client"))
-    runs = Counter(line.split()[3] for line in around.lines if not line.startswith("client"))
-    # More at once than there are places: every one had its turn, none ran twice, and nothing is left.
+            deployment.hear(sock, ResponseParser())
+        deployment.process.send_signal(signal.SIGTERM)
+        stopped = deployment.event("stopped")
+    ends = Counter(line.split(" ", 1)[1] for line in deployment.lines if line.startswith("client"))
+    runs = Counter(line.split()[3] for line in deployment.lines if not line.startswith("client"))
+    # More requests at once than slots: each was served, none ran twice, and nothing is left.
     assert ends == {"200 first": 40, "200 second": 40} and set(runs.values()) == {1} and len(runs) == 80
     assert (stopped["clients"], stopped["taken"], stopped["broken"]) == (0, 80, {})
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process of its own among stand-ins on loopback; traces tell what each of them saw."""
+"""The sidecar as a process among scripted stand-ins on loopback; traces record what each of them saw."""
 
 import json
 import queue
@@ -44,7 +44,7 @@
     return json.dumps({**json.loads(BAD_KNOWN_LIST), "known": None, **changed})
 
 
-def test_answers_follow_the_table_of_outcomes(tmp_path: Path) -> None:
+def test_each_outcome_of_a_hop_gives_its_answer(tmp_path: Path) -> None:
     steps = {
         "served": [answer(200, "stock")],
         "error": [answer(500)],
@@ -56,68 +56,70 @@
         "no HTTP": [(b"SMTP\r\n\r\n", "wait")],
         "too long": [(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", "wait")],
     }
-    with Deployment(tmp_path, 3).running() as around:
+    with Deployment(tmp_path, 3).running() as deployment:
         for name, script in steps.items():
-            around.lines.append(f"-- {name}")
-            around.ask("once", *script, body="lot 7")
-    compare("outcomes", around.lines)
+            deployment.lines.append(f"-- {name}")
+            deployment.ask("once", *script, body="lot 7")
+    compare("outcomes", deployment.lines)
 
 
-def test_idempotent_goes_on_elsewhere_and_chunked_answers_are_passed_on_whole(tmp_path: Path) -> None:
+def test_idempotent_requests_are_retried_elsewhere_and_chunked_responses_are_forwarded(
+    tmp_path: Path,
+) -> None:
     chunked = (
         b"HTTP/1.1 200 OK\r\nX-Store: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     )
-    with Deployment(tmp_path, 3).running() as around:
-        response = around.ask("read", "reset", answer(500), chunked)
+    with Deployment(tmp_path, 3).running() as deployment:
+        response = deployment.ask("read", "reset", answer(500), chunked)
         assert response is not None and response.header("X-Store") == "s"
-    compare("elsewhere", around.lines)
+    compare("elsewhere", deployment.lines)
 
 
-def test_silent_servers_are_answered_for_before_patience_ends(tmp_path: Path) -> None:
-    with Deployment(tmp_path, 1).running() as around:
-        for tariff in ("read", "once"):
-            began = time.monotonic()
-            around.ask(tariff, "wait", expires=800)
-            assert 0.7 < time.monotonic() - began < 0.85
-            # Its connection is closed, so that nothing of it can run later and no answer of it be taken.
-            around.servers[0].closed.acquire(timeout=5)
-        around.ask("read", answer(200, "late ones are not mixed up"))
-    compare("silent", around.lines)
+def test_requests_to_silent_servers_are_answered_before_the_deadline(tmp_path: Path) -> None:
+    with Deployment(tmp_path, 1).running() as deployment:
+        for request_class in ("read", "once"):
+            started_at = time.monotonic()
+            deployment.ask(request_class, "wait", expires=800)
+            assert 0.7 < time.monotonic() - started_at < 0.85
+            # Its connection is closed, so that the request can't run later and no late response is used.
+            deployment.servers[0].closed.acquire(timeout=5)
+        deployment.ask("read", answer(200, "late ones are not mixed up"))
+    compare("silent", deployment.lines)
 
 
 def test_refused_connections_never_ran_and_a_closed_idle_one_is_not_used(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 2)
-    with around.running():
-        around.ask("once", (answer(200, "first"), "end"))
-        assert [peer.closed.acquire(timeout=1) for peer in around.servers].count(True) == 1
-        around.ask("once", answer(200, "on a new connection"))
-        first = around.lines[0].split(":")[0]
-        gone = next(peer for peer in around.servers if peer.name == first)
-        gone.listener.shutdown(socket.SHUT_RDWR)
-        gone.listener.close()
-        around.ask("once", "reset")
-        around.ask("once", answer(200, "elsewhere"))
-    compare("refused", around.lines)
-
-
-def test_requests_that_come_together_are_answered_in_turn(tmp_path: Path) -> None:
-    with Deployment(tmp_path, 1).running() as around:
+    deployment = Deployment(tmp_path, 2)
+    with deployment.running():
+        deployment.ask("once", (answer(200, "first"), "end"))
+        assert [peer.closed.acquire(timeout=1) for peer in deployment.servers].count(True) == 1
+        deployment.ask("once", answer(200, "on a new connection"))
+        first = deployment.lines[0].split(":")[0]
+        closed_peer = next(peer for peer in deployment.servers if peer.name == first)
+        closed_peer.listener.shutdown(socket.SHUT_RDWR)
+        closed_peer.listener.close()
+        deployment.ask("once", "reset")
+        deployment.ask("once", answer(200, "elsewhere"))
+    compare("refused", deployment.lines)
+
+
+def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
+    with Deployment(tmp_path, 1).running() as deployment:
         headers = [("Host", "api"), ("X-Qos", "read")]
-        both = [
+        requests = [
             writing.request("GET", f"/{name}", [*headers, ("X-Trace-Id", name)])
             for name in ("one", "two", "three")
         ]
-        around.client.sendall(both[0] + both[1] + both[2][:9])
+        deployment.client.sendall(requests[0] + requests[1] + requests[2][:9])
         for name in ("one", "two", "three"):
-            around.script.put(answer(200, name))
-            around.hear()
+            deployment.script.put(answer(200, name))
+            deployment.hear()
             if name == "two":
-                around.client.sendall(both[2][9:])
-    # By who saw it: the server has the next request while the client still reads the answer before it.
-    compare("together", sorted(around.lines, key=lambda line: line.startswith("client")))
+                deployment.client.sendall(requests[2][9:])
+    # Sorted by observer: the server may get the next request before the client has read the previous answer.
+    compare("together", sorted(deployment.lines, key=lambda line: line.startswith("client")))
 
 
-def test_bad_clients_get_an_error_or_a_close_and_nothing_of_theirs_is_passed_on(tmp_path: Path) -> None:
+def test_malformed_requests_get_an_error_or_a_close_and_are_not_forwarded(tmp_path: Path) -> None:
     good = {"Host": "api", "X-Trace-Id": "t9", "X-Qos": "read", "X-Expires-In-Ms": "900"}
     odd = {
         "no id": {"X-Trace-Id": None},
@@ -132,198 +134,202 @@
         "two lengths": {"Content-Length": "3, 3"},
         "60 MB": {"Content-Length": "60000000"},
     }
-    with Deployment(tmp_path, 1).running() as around:
-        silent, half = (socket.create_connection(around.where) for _ in range(2))
+    with Deployment(tmp_path, 1).running() as deployment:
+        silent, half = (socket.create_connection(deployment.where) for _ in range(2))
         half.sendall(b"POST /api HTTP/1.1\r\nHost: a")
-        around.send("read")
-        assert around.servers[0].met.acquire(timeout=5)
+        deployment.send("read")
+        assert deployment.servers[0].met.acquire(timeout=5)
         for name, changed in odd.items():
-            around.lines.append(f"-- {name}")
-            with socket.create_connection(around.where) as sock:
+            deployment.lines.append(f"-- {name}")
+            with socket.create_connection(deployment.where) as sock:
                 headers = [(name, value) for name, value in {**good, **changed}.items() if value is not None]
                 sock.sendall(writing.message("POST /api HTTP/1.1", headers, b""))
-                around.hear(sock, ResponseParser())
-        around.lines.append("-- the open one")
-        around.script.put(answer(200, "still waited for"))
-        around.hear()
-        around.number = 0
-        around.ask("read")
-        around.lines.append("-- three errors in a row")
-        with socket.create_connection(around.where) as sock:
+                deployment.hear(sock, ResponseParser())
+        deployment.lines.append("-- the open one")
+        deployment.script.put(answer(200, "still waited for"))
+        deployment.hear()
+        deployment.number = 0
+        deployment.ask("read")
+        deployment.lines.append("-- three errors in a row")
+        with socket.create_connection(deployment.where) as sock:
             parser = ResponseParser()
             for _ in range(3):
                 sock.sendall(writing.message("GET / HTTP/1.1", [("Host", "a")], b""))
-                around.hear(sock, parser)
-        around.lines.append("-- half a request, and silence")
-        around.hear(half, ResponseParser())
+                deployment.hear(sock, parser)
+        deployment.lines.append("-- half a request, and silence")
+        deployment.hear(half, ResponseParser())
         assert silent.recv(1) == b""
-    compare("bad_clients", around.lines)
+    compare("bad_clients", deployment.lines)
 
 
-def test_silent_connections_make_room(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 1, limits={"memory_mb": 192, "sockets": 60})
-    with around.running():
-        silent = [socket.create_connection(around.where) for _ in range(40)]
-        around.ask("read", answer(200, "served among them"))
+def test_silent_connections_are_closed_for_new_ones(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 1, limits={"memory_mb": 192, "sockets": 60})
+    with deployment.running():
+        silent = [socket.create_connection(deployment.where) for _ in range(40)]
+        deployment.ask("read", answer(200, "served among them"))
         assert [sock.recv(1) for sock in silent[:20]] == [b""] * 20
-        fresh = socket.create_connection(around.where)
-        around.script.put(answer(200, "and a new one"))
-        around.send("read", sock=fresh)
-        around.hear(fresh, ResponseParser())
-    assert around.lines[1::2] == ["client: 200 served among them", "client: 200 and a new one"]
+        fresh = socket.create_connection(deployment.where)
+        deployment.script.put(answer(200, "and a new one"))
+        deployment.send("read", sock=fresh)
+        deployment.hear(fresh, ResponseParser())
+    assert deployment.lines[1::2] == ["client: 200 served among them", "client: 200 and a new one"]
 
 
-def test_at_the_bound_connections_that_rest_make_room_and_open_requests_do_not(tmp_path: Path) -> None:
+def test_at_the_limit_idle_connections_are_closed_and_busy_ones_are_not(tmp_path: Path) -> None:
     owner = FakeDispatcher()
     limits = {"memory_mb": 192, "sockets": 60}
     owner.active_config = (config.config({**Deployment(tmp_path, 0).told, "limits": limits}), ())
     owner.dispatcher = owner
-    around = Clients(owner)
+    all_clients = Clients(owner)
     states = [IDLE, FRESH, BUSY, IDLE, PARTIAL, IDLE, FRESH, BUSY, IDLE, IDLE, IDLE, PARTIAL, IDLE]
     now = clock.now()
     for age, state in enumerate(states):
-        client = Client(socket.socketpair()[0], around, now - (len(states) - age) * 100_000)
+        client = Client(socket.socketpair()[0], all_clients, now - (len(states) - age) * 100_000)
         client.state = state
-        around.open[client] = None
+        all_clients.open[client] = None
         if age == 5:
-            around.evict_idle()
-    around.listener.close()
+            all_clients.evict_idle()
+    all_clients.listener.close()
     few, many = Clients(owner), Clients(owner)
-    for resting, count in ((few, 2), (many, 3)):
-        resting.listener.close()
+    for clients, count in ((few, 2), (many, 3)):
+        clients.listener.close()
         for _ in range(count):
-            client = Client(socket.socketpair()[0], resting, now - 400_000)
+            client = Client(socket.socketpair()[0], clients, now - 400_000)
             client.state = IDLE
-            resting.open[client] = None
-        resting.sweep()
-    once = Clients(owner)
-    once.listener.close()
+            clients.open[client] = None
+        clients.sweep()
+    used = Clients(owner)
+    used.listener.close()
     for served in (1, 2, 2):
-        client = Client(socket.socketpair()[0], once, now - 100_000)
+        client = Client(socket.socketpair()[0], used, now - 100_000)
         client.state, client.requests_served = IDLE, served
-        once.open[client] = None
-    once.sweep()
-    assert [client.state for client in once.open] == [DRAINING, IDLE, IDLE]
+        used.open[client] = None
+    used.sweep()
+    assert [client.state for client in used.open] == [DRAINING, IDLE, IDLE]
     assert [client.state for client in [*few.open, *many.open]] == [IDLE] * 2 + [DRAINING] * 3
-    # Six are below the bound: some are closed all the same, since many come together.
-    closed = [client.state in (CLOSING, DRAINING) for client in around.open]
+    # Six are below the limit; some are closed all the same, since new connections come in bursts.
+    closed = [client.state in (CLOSING, DRAINING) for client in all_clients.open]
     assert closed == [True, True, False, True, False, True] + [False] * 7
-    around.connection_limit = around.last_eviction_at = 0
-    around.evict_idle()
-    left = [at for at, client in enumerate(around.open) if client.state not in (CLOSING, DRAINING)]
-    assert left == [2, 4, 7, 11]
+    all_clients.connection_limit = all_clients.last_eviction_at = 0
+    all_clients.evict_idle()
+    remaining = [at for at, client in enumerate(all_clients.open) if client.state not in (CLOSING, DRAINING)]
+    assert remaining == [2, 4, 7, 11]
 
 
-def test_client_that_leaves_gets_nothing_and_others_go_on(tmp_path: Path) -> None:
-    with Deployment(tmp_path, 1).running() as around:
-        other = socket.create_connection(around.where)
-        around.send("read", sock=other)
-        assert around.servers[0].met.acquire(timeout=5)
+def test_a_client_that_leaves_gets_nothing_and_others_are_served(tmp_path: Path) -> None:
+    with Deployment(tmp_path, 1).running() as deployment:
+        other = socket.create_connection(deployment.where)
+        deployment.send("read", sock=other)
+        assert deployment.servers[0].met.acquire(timeout=5)
         other.close()
-        around.script.put(answer(200, "for nobody"))
-        around.client.sendall(b"BAD\r\n\r\n")
-        around.hear()
-        assert around.client.recv(1) == b""
-        around.client, around.parser = socket.create_connection(around.where), ResponseParser()
-        around.ask("read", answer(200, "for the next"))
-        around.ask("no such")
-    compare("left", around.lines)
-
-
-def test_client_that_leaves_before_its_hop_fails_is_forgotten_with_its_thread(tmp_path: Path) -> None:
-    with Deployment(tmp_path, 2).running() as around:
-        others = [socket.create_connection(around.where) for _ in range(3)]
+        deployment.script.put(answer(200, "for nobody"))
+        deployment.client.sendall(b"BAD\r\n\r\n")
+        deployment.hear()
+        assert deployment.client.recv(1) == b""
+        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
+        deployment.ask("read", answer(200, "for the next"))
+        deployment.ask("no such")
+    compare("left", deployment.lines)
+
+
+def test_a_client_that_leaves_before_its_hop_fails_gets_no_further_hop_and_no_thread_stays(
+    tmp_path: Path,
+) -> None:
+    with Deployment(tmp_path, 2).running() as deployment:
+        others = [socket.create_connection(deployment.where) for _ in range(3)]
         for sock in others:
-            around.send("read", sock=sock)
-        for peer in around.servers:
+            deployment.send("read", sock=sock)
+        for peer in deployment.servers:
             peer.met.acquire(timeout=0.5) and peer.met.acquire(timeout=0.5) and peer.met.acquire(timeout=0.5)
         for sock in others:
             sock.close()
         for _ in others:
-            around.script.put("reset")
-        around.process.send_signal(signal.SIGTERM)
-        around.client.close()
-        stopped = around.event("stopped")
-    assert stopped["clients"] == 0 and len(around.lines) == 3, "no second hop, nobody left"
-
-
-def test_sigterm_answers_what_is_taken_and_what_still_comes(tmp_path: Path) -> None:
-    with Deployment(tmp_path, 1).running() as around:
-        idle = socket.create_connection(around.where)
-        around.send("read")
-        assert around.servers[0].met.acquire(timeout=5)
-        around.process.send_signal(signal.SIGTERM)
-        around.event("draining")
-        around.script.put(answer(200, "taken before"))
-        around.hear()
-        late = socket.create_connection(around.where)
-        around.script.put(answer(200, "came later"))
-        around.send("once", sock=late)
-        around.hear(late, ResponseParser())
+            deployment.script.put("reset")
+        deployment.process.send_signal(signal.SIGTERM)
+        deployment.client.close()
+        stopped = deployment.event("stopped")
+    assert stopped["clients"] == 0 and len(deployment.lines) == 3, "no second hop, nobody left"
+
+
+def test_after_sigterm_admitted_and_still_arriving_requests_are_answered(tmp_path: Path) -> None:
+    with Deployment(tmp_path, 1).running() as deployment:
+        idle = socket.create_connection(deployment.where)
+        deployment.send("read")
+        assert deployment.servers[0].met.acquire(timeout=5)
+        deployment.process.send_signal(signal.SIGTERM)
+        deployment.event("draining")
+        deployment.script.put(answer(200, "taken before"))
+        deployment.hear()
+        late = socket.create_connection(deployment.where)
+        deployment.script.put(answer(200, "came later"))
+        deployment.send("once", sock=late)
+        deployment.hear(late, ResponseParser())
         assert idle.recv(1) == b""
         idle.close()
-        for sock in (around.client, late):
+        for sock in (deployment.client, late):
             assert sock.recv(1) == b""
             sock.close()
-        assert around.event("stopped")["broken"] == {} and around.process.wait() == 0
-    compare("drain", around.lines)
+        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait() == 0
+    compare("drain", deployment.lines)
 
 
-def test_watch_survives_failures_and_what_it_tells_counts_at_once(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 1)
-    around.lists.put((b"", "reset"))
-    around.lists.put(answer(200, json.dumps(around.listing(7, False, "active"))))
-    with around.running():
-        around.ask("read", answer(200, "active"))
-        around.lists.put(answer(200, json.dumps(around.listing(8, False, "leaving"))))
+def test_the_watch_survives_failures_and_its_updates_apply_at_once(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 1)
+    deployment.lists.put((b"", "reset"))
+    deployment.lists.put(answer(200, json.dumps(deployment.listing(7, False, "active"))))
+    with deployment.running():
+        deployment.ask("read", answer(200, "active"))
+        deployment.lists.put(answer(200, json.dumps(deployment.listing(8, False, "leaving"))))
         for _ in range(4):
-            assert around.discovery.met.acquire(timeout=5)
-        around.ask("read")
-    compare("watched", around.discovery.lines + around.lines)
-
-
-def test_sighup_follows_the_new_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 1)
-    elsewhere = Peer("elsewhere", queue.SimpleQueue(), around.discovery.lines)
-    around.discovery.lines.append("-- the file is replaced")
-    with around.running():
-        assert around.discovery.met.acquire(timeout=5)
-        around.send("read")
-        assert around.servers[0].met.acquire(timeout=5)
-        for text in ("{", json.dumps({**around.told, "discovery": elsewhere.address, "seed": "2f"})):
-            around.config.write_text(text)
-            around.process.send_signal(signal.SIGHUP)
-            around.lines.append(str(around.event("reload_failed" if text == "{" else "reloaded").get("text")))
+            assert deployment.discovery.met.acquire(timeout=5)
+        deployment.ask("read")
+    compare("watched", deployment.discovery.lines + deployment.lines)
+
+
+def test_sighup_switches_to_the_new_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 1)
+    elsewhere = Peer("elsewhere", queue.SimpleQueue(), deployment.discovery.lines)
+    deployment.discovery.lines.append("-- the file is replaced")
+    with deployment.running():
+        assert deployment.discovery.met.acquire(timeout=5)
+        deployment.send("read")
+        assert deployment.servers[0].met.acquire(timeout=5)
+        for text in ("{", json.dumps({**deployment.told, "discovery": elsewhere.address, "seed": "2f"})):
+            deployment.config.write_text(text)
+            deployment.process.send_signal(signal.SIGHUP)
+            deployment.lines.append(
+                str(deployment.event("reload_failed" if text == "{" else "reloaded").get("text"))
+            )
         elsewhere.script.put((b"", "reset"))
-        elsewhere.script.put(answer(200, json.dumps(around.listing(1, True, "leaving"))))
+        elsewhere.script.put(answer(200, json.dumps(deployment.listing(1, True, "leaving"))))
         for _ in range(3):
             assert elsewhere.met.acquire(timeout=5)
-        around.script.put(answer(200, "taken before"))
-        around.hear()
-        around.ask("read")
-    lines = [line.replace(str(tmp_path), "") for line in around.discovery.lines + around.lines]
+        deployment.script.put(answer(200, "taken before"))
+        deployment.hear()
+        deployment.ask("read")
+    lines = [line.replace(str(tmp_path), "") for line in deployment.discovery.lines + deployment.lines]
     compare("reload", [line for line in lines if not line.startswith("discovery")])
 
 
-def test_delay_of_the_own_threads_is_noticed_at_once_and_forgotten_slowly(tmp_path: Path) -> None:
+def test_the_delay_of_own_threads_rises_at_once_and_falls_slowly(tmp_path: Path) -> None:
     owner = FakeDispatcher()
-    pace = DelayMonitor(owner, AdmissionGate(config.config(Deployment(tmp_path, 0).told)))
-    behind = []
+    monitor = DelayMonitor(owner, AdmissionGate(config.config(Deployment(tmp_path, 0).told)))
+    delays = []
     for late in (0, 0, 80_000, 0, 0, 100_000):
-        pace.woke(pace.due_at + late)
-        behind.append(pace.delay)
-    assert behind == [0, 0, 80_000, 70_000, 61_250, 100_000] and owner.calls[-1] == pace.due_at
-    beats = []
-    for taken in (0, 5, 5, 5):  # late still, met something, nothing, nothing
-        pace.admission_gate.queue.taken = taken
-        at = pace.due_at
-        pace.delay = 60_000 if not taken else 0
-        pace.woke(at)
-        beats.append(pace.due_at - at)
-    assert beats == [25_000, 25_000, 100_000, 100_000]
-
-
-def test_broken_invariants_are_counted_in_release_builds_and_told() -> None:
+        monitor.woke(monitor.due_at + late)
+        delays.append(monitor.delay)
+    assert delays == [0, 0, 80_000, 70_000, 61_250, 100_000] and owner.calls[-1] == monitor.due_at
+    intervals = []
+    for admitted in (0, 5, 5, 5):  # still late, new requests, none, none
+        monitor.admission_gate.queue.taken = admitted
+        due_at = monitor.due_at
+        monitor.delay = 60_000 if not admitted else 0
+        monitor.woke(due_at)
+        intervals.append(monitor.due_at - due_at)
+    assert intervals == [25_000, 25_000, 100_000, 100_000]
+
+
+def test_broken_invariants_are_counted_in_release_builds_and_logged() -> None:
     script = """if True:
         from pumicepath import invariants
         from pumicepath.sidecar.running import Watchman
@@ -341,14 +347,14 @@
             watchman.woke(0)
     """
     counted = "{'counts': {'x': 2}}\nagain at 1000000\n"
-    for level, says in (("-O", counted), ("-B", "AssertionError: x")):
+    for level, expected in (("-O", counted), ("-B", "AssertionError: x")):
         command = [sys.executable, level, "-c", script]
         result = subprocess.run(command, capture_output=True, text=True, timeout=30)
-        assert says in result.stdout + result.stderr
+        assert expected in result.stdout + result.stderr
 
 
 class FakeDispatcher:
-    """Takes the place of the dispatcher, and notes what it is told."""
+    """A stand-in for the dispatcher that records calls."""
 
     def __init__(self) -> None:
         self.calls: list = []
@@ -371,12 +377,12 @@
         action()
 
 
-def test_silent_watch_is_begun_again_at_once(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 1)
-    for step in (around.listing(7, False, "active"), None, around.listing(8, False, "leaving")):
-        around.lists.put("wait" if step is None else answer(200, json.dumps(step)))
-    where = address(around.discovery.address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 1, 1000), where)
+def test_a_silent_watch_is_restarted_at_once(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 1)
+    for step in (deployment.listing(7, False, "active"), None, deployment.listing(8, False, "leaving")):
+        deployment.lists.put("wait" if step is None else answer(200, json.dumps(step)))
+    discovery_address = address(deployment.discovery.address)
+    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 1, 1000), discovery_address)
     watcher.dispatcher = FakeDispatcher()
     watcher.follow()
     threading.Thread(target=watcher.run, daemon=True).start()
@@ -386,53 +392,53 @@
 
 
 def connected_sockets() -> tuple[socket.socket, socket.socket]:
-    """Two ends of one connection over TCP."""
+    """Two ends of a TCP connection."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        far = socket.create_connection(listener.getsockname())
-        return listener.accept()[0], far
+        peer = socket.create_connection(listener.getsockname())
+        return listener.accept()[0], peer
 
 
-def test_idle_connection_that_is_closed_or_brings_bytes_unasked_is_not_used(tmp_path: Path) -> None:
+def test_an_idle_connection_that_is_closed_or_has_unexpected_bytes_is_not_used(tmp_path: Path) -> None:
     pool = Pool(FakeDispatcher(), config.config(Deployment(tmp_path, 0).told), None)
     pool.update_servers(Update(1, True, [entry(10)], [Address("127.0.0.1", 1)]))
     hop = Hop(Exchange(None, "t", None, 0, None), 0, 10, 0, 0)
     used = []
-    for trouble in (b"", b"HTTP/1.1 200 OK\r\n\r\n", None, "gone"):
-        link = pool.connection_for(0, hop)
-        link.sock, peer = connected_sockets()
-        link.sock.settimeout(None)
-        link.hop = None
-        pool.release(0, link)
-        if trouble is None:
+    for event in (b"", b"HTTP/1.1 200 OK\r\n\r\n", None, "gone"):
+        connection = pool.connection_for(0, hop)
+        connection.sock, peer = connected_sockets()
+        connection.sock.settimeout(None)
+        connection.hop = None
+        pool.release(0, connection)
+        if event is None:
             peer.close()
-        elif trouble == "gone":
+        elif event == "gone":
             pool.update_servers(Update(2, True, [entry(10, came_up=7)], [Address("127.0.0.1", 1)]))
         else:
-            peer.sendall(trouble)
-        used.append(pool.connection_for(0, hop) is link)
+            peer.sendall(event)
+        used.append(pool.connection_for(0, hop) is connection)
     assert used == [True, False, False, False] and pool.open_count == 4
 
 
-def test_rests_after_which_hops_are_reset_are_learnt_and_forgotten(tmp_path: Path) -> None:
-    rests = IdleResetTracker()
+def test_idle_times_after_which_hops_are_reset_are_learnt_and_forgotten(tmp_path: Path) -> None:
+    tracker = IdleResetTracker()
     for step in range(200):
-        rests.record(1000, step % 10 == 0)
+        tracker.record(1000, step % 10 == 0)
         if step < 20:
-            rests.record(300_000, step % 2 == 0)
-    fits = [[rests.is_safe(rest) for rest in (1000, 300_000, 5_000_000)]]
+            tracker.record(300_000, step % 2 == 0)
+    safe = [[tracker.is_safe(idle_us) for idle_us in (1000, 300_000, 5_000_000)]]
     for _ in range(200):
-        rests.decay()
-    fits.append([rests.is_safe(300_000)])
-    assert fits == [[True, False, True], [True]]
+        tracker.decay()
+    safe.append([tracker.is_safe(300_000)])
+    assert safe == [[True, False, True], [True]]
 
 
-def test_calls_made_while_the_lock_is_taken_are_run_by_its_owner_with_their_own_acts(
+def test_calls_made_while_the_lock_is_held_are_run_by_its_owner_and_followed_up_by_their_callers(
     tmp_path: Path,
 ) -> None:
     dispatcher = Dispatcher(config.config(Deployment(tmp_path, 0).told), Log("n0"), None)
     order: list = []
 
-    def waits(name: str) -> None:
+    def run(name: str) -> None:
         def call(now: int) -> None:
             order.append(f"{name} run by {threading.current_thread().name}")
             dispatcher.after_unlock.append(lambda: order.append(f"act of {threading.current_thread().name}"))
@@ -441,68 +447,68 @@
 
         try:
             dispatcher.run_locked(call)
-        except ValueError as trouble:
-            order.append(f"{trouble} told to {threading.current_thread().name}")
+        except ValueError as error:
+            order.append(f"{error} told to {threading.current_thread().name}")
 
-    others = [threading.Thread(target=waits, args=(name,), name=name) for name in ("one", "fault")]
+    threads = [threading.Thread(target=run, args=(name,), name=name) for name in ("one", "fault")]
 
     def owner(now: int) -> None:
-        for at, thread in enumerate(others, 1):
+        for at, thread in enumerate(threads, 1):
             thread.start()
             while len(dispatcher.pending_calls) < at:
                 pass
 
     dispatcher.run_locked(owner)
-    for thread in others:
+    for thread in threads:
         thread.join()
     assert order[:2] == ["one run by MainThread", "fault run by MainThread"]
     assert sorted(order[2:]) == ["act of fault", "act of one", "fault told to fault"]
     assert dispatcher.lock.acquire(False) and not dispatcher.pending_calls
 
 
-def test_list_nested_too_deep_for_a_small_stack_is_only_a_failed_call(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 1)
-    with around.running():
-        # Not before: the line about it may else come ahead of `started`, and be passed over.
-        around.lists.put(answer(200, "[" * 30_000 + "]" * 30_000))
-        assert "depth limit" in around.event("watch_failed")["text"]
-        around.ask("read", answer(200, "still there"))
-    assert around.lines[-1] == "client: 200 still there"
+def test_a_list_nested_too_deeply_for_a_small_stack_is_only_a_failed_call(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 1)
+    with deployment.running():
+        # Only after the start: otherwise the event could precede `started` and be skipped.
+        deployment.lists.put(answer(200, "[" * 30_000 + "]" * 30_000))
+        assert "depth limit" in deployment.event("watch_failed")["text"]
+        deployment.ask("read", answer(200, "still there"))
+    assert deployment.lines[-1] == "client: 200 still there"
 
 
-def test_servers_that_keep_no_connections_do_not_hold_up_the_timers(tmp_path: Path) -> None:
-    around = Deployment(tmp_path, 1)
-    around.told["settings"]["policyLimits"]["connIdleS"] = 0
-    around.config.write_text(json.dumps(around.told))
-    with around.running():
+def test_servers_that_keep_no_idle_connections_do_not_block_the_timers(tmp_path: Path) -> None:
+    deployment = Deployment(tmp_path, 1)
+    deployment.told["settings"]["policyLimits"]["connIdleS"] = 0
+    deployment.config.write_text(json.dumps(deployment.told))
+    with deployment.running():
         for name in ("one", "two"):
-            around.ask("read", answer(200, name))
-    assert around.lines[1::2] == ["client: 200 one", "client: 200 two"]
+            deployment.ask("read", answer(200, name))
+    assert deployment.lines[1::2] == ["client: 200 one", "client: 200 two"]
 
 
-def test_at_the_bound_of_connections_submissions_are_deferred_at_once_and_none_is_lost(
+def test_at_the_connection_limit_requests_are_rejected_at_once_and_none_is_lost(
     tmp_path: Path,
 ) -> None:
-    around = Deployment(tmp_path, 1, limits={"memory_mb": 192, "sockets": 57})
-    with around.running():
-        resting = [socket.create_connection(around.where) for _ in range(4)]
-        for sock in resting:
-            around.send("no such", sock=sock)
-            around.hear(sock, ResponseParser())
-        around.send("read")
-        assert around.servers[0].met.acquire(timeout=5)
-        # Both were accepted beyond the bound, and the first has not been used when the second comes.
-        beyond = [socket.create_connection(around.where) for _ in range(2)]
+    deployment = Deployment(tmp_path, 1, limits={"memory_mb": 192, "sockets": 57})
+    with deployment.running():
+        idle = [socket.create_connection(deployment.where) for _ in range(4)]
+        for sock in idle:
+            deployment.send("no such", sock=sock)
+            deployment.hear(sock, ResponseParser())
+        deployment.send("read")
+        assert deployment.servers[0].met.acquire(timeout=5)
+        # Both are accepted beyond the limit, and the first is unused when the second sends its request.
+        beyond = [socket.create_connection(deployment.where) for _ in range(2)]
         for sock in reversed(beyond):
-            around.send("read", sock=sock)
-            around.hear(sock, ResponseParser())
-        around.script.put(answer(200, "room"))
-        around.hear()
-    compare("bound", [line for line in around.lines if line.startswith("client")])
+            deployment.send("read", sock=sock)
+            deployment.hear(sock, ResponseParser())
+        deployment.script.put(answer(200, "room"))
+        deployment.hear()
+    compare("bound", [line for line in deployment.lines if line.startswith("client")])
 
 
 @pytest.mark.parametrize(
-    ("told", "says"),
+    ("text", "expected"),
     [
         ("{", "Expecting"),
         ("[]", "list"),
@@ -520,33 +526,35 @@
         (None, "No such file"),
     ],
 )
-def test_invalid_configuration_ends_with_one_line(tmp_path: Path, told: str | None, says: str) -> None:
-    config = tmp_path / "config.json"
-    if told is not None:
-        config.write_text(told)
-    command = [sys.executable, "-m", "pumicepath", "serve", "--config", str(config)]
+def test_an_invalid_configuration_is_reported_in_one_line(
+    tmp_path: Path, text: str | None, expected: str
+) -> None:
+    path = tmp_path / "config.json"
+    if text is not None:
+        path.write_text(text)
+    command = [sys.executable, "-m", "pumicepath", "serve", "--config", str(path)]
     result = subprocess.run(command, capture_output=True, text=True, timeout=30)
-    assert (result.returncode, result.stdout) == (2, "") and says in result.stderr, result.stderr
-    assert str(config) in result.stderr
+    assert (result.returncode, result.stdout) == (2, "") and expected in result.stderr, result.stderr
+    assert str(path) in result.stderr
     assert result.stderr.count("\n") == 1
 
 
-def test_what_waited_to_be_accepted_past_its_patience_goes_nowhere(tmp_path: Path) -> None:
-    """Found by stopping sidecars in the lab: 74 submissions went out, and ran, two seconds after patience."""
-    around = Deployment(tmp_path, 1)
-    with around.running():
-        around.ask("once", answer(200, "before"))
-        around.process.send_signal(signal.SIGSTOP)
-        with socket.create_connection(around.where) as late:
-            began = time.monotonic()
-            around.send("once", 200, sock=late)
-            while time.monotonic() - began < 0.6:  # until patience is over, and well past it
+def test_a_request_that_waited_to_be_accepted_past_its_deadline_is_not_sent(tmp_path: Path) -> None:
+    """In the lab, after sidecars had been stopped, 74 submissions were sent and ran 2 s past the deadline."""
+    deployment = Deployment(tmp_path, 1)
+    with deployment.running():
+        deployment.ask("once", answer(200, "before"))
+        deployment.process.send_signal(signal.SIGSTOP)
+        with socket.create_connection(deployment.where) as late:
+            started_at = time.monotonic()
+            deployment.send("once", 200, sock=late)
+            while time.monotonic() - started_at < 0.6:  # until well after the deadline
                 time.sleep(0.05)
-            around.process.send_signal(signal.SIGCONT)
-            response = around.hear(late, ResponseParser())
-        assert response is not None and response.status != 200, around.lines
-        assert around.ask("once", answer(200, "after")) is not None
-    assert [line for line in around.lines if line.startswith("s-0")] == [
+            deployment.process.send_signal(signal.SIGCONT)
+            response = deployment.hear(late, ResponseParser())
+        assert response is not None and response.status != 200, deployment.lines
+        assert deployment.ask("once", answer(200, "after")) is not None
+    assert [line for line in deployment.lines if line.startswith("s-0")] == [
         "s-0: GET /api?x=1 t1",
         "s-0: GET /api?x=1 t3",
-    ], around.lines
+    ], deployment.lines
