--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -174,7 +174,7 @@
         """End all hops at the deadline: this answers for servers that have not responded."""
         for hop in list(self.hops):
             self.owner.end_hop(now, hop, Outcome.TIMEOUT)
-        if not must(self.answered, "no final answer when patience ended"):
+        if not must(self.answered, "no final answer at the deadline"):
             self.owner.answer(self, answers.FAILED)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -296,7 +296,7 @@
 def test_a_shorter_dedup_window_applies_to_requests_read_after_the_reload(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def tariffs(window: float) -> list[dict]:
+    def request_classes(window: float) -> list[dict]:
         return [
             {
                 "name": "once",
@@ -309,8 +309,8 @@
             }
         ]
 
-    rig = Rig(tmp_path, 2, tariffs=tariffs(30.0))
-    shorter = Rig(tmp_path, 2, tariffs=tariffs(0.000_001)).config
+    rig = Rig(tmp_path, 2, tariffs=request_classes(30.0))
+    shorter = Rig(tmp_path, 2, tariffs=request_classes(0.000_001)).config
 
     def run_request(name: str, reloads: bool) -> int:
         client_socket, client = rig.connect()
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -84,21 +84,21 @@
 
 
 def test_lossy_idle_times_are_learnt_within_few_losses_and_tried_again() -> None:
-    bench, dropped, freed = Bench(settings(), [entry(1), entry(2), entry(3)]), [], []
+    bench, losses, closings = Bench(settings(), [entry(1), entry(2), entry(3)]), [], []
     for step in range(70):
         before = len(bench.lines)
         one = bench.at(step * 0.6).take(step, step % 3 + 1, tariff=1, patience=1.5)
-        freed += [step] if any("freed" in line for line in bench.lines[before:]) else []
-        if one.hops[0].rest > SECOND and step not in freed and step < 33:
-            dropped.append(step)
+        closings += [step] if any("freed" in line for line in bench.lines[before:]) else []
+        if one.hops[0].rest > SECOND and step not in closings and step < 33:
+            losses.append(step)
             bench.at(step * 0.6 + 0.599)
             bench.balancer.overdue(bench.now, one.terms, one.hops[0])
-        bench.end(one, Outcome.TIMEOUT if step in dropped else Outcome.OK)
-    assert len(dropped) == 6 < len(freed) and freed[0] > dropped[-1] and freed[-1] < 45
-    rests = Rests()  # losses that do not depend on the idle time are not dropped connections
+        bench.end(one, Outcome.TIMEOUT if step in losses else Outcome.OK)
+    assert len(losses) == 6 < len(closings) and closings[0] > losses[-1] and closings[-1] < 45
+    tracker = Rests()  # losses that do not depend on the idle time are not dropped connections
     for step in range(100):
-        rests.note(step * 100_000, 0 if step % 2 else 3 * SECOND, step % 4 < 2)
-    assert rests.limit > 60 * SECOND
+        tracker.note(step * 100_000, 0 if step % 2 else 3 * SECOND, step % 4 < 2)
+    assert tracker.limit > 60 * SECOND
 
 
 def test_hints_are_weighted_and_never_forwarded_and_malformed_ones_are_counted() -> None:
@@ -117,9 +117,9 @@
         assert any("tells" in line for line in bench.lines) == leave
 
 
-@pytest.mark.parametrize("tariff", [READ, ONCE, marked(Group.ALL), marked(Group.ZONE)])
-def test_a_submission_without_further_hops_is_answered_in_the_same_call(tariff) -> None:  # type: ignore[no-untyped-def]
-    bench = Bench(settings(tariff), [entry(1, zone=0), entry(2, zone=1)])
+@pytest.mark.parametrize("request_class", [READ, ONCE, marked(Group.ALL), marked(Group.ZONE)])
+def test_a_submission_without_further_hops_is_answered_at_once(request_class) -> None:  # type: ignore[no-untyped-def]
+    bench = Bench(settings(request_class), [entry(1, zone=0), entry(2, zone=1)])
     for outcome in (Outcome.ERROR, Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.TIMEOUT):
         one = bench.at(bench.now / SECOND + 30).take(int(outcome))
         while one.out:
@@ -131,7 +131,7 @@
     named = dataclasses.replace(READ, name="read"), dataclasses.replace(ONCE, name="once")
     bench = Bench(settings(*named), [entry(1), entry(2), entry(3)])
     targets_of(bench, 30, 10)
-    one, usual = bench.take(100, tariff=1), bench.balancer.terms[0].usual
+    one, typical_latency = bench.take(100, tariff=1), bench.balancer.terms[0].usual
     new = settings(
         dataclasses.replace(named[0], agreed=SECOND // 5),
         cold_from=0.1,
@@ -140,8 +140,8 @@
         fall_window=5 * SECOND,
     )
     bench.balancer.adopt(bench.now, new)
-    held = bench.balancer.settings
-    assert (held.cold_from, held.cold_for, held.fall_multiple) == (0.1, 20 * SECOND, 2.5)
-    assert bench.balancer.terms[0].usual == usual and len(bench.balancer.terms) == 1
+    in_force = bench.balancer.settings
+    assert (in_force.cold_from, in_force.cold_for, in_force.fall_multiple) == (0.1, 20 * SECOND, 2.5)
+    assert bench.balancer.terms[0].usual == typical_latency and len(bench.balancer.terms) == 1
     bench.end(one, Outcome.RESET)  # non-idempotent, of a request class that is no longer configured
     assert bench.lines[-1].endswith("forfeited") and bench.at(23.5).balancer.settings == new
