--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -250,7 +250,8 @@
             dispatcher.abort_exchange(exchange)
             raise
         if exchange.client_left and self.draining:
-            # `has_left` may be wrong after our own shutdown, so the request must be answered.
+            # The request crossed our shutdown, after which its client may have closed its own side as well;
+            # it must still be answered.
             self.answer(answers.FAILED, False)
         elif exchange.client_left:
             self.class_name = ""
