--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -391,7 +391,7 @@
         return self.draining or self.out_of_service
 
     def set_out_of_service(self, name: str, out: bool, certain: bool = False) -> bool:
-        """Take a server out of service (`out`) or back into it; False if the balancer refuses.
+        """Take a server out of service (`out`) or back into it; False if it is unknown or too many are out.
 
         Once this has returned, no request is written to a server that is out of service.  `certain`: the
         other process of a hot restart knows the server, so it is accepted even if this one's list lacks it.
@@ -415,7 +415,7 @@
         self.run_locked(call)
 
     def postpone_trial(self, server: int, wait: int) -> None:
-        """Postpone the trial of a server by `wait` on the word of another sidecar."""
+        """Postpone the half-open trial of a server by `wait`, or allow it now if 0, as other sidecars report."""
         self.run_locked(lambda now: self.balancer.put_off(now, server, wait))
 
     def operator_state(self) -> tuple[dict[int, int], dict[int, int]]:
