--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -415,7 +415,7 @@
         self.run_locked(call)
 
     def postpone_trial(self, server: int, wait: int) -> None:
-        """Postpone the half-open trial of a server by `wait`, or allow it now if 0, as other sidecars report."""
+        """Postpone the half-open trial of a server by `wait`, or allow it now if 0, as others report."""
         self.run_locked(lambda now: self.balancer.put_off(now, server, wait))
 
     def operator_state(self) -> tuple[dict[int, int], dict[int, int]]:
