--- a/pumicepath/admin/calls.py
+++ b/pumicepath/admin/calls.py
@@ -9,44 +9,47 @@
 from ..http1.messages import MalformedMessageError, Request
 
 
-class Call(Enum):
-    CHECK = "check"
+class AdminCall(Enum):
+    HEALTH_CHECK = "check"
     STATS = "stats"
     PEERS = "peers"
-    OUT = "maint"
-    IN = "ready"
-    FAIL = "fail"
-    OK = "ok"
+    TAKE_OUT = "maint"
+    PUT_BACK = "ready"
+    FAIL_HEALTH_CHECK = "fail"
+    PASS_HEALTH_CHECK = "ok"
     RESIGN = "resign"
 
 
-class Asked(NamedTuple):
-    call: Call
-    server: str = ""  # or duty
+class ParsedCall(NamedTuple):
+    call: AdminCall
+    target: str = ""  # or duty
 
 
 # By path; what stands there is changed by PUT, and read by GET or HEAD.
-READ: dict[tuple[str, ...], Call] = {
-    ("healthcheck",): Call.CHECK,
-    ("stats",): Call.STATS,
-    ("peers",): Call.PEERS,
+READ_CALLS: dict[tuple[str, ...], AdminCall] = {
+    ("healthcheck",): AdminCall.HEALTH_CHECK,
+    ("stats",): AdminCall.STATS,
+    ("peers",): AdminCall.PEERS,
 }
-CHANGE: dict[tuple[str, ...], Call] = {("healthcheck", "fail"): Call.FAIL, ("healthcheck", "ok"): Call.OK}
-SERVER = {"maint": Call.OUT, "ready": Call.IN}
+CHANGE_CALLS: dict[tuple[str, ...], AdminCall] = {
+    ("healthcheck", "fail"): AdminCall.FAIL_HEALTH_CHECK,
+    ("healthcheck", "ok"): AdminCall.PASS_HEALTH_CHECK,
+}
+SERVER_CALLS = {"maint": AdminCall.TAKE_OUT, "ready": AdminCall.PUT_BACK}
 
 
-def understood(request: Request) -> Asked:
+def parse_call(request: Request) -> ParsedCall:
     """Raises Malformed for what is no call."""
     allowed: tuple[str, ...] = ("PUT",)
     path = tuple(urlsplit(request.target).path.split("/")[1:])
-    if path in READ:
-        allowed, asked = ("GET", "HEAD"), Asked(READ[path])
-    elif path in CHANGE:
-        asked = Asked(CHANGE[path])
-    elif len(path) == 3 and path[0] == "servers" and path[1] and path[2] in SERVER:
-        asked = Asked(SERVER[path[2]], unquote(path[1]))
+    if path in READ_CALLS:
+        allowed, asked = ("GET", "HEAD"), ParsedCall(READ_CALLS[path])
+    elif path in CHANGE_CALLS:
+        asked = ParsedCall(CHANGE_CALLS[path])
+    elif len(path) == 3 and path[0] == "servers" and path[1] and path[2] in SERVER_CALLS:
+        asked = ParsedCall(SERVER_CALLS[path[2]], unquote(path[1]))
     elif len(path) == 4 and path[:2] == ("peers", "duties") and path[2] and path[3] == "resign":
-        asked = Asked(Call.RESIGN, unquote(path[2]))
+        asked = ParsedCall(AdminCall.RESIGN, unquote(path[2]))
     else:
         raise MalformedMessageError(404, "no such call")
     if request.method not in allowed:
--- a/pumicepath/admin/figures.py
+++ b/pumicepath/admin/metrics.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable
 
 PREFIX = "edge_gw"
-MOST_NAMES = 1000  # of figures kept, those of classes that are gone among them
+MAX_METRICS = 1000  # of figures kept, those of classes that are gone among them
 OUTCOMES = ("answered", "deferred", "errored")
-UNFIT = re.compile(r"[^!-<>-~]")  # what would break a line of the form
+UNSAFE_CHARACTERS = re.compile(r"[^!-<>-~]")  # what would break a line of the form
 
 
 def outcome(status: int) -> str:
@@ -18,34 +18,34 @@
     return "answered" if status == 200 else "deferred" if status in (429, 503) else "errored"
 
 
-class Figures:
+class Metrics:
     """Counts from the start of the process.  Counting is an append: it needs no lock, and nobody waits."""
 
     def __init__(self) -> None:
-        self.came: deque[str] = deque()
+        self.pending: deque[str] = deque()
         self.counts: Counter[str] = Counter()
-        self.gate = threading.Lock()
+        self.lock = threading.Lock()
 
     def count(self, name: str) -> None:
-        self.came.append(name)
+        self.pending.append(name)
 
-    def ended(self, group: str, status: int) -> None:
+    def submission_finished(self, request_class: str, status: int) -> None:
         """A submission of this class has its final answer."""
-        self.came.append(f"{outcome(status)}.{group}")
+        self.pending.append(f"{outcome(status)}.{request_class}")
 
-    def sum(self) -> None:
+    def apply_pending(self) -> None:
         """Now and then, so that little waits."""
-        with self.gate:
-            came = self.came
+        with self.lock:
+            came = self.pending
             for name in [came.popleft() for _ in range(len(came))]:
                 # Guards the memory against classes that come and go for as long as the process runs.
-                if name in self.counts or len(self.counts) < MOST_NAMES:
+                if name in self.counts or len(self.counts) < MAX_METRICS:
                     self.counts[name] += 1
 
-    def written(self, groups: Iterable[str], now: dict[str, int]) -> str:
+    def render(self, request_classes: Iterable[str], current_values: dict[str, int]) -> str:
         """One line each: what was counted, the classes in force from 0 on, and what is so now."""
-        self.sum()
-        counted = {"sends": 0, **{f"{each}.{group}": 0 for group in groups for each in OUTCOMES}}
+        self.apply_pending()
+        counted = {"sends": 0, **{f"{each}.{group}": 0 for group in request_classes for each in OUTCOMES}}
         counted.update(self.counts)
-        lines = {**counted, **now}.items()
-        return "".join(f"{PREFIX}.{UNFIT.sub('_', name)}={value}\n" for name, value in lines)
+        lines = {**counted, **current_values}.items()
+        return "".join(f"{PREFIX}.{UNSAFE_CHARACTERS.sub('_', name)}={value}\n" for name, value in lines)
--- a/pumicepath/command.py
+++ b/pumicepath/command.py
@@ -9,7 +9,7 @@
 from . import __version__
 
 # Command by command the module of `commands` that has it, in the order in which help shows them.
-WHERE = {
+COMMAND_MODULES = {
     "serve": "sidecar",
     "check": "sidecar",
     "relay": "relay",
@@ -19,20 +19,22 @@
 }
 
 
-class Commands(click.Group):
+class LazyCommands(click.Group):
     """Imports what is called: a sidecar runs beside each process, and holds no code of other commands."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return [*WHERE, *super().list_commands(ctx)]
+        return [*COMMAND_MODULES, *super().list_commands(ctx)]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name not in WHERE:
+        if cmd_name not in COMMAND_MODULES:
             return super().get_command(ctx, cmd_name)
-        command: click.Command = getattr(import_module(f".commands.{WHERE[cmd_name]}", __package__), cmd_name)
+        command: click.Command = getattr(
+            import_module(f".commands.{COMMAND_MODULES[cmd_name]}", __package__), cmd_name
+        )
         return command
 
 
-@click.group(cls=Commands)
+@click.group(cls=LazyCommands)
 def main() -> None:
     """A load balancer beside each calling process."""
 
--- a/pumicepath/commands/demo.py
+++ b/pumicepath/commands/demo.py
@@ -4,7 +4,7 @@
 
 import click
 
-from .ends import fail
+from .errors import fail
 
 
 @click.command()
--- a/pumicepath/commands/ends.py
+++ b/pumicepath/commands/errors.py
@@ -8,7 +8,7 @@
 import click
 
 
-def fail(trouble: object, code: int = 2) -> NoReturn:
+def fail(error: object, code: int = 2) -> NoReturn:
     """One clear line on standard error; 2 for what was asked wrongly."""
-    click.echo(f"pumicepath: {trouble}", err=True)
+    click.echo(f"pumicepath: {error}", err=True)
     sys.exit(code)
--- a/pumicepath/commands/peers.py
+++ b/pumicepath/commands/peers.py
@@ -4,15 +4,15 @@
 
 import click
 
-from .ends import fail
+from .errors import fail
 
-LONGEST_S = 5.0
+TIMEOUT_S = 5.0
 
 
-def called(address: str, method: str, path: str) -> bytes:
+def call_admin(address: str, method: str, path: str) -> bytes:
     import http.client
 
-    connection = http.client.HTTPConnection(address, timeout=LONGEST_S)
+    connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
     try:
         connection.request(method, path)
         answer = connection.getresponse()
@@ -37,8 +37,8 @@
 
     try:
         if resign is not None:
-            called(address, "PUT", f"/peers/duties/{quote(resign, safe='')}/resign")
-        body = called(address, "GET", "/peers")
+            call_admin(address, "PUT", f"/peers/duties/{quote(resign, safe='')}/resign")
+        body = call_admin(address, "GET", "/peers")
         told = orjson.loads(body)
     except (OSError, http.client.HTTPException, ValueError) as trouble:
         fail(f"{address}: {trouble}")
--- a/pumicepath/commands/relay.py
+++ b/pumicepath/commands/relay.py
@@ -4,7 +4,7 @@
 
 import click
 
-from .ends import fail
+from .errors import fail
 
 
 @click.command()
@@ -24,7 +24,7 @@
         fail("no configuration: name it by --config or $GW_RELAY_CONFIG")
     try:
         told = config.read(path)
-    except config.BadConfig as trouble:
+    except config.ConfigError as trouble:
         fail(trouble)
     try:
         running.run(told)
--- a/pumicepath/commands/scale.py
+++ b/pumicepath/commands/scale.py
@@ -9,7 +9,7 @@
 
 import click
 
-from .ends import fail
+from .errors import fail
 
 
 @click.command()
@@ -129,7 +129,7 @@
         needed = needs.needs(plan, hosts)
         progress(needed.line())
         needs.refuse(needed)
-        before = signal.signal(signal.SIGTERM, interrupted)
+        before = signal.signal(signal.SIGTERM, on_sigterm)
         try:
             with owned(where):
                 result = Run(plan, where.resolve(), hosts, progress).play()
@@ -148,6 +148,6 @@
         raise SystemExit(1)
 
 
-def interrupted(number: int, frame: object) -> NoReturn:
+def on_sigterm(number: int, frame: object) -> NoReturn:
     """SIGTERM ends a run as ctrl-C does, with all that it started."""
     raise KeyboardInterrupt
--- a/pumicepath/commands/sidecar.py
+++ b/pumicepath/commands/sidecar.py
@@ -6,12 +6,12 @@
 
 import click
 
-from .ends import fail
+from .errors import fail
 
 if TYPE_CHECKING:
     from ..sidecar.config import Config
 
-CONFIG = click.option(
+config_option = click.option(
     "--config",
     "path",
     envvar="GW_CONFIG",
@@ -21,47 +21,47 @@
 )
 
 
-def load(path: str) -> Config:
+def load_config(path: str) -> Config:
     from ..sidecar import config
 
     try:
         if not path:
-            raise config.BadConfig("no configuration: name it by --config or $GW_CONFIG")
+            raise config.ConfigError("no configuration: name it by --config or $GW_CONFIG")
         return config.read(path)
-    except config.BadConfig as trouble:
+    except config.ConfigError as trouble:
         fail(trouble)
 
 
 @click.command()
-@CONFIG
+@config_option
 def serve(path: str) -> None:
     """Run one sidecar until SIGTERM."""
     from ..sidecar import config, running
 
     try:
-        running.serve(load(path), path)
-    except config.BadConfig as trouble:
+        running.serve(load_config(path), path)
+    except config.ConfigError as trouble:
         fail(trouble)
 
 
 @click.command()
-@CONFIG
+@config_option
 def check(path: str) -> None:
     """Read the configuration as `serve` would, and say what would be run."""
     from ..sidecar import running
 
-    config = load(path)
+    config = load_config(path)
     click.echo(
         f"{config.name}: listens on {config.listen.host}:{config.listen.port}, "
-        f"{len(config.known['hosts'])} servers known, {len(config.tariffs)} tariffs, "
-        f"{config.from_clients} connections of clients and {config.to_servers} to servers at most"
+        f"{len(config.known_list['hosts'])} servers known, {len(config.request_classes)} tariffs, "
+        f"{config.max_client_connections} connections of clients and {config.max_server_connections} to servers at most"
     )
-    click.echo(f"fixed while it runs: {', '.join(running.FIXED)}")
+    click.echo(f"fixed while it runs: {', '.join(running.RESTART_ONLY_KEYS)}")
     if config.peers is not None:
         seeds = ", ".join(config.peers.seeds) or "none"
         click.echo(f"speaks with peers at {config.peers.listen}, seeds: {seeds}")
     if config.relays:
         services = "all" if config.services == ("*",) else ", ".join(config.services or ()) or "none"
         click.echo(f"follows relays: {', '.join(config.relays)}; services: {services}")
-    if config.idle_keys:
-        click.echo(f"without effect on this platform: {', '.join(config.idle_keys)}")
+    if config.keys_without_effect:
+        click.echo(f"without effect on this platform: {', '.join(config.keys_without_effect)}")
--- a/pumicepath/http1/ring.py
+++ b/pumicepath/http1/ring.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..invariants import must
+from ..invariants import check_invariant
 
 INITIAL_CAPACITY = 2048
 
@@ -44,7 +44,7 @@
 
     def commit(self, count: int) -> None:
         """Add bytes that were written to the start of `writable()`."""
-        must(0 <= count <= len(self.buffer) - self.size, "ring overrun")
+        check_invariant(0 <= count <= len(self.buffer) - self.size, "ring overrun")
         self.size += count
 
     def write(self, chunk: bytes | memoryview) -> int:
@@ -80,7 +80,7 @@
 
     def consume(self, count: int) -> None:
         """Remove the oldest `count` bytes."""
-        must(0 <= count <= self.size, "ring underrun")
+        check_invariant(0 <= count <= self.size, "ring underrun")
         self.size -= count
         self.head = (self.head + count) % len(self.buffer)
 
--- a/pumicepath/lab/hollow/host.py
+++ b/pumicepath/lab/hollow/host.py
@@ -20,8 +20,8 @@
 import orjson
 
 from ... import compiled
-from ...discovery.roster import Update
-from ...interface import Phase
+from ...discovery.server_list import ServerListUpdate
+from ...interface import ServerState
 from . import processes, truth
 from .plan import Ask, Plan
 from .sidecar import Hollow
@@ -177,9 +177,9 @@
                 tick = max(tick + TICK_US, truth.now())
 
 
-def ignores_drain(update: Update) -> Update:
+def ignores_drain(update: ServerListUpdate) -> ServerListUpdate:
     """What drains stays as it was: a fault planted for a test."""
-    kept = [at for at, entry in enumerate(update.entries) if entry.phase != Phase.DRAINING]
+    kept = [at for at, entry in enumerate(update.entries) if entry.state != ServerState.DRAINING]
     return update._replace(
         entries=[update.entries[at] for at in kept], addresses=[update.addresses[at] for at in kept]
     )
@@ -191,7 +191,7 @@
     def __init__(self) -> None:
         self.before: dict[int, Any] = {}
 
-    def __call__(self, update: Update) -> Update:
+    def __call__(self, update: ServerListUpdate) -> ServerListUpdate:
         if update.whole:
             self.before = {
                 entry.server: (entry, where) for entry, where in zip(update.entries, update.addresses)
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -15,15 +15,15 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from ...discovery.roster import Address, BadList, Roster, Update
+from ...balancer import Balancer, SeededRandom
+from ...discovery.server_list import Address, BadList, ServerList, ServerListUpdate
 from ...discovery.watch import Overtaxed, Watch
-from ...distribution.homes import Homes
+from ...distribution.relay_selector import RelaySelector
 from ...http1.messages import MalformedMessageError
-from ...interface import Listing, Phase, Wakeable
-from ...logic import Balancer, Chance
-from ...settings import decode
+from ...interface import ListKind, ServerState, TimerHandler
+from ...settings import decode_settings
 from ...sidecar import clock
-from ...sidecar.watching import DIAL_S, LONGEST_DIAL_S, STEP_S, WHOLE_S
+from ...sidecar.watching import CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S, RETRY_INTERVAL_S
 from .plan import Plan
 
 IP_BIND_ADDRESS_NO_PORT = 24  # linux/in.h: the port is chosen at connect, so that each pair can use all
@@ -62,21 +62,21 @@
 
     def send(self, submission: int, server: int, timeout: int) -> None: ...
 
-    def defer(self, submission: int, retry_in: int) -> None: ...
+    def reject(self, submission: int, retry_in: int) -> None: ...
 
-    def forfeit(self, submission: int) -> None: ...
+    def fail(self, submission: int) -> None: ...
 
     def cancel(self, submission: int, hop: int) -> None: ...
 
     def probe(self, server: int) -> None: ...
 
-    def tell(self, peer: int, data: bytes) -> None: ...
+    def send_to_peer(self, peer: int, data: bytes) -> None: ...
 
-    def free_links(self, server: int) -> None: ...
+    def close_idle_connections(self, server: int) -> None: ...
 
-    def follow(self) -> None: ...
+    def request_server_list(self) -> None: ...
 
-    def wake(self, at: int, whom: Wakeable) -> None: ...
+    def set_timer(self, at: int, whom: TimerHandler) -> None: ...
 
     def log(self, text: str) -> None: ...
 
@@ -133,41 +133,41 @@
         """`places` are its relays, or the one discovery."""
         self.number, self.name, self.loop = number, f"n{number}", loop
         info = told(plan, number)
-        self.roster = Roster(info["dcs"], clock.from_unix_ms)
-        self.balancer = Balancer(decode(info), number + 1, MUTE)
-        self.chance = Chance(random.Random(f"sidecar {plan.ask.seed} {number}").getrandbits(63))
+        self.roster = ServerList(info["dcs"], clock.from_unix_ms)
+        self.balancer = Balancer(decode_settings(info), number + 1, MUTE)
+        self.chance = SeededRandom(random.Random(f"sidecar {plan.ask.seed} {number}").getrandbits(63))
         self.addresses: dict[int, Address] = {}
         self.sock: socket.socket | None = None
         self.step = RESTING
         self.due = 0  # what happens next if nothing comes: see `woke`
-        self.homes: Homes | None = None
+        self.homes: RelaySelector | None = None
         self.before: socket.socket | None = None  # to the relay that is left once another is dialled
         if plan.ask.form == "relayed":
-            self.homes = Homes(self.name, places, Chance(self.chance.bits()).share)
-        self.where = self.homes.at if self.homes else places[0]
+            self.homes = RelaySelector(self.name, places, SeededRandom(self.chance.next_bits()).next_float)
+        self.where = self.homes.current if self.homes else places[0]
         self.begun = False
-        self.dial = DIAL_S
+        self.dial = CONNECT_TIMEOUT_S
         self.failures = 0  # in a row
         self.failed_calls = 0  # in all
         self.bytes = 0  # both ways, payload alone
         self.updated_at = 0
         self.listed = False  # whether it has had a list
-        self.plant: Callable[[Update], Update] | None = None
+        self.plant: Callable[[ServerListUpdate], ServerListUpdate] | None = None
         self.watch = self.watching(plan)
 
     def watching(self, plan: Plan) -> Watch:
         wait_us = int(2e6 * SETTINGS["rules"]["askEveryS"])
         services = [plan.service_name(service) for service in plan.calls[self.number]] if self.homes else None
-        return Watch(self.roster, self.where, -1, wait_us, self.chance.share, services)
+        return Watch(self.roster, self.where, -1, wait_us, self.chance.next_float, services)
 
     # -- the socket
 
     def begin(self, now: int) -> None:
         """Dial, from one of many addresses, as no single one has ports for all."""
         if self.homes is not None:
-            self.where = self.homes.at
+            self.where = self.homes.current
             if self.step != CHANGING and self.watch.host != self.where:
-                self.watch.move(self.where)
+                self.watch.switch_to(self.where)
         host, _, port = self.where.rpartition(":")
         self.sock = sock = socket.socket(socket.AF_INET)
         sock.setblocking(False)
@@ -179,11 +179,11 @@
             return
         self.loop.expect(self, True)
         if self.step == CHANGING:
-            self.alarm(now + int(1e6 * DIAL_S))
+            self.alarm(now + int(1e6 * CONNECT_TIMEOUT_S))
             return
         self.step = DIALLING
         self.alarm(now + int(1e6 * self.dial))
-        self.dial = min(LONGEST_DIAL_S, 2 * self.dial)
+        self.dial = min(MAX_CONNECT_TIMEOUT_S, 2 * self.dial)
 
     def alarm(self, at: int) -> None:
         self.due = at
@@ -217,25 +217,25 @@
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             raise OSError(error, "dial")
-        self.dial = DIAL_S
+        self.dial = CONNECT_TIMEOUT_S
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.before is not None:
             self.before.close()
             self.before = None
-            self.watch.move(self.where)
-        self.watch.restart()
+            self.watch.switch_to(self.where)
+        self.watch.reset_connection()
         self.step = CALLING
         self.loop.expect(self, False)
         self.call(now)
 
     def call(self, now: int) -> None:
         assert self.sock is not None
-        request = self.watch.request()
+        request = self.watch.next_request()
         if self.sock.send(request) < len(request):
             raise OSError(errno.ENOBUFS, "no room for a request")
         self.bytes += len(request)
         self.begun = False
-        self.alarm(now + int(1e6 * self.watch.until_silent()))
+        self.alarm(now + int(1e6 * self.watch.answer_timeout_s()))
 
     def read(self, now: int) -> None:
         assert self.sock is not None
@@ -249,7 +249,7 @@
             self.bytes += count
             if not self.begun:
                 self.begun = True
-                self.alarm(max(self.due, now + int(1e6 * WHOLE_S)))
+                self.alarm(max(self.due, now + int(1e6 * RESPONSE_TIMEOUT_S)))
             if not count:
                 parser.end_input()
             response = parser.next()
@@ -257,12 +257,12 @@
                 break
             if not count:
                 raise ConnectionResetError("discovery ended the connection")
-        self.take(now, self.watch.update(response))
+        self.take(now, self.watch.handle_response(response))
         if not response.keeps_alive():
             self.close()
             self.begin(now)
-        elif self.homes is not None and self.homes.answered(
-            clock.from_monotonic(now), *self.watch.standing()
+        elif self.homes is not None and self.homes.call_answered(
+            clock.from_monotonic(now), *self.watch.region_counts()
         ):
             self.change(now)
         else:
@@ -277,19 +277,19 @@
 
     def stay(self, now: int) -> bool:
         """Go on at the relay that answers, where another was tried beside it in vain."""
-        if self.homes is None or self.before is None or self.homes.before is None:
+        if self.homes is None or self.before is None or self.homes.previous is None:
             return False
-        self.homes.failed(clock.from_monotonic(now))
+        self.homes.call_failed(clock.from_monotonic(now))
         if self.sock is not None:
             self.loop.expect_nothing(self)
             self.sock.close()
         self.sock, self.before = self.before, None
-        self.where, self.step = self.homes.at, CALLING
-        self.watch.doubted = True
+        self.where, self.step = self.homes.current, CALLING
+        self.watch.ask_immediately = True
         self.loop.expect(self, False)
         return True
 
-    def take(self, now: int, update: Update) -> None:
+    def take(self, now: int, update: ServerListUpdate) -> None:
         if self.plant is not None:
             update = self.plant(update)
         first = not self.listed or self.failures > 0
@@ -299,12 +299,12 @@
             if update.whole:
                 self.addresses.clear()
             for entry, where in zip(update.entries, update.addresses):
-                if entry.phase == Phase.GONE:
+                if entry.state == ServerState.GONE:
                     self.addresses.pop(entry.server, None)
                 else:
                     self.addresses[entry.server] = where
-            self.balancer.listed(
-                clock.from_monotonic(now), Listing.FULL if update.whole else Listing.CHANGES, update.entries
+            self.balancer.update_servers(
+                clock.from_monotonic(now), ListKind.FULL if update.whole else ListKind.CHANGES, update.entries
             )
             self.updated_at = now
             self.loop.updated(self, update.whole)
@@ -318,15 +318,15 @@
             except OSError:
                 pass
         self.close()
-        self.watch.doubted = True
+        self.watch.ask_immediately = True
         self.failures += 1
         self.failed_calls += 1
         if self.homes is not None:
-            self.alarm(now + self.homes.failed(clock.from_monotonic(now)))
+            self.alarm(now + self.homes.call_failed(clock.from_monotonic(now)))
         elif self.failures == 1 and not isinstance(trouble, Overtaxed):
             self.begin(now)
         else:
-            self.alarm(now + int(1e6 * STEP_S))
+            self.alarm(now + int(1e6 * RETRY_INTERVAL_S))
 
     def close(self) -> None:
         self.step = RESTING
--- a/pumicepath/lab/hollow/witness.py
+++ b/pumicepath/lab/hollow/witness.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple, Protocol
 
-from ...discovery.roster import stable
-from ...interface import Phase
-from ...logic import Balancer
+from ...balancer import Balancer
+from ...discovery.server_list import stable_id
+from ...interface import ServerState
 from .plan import STEP, Plan
 from .truth import ACTIVE, LEFT, Change, now
 
-PHASES = {"active": Phase.READY, "leaving": Phase.DRAINING}
+PHASES = {"active": ServerState.READY, "leaving": ServerState.DRAINING}
 AT_ONCE = 64  # settled servers of a sidecar that are looked at after each of its updates
 A_TICK = 2000  # and in each tick, of all sidecars in turn
 MOST_NAMED = 20  # violations that are told one by one
@@ -37,16 +37,20 @@
     """What a balancer holds of a server: its state, and whether it would send there."""
 
     state: int
-    phase: Phase
+    phase: ServerState
     used: bool
 
 
 def view(balancer: Balancer, server: int) -> View | None:
-    at = balancer.index.get(server, -1)
-    if at < 0 or balancer.phase[at] == Phase.GONE:
+    at = balancer.index_by_id.get(server, -1)
+    if at < 0 or balancer.listed_states[at] == ServerState.GONE:
         return None
-    state = round((balancer.scale[at] - 1.0) * STEP)
-    return View(state, balancer.phase[at], balancer.phase[at] == Phase.READY and at in balancer.ready)
+    state = round((balancer.weights[at] - 1.0) * STEP)
+    return View(
+        state,
+        balancer.listed_states[at],
+        balancer.listed_states[at] == ServerState.READY and at in balancer.ready,
+    )
 
 
 def in_force(seen: View | None, change: Change, latest: Change) -> bool:
@@ -63,7 +67,7 @@
         self, plan: Plan, sidecars: Sequence[Sidecar], truth: Callable[[], Iterable[Change]]
     ) -> None:
         self.plan, self.sidecars, self.truth = plan, sidecars, truth
-        self.ids = [stable(plan.server_name(server)) for server in range(plan.ask.sidecars)]
+        self.ids = [stable_id(plan.server_name(server)) for server in range(plan.ask.sidecars)]
         self.callers: dict[int, list[Sidecar]] = {}
         for sidecar in sidecars:
             for service in plan.calls[sidecar.number]:
--- a/pumicepath/lab/loopback/wires.py
+++ b/pumicepath/lab/loopback/wires.py
@@ -12,7 +12,7 @@
 
 from ...http1 import writing
 from ...http1.messages import MalformedMessageError, Response
-from ...interface import Tariff
+from ...interface import RequestClass
 from ..model.clients import Ask
 from ..model.judge import Judge
 from ..spec import Plan
@@ -29,7 +29,7 @@
     judge: Judge
     loop: asyncio.AbstractEventLoop
     timeline: Live
-    tariffs: tuple[Tariff, ...]
+    tariffs: tuple[RequestClass, ...]
 
     def keep(self, work: Coroutine[Any, Any, Any]) -> None: ...
 
--- a/pumicepath/sidecar/operators.py
+++ b/pumicepath/sidecar/admin_server.py
@@ -10,24 +10,24 @@
 
 import orjson
 
-from ..admin.calls import Call, understood
-from ..discovery.roster import Address
+from ..admin.calls import AdminCall, parse_call
+from ..discovery.server_list import Address
 from ..http1 import writing
 from ..http1.messages import MalformedMessageError, Request
 from ..http1.parsing import RequestParser
 from . import answers, clock
 from .clients import Clients
 from .dispatch import Dispatcher
+from .hot_restart import HotRestart
 from .servers import start_thread
-from .succession import Succession
 
 if TYPE_CHECKING:
     from .peers import Peers
 
-MOST = 16  # calls at once; one more takes the place of the oldest
-LONGEST = 5_000_000  # that a call may take to come whole
-LONGEST_WAIT = struct.pack("ll", 5, 0)
-MOST_BODY = 4096
+MAX_CALLS = 16  # calls at once; one more takes the place of the oldest
+CALL_TIMEOUT_US = 5_000_000  # that a call may take to come whole
+SOCKET_TIMEOUT = struct.pack("ll", 5, 0)
+MAX_BODY_BYTES = 4096
 DONE = answers.text_answer(200, "done")
 SERVING = answers.text_answer(200, "serving")
 NO_SERVER = answers.text_answer(404, "no such server")
@@ -35,7 +35,7 @@
 NO_PEERS = answers.text_answer(404, "no peers in the configuration")
 
 
-class Operators:
+class AdminServer:
     """The listener for operators and the calls under way."""
 
     def __init__(
@@ -43,16 +43,16 @@
         where: Address,
         dispatcher: Dispatcher,
         clients: Clients,
-        succession: Succession,
+        succession: HotRestart,
         peers: Peers | None = None,
     ) -> None:
         self.peers = peers
         self.dispatcher = dispatcher
         self.clients = clients
         self.succession = succession
-        self.gate = threading.Lock()
-        self.open: dict[socket.socket, None] = {}
-        self.ready = 1
+        self.lock = threading.Lock()
+        self.connections: dict[socket.socket, None] = {}
+        self.idle_threads = 1
         family = socket.AF_INET6 if ":" in where.host else socket.AF_INET
         self.listener = socket.socket(family, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -72,12 +72,12 @@
                 self.dispatcher.events.event("accept_failed", text=str(trouble), whose="operators")
                 threading.Event().wait(0.05)  # out of descriptors: others must end first
                 continue
-            with self.gate:
-                self.open[sock] = None
-                oldest = next(iter(self.open)) if len(self.open) > MOST else None
-                self.ready -= 1
-                more = self.ready < 1
-                self.ready += more
+            with self.lock:
+                self.connections[sock] = None
+                oldest = next(iter(self.connections)) if len(self.connections) > MAX_CALLS else None
+                self.idle_threads -= 1
+                more = self.idle_threads < 1
+                self.idle_threads += more
                 if oldest is not None:
                     # Guards calls against callers that connect and finish none.
                     with suppress(OSError):
@@ -86,28 +86,28 @@
                 try:
                     start_thread(self.run)
                 except RuntimeError:  # no thread: this one takes the next call when it is done with this
-                    with self.gate:
-                        self.ready -= 1
+                    with self.lock:
+                        self.idle_threads -= 1
             try:
-                self.call(sock)
+                self.serve_connection(sock)
             except OSError:
                 pass  # the caller has gone
             except Exception as trouble:  # nothing said here may end the sidecar
                 self.dispatcher.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
             finally:
-                with self.gate:
-                    self.open.pop(sock, None)
+                with self.lock:
+                    self.connections.pop(sock, None)
                 sock.close()
-            with self.gate:
-                if self.ready >= 2:
+            with self.lock:
+                if self.idle_threads >= 2:
                     return
-                self.ready += 1
+                self.idle_threads += 1
 
-    def call(self, sock: socket.socket) -> None:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, LONGEST_WAIT)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, LONGEST_WAIT)
-        until = clock.now() + LONGEST
-        parser = RequestParser(MOST_BODY)
+    def serve_connection(self, sock: socket.socket) -> None:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, SOCKET_TIMEOUT)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, SOCKET_TIMEOUT)
+        until = clock.now() + CALL_TIMEOUT_US
+        parser = RequestParser(MAX_BODY_BYTES)
         told = False
         try:
             while (request := parser.next()) is None:
@@ -118,7 +118,7 @@
                 if not data or clock.now() > until:
                     return
                 parser.feed(data)
-            answer = self.answered(request)
+            answer = self.answer(request)
         except MalformedMessageError as trouble:
             request = None
             answer = answers.text_answer(trouble.status, str(trouble))
@@ -131,15 +131,15 @@
         while request is None and clock.now() < until and sock.recv(4096):
             pass  # guards the answer: closed with bytes unread, it would be lost on its way
 
-    def answered(self, request: Request) -> answers.Answer:
-        asked = understood(request)
+    def answer(self, request: Request) -> answers.Answer:
+        asked = parse_call(request)
         dispatcher = self.dispatcher
         match asked.call:
-            case Call.CHECK:
+            case AdminCall.HEALTH_CHECK:
                 return SERVING
-            case Call.STATS:
-                return answers.text_answer(200, self.figures().rstrip("\n"))
-            case Call.PEERS:
+            case AdminCall.STATS:
+                return answers.text_answer(200, self.metrics().rstrip("\n"))
+            case AdminCall.PEERS:
                 if self.peers is None:
                     return NO_PEERS
                 return answers.Answer(
@@ -147,32 +147,32 @@
                     [("Content-Type", "application/json")],
                     orjson.dumps(self.peers.view(), option=orjson.OPT_APPEND_NEWLINE),
                 )
-            case Call.RESIGN:
+            case AdminCall.RESIGN:
                 if self.peers is None:
                     return NO_PEERS
-                if not self.peers.take_away(asked.server):
+                if not self.peers.resign_duty(asked.target):
                     return NOT_HELD
-            case Call.OUT | Call.IN:
-                out = asked.call == Call.OUT
-                if not dispatcher.set_out_of_service(asked.server, out):
+            case AdminCall.TAKE_OUT | AdminCall.PUT_BACK:
+                out = asked.call == AdminCall.TAKE_OUT
+                if not dispatcher.set_out_of_service(asked.target, out):
                     return NO_SERVER
-                self.succession.agree({"server": asked.server, "out": out})
-            case Call.FAIL | Call.OK:
-                self.clients.set_out_of_service(asked.call == Call.FAIL)
-                self.succession.agree({"emptied": asked.call == Call.FAIL})
+                self.succession.propagate({"server": asked.target, "out": out})
+            case AdminCall.FAIL_HEALTH_CHECK | AdminCall.PASS_HEALTH_CHECK:
+                self.clients.set_out_of_service(asked.call == AdminCall.FAIL_HEALTH_CHECK)
+                self.succession.propagate({"emptied": asked.call == AdminCall.FAIL_HEALTH_CHECK})
         return DONE
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         dispatcher = self.dispatcher
         listed, avoided = dispatcher.server_counts()
-        return dispatcher.metrics.written(
-            dispatcher.active_config[0].tariffs,
+        return dispatcher.metrics.render(
+            dispatcher.active_config[0].request_classes,
             {
                 "current": self.clients.active_submissions(),
                 "cluster_size": listed,
                 "cluster_unhealthy": avoided,
                 "conf_loaded": dispatcher.config_loads,
                 "conf_invalid": dispatcher.config_failures,
-                **(self.peers.figures() if self.peers is not None else {}),
+                **(self.peers.metrics() if self.peers is not None else {}),
             },
         )
--- a/pumicepath/sidecar/admission_gate.py
+++ b/pumicepath/sidecar/admission_gate.py
@@ -7,7 +7,7 @@
 
 import threading
 
-from ..intake.queue import Intake, Verdict
+from ..admission.queue import AdmissionQueue, AdmissionResult
 from . import clock
 from .config import Config
 
@@ -32,15 +32,15 @@
 
     def __init__(self, config: Config) -> None:
         settings = config.settings
-        self.queue: Intake[Waiter] = Intake(
-            settings.tariffs, settings.most_retry_in, config.from_clients, config.seed
+        self.queue: AdmissionQueue[Waiter] = AdmissionQueue(
+            settings.request_classes, settings.max_retry_after, config.max_client_connections, config.seed
         )
         self.lock = threading.Lock()
 
     def apply_config(self, config: Config) -> None:
         """Use the request classes and limits of another configuration from now on."""
         with self.lock:
-            self.queue.adopt(config.settings.tariffs, config.settings.most_retry_in)
+            self.queue.apply_settings(config.settings.request_classes, config.settings.max_retry_after)
 
     def enter(
         self, received_at: int, deadline_at: int, request_class: int, retry: bool, typical_latency: float
@@ -51,11 +51,11 @@
         """
         waiter = Waiter()
         with self.lock:
-            result = self.queue.came(
+            result = self.queue.offer(
                 clock.now(), received_at, deadline_at, request_class, retry, typical_latency, waiter
             )
-            if result != Verdict.WAIT:
-                return result == Verdict.GO
+            if result != AdmissionResult.QUEUED:
+                return result == AdmissionResult.ADMITTED
             waiter.lock.acquire()  # still free, so this does not block
         waiter.lock.acquire()
         return waiter.admitted
@@ -64,7 +64,7 @@
         """Wait for a slot to go on with an admitted request; `leave` must be called afterwards."""
         waiter = Waiter()
         with self.lock:
-            if self.queue.again(waiter):
+            if self.queue.resume(waiter):
                 return
             waiter.lock.acquire()  # still free, so this does not block
         waiter.lock.acquire()
@@ -73,8 +73,8 @@
         """Release the slot; `delay` is how long the response waited to be passed on, or 0 without one."""
         with self.lock:
             if delay > 0:
-                self.queue.answered(delay)
-            admitted, rejected = self.queue.left(clock.now())
+                self.queue.record_response_delay(delay)
+            admitted, rejected = self.queue.release(clock.now())
         for waiter in rejected:
             waiter.notify(False)
         if admitted is not None:
--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -149,10 +149,10 @@
                 continue
             parser.ring.commit(count)
             self.partial_bytes += count
-            if parser.state == START and queue.full() and self.reject_early(parser, received_at):
+            if parser.state == START and queue.is_full() and self.reject_early(parser, received_at):
                 if not self.set_state(IDLE):
                     return
-                time.sleep(queue.pause / 1e6)
+                time.sleep(queue.read_pause / 1e6)
                 continue
             if self.state != PARTIAL and not self.set_state(PARTIAL):
                 return
@@ -199,13 +199,13 @@
         self.head_only = False
         dispatcher = self.owner.dispatcher
         config, terms = dispatcher.active_config
-        request_class = config.tariffs.get(name)
+        request_class = config.request_classes.get(name)
         if request_class is None or not self.set_state(BUSY):
             return False
-        deadline = terms[request_class].tariff.patience
+        deadline = terms[request_class].request_class.deadline
         if expires:
             deadline = min(deadline, int(expires) * 1000)
-        typical_latency = terms[request_class].usual
+        typical_latency = terms[request_class].typical_latency
         self.holds_slot = dispatcher.admission_gate.enter(
             received_at, received_at + deadline, request_class, retry, typical_latency
         )
@@ -215,7 +215,7 @@
         self.class_name = name
         self.keep_alive = not self.draining
         self.answer(
-            answers.rejected(dispatcher.admission_gate.queue.back(request_class)),
+            answers.rejected(dispatcher.admission_gate.queue.retry_after(request_class)),
             not dispatcher.closes_connections(),
         )
         return True
@@ -272,9 +272,9 @@
             return None
         config, terms = dispatcher.active_config
         name = request.header(CLASS_HEADER)
-        self.class_name = name if name in config.tariffs else ""
+        self.class_name = name if name in config.request_classes else ""
         try:
-            params = parse_submission(request, config.tariffs, config.settings.tariffs)
+            params = parse_submission(request, config.request_classes, config.settings.request_classes)
         except MalformedMessageError as error:
             self.send_error(error, True)
             return None
@@ -283,12 +283,12 @@
             # safe.  The connection stays open: a new one would cost more than this answer.
             self.owner.bad_requests["no room"] += 1
             self.answer(
-                answers.rejected(dispatcher.balancer.bound_retry_in(terms[params.request_class])),
+                answers.rejected(dispatcher.balancer.fixed_retry_after(terms[params.request_class])),
                 not dispatcher.closes_connections(),
             )
             return None
         if not self.holds_slot:
-            typical_latency = terms[params.request_class].usual
+            typical_latency = terms[params.request_class].typical_latency
             self.holds_slot = dispatcher.admission_gate.enter(
                 received_at,
                 received_at + params.deadline,
@@ -298,7 +298,7 @@
             )
             if not self.holds_slot:
                 self.answer(
-                    answers.rejected(dispatcher.admission_gate.queue.back(params.request_class)),
+                    answers.rejected(dispatcher.admission_gate.queue.retry_after(params.request_class)),
                     not dispatcher.closes_connections(),
                 )
                 return None
@@ -404,7 +404,7 @@
         """Count the answer, shut the connection down unless it is kept alive, and wake its thread."""
         self.write_buffer.shrink()
         if self.class_name:
-            self.owner.dispatcher.metrics.ended(self.class_name, self.status)
+            self.owner.dispatcher.metrics.submission_finished(self.class_name, self.status)
             self.class_name = ""
         if not self.keep_alive:
             self.set_state(CLOSING)
--- a/pumicepath/sidecar/clients.py
+++ b/pumicepath/sidecar/clients.py
@@ -62,7 +62,7 @@
     def __init__(self, dispatcher: Dispatcher, listener: socket.socket | None = None) -> None:
         config = dispatcher.active_config[0]
         self.dispatcher = dispatcher
-        self.max_connections = self.connection_limit = config.from_clients
+        self.max_connections = self.connection_limit = config.max_client_connections
         self.open: dict[Client, None] = {}
         self.fresh: dict[Client, None] = {}  # those that have sent nothing yet, oldest first
         self.bad_requests: Counter[str] = Counter()
@@ -250,11 +250,11 @@
             if state == IDLE or state == FRESH and overdue or state == PARTIAL and is_ending:
                 client.expire(state)
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Queue a search for expired connections and set the next timer; called with the lock held."""
         self.dispatcher.after_unlock.append(self.sweep)
         is_urgent = self.is_crowded() or self.dispatcher.out_of_service
-        self.dispatcher.wake(now + (CROWDED_SWEEP_INTERVAL_US if is_urgent else SWEEP_INTERVAL_US), self)
+        self.dispatcher.set_timer(now + (CROWDED_SWEEP_INTERVAL_US if is_urgent else SWEEP_INTERVAL_US), self)
 
     def is_crowded(self) -> bool:
         """Whether more than a third of the connections are open, so that idle times are shorter."""
--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -11,22 +11,22 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..discovery.roster import Address, BadList, Roster, address
+from ..discovery.server_list import Address, BadList, ServerList, parse_address
 from ..interface import Settings
-from ..settings import check, decode, present, without_effect
+from ..settings import check_settings, decode_settings, present_keys, unsupported_keys
 
 if TYPE_CHECKING:
     from ..fleet.settings import PeerSettings
 
-KEPT_BACK = 48  # descriptors for the listener, discovery, files, and clients beyond the bound
-OWN_MB = 24  # memory before the first connection, with room for the list
-SPARE_PART = 1 / 16  # of the memory for the allocator and what grows
-EXPECTED = ("name", "seed", "limits", "listen", "discovery", "peers", "relays", "services")
-FEWEST = 8  # connections, below which nothing can be served
+RESERVED_DESCRIPTORS = 48  # descriptors for the listener, discovery, files, and clients beyond the bound
+BASE_MEMORY_MB = 24  # memory before the first connection, with room for the list
+SPARE_MEMORY_FRACTION = 1 / 16  # of the memory for the allocator and what grows
+TOP_LEVEL_KEYS = ("name", "seed", "limits", "listen", "discovery", "peers", "relays", "services")
+MIN_CONNECTIONS = 8  # connections, below which nothing can be served
 CONNECTION_KB = 140  # a connection with its thread and full bodies both ways: 132 measured
 
 
-class BadConfig(Exception):
+class ConfigError(Exception):
     """The configuration can't be used; the text says why in one line."""
 
 
@@ -36,60 +36,60 @@
     listen: Address
     discovery: Address
     seed: int
-    connections: int
-    known: Any
+    max_connections: int
+    known_list: Any
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    tariffs: dict[str, int]
+    request_classes: dict[str, int]
     settings: Settings
     pushed: bool
-    idle: int
-    dial: int
-    idle_keys: tuple[str, ...]
+    idle_timeout_us: int
+    connect_timeout_us: int
+    keys_without_effect: tuple[str, ...]
     admin: Address | None = None
-    keys: frozenset[str] = frozenset()
+    present_keys: frozenset[str] = frozenset()
     peers: PeerSettings | None = None
     relays: tuple[str, ...] = ()
     services: tuple[str, ...] | None = None  # to be followed at relays, `("*",)` for all
 
     @property
-    def from_clients(self) -> int:
-        return self.connections * 13 // 20
+    def max_client_connections(self) -> int:
+        return self.max_connections * 13 // 20
 
     @property
-    def to_servers(self) -> int:
-        return self.connections - self.from_clients
+    def max_server_connections(self) -> int:
+        return self.max_connections - self.max_client_connections
 
 
-def follow(path: str, before: Config) -> Config:
+def read_replacement(path: str, before: Config) -> Config:
     """The file that takes the place of another.
 
     Guards what is in force against a file with a part missing, whose defaults nobody meant.
     """
     after = read(path)
-    missing = sorted(before.keys - after.keys)
+    missing = sorted(before.present_keys - after.present_keys)
     if missing:
-        raise BadConfig(f"{path}: {missing[0]} is missing")
+        raise ConfigError(f"{path}: {missing[0]} is missing")
     return after
 
 
 def read(path: str) -> Config:
     try:
-        return config(json.loads(Path(path).read_bytes()))
+        return decode_config(json.loads(Path(path).read_bytes()))
     except OSError as trouble:
-        raise BadConfig(f"{path}: {trouble.strerror}") from trouble
+        raise ConfigError(f"{path}: {trouble.strerror}") from trouble
     except KeyError as trouble:
-        raise BadConfig(f"{path}: {trouble} is missing") from trouble
+        raise ConfigError(f"{path}: {trouble} is missing") from trouble
     except RecursionError as trouble:
-        raise BadConfig(f"{path}: nested too deeply") from trouble
+        raise ConfigError(f"{path}: nested too deeply") from trouble
     except (ValueError, TypeError, AttributeError, ArithmeticError, BadList) as trouble:
-        raise BadConfig(f"{path}: {trouble}".replace("\n", " ")) from trouble
+        raise ConfigError(f"{path}: {trouble}".replace("\n", " ")) from trouble
 
 
-def second(told: dict[str, Any]) -> Address | None:
+def admin_address(told: dict[str, Any]) -> Address | None:
     """The operators' address.  The environment is the process's own: two that share a file differ in it."""
     text = os.environ.get("GW_ADMIN_ADDR") or told.get("admin_addr")
-    return address(str(text)) if text else None
+    return parse_address(str(text)) if text else None
 
 
 def peers(told: dict[str, Any]) -> PeerSettings | None:
@@ -100,8 +100,8 @@
 
     found = fleet.decode(told.get("peers"), os.environ)
     name = str(told.get("name", ""))
-    if not 0 < len(name.encode()) <= fleet.LONGEST_NAME:
-        raise ValueError(f"name: {name!r} is no name of 1 to {fleet.LONGEST_NAME} bytes, as peers need one")
+    if not 0 < len(name.encode()) <= fleet.MAX_NAME_BYTES:
+        raise ValueError(f"name: {name!r} is no name of 1 to {fleet.MAX_NAME_BYTES} bytes, as peers need one")
     return found
 
 
@@ -113,11 +113,11 @@
         return (), None
     from . import relay_keys
 
-    return relay_keys.relays(told), relay_keys.services(told)
+    return relay_keys.decode_relays(told), relay_keys.decode_services(told)
 
 
 @contextmanager
-def named(key: str) -> Iterator[None]:
+def key_in_errors(key: str) -> Iterator[None]:
     """What is wrong with the value of a key is told with its name."""
     try:
         yield
@@ -127,7 +127,7 @@
         raise ValueError(f"{key}: {trouble}") from trouble
 
 
-def room(limits: Any) -> int:
+def connection_limit(limits: Any) -> int:
     """How many connections the limits allow."""
     if not isinstance(limits, dict):
         raise ValueError("limits is no object")
@@ -140,34 +140,34 @@
     had = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     memory, sockets = limits.get("memory_mb", 192), limits.get("sockets", 1024)
     if had != resource.RLIM_INFINITY:
-        sockets = min(sockets, max(had, KEPT_BACK + FEWEST))
+        sockets = min(sockets, max(had, RESERVED_DESCRIPTORS + MIN_CONNECTIONS))
     fitting = {
-        "memory_mb": (memory * (1 - SPARE_PART) - OWN_MB) * 1024 / CONNECTION_KB,
-        "sockets": sockets - KEPT_BACK,
+        "memory_mb": (memory * (1 - SPARE_MEMORY_FRACTION) - BASE_MEMORY_MB) * 1024 / CONNECTION_KB,
+        "sockets": sockets - RESERVED_DESCRIPTORS,
     }
     scarce = min(fitting, key=lambda key: fitting[key])
-    if fitting[scarce] < FEWEST:
+    if fitting[scarce] < MIN_CONNECTIONS:
         given = memory if scarce == "memory_mb" else sockets
-        raise ValueError(f"limits.{scarce}: {given} leaves no room for {FEWEST} connections")
+        raise ValueError(f"limits.{scarce}: {given} leaves no room for {MIN_CONNECTIONS} connections")
     return int(fitting[scarce])
 
 
-def config(told: dict[str, Any]) -> Config:
+def decode_config(told: dict[str, Any]) -> Config:
     info = told["settings"]
-    check(info)
+    check_settings(info)
     allowed = info.get("policyLimits", {})
     names = [str(entry["name"]) for entry in info["tariffs"]]
     if not names:
         raise ValueError("settings.tariffs: no tariffs in the settings")
     zones = tuple(str(zone) for zone in info.get("dcs", []))
     known = told.get("known") or {"seq": 0, "whole": True, "hosts": []}
-    with named("known"):
-        Roster(zones, lambda born: born).read(known)
-    with named("listen"):
-        listen = address(told["listen"])
-    with named("discovery"):
-        discovery = address(told["discovery"])
-    with named("seed"):
+    with key_in_errors("known"):
+        ServerList(zones, lambda born: born).apply(known)
+    with key_in_errors("listen"):
+        listen = parse_address(told["listen"])
+    with key_in_errors("discovery"):
+        discovery = parse_address(told["discovery"])
+    with key_in_errors("seed"):
         seed = int(str(told.get("seed", "0")), 16)
     followed, services = relays(told)
     return Config(
@@ -175,18 +175,18 @@
         listen=listen,
         discovery=discovery,
         seed=seed,
-        connections=room(told.get("limits", {})),
-        known=known,
+        max_connections=connection_limit(told.get("limits", {})),
+        known_list=known,
         zones=zones,
         kinds=tuple(str(kind) for kind in info.get("kinds", [])),
-        tariffs={name: at for at, name in enumerate(names)},
-        settings=replace(decode(info), copies=False),  # a client's thread carries one hop at a time
+        request_classes={name: at for at, name in enumerate(names)},
+        settings=replace(decode_settings(info), copies=False),  # a client's thread carries one hop at a time
         pushed=info.get("membershipMode") != "on_request",
-        idle=int(allowed.get("connIdleS", 30.0) * 1e6),
-        dial=int(allowed.get("dialTimeoutS", 1.0) * 1e6),
-        idle_keys=tuple(without_effect(info)),
-        admin=second(told),
-        keys=present(info) | {key for key in EXPECTED if key in told},
+        idle_timeout_us=int(allowed.get("connIdleS", 30.0) * 1e6),
+        connect_timeout_us=int(allowed.get("dialTimeoutS", 1.0) * 1e6),
+        keys_without_effect=tuple(unsupported_keys(info)),
+        admin=admin_address(told),
+        present_keys=present_keys(info) | {key for key in TOP_LEVEL_KEYS if key in told},
         peers=peers(told),
         relays=followed,
         services=services,
--- a/pumicepath/sidecar/delay_monitor.py
+++ b/pumicepath/sidecar/delay_monitor.py
@@ -26,18 +26,18 @@
         self.delay = 0
         self.requests_seen = 0
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Measure the delay of this timer, update the admission queue, and set the next timer."""
         late = now - self.due_at if self.due_at else 0
         self.delay = max(late, int(self.delay * DECAY))
-        change = self.admission_gate.queue.beat(now)
+        change = self.admission_gate.queue.update_pause(now)
         if change:
             self.owner.log(change)
-        requests_seen = self.admission_gate.queue.taken + self.admission_gate.queue.turned
+        requests_seen = self.admission_gate.queue.admitted + self.admission_gate.queue.rejected
         self.due_at = now + (
             BUSY_INTERVAL_US
             if requests_seen != self.requests_seen or self.delay > BUSY_INTERVAL_US
             else IDLE_INTERVAL_US
         )
         self.requests_seen = requests_seen
-        self.owner.wake(self.due_at, self)
+        self.owner.set_timer(self.due_at, self)
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -12,14 +12,14 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 
-from ..admin.figures import Figures
-from ..discovery.roster import Update, stable
+from ..admin.metrics import Metrics
+from ..balancer import Balancer, ClassState, Submission
+from ..discovery.server_list import ServerListUpdate, stable_id
 from ..http1 import writing
 from ..http1.messages import Response
 from ..http1.parsing import ResponseParser
-from ..interface import Companions, Listing, Outcome, Wakeable
-from ..invariants import must
-from ..logic import Balancer, Submission, Terms
+from ..interface import ListKind, Outcome, PeerTrials, TimerHandler
+from ..invariants import check_invariant
 from . import answers, clock
 from .admission_gate import AdmissionGate
 from .config import Config
@@ -32,7 +32,7 @@
 MAX_THREAD_DELAY_US = 10_000  # above this scheduling delay of our own threads, latency timers are postponed
 
 # The configuration and the terms of its request classes, in the order of the configuration.
-ActiveConfig = tuple[Config, tuple[Terms, ...]]
+ActiveConfig = tuple[Config, tuple[ClassState, ...]]
 
 
 class PendingCall:
@@ -55,13 +55,13 @@
     def __init__(self, handler: Submission) -> None:
         self.handler = handler
 
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether the submission has ended, so that the timer can be dropped."""
-        return self.handler.over()
+        return self.handler.is_finished()
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Run the submission's timer."""
-        self.handler.woke(now)
+        self.handler.on_timer(now)
 
 
 class Dispatcher:
@@ -77,7 +77,7 @@
         self.pending_calls: deque[PendingCall] = deque()
         self.timers_changed = threading.Event()
         self.timer_wait_s: float | None = None
-        self.timers: list[tuple[int, int, Wakeable]] = []
+        self.timers: list[tuple[int, int, TimerHandler]] = []
         self.timer_sequence = 0
         self.pending_closes: list[Callable[[], None]] = []
         self.after_unlock: list[Callable[[], None]] = []
@@ -86,15 +86,15 @@
         self.draining = False  # since SIGTERM
         self.shutdown_at = NO_DEADLINE_US  # when all admitted requests must be answered, set on SIGTERM
         self.out_of_service = False  # this sidecar, by an operator
-        self.metrics = Figures()
+        self.metrics = Metrics()
         self.config_loads = self.config_failures = 0
         self.pool = Pool(self, config, log)
         self.trace_ids: set[str] = set()
         self.trace_expiries: deque[tuple[int, str]] = deque()
         self.balancer = Balancer(config.settings, config.seed, self)
         # Replaced as a whole: a thread reads it once per request and uses that one until the answer.
-        self.active_config: ActiveConfig = (config, self.balancer.terms)
-        self.max_deadline = max(tariff.patience for tariff in config.settings.tariffs)
+        self.active_config: ActiveConfig = (config, self.balancer.class_states)
+        self.max_deadline = max(tariff.deadline for tariff in config.settings.request_classes)
         self.admission_gate = AdmissionGate(config)
         self.delay_monitor = DelayMonitor(self, self.admission_gate)
 
@@ -173,10 +173,10 @@
             ):
                 # Our own threads are late, so the response may already be in the socket's buffer, unread.
                 # Running the timer now would count our delay as the server's latency.
-                self.wake(now + self.delay_monitor.delay, PostponedTimer(handler))
+                self.set_timer(now + self.delay_monitor.delay, PostponedTimer(handler))
                 continue
             try:
-                handler.woke(now)
+                handler.on_timer(now)
             except Exception as error:  # this thread ends all timed-out submissions and must go on
                 self.events.event("fault", text=f"{type(error).__name__}: {error}")
         self.drop_finished_timers()
@@ -186,7 +186,7 @@
         """Drop timers of finished submissions at the head of the queue, which would only wake the thread."""
         while self.timers:
             handler = self.timers[0][2]
-            if not isinstance(handler, (Submission, Exchange, PostponedTimer)) or not handler.over():
+            if not isinstance(handler, (Submission, Exchange, PostponedTimer)) or not handler.is_finished():
                 return
             heappop(self.timers)
 
@@ -196,17 +196,17 @@
         """Switch to another configuration atomically; requests that were read before keep the old one."""
 
         def call(now: int) -> None:
-            self.balancer.adopt(now, config.settings)
+            self.balancer.apply_settings(now, config.settings)
             self.pool.apply_config(config)
-            self.active_config = (config, self.balancer.terms)
+            self.active_config = (config, self.balancer.class_states)
             self.max_deadline = max(
-                self.max_deadline, *(tariff.patience for tariff in config.settings.tariffs)
+                self.max_deadline, *(tariff.deadline for tariff in config.settings.request_classes)
             )
 
         self.admission_gate.apply_config(config)
         self.run_locked(call)
 
-    def submit(self, exchange: Exchange, terms: Terms, key: int, retry: bool) -> bool:
+    def submit(self, exchange: Exchange, terms: ClassState, key: int, retry: bool) -> bool:
         """Submit an exchange to the balancer; False if its trace id is in use.
 
         A trace id stays in use until the submission's deadline, even when it has been answered: a hop of it
@@ -225,11 +225,11 @@
             self.admitted += 1
             exchange.number = self.admitted
             self.exchanges[exchange.number] = exchange
-            exchange.submission = self.balancer.take_under(
+            exchange.submission = self.balancer.submit_with(
                 now, exchange.number, terms, key, retry, exchange.deadline_at, exchange.upload is not None
             )
             if not exchange.answered and exchange.upload is None:
-                self.wake(exchange.deadline_at, exchange)
+                self.set_timer(exchange.deadline_at, exchange)
             self.remove_if_finished(exchange)
 
         self.run_locked(call)
@@ -268,8 +268,8 @@
             if exchange.answered or exchange.submission is None:
                 return
             exchange.deadline_at = min(now + exchange.deadline, self.shutdown_at)
-            exchange.submission.whole(now, hop.number, exchange.deadline_at)
-            self.wake(exchange.deadline_at, exchange)
+            exchange.submission.body_complete(now, hop.number, exchange.deadline_at)
+            self.set_timer(exchange.deadline_at, exchange)
 
         self.run_locked(call)
 
@@ -289,7 +289,7 @@
             if client_left and not exchange.answered and exchange.submission is not None:
                 # No further hop is needed: the client has closed its connection.
                 exchange.answered = exchange.client_left = True
-                exchange.submission.left(now)
+                exchange.submission.client_left(now)
             if hop.ended:
                 return
             if outcome == Outcome.OK and response is not None and not exchange.answered:
@@ -303,7 +303,7 @@
 
         def call(now: int) -> None:
             if not hop.ended and hop.exchange.submission is not None:
-                hop.exchange.submission.started(now, hop.number)
+                hop.exchange.submission.response_started(now, hop.number)
 
         self.run_locked(call)
 
@@ -332,7 +332,7 @@
                 and exchange.submission is not None
             ):
                 exchange.answered = hop.ended = True
-                exchange.submission.ended(
+                exchange.submission.hop_finished(
                     now, hop.number, Outcome.OK, max(hop.started_at, hop.received_at) - hop.started_at, True
                 )
                 self.remove_if_finished(exchange)
@@ -370,19 +370,21 @@
             # Measured up to when the kernel received the last bytes: the server is not charged for the time
             # that our threads took to read them.
             end = max(hop.started_at, hop.received_at) if outcome == Outcome.OK and hop.received_at else now
-            exchange.submission.ended(now, hop.number, outcome, end - hop.started_at, exchange.answered)
+            exchange.submission.hop_finished(
+                now, hop.number, outcome, end - hop.started_at, exchange.answered
+            )
         self.remove_if_finished(exchange)
 
     def answer(self, exchange: Exchange, answer: answers.Answer) -> None:
         """Queue the final answer of an exchange, of which there is exactly one; called with the lock held."""
-        if must(not exchange.answered, "second final answer"):
+        if check_invariant(not exchange.answered, "second final answer"):
             exchange.answered = True
             client = exchange.client
             self.after_unlock.append(lambda: client.answer(answer, not self.closes_connections()))
 
     def remove_if_finished(self, exchange: Exchange) -> None:
         """Forget an exchange that has its final answer and no hop in flight; called with the lock held."""
-        if exchange.over():
+        if exchange.is_finished():
             self.exchanges.pop(exchange.number, None)
             exchange.hops.clear()  # breaks the reference cycle, so that both are freed at once
 
@@ -398,31 +400,31 @@
         """
 
         def call(now: int) -> None:
-            if self.balancer.hand(now, stable(name), out, certain):
-                self.pool.set_out_of_service(stable(name), out)
+            if self.balancer.set_out_of_service(now, stable_id(name), out, certain):
+                self.pool.set_out_of_service(stable_id(name), out)
                 accepted.append(True)
 
         accepted: list[bool] = []
         self.run_locked(call)
         return bool(accepted)
 
-    def set_peer_trials(self, peer_trials: Companions | None) -> None:
+    def set_peer_trials(self, peer_trials: PeerTrials | None) -> None:
         """Coordinate half-open trials of unhealthy servers with other sidecars, or with none of them."""
 
         def call(now: int) -> None:
-            self.balancer.companions = peer_trials
+            self.balancer.peer_trials = peer_trials
 
         self.run_locked(call)
 
     def postpone_trial(self, server: int, wait: int) -> None:
         """Postpone the half-open trial of a server by `wait`, or allow it now if 0, as others report."""
-        self.run_locked(lambda now: self.balancer.put_off(now, server, wait))
+        self.run_locked(lambda now: self.balancer.postpone_trial(now, server, wait))
 
     def operator_state(self) -> tuple[dict[int, int], dict[int, int]]:
         """Servers that an operator took out of service, and those put back, with the times of the changes."""
 
         def call(now: int) -> None:
-            states.append((dict(self.balancer.by_hand), dict(self.balancer.returned)))
+            states.append((dict(self.balancer.out_of_service), dict(self.balancer.returned_at)))
 
         states: list[tuple[dict[int, int], dict[int, int]]] = []
         self.run_locked(call)
@@ -430,7 +432,7 @@
 
     def inherit_operator_state(self, out_of_service: dict[int, int], back_in_service: dict[int, int]) -> None:
         """Take over what operators told the old process; must be called before the first server list."""
-        self.balancer.by_hand, self.balancer.returned = out_of_service, back_in_service
+        self.balancer.out_of_service, self.balancer.returned_at = out_of_service, back_in_service
         self.pool.out_of_service = set(out_of_service)
 
     def scale_connection_limit(self, numerator: int, denominator: int) -> None:
@@ -444,22 +446,22 @@
         """The number of listed servers, and how many of them are avoided."""
 
         def call(now: int) -> None:
-            counts.append(self.balancer.standing())
+            counts.append(self.balancer.server_counts())
 
         counts: list[tuple[int, int]] = []
         self.run_locked(call)
         return counts[0]
 
-    def update_servers(self, kind: Listing, update: Update, elapsed: int = 0) -> None:
+    def update_servers(self, kind: ListKind, update: ServerListUpdate, elapsed: int = 0) -> None:
         """Apply a server list, or note that fetching one failed (kind FAILED) after `elapsed` us."""
 
         def call(now: int) -> None:
-            drain_alone = self.balancer.settings.drain_alone
-            if kind != Listing.FAILED:
+            drain_alone = self.balancer.settings.only_draining_removes
+            if kind != ListKind.FAILED:
                 self.pool.update_servers(update, drain_alone)
-            self.balancer.listed(now, kind, update.entries, elapsed)
+            self.balancer.update_servers(now, kind, update.entries, elapsed)
             if drain_alone:
-                self.pool.keep_only(self.balancer.index)
+                self.pool.keep_only(self.balancer.index_by_id)
 
         self.run_locked(call)
 
@@ -475,13 +477,13 @@
         hop.connection = self.pool.connection_for(now, hop)
         exchange.pending_hops.append(hop)
         if timeout > 0:
-            self.wake(now + timeout, hop)
+            self.set_timer(now + timeout, hop)
 
-    def defer(self, submission: int, retry_in: int) -> None:
+    def reject(self, submission: int, retry_in: int) -> None:
         """Answer 503 with the time after which the client may retry, in microseconds."""
         self.answer(self.exchanges[submission], answers.rejected(retry_in))
 
-    def forfeit(self, submission: int) -> None:
+    def fail(self, submission: int) -> None:
         """Answer 502: the submission may have run at a server, and no further hop is allowed."""
         self.answer(self.exchanges[submission], answers.FAILED)
 
@@ -498,14 +500,14 @@
     def probe(self, server: int) -> None:
         """Do nothing: the balancer does not request probes yet."""
 
-    def free_links(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         """Close the idle connections to a server."""
         self.pool.close_idle(server)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Drop the message: the platform has no channel for hints between sidecars, and hints may be lost."""
 
-    def follow(self) -> None:
+    def request_server_list(self) -> None:
         """Request the server list once the lock is released."""
         self.after_unlock.append(self.on_list_request)
 
@@ -513,7 +515,7 @@
         """Queue a socket shutdown, done after the lock is released and before all other queued work."""
         self.pending_closes.append(action)
 
-    def wake(self, at: int, handler: Wakeable) -> None:
+    def set_timer(self, at: int, handler: TimerHandler) -> None:
         """Set a timer; it is dropped early only if its submission has ended."""
         self.timer_sequence += 1
         heappush(self.timers, (at, self.timer_sequence, handler))
--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
+from ..balancer import Submission
 from ..http1.messages import Request
 from ..http1.parsing import ResponseParser
-from ..interface import Effect, Outcome, Wakeable
-from ..invariants import must
-from ..logic import Submission
+from ..interface import Effect, Outcome, TimerHandler
+from ..invariants import check_invariant
 from . import answers
 
 CLIENT_CHECK_AFTER_US = 5_000  # before this, a client is assumed to be still there
@@ -89,7 +89,7 @@
     def answer(self, exchange: Exchange, answer: answers.Answer) -> None:
         """Queue the final answer of an exchange; called with the lock held."""
 
-    def wake(self, at: int, whom: Wakeable) -> None:
+    def set_timer(self, at: int, whom: TimerHandler) -> None:
         """Set a timer; called with the lock held."""
 
     def close_after_unlock(self, action: Callable[[], None]) -> None:
@@ -149,9 +149,9 @@
         self.deadline = deadline  # a duration, counted from the last byte of an upload
         self.received_at = received_at
 
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether it has its final answer and no hop in flight."""
-        return self.submission is not None and self.submission.over()
+        return self.submission is not None and self.submission.is_finished()
 
     def may_write(self, now: int, hop: Hop) -> bool:
         """Whether a hop may still be sent, checked just before its request is written.
@@ -163,18 +163,21 @@
         if hop.ended or self.answered or now >= self.deadline_at:
             return False
         if hop.number and self.submission is not None:
-            request_class, earlier = self.submission.terms.tariff, self.submission.hops[: hop.number]
+            request_class, earlier = (
+                self.submission.class_state.request_class,
+                self.submission.hops[: hop.number],
+            )
             if request_class.effect == Effect.DEDUPLICATED and any(
-                other.may_have_run and now > other.at + request_class.window for other in earlier
+                other.may_have_run and now > other.sent_at + request_class.dedup_window for other in earlier
             ):
                 return False
         return now - self.received_at <= CLIENT_CHECK_AFTER_US or not self.client.has_left()
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """End all hops at the deadline: this answers for servers that have not responded."""
         for hop in list(self.hops):
             self.owner.end_hop(now, hop, Outcome.TIMEOUT)
-        if not must(self.answered, "no final answer at the deadline"):
+        if not check_invariant(self.answered, "no final answer at the deadline"):
             self.owner.answer(self, answers.FAILED)
 
 
@@ -204,6 +207,6 @@
         self.ended = False
         self.cancelled = False
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """End the hop at its time-out, where the balancer sets one."""
         self.exchange.owner.end_hop(now, self, Outcome.TIMEOUT)
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -9,108 +9,108 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from ..discovery.roster import Address, BadList, address
+from ..discovery.server_list import Address, BadList, parse_address
 from ..http1.messages import MalformedMessageError
 from . import clock
-from .watching import DIAL_S, opened
+from .watching import CONNECT_TIMEOUT_S, new_socket
 
 if TYPE_CHECKING:
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
     from .watching import Watcher
 
 
-class Following:
+class RelayWatch:
     """On the watcher's thread alone."""
 
-    def __init__(self, watcher: Watcher, homes: Homes) -> None:
+    def __init__(self, watcher: Watcher, homes: RelaySelector) -> None:
         self.watcher = watcher
         self.homes = homes
-        self.answering = ""  # the relay that answered last
-        self.heard = 0.0  # when
-        self.trouble = ""  # of the last call that failed
-        self.stale: dict[str, float] = {}  # regions out of touch there, since when
+        self.current_relay = ""  # the relay that answered last
+        self.answered_at = 0.0  # when
+        self.last_error = ""  # of the last call that failed
+        self.stale_since: dict[str, float] = {}  # regions out of touch there, since when
 
-    def where(self) -> Address:
+    def relay_address(self) -> Address:
         """The relay to dial, which the watch is told of."""
-        if self.watcher.watch.host != self.homes.at:
-            self.watcher.watch.move(self.homes.at)
-        return address(self.homes.at)
+        if self.watcher.watch.host != self.homes.current:
+            self.watcher.watch.switch_to(self.homes.current)
+        return parse_address(self.homes.current)
 
-    def failed(self, trouble: Exception) -> None:
+    def handle_failure(self, trouble: Exception) -> None:
         """A relay has failed: the next, after a wait that grows with each failure in a row.
 
         Guards against a storm: when a relay dies, thousands of sidecars learn of it at one moment.
         """
         watcher, homes = self.watcher, self.homes
         watcher.failures += 1
-        self.trouble = f"{type(trouble).__name__}: {trouble}"
+        self.last_error = f"{type(trouble).__name__}: {trouble}"
         expected = isinstance(trouble, (OSError, MalformedMessageError, BadList))
         if watcher.failures == 1 or not expected:
             watcher.dispatcher.events.event(
-                "watch_failed" if expected else "fault", text=self.trouble, relay=homes.at
+                "watch_failed" if expected else "fault", text=self.last_error, relay=homes.current
             )
-        wait = homes.failed(clock.now(), watcher.dialling)
+        wait = homes.call_failed(clock.now(), watcher.connecting)
         if watcher.failures > len(homes.order):
-            watcher.asked.set()
-        watcher.hurry.wait(wait / 1e6)
-        watcher.wanted.set()
+            watcher.first_call_done.set()
+        watcher.skip_wait.wait(wait / 1e6)
+        watcher.call_requested.set()
 
-    def answered(self) -> None:
+    def log_changes(self) -> None:
         """Say what an answer changes: the relay followed, regions that it is in touch with or not."""
         watcher, homes = self.watcher, self.homes
         now, events, watch = monotonic(), watcher.dispatcher.events, watcher.watch
-        if homes.at != self.answering:
-            why = homes.why or "start"
-            live, out = watch.standing()
+        if homes.current != self.current_relay:
+            why = homes.change_reason or "start"
+            live, out = watch.region_counts()
             events.event(
                 "relay_changed",
-                **{"from": self.answering},
-                to=homes.at,
-                why=self.trouble if why == "failed" else why,
+                **{"from": self.current_relay},
+                to=homes.current,
+                why=self.last_error if why == "failed" else why,
                 failures=watcher.failures,
                 live=live,
                 out=out,
-                silent_s=round(now - self.heard, 3) if self.answering else 0.0,
+                silent_s=round(now - self.answered_at, 3) if self.current_relay else 0.0,
             )
-            if self.answering:
+            if self.current_relay:
                 watcher.dispatcher.metrics.count("relay_changes")
-            self.answering = homes.at
-        self.heard = now
-        out_of_touch = watch.stale()
+            self.current_relay = homes.current
+        self.answered_at = now
+        out_of_touch = watch.stale_regions()
         for region, seq in out_of_touch.items():
-            if region not in self.stale:
-                self.stale[region] = now
-                events.event("region_stale", region=region, seq=seq, relay=homes.at)
-        for region in [region for region in self.stale if region not in out_of_touch]:
-            since = self.stale.pop(region)
-            events.event("region_back", region=region, relay=homes.at, after_s=round(now - since, 3))
+            if region not in self.stale_since:
+                self.stale_since[region] = now
+                events.event("region_stale", region=region, seq=seq, relay=homes.current)
+        for region in [region for region in self.stale_since if region not in out_of_touch]:
+            since = self.stale_since.pop(region)
+            events.event("region_back", region=region, relay=homes.current, after_s=round(now - since, 3))
 
-    def change(self) -> None:
+    def switch_relay(self) -> None:
         """Leave one relay that answers for another, once that can be dialled."""
         watcher, homes = self.watcher, self.homes
         try:
-            sock = dialled(address(homes.at))
+            sock = connect_to(parse_address(homes.current))
         except OSError:
-            if homes.before is None:
-                watcher.dialling = True
+            if homes.previous is None:
+                watcher.connecting = True
                 raise
             # Guards the watch that works against one that can't be had, or no descriptor for it: it goes on.
-            homes.failed(clock.now())
+            homes.call_failed(clock.now())
             return
-        with watcher.gate:
+        with watcher.lock:
             old, watcher.sock = watcher.sock, sock
         if old is not None:
             old.close()
         if watcher.moved:
             raise ConnectionAbortedError("the relays are others")
-        watcher.watch.move(homes.at)
-        watcher.watch.restart()
+        watcher.watch.switch_to(homes.current)
+        watcher.watch.reset_connection()
 
 
-def dialled(where: Address) -> socket.socket:
-    sock = opened(where)
+def connect_to(where: Address) -> socket.socket:
+    sock = new_socket(where)
     try:
-        sock.settimeout(DIAL_S)
+        sock.settimeout(CONNECT_TIMEOUT_S)
         sock.connect(where)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
--- a/pumicepath/sidecar/succession.py
+++ b/pumicepath/sidecar/hot_restart.py
@@ -15,37 +15,37 @@
 
 import orjson
 
-from ..discovery.roster import Address
+from ..discovery.server_list import Address
 from . import clock
 from .clients import Clients
 from .dispatch import Dispatcher
 from .servers import start_thread
 
-NAME = "pumicepath.succession"
-VERSION = 1  # of what is said on the line
-LONGEST_S = 1.0  # that the old process may take to answer
-AGREED_S = 0.5  # that a change made by hand waits for the other process
-MOST = 4 * 1024 * 1024  # bytes of one message
+SOCKET_NAME = "pumicepath.succession"
+PROTOCOL_VERSION = 1  # of what is said on the line
+HANDOVER_TIMEOUT_S = 1.0  # that the old process may take to answer
+CONFIRM_TIMEOUT_S = 0.5  # that a change made by hand waits for the other process
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of one message
 
 
-class Broken(Exception):
+class ChannelError(Exception):
     """The other process says what can't be understood, or nothing."""
 
 
-class Line:
+class Channel:
     """One message a JSON line, both ways."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.rest = b""
-        self.writing = threading.RLock()
-        self.agreed = threading.Condition()
-        self.told = self.heard = 0
-        self.over = False
+        self.buffer = b""
+        self.write_lock = threading.RLock()
+        self.confirmation = threading.Condition()
+        self.last_sent = self.last_confirmed = 0
+        self.closed = False
 
     def send(self, message: dict[str, Any], descriptors: tuple[int, ...] = ()) -> None:
         data = orjson.dumps(message, option=orjson.OPT_APPEND_NEWLINE)
-        with self.writing:
+        with self.write_lock:
             if descriptors:
                 count = socket.send_fds(self.sock, [data], list(descriptors))
                 data = data[count:]
@@ -54,62 +54,64 @@
     def receive(self) -> tuple[dict[str, Any], list[int]]:
         """The next message, with the descriptors that came; raises Broken once there is none."""
         descriptors: list[int] = []
-        while b"\n" not in self.rest:
+        while b"\n" not in self.buffer:
             data, came, _, _ = socket.recv_fds(self.sock, 65536, 4)
             descriptors += came
-            self.rest += data
-            if not data or len(self.rest) > MOST:
+            self.buffer += data
+            if not data or len(self.buffer) > MAX_MESSAGE_BYTES:
                 for each in descriptors:
                     os.close(each)
-                raise Broken("the line has ended")
-        line, _, self.rest = self.rest.partition(b"\n")
+                raise ChannelError("the line has ended")
+        line, _, self.buffer = self.buffer.partition(b"\n")
         message = orjson.loads(line)
         if not isinstance(message, dict):
-            raise Broken("no message")
+            raise ChannelError("no message")
         return message, descriptors
 
-    def agree(self, message: dict[str, Any]) -> None:
+    def send_confirmed(self, message: dict[str, Any]) -> None:
         """Have the other process do the same, and wait for it, but not for one that is stuck."""
-        with self.agreed:
-            self.told += 1
-            number = self.told
+        with self.confirmation:
+            self.last_sent += 1
+            number = self.last_sent
         with suppress(OSError):
             self.send({**message, "number": number})
-            with self.agreed:
-                self.agreed.wait_for(lambda: self.heard >= number or self.over, AGREED_S)
-
-    def end(self) -> None:
-        with self.agreed:
-            self.over = True
-            self.agreed.notify_all()
+            with self.confirmation:
+                self.confirmation.wait_for(
+                    lambda: self.last_confirmed >= number or self.closed, CONFIRM_TIMEOUT_S
+                )
+
+    def close(self) -> None:
+        with self.confirmation:
+            self.closed = True
+            self.confirmation.notify_all()
         self.sock.close()
 
 
-class Inherited(NamedTuple):
+class Handover(NamedTuple):
     """What a new process goes on with."""
 
-    line: Line
+    channel: Channel
     listener: socket.socket | None
-    known: Any
-    by_hand: dict[int, int]
-    returned: dict[int, int]
-    emptied: bool
+    known_list: Any
+    out_of_service: dict[int, int]
+    back_in_service: dict[int, int]
+    drained_by_operator: bool
 
 
-def put(times: dict[int, int]) -> list[list[int]]:
+def encode_times(times: dict[int, int]) -> list[list[int]]:
     return [[server, clock.to_monotonic(then)] for server, then in sorted(times.items())]
 
 
-def got(times: list[list[int]]) -> dict[int, int]:
+def decode_times(times: list[list[int]]) -> dict[int, int]:
     return {int(server): clock.from_monotonic(int(then)) for server, then in times}
 
 
-def place() -> Path | None:
+def socket_path() -> Path | None:
     folder = os.environ.get("TMPDIR", "")
-    return Path(folder) / NAME if folder else None
+    return Path(folder) / SOCKET_NAME if folder else None
 
 
-class Short:
+class ShortPath:
     """A path short enough for a socket's address, whose length the kernel bounds to 107 bytes."""
 
     def __init__(self, path: Path) -> None:
@@ -123,38 +125,43 @@
         os.close(self.folder)
 
 
-def reach(listen: Address) -> Inherited | None:
+def request_handover(listen: Address) -> Handover | None:
     """What the process that serves at this address hands over; None where there is none, or it says nothing.
 
     Guards the start against what a process long dead has left: then this one starts from nothing.
     """
-    path = place()
+    path = socket_path()
     if path is None or not path.exists():
         return None
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     descriptors: list[int] = []
     try:
-        sock.settimeout(LONGEST_S)
-        with Short(path) as short:
+        sock.settimeout(HANDOVER_TIMEOUT_S)
+        with ShortPath(path) as short:
             sock.connect(short)
-        line = Line(sock)
-        line.send({"version": VERSION, "listen": list(listen)})
+        line = Channel(sock)
+        line.send({"version": PROTOCOL_VERSION, "listen": list(listen)})
         told, descriptors = line.receive()
-        if told.get("version") != VERSION:
-            raise Broken(f"version {told.get('version')}")
+        if told.get("version") != PROTOCOL_VERSION:
+            raise ChannelError(f"version {told.get('version')}")
         listener = socket.socket(fileno=descriptors.pop()) if descriptors else None
         sock.settimeout(None)
-        return Inherited(
-            line, listener, told["known"], got(told["by_hand"]), got(told["returned"]), bool(told["emptied"])
+        return Handover(
+            line,
+            listener,
+            told["known"],
+            decode_times(told["by_hand"]),
+            decode_times(told["returned"]),
+            bool(told["emptied"]),
         )
-    except (OSError, Broken, ValueError, TypeError, KeyError):
+    except (OSError, ChannelError, ValueError, TypeError, KeyError):
         for each in descriptors:
             os.close(each)
         sock.close()
         return None
 
 
-class Succession:
+class HotRestart:
     """Both ends of the line in a process that runs: to the one before it, and to the one after it."""
 
     def __init__(
@@ -164,12 +171,12 @@
         self.clients = clients
         self.known = known
         self.listen = list(listen)
-        self.lines: dict[Line, None] = {}
-        self.followed = False  # whether a process that takes clients has come after this one
+        self.channels: dict[Channel, None] = {}
+        self.superseded = False  # whether a process that takes clients has come after this one
 
-    def follow(self, before: Line) -> None:
+    def take_over(self, before: Channel) -> None:
         """This process takes clients: the one before it leaves them to it."""
-        self.lines[before] = None
+        self.channels[before] = None
         self.dispatcher.scale_connection_limit(1, 2)
         self.clients.scale_limit(2, 3)
         with suppress(OSError):
@@ -177,19 +184,19 @@
         # Only once it is told: whoever reads it may end this process, and the one before must know by then
         # that it had stopped taking clients, else it never says that it is alone again.
         self.dispatcher.events.event("succeeding")
-        start_thread(lambda: self.hear(before, False))
+        start_thread(lambda: self.serve_channel(before, False))
 
-    def offer(self) -> None:
+    def open_socket(self) -> None:
         """Wait for the process that will come after this one."""
-        path = place()
+        path = socket_path()
         if path is None:
             return
-        mine = path.with_name(f"{NAME}.{os.getpid()}")
+        mine = path.with_name(f"{SOCKET_NAME}.{os.getpid()}")
         try:
             with suppress(FileNotFoundError):
                 mine.unlink()
             listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            with Short(mine) as short:
+            with ShortPath(mine) as short:
                 listener.bind(short)
             listener.listen(4)
             # In one step: guards a second new process against a moment in which nobody is to be met there.
@@ -198,18 +205,18 @@
             # It can still be replaced, with what waits in its queue lost and nothing handed over.
             self.dispatcher.events.event("no_succession", text=str(trouble))
             return
-        start_thread(lambda: self.accept(listener))
+        start_thread(lambda: self.accept_channels(listener))
 
-    def accept(self, listener: socket.socket) -> None:
+    def accept_channels(self, listener: socket.socket) -> None:
         while True:
             try:
-                line = Line(listener.accept()[0])
+                line = Channel(listener.accept()[0])
             except OSError as trouble:
                 self.dispatcher.events.event("no_succession", text=str(trouble))
                 return
-            start_thread(lambda line=line: self.hear(line, True))  # type: ignore[misc]
+            start_thread(lambda line=line: self.serve_channel(line, True))  # type: ignore[misc]
 
-    def hear(self, line: Line, after: bool) -> None:
+    def serve_channel(self, line: Channel, after: bool) -> None:
         """All that the other process says, until it ends; `after` tells whether it comes after this one."""
         taking = False
         try:
@@ -218,54 +225,56 @@
             while True:
                 message, _ = line.receive()
                 if message.get("taking") and after:
-                    taking = self.followed = True
+                    taking = self.superseded = True
                     self.clients.pause_accepting(True)
                     self.dispatcher.scale_connection_limit(1, 2)
                     self.dispatcher.events.event("succeeded", clients=len(self.clients.open))
                 if "done" in message:
-                    with line.agreed:
-                        line.heard = max(line.heard, int(message["done"]))
-                        line.agreed.notify_all()
+                    with line.confirmation:
+                        line.last_confirmed = max(line.last_confirmed, int(message["done"]))
+                        line.confirmation.notify_all()
                 if "number" in message:
-                    self.do(message)
+                    self.apply(message)
                     line.send({"done": message["number"]})
-        except (OSError, Broken, ValueError, TypeError, KeyError, IndexError) as trouble:
-            if not isinstance(trouble, (OSError, Broken)):
+        except (OSError, ChannelError, ValueError, TypeError, KeyError, IndexError) as trouble:
+            if not isinstance(trouble, (OSError, ChannelError)):
                 self.dispatcher.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
         finally:
-            self.lines.pop(line, None)
-            line.end()
+            self.channels.pop(line, None)
+            line.close()
             if taking:
                 # The new process is gone before this one was told to go: clients are this one's again.
-                self.followed = False
+                self.superseded = False
                 self.clients.pause_accepting(False)
             if taking or not after:
                 self.dispatcher.scale_connection_limit(1, 1)
                 self.clients.scale_limit(1, 1)
                 self.dispatcher.events.event("alone")
 
-    def hand_over(self, line: Line) -> None:
+    def hand_over(self, line: Channel) -> None:
         message, _ = line.receive()
         dispatcher = self.dispatcher
-        with line.writing:
-            self.lines[line] = None  # what is changed from now on is told behind this, and may be in it too
+        with line.write_lock:
+            self.channels[line] = (
+                None  # what is changed from now on is told behind this, and may be in it too
+            )
             by_hand, returned = dispatcher.operator_state()
             told = {
-                "version": VERSION,
+                "version": PROTOCOL_VERSION,
                 "known": self.known(),
                 "emptied": dispatcher.out_of_service,
-                "by_hand": put(by_hand),
-                "returned": put(returned),
+                "by_hand": encode_times(by_hand),
+                "returned": encode_times(returned),
             }
             same = message.get("listen") == self.listen
             line.send(told, (self.clients.listener.fileno(),) if same else ())
 
-    def do(self, message: dict[str, Any]) -> None:
+    def apply(self, message: dict[str, Any]) -> None:
         if "server" in message:
             self.dispatcher.set_out_of_service(str(message["server"]), bool(message["out"]), True)
         if "emptied" in message:
             self.clients.set_out_of_service(bool(message["emptied"]))
 
-    def agree(self, message: dict[str, Any]) -> None:
-        for line in list(self.lines):
-            line.agree(message)
+    def propagate(self, message: dict[str, Any]) -> None:
+        for line in list(self.channels):
+            line.send_confirmed(message)
--- a/pumicepath/sidecar/log.py
+++ b/pumicepath/sidecar/log.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-MOST_WAITING = 2000
+MAX_WAITING_LINES = 2000
 
 
 class Log:
@@ -19,25 +19,25 @@
         self.descriptor = descriptor
         self.waiting: deque[bytes] = deque()
         self.dropped = 0
-        self.some = threading.Event()
-        self.writing = threading.Lock()
+        self.has_lines = threading.Event()
+        self.write_lock = threading.Lock()
 
     def event(self, event: str, **figures: Any) -> None:
-        if len(self.waiting) >= MOST_WAITING:
+        if len(self.waiting) >= MAX_WAITING_LINES:
             self.dropped += 1
             return
         line = {"time": round(time.time(), 3), "sidecar": self.name, "event": event, **figures}
         self.waiting.append(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
-        self.some.set()
+        self.has_lines.set()
 
     def run(self) -> None:
         while True:
-            self.some.wait()
-            self.some.clear()
+            self.has_lines.wait()
+            self.has_lines.clear()
             self.flush()
 
     def flush(self) -> None:
-        with self.writing:
+        with self.write_lock:
             while self.waiting:
                 data = self.waiting.popleft()
                 try:
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -15,80 +15,82 @@
 from time import monotonic, sleep, time_ns
 from typing import Any
 
-from ..discovery.roster import stable
+from ..discovery.server_list import stable_id
 from ..fleet import messages
-from ..fleet.fellow import Fellow
-from ..fleet.membership import Seen
+from ..fleet.membership import PeerView
 from ..fleet.messages import STATES, Record
+from ..fleet.node import FleetNode
 from ..fleet.settings import PeerSettings, Voting
 from ..fleet.trials import Trials
 from . import clock
 from .log import Log
 
-MOST_A_SECOND = 2000  # datagrams that are read; the kernel drops what comes beyond them
-NAMED = 5  # peers named in one line of the log
-LINE_S = 1.0  # between two such lines
-BIND_AGAIN_S = 0.1
-LONGEST_READ = messages.LONGEST + 1
-MOST_WORDS = 4096  # of the balancer that wait for the thread: more than it says in its longest pause
-LONGEST_PAUSE = 0.1  # seconds that a word of the balancer waits
+MAX_DATAGRAMS_PER_S = 2000  # datagrams that are read; the kernel drops what comes beyond them
+MAX_LOGGED_NAMES = 5  # peers named in one line of the log
+LOG_INTERVAL_S = 1.0  # between two such lines
+BIND_RETRY_S = 0.1
+READ_BYTES = messages.MAX_DATAGRAM_BYTES + 1
+MAX_PENDING_REPORTS = 4096  # of the balancer that wait for the thread: more than it says in its longest pause
+MAX_REPORT_DELAY_S = 0.1  # seconds that a word of the balancer waits
 
 
-class Companions:
+class SharedTrials:
     """Between the balancer's lock and the gate of peers, neither of which may wait for the other.
 
     The balancer asks and tells under its lock; the thread of peers takes what was `said`, and sets `turns`.
     """
 
     def __init__(self) -> None:
-        self.said: deque[Callable[[Trials], None]] = deque(maxlen=MOST_WORDS)
-        self.turns: dict[str, int] = {}  # until when, by the servers' names; replaced as one
+        self.reports: deque[Callable[[Trials], None]] = deque(maxlen=MAX_PENDING_REPORTS)
+        self.may_try_until: dict[str, int] = {}  # until when, by the servers' names; replaced as one
 
-    def turn(self, name: str) -> bool:
-        return clock.now() < self.turns.get(name, 0)
+    def may_try(self, name: str) -> bool:
+        return clock.now() < self.may_try_until.get(name, 0)
 
-    def opened(self, name: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, name: str, cooldown: int, often: bool) -> None:
         now = clock.now()
-        self.said.append(lambda trials: trials.opened(now, name, cooldown, often))
+        self.reports.append(lambda trials: trials.breaker_opened(now, name, cooldown, often))
 
-    def tried(self, name: str, failed: bool) -> None:
+    def trial_finished(self, name: str, failed: bool) -> None:
         now = clock.now()
-        self.said.append(lambda trials: trials.tried(now, name, failed))
+        self.reports.append(lambda trials: trials.trial_finished(now, name, failed))
 
 
 class Peers:
     """The socket, the membership behind a lock of its own, and what is counted."""
 
-    def __init__(self, settings: PeerSettings, name: str, zone: str, log: Log, waits: bool) -> None:
+    def __init__(self, settings: PeerSettings, name: str, zone: str, log: Log, retry_bind: bool) -> None:
         """Raises OSError if it can't listen, unless it `waits` for the process that it takes the place of."""
         self.settings = settings
         self.log = log
-        self.gate = threading.Lock()
-        self.seal = messages.sealed(settings.fleet)
-        self.out: list[tuple[str, messages.Any]] = []
+        self.lock = threading.Lock()
+        self.checksum_seed = messages.fleet_checksum_seed(settings.fleet)
+        self.outbox: list[tuple[str, messages.AnyMessage]] = []
         self.counts = Counter[str]()
-        self.told: dict[str, list[str]] = {}  # changes not logged yet: names by state
-        self.line_at = 0.0
+        self.state_changes: dict[str, list[str]] = {}  # changes not logged yet: names by state
+        self.next_log_at = 0.0
         self.name, self.zone = name, zone
-        self.listens = ""
-        self.over = False
+        self.listen_address = ""
+        self.closed = False
         self.sock: socket.socket | None = None
-        self.fellow: Fellow | None = None
+        self.node: FleetNode | None = None
         self.voting = settings.voting
-        self.companions = Companions()
-        self.put_offs: list[tuple[str, int]] = []  # others' words on servers, to be told to the balancer
-        self.on_put_off: Callable[[int, int], None] = lambda server, wait: None
-        self.held: dict[str, str] = {}  # changes not logged yet: duties, and how
+        self.shared_trials = SharedTrials()
+        self.postponed_trials: list[
+            tuple[str, int]
+        ] = []  # others' words on servers, to be told to the balancer
+        self.on_trial_postponed: Callable[[int, int], None] = lambda server, wait: None
+        self.duty_changes: dict[str, str] = {}  # changes not logged yet: duties, and how
         try:
             self.bind()
         except OSError:
-            if not waits:
+            if not retry_bind:
                 raise
 
     @property
-    def where(self) -> str:
+    def address(self) -> str:
         """Where others reach it."""
-        return self.fellow.me.address if self.fellow is not None else ""
+        return self.node.own_record.address if self.node is not None else ""
 
     def bind(self) -> None:
         host, _, port = self.settings.listen.rpartition(":")
@@ -98,127 +100,133 @@
         except OSError:
             sock.close()
             raise
-        self.listens = "{}:{}".format(*sock.getsockname())
+        self.listen_address = "{}:{}".format(*sock.getsockname())
         # Of chance each time: another life, whatever ran under this name or at this address before.
         born = int.from_bytes(os.urandom(8)) >> 1 | 1
-        me = Record(self.name, born, self.settings.advertise or self.listens, self.zone)
-        self.fellow = Fellow(me, self.settings, int.from_bytes(os.urandom(8)), self, clock.now())
-        self.fellow.adopt(clock.now(), self.voting)
+        me = Record(self.name, born, self.settings.advertise or self.listen_address, self.zone)
+        self.node = FleetNode(me, self.settings, int.from_bytes(os.urandom(8)), self, clock.now())
+        self.node.apply_voting(clock.now(), self.voting)
         self.sock = sock
 
     # -- the thread
 
     def run(self) -> None:
-        while self.sock is None and not self.over:
-            sleep(BIND_AGAIN_S)
-            with suppress(OSError), self.gate:
+        while self.sock is None and not self.closed:
+            sleep(BIND_RETRY_S)
+            with suppress(OSError), self.lock:
                 self.bind()
-                self.log.event("peers_listen", listen=self.listens)
-        while not self.over:
+                self.log.event("peers_listen", listen=self.listen_address)
+        while not self.closed:
             try:
-                self.listen()
+                self.receive_until_closed()
             except Exception as trouble:  # nothing that peers say may end the sidecar, or its hearing
-                if not self.over:
+                if not self.closed:
                     self.log.event("fault", text=f"{type(trouble).__name__}: {trouble}")
-                    sleep(BIND_AGAIN_S)
+                    sleep(BIND_RETRY_S)
 
-    def listen(self) -> None:
-        sock, fellow = self.sock, self.fellow
+    def receive_until_closed(self) -> None:
+        sock, fellow = self.sock, self.node
         assert sock is not None and fellow is not None
         second, read = monotonic(), 0
-        while not self.over:
-            with self.gate:
-                left = (fellow.due() - clock.now()) / 1e6
+        while not self.closed:
+            with self.lock:
+                left = (fellow.next_timer() - clock.now()) / 1e6
                 if fellow.trials is not None:
-                    left = min(left, LONGEST_PAUSE)
+                    left = min(left, MAX_REPORT_DELAY_S)
             data = None
             if left > 0:
                 sock.settimeout(left)
                 with suppress(TimeoutError, ConnectionError):
-                    data, address = sock.recvfrom(LONGEST_READ)
+                    data, address = sock.recvfrom(READ_BYTES)
             if data is not None:
-                self.came("{}:{}".format(*address), data)
+                self.receive("{}:{}".format(*address), data)
                 read += 1
-            with self.gate:
-                self.take_words(fellow)
-                if fellow.due() <= clock.now():
-                    fellow.woke(clock.now(), time_ns() // 1_000_000)
+            with self.lock:
+                self.apply_reports(fellow)
+                if fellow.next_timer() <= clock.now():
+                    fellow.on_timer(clock.now(), time_ns() // 1_000_000)
                 if fellow.trials is not None:
-                    self.companions.turns = fellow.trials.turns(clock.now())
-                put_offs, self.put_offs = self.put_offs, []
+                    self.shared_trials.may_try_until = fellow.trials.allowed_trials(clock.now())
+                put_offs, self.postponed_trials = self.postponed_trials, []
             for server, wait in put_offs:
-                self.on_put_off(stable(server), wait)
-            self.send()
-            self.tell_log()
+                self.on_trial_postponed(stable_id(server), wait)
+            self.send_outbox()
+            self.log_changes()
             now = monotonic()
             if now - second >= 1.0:
                 second, read = now, 0
-            elif read >= MOST_A_SECOND:
+            elif read >= MAX_DATAGRAMS_PER_S:
                 # Guards the core against a flood: probes still go out and are heard, all else is dropped.
                 self.counts["floods"] += 1
-                sleep(min(self.settings.timeout / 4e6, second + 1.0 - now))
-                second, read = monotonic(), MOST_A_SECOND * 3 // 4
+                sleep(min(self.settings.probe_timeout / 4e6, second + 1.0 - now))
+                second, read = monotonic(), MAX_DATAGRAMS_PER_S * 3 // 4
 
-    def came(self, address: str, data: bytes) -> None:
+    def receive(self, address: str, data: bytes) -> None:
         try:
-            message = messages.unpacked(data, self.seal)
-        except messages.Foreign:
+            message = messages.decode_message(data, self.checksum_seed)
+        except messages.VersionMismatchError:
             self.counts["foreign"] += 1
             return
-        except messages.Noise:
+        except messages.MalformedMessageError:
             self.counts["noise"] += 1
             return
         self.counts["in"] += 1
         self.counts["in_bytes"] += len(data)
-        assert self.fellow is not None
-        with self.gate:
-            self.fellow.heard(clock.now(), address, message)
+        assert self.node is not None
+        with self.lock:
+            self.node.receive(clock.now(), address, message)
 
-    def take_words(self, fellow: Fellow) -> None:
+    def apply_reports(self, fellow: FleetNode) -> None:
         """What the balancer has said since, in its order."""
-        said = self.companions.said
+        said = self.shared_trials.reports
         while said:
             word = said.popleft()
             if fellow.trials is not None:
                 word(fellow.trials)
 
-    def send(self) -> None:
+    def send_outbox(self) -> None:
         assert self.sock is not None
-        with self.gate:
-            out, self.out = self.out, []
+        with self.lock:
+            out, self.outbox = self.outbox, []
         for address, message in out:
             host, _, port = address.rpartition(":")
-            data = messages.packed(message, self.seal)
+            data = messages.encode_message(message, self.checksum_seed)
             # What can't be sent is lost, as any datagram may be: full buffers, no way there, no such address.
             with suppress(OSError, ValueError, OverflowError):
                 self.sock.sendto(data, (host, int(port)))
                 self.counts["out"] += 1
                 self.counts["out_bytes"] += len(data)
 
-    def tell_log(self) -> None:
+    def log_changes(self) -> None:
         """One line for all changes of a second: a restart of the fleet must not fill the log."""
         now = monotonic()
-        if not (self.told or self.held) or now < self.line_at:
+        if not (self.state_changes or self.duty_changes) or now < self.next_log_at:
             return
-        self.line_at = now + LINE_S
-        assert self.fellow is not None
-        with self.gate:
-            told, self.told = self.told, {}
-            held, self.held = self.held, {}
-            counts = list(self.fellow.membership.roll.counts)
-            sick = self.fellow.membership.sick
-            count = len(self.fellow.duties.held(clock.now())) if self.fellow.duties is not None else 0
+        self.next_log_at = now + LOG_INTERVAL_S
+        assert self.node is not None
+        with self.lock:
+            told, self.state_changes = self.state_changes, {}
+            held, self.duty_changes = self.duty_changes, {}
+            counts = list(self.node.membership.member_table.state_counts)
+            sick = self.node.membership.local_health_score
+            count = len(self.node.duties.held(clock.now())) if self.node.duties is not None else 0
         if held:
             some = [f"{duty}: {how}" for duty, how in held.items()]
             self.log.event(
                 "duties",
                 held=count,
-                changes=[*some[:NAMED], *([f"and {len(some) - NAMED}"] if len(some) > NAMED else [])],
+                changes=[
+                    *some[:MAX_LOGGED_NAMES],
+                    *([f"and {len(some) - MAX_LOGGED_NAMES}"] if len(some) > MAX_LOGGED_NAMES else []),
+                ],
             )
         if not told:
             return
         named = {
-            state: [*names[:NAMED], *([f"and {len(names) - NAMED}"] if len(names) > NAMED else [])]
+            state: [
+                *names[:MAX_LOGGED_NAMES],
+                *([f"and {len(names) - MAX_LOGGED_NAMES}"] if len(names) > MAX_LOGGED_NAMES else []),
+            ]
             for state, names in told.items()
         }
         self.log.event(
@@ -232,26 +240,26 @@
 
     # -- the outlet of the membership, called under the gate
 
-    def post(self, address: str, message: messages.Any) -> None:
-        self.out.append((address, message))
+    def send_message(self, address: str, message: messages.AnyMessage) -> None:
+        self.outbox.append((address, message))
 
-    def changed(self, record: Record, by: str) -> None:
-        names = self.told.setdefault(STATES[record.state], [])
+    def peer_changed(self, record: Record, by: str) -> None:
+        names = self.state_changes.setdefault(STATES[record.state], [])
         names.append(record.name)
 
-    def twice(self, record: Record) -> None:
+    def duplicate_name(self, record: Record) -> None:
         self.log.event("peers_name_twice", name=record.name, other=record.address)
 
-    def holds(self, duty: str, number: int, why: str) -> None:
+    def duty_changed(self, duty: str, number: int, why: str) -> None:
         self.counts["duties_won" if number else "duties_lost"] += 1
-        self.held[duty] = f"held, {why}" if number else why
+        self.duty_changes[duty] = f"held, {why}" if number else why
 
-    def put_off(self, server: str, wait: int) -> None:
-        self.put_offs.append((server, wait))
+    def postpone_trial(self, server: str, wait: int) -> None:
+        self.postponed_trials.append((server, wait))
 
     # -- for others
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         counts = self.counts
         told = {
             "peers_in": counts["in"],
@@ -261,14 +269,18 @@
             "peers_noise": counts["noise"],
             "peers_foreign": counts["foreign"],
         }
-        fellow = self.fellow
+        fellow = self.node
         if fellow is None:
             return {"peers_alive": 0, "peers_suspected": 0, **told}
         now = clock.now()
-        with self.gate:
+        with self.lock:
             membership = fellow.membership
-            held, refused, sick = list(membership.roll.counts), membership.roll.refused, membership.sick
-            bounds = membership.bounds(now)
+            held, refused, sick = (
+                list(membership.member_table.state_counts),
+                membership.member_table.refused,
+                membership.local_health_score,
+            )
+            bounds = membership.fleet_size_bounds(now)
             if fellow.duties is not None:
                 told |= {
                     "duties_held": len(fellow.duties.held(now)),
@@ -281,58 +293,58 @@
             "peers_dead": held[messages.DEAD],
             "peers_refused": refused,
             "peers_slow": sick,
-            "fleet_least": bounds.least,
+            "fleet_least": bounds.minimum,
             "fleet_likely": bounds.likely,
-            "fleet_most": bounds.most,
+            "fleet_most": bounds.maximum,
             **told,
         }
 
-    def members(self) -> list[Seen]:
-        if self.fellow is None:
+    def members(self) -> list[PeerView]:
+        if self.node is None:
             return []
-        with self.gate:
-            return self.fellow.membership.members(clock.now())
+        with self.lock:
+            return self.node.membership.members(clock.now())
 
     def view(self) -> dict[str, Any]:
         """What this sidecar sees of the fleet, in seconds; `heard_s` is null where only others told of it."""
-        me = self.fellow.membership.me if self.fellow is not None else None
+        me = self.node.membership.own_record if self.node is not None else None
         members = self.members()
         return {
             "name": self.name,
-            "address": self.where,
-            "born": f"{me.born:x}" if me else "",
+            "address": self.address,
+            "born": f"{me.instance_id:x}" if me else "",
             "incarnation": me.incarnation if me else 0,
-            "figures": self.figures(),
-            **self.duties(members),
+            "figures": self.metrics(),
+            **self.duties_view(members),
             "peers": [
                 {
                     "name": one.name,
                     "address": one.address,
                     "zone": one.zone,
-                    "born": f"{one.born:x}",
+                    "born": f"{one.instance_id:x}",
                     "incarnation": one.incarnation,
                     "state": STATES[one.state],
-                    "since_s": round(one.for_ / 1e6, 3),
-                    "heard_s": round(one.heard_ago / 1e6, 3) if one.heard_ago >= 0 else None,
-                    "by": one.by,
+                    "since_s": round(one.state_age / 1e6, 3),
+                    "heard_s": round(one.last_contact_age / 1e6, 3) if one.last_contact_age >= 0 else None,
+                    "by": one.reported_by,
                 }
                 for one in members
             ],
         }
 
-    def duties(self, members: list[Seen]) -> dict[str, Any]:
+    def duties_view(self, members: list[PeerView]) -> dict[str, Any]:
         """What this sidecar holds, and, if it votes, whom it has granted what; nothing where nobody votes."""
-        fellow = self.fellow
+        fellow = self.node
         if fellow is None or fellow.duties is None:
             return {}
-        names = {one.born: one.name for one in members} | {fellow.me.born: self.name}
+        names = {one.instance_id: one.name for one in members} | {fellow.own_record.instance_id: self.name}
         now = clock.now()
-        with self.gate:
+        with self.lock:
             duties, voter = fellow.duties, fellow.voter
             held = duties.held(now)
-            granted = voter.granted(now) if voter is not None else []
+            granted = voter.active_grants(now) if voter is not None else []
             silent = max(0, voter.silent_until - now) if voter is not None else 0
-            fit = duties.fit
+            fit = duties.eligible
         told: dict[str, Any] = {
             "fit": fit,
             "holds": [
@@ -355,36 +367,36 @@
 
     # -- what comes from elsewhere
 
-    def adopt(self, voting: Voting | None) -> None:
+    def apply_voting(self, voting: Voting | None) -> None:
         """The file was read again."""
-        with self.gate:
+        with self.lock:
             self.voting = voting
-            if self.fellow is not None:
-                self.fellow.adopt(clock.now(), voting)
-        self.companions.turns = {}
+            if self.node is not None:
+                self.node.apply_voting(clock.now(), voting)
+        self.shared_trials.may_try_until = {}
 
-    def take_away(self, duty: str) -> bool:
+    def resign_duty(self, duty: str) -> bool:
         """By hand: whether this sidecar held it, which it gives up at once."""
-        if self.fellow is None:
+        if self.node is None:
             return False
-        self.companions.turns = {}
-        with self.gate:
-            done = self.fellow.take_away(clock.now(), duty)
-        self.send()
+        self.shared_trials.may_try_until = {}
+        with self.lock:
+            done = self.node.resign_duty(clock.now(), duty)
+        self.send_outbox()
         return done
 
-    def end(self) -> None:
+    def release_duties(self) -> None:
         """SIGTERM: duties go to others now; this sidecar is a member until it sends nothing more."""
-        if self.fellow is not None and self.sock is not None:
-            self.companions.turns = {}
-            with self.gate:
-                self.fellow.end(clock.now())
-            self.send()
+        if self.node is not None and self.sock is not None:
+            self.shared_trials.may_try_until = {}
+            with self.lock:
+                self.node.stop(clock.now())
+            self.send_outbox()
 
     def leave(self) -> None:
         """Say goodbye, as the process ends."""
-        self.over = True
-        if self.fellow is not None and self.sock is not None:
-            with self.gate:
-                self.fellow.leave(clock.now())
-            self.send()
+        self.closed = True
+        if self.node is not None and self.sock is not None:
+            with self.lock:
+                self.node.leave(clock.now())
+            self.send_outbox()
--- a/pumicepath/sidecar/servers.py
+++ b/pumicepath/sidecar/servers.py
@@ -14,12 +14,12 @@
 from contextlib import suppress
 from typing import NamedTuple
 
-from ..discovery.roster import Address, Update
+from ..discovery.server_list import Address, ServerListUpdate
 from ..http1 import writing
 from ..http1.messages import MalformedMessageError, Response
 from ..http1.parsing import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResponseParser
 from ..http1.ring import Ring
-from ..interface import Outcome, Phase
+from ..interface import Outcome, ServerState
 from . import arrival, clock
 from .config import Config
 from .exchange import ExchangeOwner, Hop, Upload, UploadError
@@ -172,7 +172,7 @@
         submission = hop.exchange.submission
         for piece, last in upload.pieces():
             if submission is not None:
-                submission.spent = True
+                submission.body_discarded = True
             if last:
                 self.pool.owner.upload_received(hop)
             if self.closed or hop.ended:
@@ -300,7 +300,7 @@
     def __init__(self, owner: ExchangeOwner, config: Config, log: Log) -> None:
         self.owner = owner
         self.log = log
-        self.max_connections = self.connection_limit = config.to_servers
+        self.max_connections = self.connection_limit = config.max_server_connections
         self.apply_config(config)
         self.idle: dict[int, list[ServerConnection]] = {}
         self.open_count = 0
@@ -311,9 +311,12 @@
 
     def apply_config(self, config: Config) -> None:
         """Use the time limits of another configuration from now on."""
-        self.connect_timeout = config.dial
+        self.connect_timeout = config.connect_timeout_us
         # Well before the server's own limit, as its close could cross a request that is being written.
-        self.max_idle = max(config.idle // 2, min(config.idle * 9 // 10, config.idle - 1_000_000))
+        self.max_idle = max(
+            config.idle_timeout_us // 2,
+            min(config.idle_timeout_us * 9 // 10, config.idle_timeout_us - 1_000_000),
+        )
 
     def close_idle(self, server: int) -> None:
         """Close the idle connections to a server."""
@@ -332,17 +335,17 @@
         else:
             self.out_of_service.discard(server)
 
-    def update_servers(self, update: Update, drain_alone: bool = False) -> None:
+    def update_servers(self, update: ServerListUpdate, drain_alone: bool = False) -> None:
         """Forget servers that are draining or gone, and connections to instances that have ended.
 
         With `drain_alone`, servers missing from the list are kept until `keep_only` tells which are in use.
         """
         instances = {} if update.whole and not drain_alone else dict(self.instances)
         for entry, address in zip(update.entries, update.addresses):
-            if entry.phase == Phase.DRAINING or entry.phase == Phase.GONE and not drain_alone:
+            if entry.state == ServerState.DRAINING or entry.state == ServerState.GONE and not drain_alone:
                 instances.pop(entry.server, None)
-            elif entry.phase == Phase.READY:
-                instances[entry.server] = ServerInstance(address, entry.came_up)
+            elif entry.state == ServerState.READY:
+                instances[entry.server] = ServerInstance(address, entry.started_at)
         self.set_instances(instances)
 
     def keep_only(self, used: Container[int]) -> None:
@@ -413,7 +416,7 @@
         while self.open_count > self.connection_limit and self.close_oldest_idle():
             pass
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Close connections that have been idle for too long or are unusable, and set the next timer."""
         self.idle_resets.decay()
         for idle in list(self.idle.values()):
@@ -422,7 +425,7 @@
                     connection.close()
         # At least 0.1 s: where servers keep no idle connections the interval would be 0 and the timer always
         # due.
-        self.owner.wake(now + max(100_000, min(1_000_000, self.max_idle // 10)), self)
+        self.owner.set_timer(now + max(100_000, min(1_000_000, self.max_idle // 10)), self)
 
 
 def start_thread(run: Callable[[], None]) -> None:
--- a/pumicepath/sidecar/submissions.py
+++ b/pumicepath/sidecar/submissions.py
@@ -4,9 +4,9 @@
 
 from typing import NamedTuple
 
-from ..discovery.roster import stable
+from ..discovery.server_list import stable_id
 from ..http1.messages import MalformedMessageError, Request
-from ..interface import Tariff
+from ..interface import RequestClass
 
 MAX_EXPIRES_DIGITS = 9  # of a deadline in milliseconds
 MAX_TRACE_ID_BYTES = 256
@@ -28,7 +28,7 @@
 
 
 def parse_submission(
-    request: Request, class_numbers: dict[str, int], request_classes: tuple[Tariff, ...]
+    request: Request, class_numbers: dict[str, int], request_classes: tuple[RequestClass, ...]
 ) -> SubmissionParams:
     """Read the headers of a submission.
 
@@ -44,7 +44,7 @@
     request_class = class_numbers.get(request.header(CLASS_HEADER))
     if request_class is None:
         raise MalformedMessageError(400, "no such class")
-    deadline = request_classes[request_class].patience
+    deadline = request_classes[request_class].deadline
     if request.header_values(EXPIRES_HEADER):
         expires = request.header(EXPIRES_HEADER)
         if (
@@ -57,5 +57,5 @@
         deadline = min(deadline, int(expires) * 1000)
     key = request.header("x-object")
     return SubmissionParams(
-        trace_id, request_class, stable(key) if key else 0, request.header("x-second-try") == "1", deadline
+        trace_id, request_class, stable_id(key) if key else 0, request.header("x-second-try") == "1", deadline
     )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Roster
+from pumicepath.discovery.server_list import ServerList
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.interface import Listing
+from pumicepath.interface import ListKind
 from pumicepath.lab.loopback.scripted import Deployment, Peer, next_of
 from pumicepath.sidecar import config
 from pumicepath.sidecar.client import Client
@@ -40,12 +40,12 @@
         configuration = self.deployment.told
         for key, value in settings.items():
             configuration["settings"][key] = value
-        self.config = config.config(configuration)
+        self.config = config.decode_config(configuration)
         self.dispatcher = Dispatcher(self.config, NullLog(), lambda: None)  # type: ignore[arg-type]
         self.clients = Clients(self.dispatcher)
         self.clients.listener.settimeout(20)
-        update = Roster(["a"], lambda born: 0).read(self.deployment.listing(1, True, "active"))
-        self.dispatcher.update_servers(Listing.FULL, update)
+        update = ServerList(["a"], lambda born: 0).apply(self.deployment.listing(1, True, "active"))
+        self.dispatcher.update_servers(ListKind.FULL, update)
         start_thread(self.dispatcher.run_timers)
 
     def connect(self) -> tuple[socket.socket, Client]:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,19 +14,19 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Roster, address, stable
+from pumicepath.discovery.server_list import ServerList, parse_address, stable_id
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.messages import Request
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.interface import Listing, Outcome
+from pumicepath.interface import ListKind, Outcome
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
 from pumicepath.sidecar import arrival, clock
 from pumicepath.sidecar.exchange import Exchange
 from pumicepath.sidecar.servers import ServerConnection, start_thread
 from pumicepath.sidecar.watching import Watcher
 
-from .helpers import compare
+from .helpers import check_trace
 from .rig import Rig, paused, read_status, server_with_full_backlog, wait_until
 
 NEVER = ("X-Never-Ran", "1")
@@ -129,7 +129,7 @@
             (exchange,) = rig.dispatcher.exchanges.values()
             assert exchange.submission is not None
             if expired:
-                exchange.submission.hops[0].at -= 31_000_000
+                exchange.submission.hops[0].sent_at -= 31_000_000
             resume.release()
             lines.append(
                 f"{group}, window {'over' if expired else 'open'}: {read_status(client_socket)} after "
@@ -139,7 +139,7 @@
     for group in ("all", "zone"):
         run_request(group, False)
         run_request(group, True)
-    compare("crossed-window", lines)
+    check_trace("crossed-window", lines)
 
 
 @pytest.mark.parametrize("change", ["leaving", "left", "not there", "started anew", "by hand"])
@@ -160,7 +160,7 @@
             resume.release()
             assert reached.acquire(timeout=20)
         (exchange,) = rig.dispatcher.exchanges.values()
-        chosen = next(peer for peer in servers if stable(peer.name) == exchange.hops[-1].server)
+        chosen = next(peer for peer in servers if stable_id(peer.name) == exchange.hops[-1].server)
         before = [line for line in rig.deployment.lines if line.startswith(chosen.name)]
         if change == "by hand":
             assert rig.dispatcher.set_out_of_service(chosen.name, True)
@@ -171,8 +171,8 @@
             ]
             for host in listing["hosts"] if not listing["whole"] else ():
                 host.update({"born_ms": 5} if change == "started anew" else {"health": change})
-            update = Roster(["a"], lambda born: born).read(listing)
-            rig.dispatcher.update_servers(Listing.FULL if listing["whole"] else Listing.CHANGES, update)
+            update = ServerList(["a"], lambda born: born).apply(listing)
+            rig.dispatcher.update_servers(ListKind.FULL if listing["whole"] else ListKind.CHANGES, update)
         rig.deployment.script.put((answer(200, "elsewhere"), "end"))
         resume.release(100)
         assert read_status(client_socket) in (200, 503)
@@ -201,8 +201,8 @@
 ) -> None:
     rig = Rig(tmp_path, policyLimits={"mostHops": 1, "connIdleS": 30.0, "dialTimeoutS": 15.0})
     listener, filling = server_with_full_backlog(rig.deployment)
-    update = Roster(["a"], lambda born: 0).read(rig.deployment.listing(2, True, "active"))
-    rig.dispatcher.update_servers(Listing.FULL, update)
+    update = ServerList(["a"], lambda born: 0).apply(rig.deployment.listing(2, True, "active"))
+    rig.dispatcher.update_servers(ListKind.FULL, update)
     # As on a platform where a connect goes on although another thread shuts the socket down.
     monkeypatch.setattr(ServerConnection, "shutdown", lambda connection: None)
     if ends == "time-out":
@@ -243,7 +243,7 @@
         parser.feed(answer(200, "in hand"))
         response = parser.next()
         steps = {
-            "deadline": lambda: rig.dispatcher.run_locked(exchange.woke),
+            "deadline": lambda: rig.dispatcher.run_locked(exchange.on_timer),
             "answer": lambda: rig.dispatcher.complete_hop(hop, connection, Outcome.OK, response, True),
         }
         for name in (first, *(set(steps) - {first})):
@@ -257,7 +257,7 @@
 
     run_both("answer")
     run_both("deadline")
-    compare("crossed-deadline", lines)
+    check_trace("crossed-deadline", lines)
 
 
 def test_a_truncated_or_reset_response_is_not_used_and_full_counts_only_when_complete(tmp_path: Path) -> None:
@@ -281,7 +281,7 @@
             if name.startswith("two"):
                 deployment.ask("once")
     # Which of the two servers is used does not matter.
-    compare("crossed-answers", [line.replace("s-1", "s-0") for line in deployment.lines])
+    check_trace("crossed-answers", [line.replace("s-1", "s-0") for line in deployment.lines])
 
 
 def test_a_client_that_half_closes_still_gets_the_response_of_a_hop_in_flight(tmp_path: Path) -> None:
@@ -339,8 +339,8 @@
     peer = Peer.__new__(Peer)
     peer.name, peer.address = "s-0", f"127.0.0.1:{server.getsockname()[1]}"
     rig.deployment.servers = [peer]
-    update = Roster(["a"], lambda born: 0).read(rig.deployment.listing(2, True, "active"))
-    rig.dispatcher.update_servers(Listing.FULL, update)
+    update = ServerList(["a"], lambda born: 0).apply(rig.deployment.listing(2, True, "active"))
+    rig.dispatcher.update_servers(ListKind.FULL, update)
     client_socket, client = rig.connect()
     start_thread(client.run)
     client_socket.sendall(rig.request("first"))
@@ -438,8 +438,8 @@
     assert all(
         sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for sock in (client.sock, connection.sock)
     )
-    server_address = address(rig.deployment.servers[0].address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), server_address)
+    server_address = parse_address(rig.deployment.servers[0].address)
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), server_address)
     assert watcher.connect().getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -7,10 +7,10 @@
 from collections import Counter, deque
 from pathlib import Path
 
+from pumicepath.admission.queue import MAX_ACTIVE, AdmissionResult
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.intake.queue import PLACES, Verdict
-from pumicepath.interface import Listing
+from pumicepath.interface import ListKind
 from pumicepath.lab.loopback.scripted import Deployment, answer, next_of
 from pumicepath.sidecar import arrival, clock, config
 from pumicepath.sidecar.admission_gate import AdmissionGate
@@ -18,7 +18,7 @@
 from pumicepath.sidecar.dispatch import Dispatcher, PostponedTimer
 from pumicepath.sidecar.log import Log
 
-from .helpers import compare, entry
+from .helpers import check_trace, make_entry
 
 UP_REQUEST = writing.request("GET", "/up", [("Host", "a")])
 
@@ -36,7 +36,7 @@
     """A stand-in for the set of client connections, with a dispatcher that has no servers."""
 
     def __init__(self, folder: Path) -> None:
-        self.config = config.config(Deployment(folder, 0).told)
+        self.config = config.decode_config(Deployment(folder, 0).told)
         self.dispatcher = Dispatcher(self.config, Log("n0"), None)
         self.fresh: dict = {}
         self.bad_requests: Counter[str] = Counter()
@@ -67,7 +67,7 @@
             f"{', closed' if response and not response.keeps_alive() else ''}"
         )
         thread.join(5)
-    compare("crossed", lines)
+    check_trace("crossed", lines)
 
 
 def test_a_client_that_does_not_read_holds_no_slot(tmp_path: Path) -> None:
@@ -87,9 +87,9 @@
 
 
 def test_slots_are_passed_on_and_rejected_waiters_are_woken(tmp_path: Path) -> None:
-    gate = AdmissionGate(config.config(Deployment(tmp_path, 0).told))
+    gate = AdmissionGate(config.decode_config(Deployment(tmp_path, 0).told))
     now = clock.now()
-    assert all(gate.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(PLACES))
+    assert all(gate.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(MAX_ACTIVE))
     results: deque = deque()
 
     def enter() -> None:
@@ -106,23 +106,23 @@
     gate.leave()
     for thread in threads:
         thread.join(5)
-    assert sorted(results) == [False, True] and gate.queue.active == PLACES
+    assert sorted(results) == [False, True] and gate.queue.active == MAX_ACTIVE
 
 
 def test_latency_timers_are_postponed_while_our_own_threads_are_late(tmp_path: Path) -> None:
     dispatcher = ClientOwner(tmp_path).dispatcher
-    dispatcher.balancer.listed(0, Listing.FULL, [entry(10)])
+    dispatcher.balancer.update_servers(0, ListKind.FULL, [make_entry(10)])
     for delay in (0, 300_000):
         dispatcher.timers.clear()
         dispatcher.send = lambda *_: None
-        one = dispatcher.balancer.take(0, 1, 0, 1, False, 2_500_000)
+        one = dispatcher.balancer.submit(0, 1, 0, 1, False, 2_500_000)
         dispatcher.delay_monitor.delay = delay
         dispatcher.fire_timers(600_000)
-        checked = one.hops[0].judged
+        checked = one.hops[0].outcome_recorded
         postponed = [at for at, _, handler in dispatcher.timers if isinstance(handler, PostponedTimer)]
         assert (checked, postponed) == ((True, []) if not delay else (False, [900_000]))
     dispatcher.fire_timers(900_000)
-    assert one.hops[0].judged
+    assert one.hops[0].outcome_recorded
 
 
 def enable_kernel_timestamps() -> tuple[socket.socket, socket.socket]:
@@ -198,7 +198,7 @@
         parser = RequestParser()
         parser.feed(text.encode())
         lines.append(f"{name}: {parser.peek_request()}")
-    compare("glance", lines)
+    check_trace("glance", lines)
 
 
 def test_retry_after_is_sent_only_where_the_settings_allow_it(tmp_path: Path) -> None:
@@ -207,8 +207,8 @@
         deployment = Deployment(tmp_path, 0)
         deployment.told["settings"]["policyLimits"]["retryAfter"] = allowed
         owner = ClientOwner(tmp_path)
-        owner.dispatcher = Dispatcher(config.config(deployment.told), Log("n0"), None)
-        owner.dispatcher.admission_gate.queue.came = lambda *_: Verdict.AWAY
+        owner.dispatcher = Dispatcher(config.decode_config(deployment.told), Log("n0"), None)
+        owner.dispatcher.admission_gate.queue.offer = lambda *_: AdmissionResult.REJECTED
         server_socket, client_socket = connected_sockets()
         client, parser = Client(server_socket, owner, clock.now()), RequestParser()
         parser.feed(b"GET /api HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\n\r\n")
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -14,7 +14,7 @@
 
 from pumicepath.command import main
 from pumicepath.lab.experiments import comparing, figures, files, running
-from tests.helpers import compare, interruptible
+from tests.helpers import check_trace, restore_sigint
 
 SHIPPED = Path(__file__).parent.parent / "experiments"
 SMALL = """title = "Small"
@@ -67,7 +67,7 @@
             path.write_text(text)
         ended = CliRunner().invoke(main, ["lab", "show", str(path)])
         lines.append(f"{name}: {ended.exit_code} {ended.output.strip().replace(str(tmp_path), '')}")
-    compare("experiments-wrong", lines)
+    check_trace("experiments-wrong", lines)
 
 
 def test_all_that_are_shipped_can_be_read_and_cover_every_trouble() -> None:
@@ -95,7 +95,7 @@
     page = (tmp_path / "one" / "report.html").read_text()
     assert page.count("data:image/png;base64,") == 4 and "http" not in page.replace("http-equiv", "")
     assert len(list((tmp_path / "one").glob("*.png"))) == 4
-    compare("experiments-run", outputs[0] + both.stdout.splitlines())
+    check_trace("experiments-run", outputs[0] + both.stdout.splitlines())
 
 
 def test_interrupted_run_leaves_no_process_and_a_report_of_what_had_ended(tmp_path: Path) -> None:
@@ -119,7 +119,7 @@
         stderr=subprocess.PIPE,
         text=True,
         start_new_session=True,
-        preexec_fn=interruptible,
+        preexec_fn=restore_sigint,
     ) as process:
         give_up = time.monotonic() + 60
         while time.monotonic() < give_up and (not results.exists() or results.read_bytes().count(b"\n") < 4):
@@ -141,7 +141,7 @@
     one = figures.difference({1: 0.5}, {1: 0.6})
     held = figures.histogram(range(1, 100_001))
     shares = figures.percentiles(figures.merged([held.encode().decode()] * 2))
-    compare(
+    check_trace(
         "experiments-figures",
         [
             *(f"{each}: {comparing.verdict(each)}" for each in (same, less, one)),
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -13,9 +13,10 @@
 import pytest
 from click.testing import CliRunner
 
+from pumicepath.balancer import Balancer
 from pumicepath.command import main
-from pumicepath.discovery.roster import stable
-from pumicepath.interface import Entry, Listing, Phase
+from pumicepath.discovery.server_list import stable_id
+from pumicepath.interface import ListKind, ServerEntry, ServerState
 from pumicepath.lab.experiments.folders import LOCK, Taken, owned
 from pumicepath.lab.hollow import needs
 from pumicepath.lab.hollow.plan import STEP, Ask, BadAsk, Plan, checked
@@ -24,15 +25,14 @@
 from pumicepath.lab.hollow.truth import ACTIVE, LEAVING, LEFT, Change, Ledger, Tail
 from pumicepath.lab.hollow.verdict import Verdict, Window, counted
 from pumicepath.lab.hollow.witness import Witness
-from pumicepath.logic import Balancer
-from pumicepath.settings import decode
+from pumicepath.settings import decode_settings
 
-from .helpers import interruptible
+from .helpers import restore_sigint
 from .rig import wait_until
 
 SMALL = ["lab", "scale", "--sidecars", "12", "--services", "3", "--regions", "2", "--zones", "2", "--json"]
 S = 1_000_000
-PHASES = {ACTIVE: Phase.READY, LEAVING: Phase.DRAINING, LEFT: Phase.GONE}
+PHASES = {ACTIVE: ServerState.READY, LEAVING: ServerState.DRAINING, LEFT: ServerState.GONE}
 
 
 # -- the plan
@@ -124,12 +124,12 @@
 
     def __init__(self, plan: Plan, number: int = 0) -> None:
         self.plan, self.number, self.updated_at = plan, number, 0
-        self.balancer = Balancer(decode(told(plan, number)), 1, MUTE)
+        self.balancer = Balancer(decode_settings(told(plan, number)), 1, MUTE)
 
     def take(self, at: int, whole: bool, *changes: Change) -> None:
         entries = [
-            Entry(
-                stable(self.plan.server_name(one.server)),
+            ServerEntry(
+                stable_id(self.plan.server_name(one.server)),
                 0,
                 0,
                 PHASES[one.health],
@@ -139,7 +139,7 @@
             )
             for one in changes
         ]
-        self.balancer.listed(at, Listing.FULL if whole else Listing.CHANGES, entries)
+        self.balancer.update_servers(at, ListKind.FULL if whole else ListKind.CHANGES, entries)
         self.updated_at = at
 
 
@@ -360,7 +360,7 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
-        preexec_fn=interruptible,
+        preexec_fn=restore_sigint,
     )
     children = Path(f"/proc/{run.pid}/task/{run.pid}/children")
     wait_until(lambda: list(tmp_path.glob("host-*.err")) and len(children.read_text().split()) >= 2)
--- a/tests/test_succession.py
+++ b/tests/test_hot_restart.py
@@ -12,17 +12,17 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Address
+from pumicepath.discovery.server_list import Address
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.sidecar.succession import NAME, Line, Short, Succession, reach
+from pumicepath.sidecar.hot_restart import SOCKET_NAME, Channel, HotRestart, ShortPath, request_handover
 
-from .helpers import compare
+from .helpers import check_trace
 from .rig import Rig, paused, wait_until
 
 
-class Counting(Peer):
+class EchoServer(Peer):
     """Counts hops, and answers each with its id."""
 
     def serve(self, sock: socket.socket) -> None:
@@ -33,7 +33,7 @@
                 sock.sendall(answer(200, request.header("X-Trace-Id")))
 
 
-def replaceable(folder: Path, servers: int) -> Deployment:
+def restartable_deployment(folder: Path, servers: int) -> Deployment:
     around = Deployment(folder, servers, admin_addr="127.0.0.1:0")
     with socket.create_server(("127.0.0.1", 0)) as free:
         around.told["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
@@ -42,7 +42,7 @@
     return around
 
 
-def replaced(around: Deployment) -> tuple[subprocess.Popen, tuple[str, int]]:
+def start_replacement(around: Deployment) -> tuple[subprocess.Popen, tuple[str, int]]:
     """The old process, still serving, with its second address; the new one stands in its place."""
     old = around.process, around.operators
     around.process = around.begun()
@@ -54,8 +54,8 @@
 
 
 def test_ten_replacements_under_load_turn_nothing_back(tmp_path: Path) -> None:
-    around, hops, heard, again = replaceable(tmp_path, 0), [], [], []  # type: ignore[var-annotated]
-    around.servers = [Counting(f"c-{at}", queue.SimpleQueue(), hops) for at in range(3)]
+    around, hops, heard, again = restartable_deployment(tmp_path, 0), [], [], []  # type: ignore[var-annotated]
+    around.servers = [EchoServer(f"c-{at}", queue.SimpleQueue(), hops) for at in range(3)]
     around.told["known"] = around.listing(1, True, "active")
     around.config.write_text(json.dumps(around.told))
     done = threading.Event()
@@ -100,7 +100,7 @@
         for thread in threads:
             thread.start()
         for _ in range(10):
-            old, _ = replaced(around)
+            old, _ = start_replacement(around)
             old.send_signal(signal.SIGTERM)
             assert old.wait(timeout=6) == 0
         done.set()
@@ -112,7 +112,7 @@
 
 
 def test_what_is_changed_by_hand_binds_both_and_outlives_the_old_process(tmp_path: Path) -> None:
-    around = replaceable(tmp_path, 2)
+    around = restartable_deployment(tmp_path, 2)
     with around.running():
 
         def say(path: str, where: tuple[str, int] | None = None) -> None:
@@ -125,7 +125,7 @@
                 around.lines.append(f"{what}, {one}: {avoided[0]}")
 
         say("/servers/s-0/maint")
-        old, first = replaced(around)
+        old, first = start_replacement(around)
         see("out before", first, around.operators)
         say("/servers/s-1/maint", first)
         see("out at the old", first, around.operators)
@@ -135,7 +135,7 @@
         around.event("emptied", process=old)
         old.send_signal(signal.SIGTERM)
         assert old.wait(timeout=6) == 0
-        last, _ = replaced(around)
+        last, _ = start_replacement(around)
         last.kill()
         last.wait()
         around.event("alone")
@@ -143,16 +143,16 @@
             say(path)
         around.client, around.parser = socket.create_connection(around.where), ResponseParser()
         around.ask("read", answer(200, "served by the third"))
-    compare(
+    check_trace(
         "succession",
         [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in around.lines],
     )
 
 
 def test_a_new_process_that_ends_leaves_the_old_one_as_it_was(tmp_path: Path) -> None:
-    around = replaceable(tmp_path, 1)
+    around = restartable_deployment(tmp_path, 1)
     with around.running():
-        old, where = replaced(around)
+        old, where = start_replacement(around)
         around.process.kill()
         around.process.wait()
         around.process, around.operators = old, where
@@ -174,16 +174,16 @@
     class Dies:
         def event(self, event: str, **figures: object) -> None:
             if event == "succeeding":
-                told.append(Line(there).receive()[0])
+                told.append(Channel(there).receive()[0])
 
     rig.dispatcher.events = Dies()  # type: ignore[assignment]
-    Succession(rig.dispatcher, rig.clients, dict, Address("127.0.0.1", 1)).follow(Line(here))
+    HotRestart(rig.dispatcher, rig.clients, dict, Address("127.0.0.1", 1)).take_over(Channel(here))
     there.close()
     assert told == [{"taking": True}]
 
 
 def test_of_two_new_processes_at_once_either_may_end_and_the_other_serves(tmp_path: Path) -> None:
-    around = replaceable(tmp_path, 1)
+    around = restartable_deployment(tmp_path, 1)
     with around.running():
         old = around.process
         first, second = around.begun(), around.begun()
@@ -207,13 +207,13 @@
 def test_a_new_process_that_dies_with_the_socket_in_its_hands_stops_nobody(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    around = replaceable(tmp_path, 1)
+    around = restartable_deployment(tmp_path, 1)
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     with around.running():
-        met = reach(Address(*around.where))
+        met = request_handover(Address(*around.where))
         assert met is not None and met.listener is not None
         met.listener.close()
-        met.line.end()
+        met.channel.close()
         around.client, around.parser = socket.create_connection(around.where), ResponseParser()
         around.ask("read", answer(200, "by the old one"))
     assert around.lines[-1] == "client: 200 by the old one"
@@ -222,18 +222,18 @@
 def test_there_is_always_a_process_to_be_met(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     with socket.socket(socket.AF_UNIX) as before:
-        with Short(tmp_path / NAME) as short:
+        with ShortPath(tmp_path / SOCKET_NAME) as short:
             before.bind(short)
         before.listen()
-        after = Succession(None, None, dict, Address("127.0.0.1", 1))
+        after = HotRestart(None, None, dict, Address("127.0.0.1", 1))
         with paused(monkeypatch, os, "replace") as (came, go):
-            threading.Thread(target=after.offer, daemon=True).start()
+            threading.Thread(target=after.open_socket, daemon=True).start()
             assert came.acquire(timeout=20)
-            with socket.socket(socket.AF_UNIX) as met, Short(tmp_path / NAME) as short:
+            with socket.socket(socket.AF_UNIX) as met, ShortPath(tmp_path / SOCKET_NAME) as short:
                 met.connect(short)
             go.release()
-            wait_until(lambda: not (tmp_path / f"{NAME}.{os.getpid()}").exists())
-        with socket.socket(socket.AF_UNIX) as met, Short(tmp_path / NAME) as short:
+            wait_until(lambda: not (tmp_path / f"{SOCKET_NAME}.{os.getpid()}").exists())
+        with socket.socket(socket.AF_UNIX) as met, ShortPath(tmp_path / SOCKET_NAME) as short:
             met.connect(short)
             before.setblocking(False)
             before.accept()
@@ -246,11 +246,11 @@
     says: bytes | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    assert reach(Address("127.0.0.1", 1)) is None
-    with socket.socket(socket.AF_UNIX) as listener, Short(tmp_path / NAME) as short:
+    assert request_handover(Address("127.0.0.1", 1)) is None
+    with socket.socket(socket.AF_UNIX) as listener, ShortPath(tmp_path / SOCKET_NAME) as short:
         listener.bind(short)
         if says is None:
-            assert reach(Address("127.0.0.1", 1)) is None  # of a process long dead
+            assert request_handover(Address("127.0.0.1", 1)) is None  # of a process long dead
             return
         listener.listen()
 
@@ -261,7 +261,7 @@
 
         threading.Thread(target=speak, daemon=True).start()
         before = len(os.listdir("/proc/self/fd"))
-        assert reach(Address("127.0.0.1", 1)) is None
+        assert request_handover(Address("127.0.0.1", 1)) is None
         assert len(os.listdir("/proc/self/fd")) <= before + 1
 
 
@@ -273,8 +273,8 @@
     around.environment = {"TMPDIR": str(tmp_path)}
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     with around.running():
-        met = reach(Address(*around.where))
+        met = request_handover(Address(*around.where))
         assert met is not None and met.listener is not None
         assert met.listener.getsockname() == around.where
         met.listener.close()
-        met.line.end()
+        met.channel.close()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from pumicepath.discovery.roster import BadList, Roster, address, stable
+from pumicepath.discovery.server_list import BadList, ServerList, parse_address, stable_id
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.messages import MalformedMessageError, Response
 from pumicepath.http1.parsing import MAX_BODY_BYTES, Parser, RequestParser, ResponseParser
 from pumicepath.http1.ring import INITIAL_CAPACITY, Ring
-from pumicepath.interface import Phase
+from pumicepath.interface import ServerState
 
-from .helpers import compare
+from .helpers import check_trace
 
 HOST = b"Host: a\r\n"
 PLAIN = b"\r\nGET /a?b=c HTTP/1.1\r\n" + HOST + b"X-A:  1 \r\nConnection: X-A, keep-alive\r\n\r\n"
@@ -50,7 +50,7 @@
     whole = parse_all(RequestParser(), [data])
     for size in range(1, len(data)):
         assert parse_all(RequestParser(), [data[at : at + size] for at in range(0, len(data), size)]) == whole
-    compare("requests", whole)
+    check_trace("requests", whole)
 
 
 def test_each_malformed_request_has_its_own_error() -> None:
@@ -81,7 +81,7 @@
         head + b"A: b\r\n" * 200,
         head + b"A: " + b"b" * 17_000 + b"\r\n",
     ]
-    compare("malformed", [f"{data[-30:]!r:<70} {parse_all(RequestParser(), [data])[-1]}" for data in bad])
+    check_trace("malformed", [f"{data[-30:]!r:<70} {parse_all(RequestParser(), [data])[-1]}" for data in bad])
 
 
 def test_responses_end_by_length_chunks_or_close() -> None:
@@ -103,7 +103,7 @@
         b"HTTP/1.1 200 OK\r\n\r\n" + b"a" * (MAX_BODY_BYTES + 1),
     ):
         lines += parse_all(ResponseParser(), [data])
-    compare("responses", lines)
+    check_trace("responses", lines)
 
 
 def test_a_client_that_expects_100_continue_is_detected() -> None:
@@ -158,27 +158,27 @@
 
 def test_server_list_keeps_ids_start_times_and_addresses() -> None:
     clocks = iter((700, 900))
-    roster = Roster(["a", "b"], lambda born: next(clocks))
-    first = roster.read(
+    roster = ServerList(["a", "b"], lambda born: next(clocks))
+    first = roster.apply(
         server_list(41, True, host("s-1", born_ms=5), host("s-2", site="c", health="leaving"))
     )
-    again = roster.read(
+    again = roster.apply(
         server_list(42, False, host("s-1", born_ms=5, dial="127.0.0.9:9001"), host("s-2", health="left"))
     )
-    newer = roster.read(server_list(43, False, host("s-1", born_ms=6)))
+    newer = roster.apply(server_list(43, False, host("s-1", born_ms=6)))
     one, two = first.entries
-    assert one.server == stable("s-1") != two.server and (one.name, two.name) == ("s-1", "s-2")
-    assert (one.zone, one.cell, one.scale, one.came_up, two.zone, two.phase) == (
+    assert one.server == stable_id("s-1") != two.server and (one.name, two.name) == ("s-1", "s-2")
+    assert (one.zone, one.cell, one.weight, one.started_at, two.zone, two.state) == (
         1,
         3,
         2.0,
         700,
         2,
-        Phase.DRAINING,
+        ServerState.DRAINING,
     )
-    assert [update.entries[0].came_up for update in (again, newer)] == [700, 900]
-    assert again.entries[1].phase == Phase.GONE and again.addresses[0].port == 9001
-    assert list(roster.starts) == ["s-1"], "start times of servers that are gone are forgotten"
+    assert [update.entries[0].started_at for update in (again, newer)] == [700, 900]
+    assert again.entries[1].state == ServerState.GONE and again.addresses[0].port == 9001
+    assert list(roster.start_times) == ["s-1"], "start times of servers that are gone are forgotten"
 
 
 @pytest.mark.parametrize(
@@ -198,14 +198,14 @@
 )
 def test_an_invalid_server_list_raises_bad_list(bad: object) -> None:
     with pytest.raises(BadList):
-        Roster([], lambda born: 0).read(bad)
+        ServerList([], lambda born: 0).apply(bad)
     with pytest.raises(BadList):
-        address("1.2.3.4:99999")
+        parse_address("1.2.3.4:99999")
 
 
 def test_watch_requests_changes_since_its_version_and_accepts_only_lists() -> None:
-    watch = Watch(Roster(["a"], lambda born: 1), "d", 41, 20_000_000)
-    lines = [watch.request().split(b"\r\n")[0].decode()]
+    watch = Watch(ServerList(["a"], lambda born: 1), "d", 41, 20_000_000)
+    lines = [watch.next_request().split(b"\r\n")[0].decode()]
     for status, body in (
         (200, json.dumps(server_list(43, False, host("s-1")))),
         (503, ""),
@@ -217,8 +217,9 @@
         assert response is not None
         try:
             lines.append(
-                f"{len(watch.update(response).entries)} changed, then {watch.request()[:46].decode()}"
+                f"{len(watch.handle_response(response).entries)} changed, "
+                f"then {watch.next_request()[:46].decode()}"
             )
         except BadList as error:
             lines.append(f"no list: {error}")
-    compare("watch", lines)
+    check_trace("watch", lines)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -6,18 +6,18 @@
 
 import pytest
 
-from pumicepath.admin.calls import understood
-from pumicepath.admin.figures import Figures
+from pumicepath.admin.calls import parse_call
+from pumicepath.admin.metrics import Metrics
 from pumicepath.http1.messages import MalformedMessageError, Request
-from pumicepath.interface import Listing, Outcome, Phase
+from pumicepath.interface import ListKind, Outcome, ServerState
 from pumicepath.lab.loopback.scripted import Deployment, answer
 
-from .helpers import SECOND, Bench, check, compare, entry, settings
+from .helpers import SECOND, ScriptedHost, check_host_trace, check_trace, make_entry, make_settings
 
 NEVER = ("X-Never-Ran", "1")
 
 
-def at_operators(folder: Path, servers: int, **changed: object) -> Deployment:
+def admin_deployment(folder: Path, servers: int, **changed: object) -> Deployment:
     around = Deployment(folder, servers, admin_addr="127.0.0.1:0", **changed)
     around.environment = {"TMPDIR": str(folder)}
     return around
@@ -43,34 +43,34 @@
     ):
         method, target = line.split()
         try:
-            call, server = understood(Request(method=method, target=target))
+            call, server = parse_call(Request(method=method, target=target))
             lines.append(f"{line}: {call.value} {server}".rstrip())
         except MalformedMessageError as trouble:
             lines.append(f"{line}: {trouble.status} {trouble}")
-    compare("calls", lines)
+    check_trace("calls", lines)
 
 
 def test_figures_of_classes_outlive_them_in_bounded_number_and_cannot_break_a_line() -> None:
-    figures = Figures()
+    figures = Metrics()
     for status in (200, 429, 503, 502, 400):
-        figures.ended("read", status)
-    figures.ended("a=1\nb", 200)
+        figures.submission_finished("read", status)
+    figures.submission_finished("a=1\nb", 200)
     for number in range(3000):
-        figures.ended(f"c{number}", 200)
-    lines = figures.written(["read", "new"], {"current": 3}).splitlines()
+        figures.submission_finished(f"c{number}", 200)
+    lines = figures.render(["read", "new"], {"current": 3}).splitlines()
     assert len(lines) < 1010
-    compare("figures", [line for line in lines if ".c" not in line or "current" in line])
+    check_trace("figures", [line for line in lines if ".c" not in line or "current" in line])
 
 
 def test_a_server_out_by_hand_stays_out_whatever_is_listed_and_returns_cold() -> None:
-    bench = Bench(settings(cold_for=20 * SECOND), [entry(1), entry(2)])
-    hand, listed = bench.balancer.hand, bench.balancer.listed
+    bench = ScriptedHost(make_settings(cold_for=20 * SECOND), [make_entry(1), make_entry(2)])
+    hand, listed = bench.balancer.set_out_of_service, bench.balancer.update_servers
 
     def said(what: str) -> None:
-        before = len(bench.sent)
-        bench.quick(100 + 40 * len(bench.lines), 30, 1, Outcome.OK)
-        met = bench.sent[before:]
-        standing = bench.balancer.standing()
+        before = len(bench.sent_to)
+        bench.run_submissions(100 + 40 * len(bench.lines), 30, 1, Outcome.OK)
+        met = bench.sent_to[before:]
+        standing = bench.balancer.server_counts()
         bench.lines = [line for line in bench.lines if "hop to" not in line]
         hops = [met.count(server) for server in (1, 2)]
         bench.note(f"{what}: {hops} hops, {standing[0]} listed, {standing[1]} avoided")
@@ -79,47 +79,47 @@
         bench.note(f"{server} {'out' if out else 'back'}: {'yes' if hand(bench.now, server, out) else 'no'}")
 
     said("before")
-    home = 1 if bench.sent[-1] == 1 else 2
+    home = 1 if bench.sent_to[-1] == 1 else 2
     call(9, True)
     call(9, False)
     call(home, True)
     call(home, True)
     said("out")
-    listed(bench.now, Listing.FULL, [entry(3 - home)])
+    listed(bench.now, ListKind.FULL, [make_entry(3 - home)])
     said("not listed any more")
     began = bench.now
-    listed(bench.now, Listing.CHANGES, [entry(home, came_up=began)])
+    listed(bench.now, ListKind.CHANGES, [make_entry(home, started_at=began)])
     said("listed as new")
-    listed(bench.now, Listing.FULL, [entry(home, phase=Phase.DRAINING), entry(3 - home)])
-    listed(bench.now, Listing.FULL, [entry(home), entry(3 - home)])
-    bench.at(bench.now / SECOND + 60)
+    listed(bench.now, ListKind.FULL, [make_entry(home, state=ServerState.DRAINING), make_entry(3 - home)])
+    listed(bench.now, ListKind.FULL, [make_entry(home), make_entry(3 - home)])
+    bench.advance_to(bench.now / SECOND + 60)
     said("a minute later")
     call(home, False)
     said("back, cold")
-    assert bench.balancer.came_up[bench.balancer.index[home]] == began
-    bench.at(bench.now / SECOND + 60)
+    assert bench.balancer.started_at[bench.balancer.index_by_id[home]] == began
+    bench.advance_to(bench.now / SECOND + 60)
     call(home, True)
     call(home, False)
-    listed(bench.now, Listing.CHANGES, [entry(home, came_up=began + SECOND)])
+    listed(bench.now, ListKind.CHANGES, [make_entry(home, started_at=began + SECOND)])
     said("out and back, an old start listed since")
-    bench.at(bench.now / SECOND + 60)
+    bench.advance_to(bench.now / SECOND + 60)
     said("warm")
     call(home, False)
-    assert not bench.balancer.by_hand
-    check("by_hand", bench)
+    assert not bench.balancer.out_of_service
+    check_host_trace("by_hand", bench)
 
 
 def test_the_return_of_a_server_that_the_list_lacks_is_cold_too() -> None:
-    bench = Bench(settings(cold_for=20 * SECOND), [entry(1), entry(2)])
-    bench.balancer.hand(bench.now, 1, True)
-    bench.balancer.listed(bench.now, Listing.FULL, [entry(2)])
-    assert bench.at(30).balancer.hand(bench.now, 1, False)
-    bench.balancer.listed(bench.now, Listing.FULL, [entry(1), entry(2)])
-    assert bench.balancer.warmth(bench.now, bench.balancer.index[1]) < 0.3
+    bench = ScriptedHost(make_settings(cold_for=20 * SECOND), [make_entry(1), make_entry(2)])
+    bench.balancer.set_out_of_service(bench.now, 1, True)
+    bench.balancer.update_servers(bench.now, ListKind.FULL, [make_entry(2)])
+    assert bench.advance_to(30).balancer.set_out_of_service(bench.now, 1, False)
+    bench.balancer.update_servers(bench.now, ListKind.FULL, [make_entry(1), make_entry(2)])
+    assert bench.balancer.warm_fraction(bench.now, bench.balancer.index_by_id[1]) < 0.3
 
 
 def test_figures_are_what_clients_and_servers_saw(tmp_path: Path) -> None:
-    around = at_operators(tmp_path, 1)
+    around = admin_deployment(tmp_path, 1)
     with around.running():
         around.ask("read", answer(200, "a"))
         around.ask("once", answer(500))
@@ -139,11 +139,11 @@
             around.process.send_signal(1)
             around.event("reloaded" if told else "reload_failed")
         lines += [f"{name}={value}" for name, value in around.figures().items() if "conf" in name]
-    compare("counted", lines)
+    check_trace("counted", lines)
 
 
 def test_calls_out_and_back_hold_from_the_answer_on(tmp_path: Path) -> None:
-    around = at_operators(tmp_path, 2)
+    around = admin_deployment(tmp_path, 2)
     with around.running():
         for path in ("servers/s-9/maint", "servers/s-0/maint", "servers/s-0/maint"):
             around.lines.append(f"{path}: {around.call('PUT', '/' + path).status}")
@@ -157,14 +157,14 @@
         around.lines.append(f"avoided: {around.figures()['edge_gw.cluster_unhealthy']}")
         around.ask("read", answer(200, "again"))
     assert not any(line.startswith("s-0") for line in around.lines[:10])
-    compare(
+    check_trace(
         "out_and_back",
         [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in around.lines],
     )
 
 
 def test_callers_that_finish_nothing_hold_up_nobody(tmp_path: Path) -> None:
-    with at_operators(tmp_path, 1).running() as around:
+    with admin_deployment(tmp_path, 1).running() as around:
         silent = [socket.create_connection(around.operators) for _ in range(40)]
         for sock in silent[:20]:
             sock.sendall(b"GET /healthcheck HTTP/1.1\r\nHost:")
@@ -179,7 +179,7 @@
 
 
 def test_clients_are_sent_away_and_taken_again(tmp_path: Path) -> None:
-    with at_operators(tmp_path, 1).running() as around:
+    with admin_deployment(tmp_path, 1).running() as around:
 
         def up() -> str:
             with socket.create_connection(around.where) as sock:
@@ -198,12 +198,12 @@
         around.client = socket.create_connection(around.where)
         around.ask("read", answer(200, "after"))
         around.ask("read", answer(200, "on the same connection"))
-    compare("emptied", around.lines)
+    check_trace("emptied", around.lines)
 
 
 @pytest.mark.parametrize("how", ["environment", "file", "neither"])
 def test_the_second_address_is_named_by_environment_or_file_or_is_not_there(how: str, tmp_path: Path) -> None:
-    around = at_operators(tmp_path, 1) if how == "file" else Deployment(tmp_path, 1)
+    around = admin_deployment(tmp_path, 1) if how == "file" else Deployment(tmp_path, 1)
     if how == "environment":
         around.environment = {"GW_ADMIN_ADDR": "127.0.0.1:0"}
     with around.running():
--- a/tests/test_relay_keys.py
+++ b/tests/test_relay_keys.py
@@ -47,7 +47,7 @@
     changed: dict, says: str, tmp_path: Path
 ) -> None:
     around = Deployment(tmp_path, 1, **changed)
-    with pytest.raises(config.BadConfig) as trouble:
+    with pytest.raises(config.ConfigError) as trouble:
         config.read(str(around.config))
     text = str(trouble.value)
     assert text.startswith(f"{around.config}: {says}") and "\n" not in text
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -211,7 +211,7 @@
 
 def test_by_when_connections_stop_coming_whoever_accepts_looks_for_the_end_often(tmp_path: Path) -> None:
     """Found by the bench: the end took 0.4 s to stop accepting, and had 0.3 s left for short deadlines."""
-    assert clients.ACCEPT_POLL_S <= clients.ACCEPT_POLL_ALONE_S < running.COMING
+    assert clients.ACCEPT_POLL_S <= clients.ACCEPT_POLL_ALONE_S < running.ACCEPT_AFTER_SIGTERM_S
     rig = Rig(tmp_path)
     rig.clients.listener.settimeout(clients.ACCEPT_POLL_ALONE_S)
     accepting = threading.Thread(target=rig.clients.accept)
@@ -235,7 +235,7 @@
     rig.clients.stop_accepting()
     rig.clients.connection_limit = 3  # room for three: the others are taken as these end
     rig.dispatcher.draining = True
-    rig.dispatcher.run_locked(rig.clients.woke)
+    rig.dispatcher.run_locked(rig.clients.on_timer)
     assert not rig.clients.drain_backlog() and len(rig.clients.open) <= 3
     wait_until(rig.clients.drain_backlog)
     assert [read_status(sock) for sock in waiting] == [200] * 5
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Address, Roster, Update, address
+from pumicepath.discovery.server_list import Address, ServerList, ServerListUpdate, parse_address
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
@@ -27,7 +27,7 @@
 from pumicepath.sidecar.servers import IdleResetTracker, Pool
 from pumicepath.sidecar.watching import Watcher
 
-from .helpers import compare, entry
+from .helpers import check_trace, make_entry
 
 BAD_KNOWN_LIST = json.dumps(
     {
@@ -60,7 +60,7 @@
         for name, script in steps.items():
             deployment.lines.append(f"-- {name}")
             deployment.ask("once", *script, body="lot 7")
-    compare("outcomes", deployment.lines)
+    check_trace("outcomes", deployment.lines)
 
 
 def test_idempotent_requests_are_retried_elsewhere_and_chunked_responses_are_forwarded(
@@ -72,7 +72,7 @@
     with Deployment(tmp_path, 3).running() as deployment:
         response = deployment.ask("read", "reset", answer(500), chunked)
         assert response is not None and response.header("X-Store") == "s"
-    compare("elsewhere", deployment.lines)
+    check_trace("elsewhere", deployment.lines)
 
 
 def test_requests_to_silent_servers_are_answered_before_the_deadline(tmp_path: Path) -> None:
@@ -84,7 +84,7 @@
             # Its connection is closed, so that the request can't run later and no late response is used.
             deployment.servers[0].closed.acquire(timeout=5)
         deployment.ask("read", answer(200, "late ones are not mixed up"))
-    compare("silent", deployment.lines)
+    check_trace("silent", deployment.lines)
 
 
 def test_refused_connections_never_ran_and_a_closed_idle_one_is_not_used(tmp_path: Path) -> None:
@@ -99,7 +99,7 @@
         closed_peer.listener.close()
         deployment.ask("once", "reset")
         deployment.ask("once", answer(200, "elsewhere"))
-    compare("refused", deployment.lines)
+    check_trace("refused", deployment.lines)
 
 
 def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
@@ -116,7 +116,7 @@
             if name == "two":
                 deployment.client.sendall(requests[2][9:])
     # Sorted by observer: the server may get the next request before the client has read the previous answer.
-    compare("together", sorted(deployment.lines, key=lambda line: line.startswith("client")))
+    check_trace("together", sorted(deployment.lines, key=lambda line: line.startswith("client")))
 
 
 def test_malformed_requests_get_an_error_or_a_close_and_are_not_forwarded(tmp_path: Path) -> None:
@@ -159,7 +159,7 @@
         deployment.lines.append("-- half a request, and silence")
         deployment.hear(half, ResponseParser())
         assert silent.recv(1) == b""
-    compare("bad_clients", deployment.lines)
+    check_trace("bad_clients", deployment.lines)
 
 
 def test_silent_connections_are_closed_for_new_ones(tmp_path: Path) -> None:
@@ -178,7 +178,7 @@
 def test_at_the_limit_idle_connections_are_closed_and_busy_ones_are_not(tmp_path: Path) -> None:
     owner = FakeDispatcher()
     limits = {"memory_mb": 192, "sockets": 60}
-    owner.active_config = (config.config({**Deployment(tmp_path, 0).told, "limits": limits}), ())
+    owner.active_config = (config.decode_config({**Deployment(tmp_path, 0).told, "limits": limits}), ())
     owner.dispatcher = owner
     all_clients = Clients(owner)
     states = [IDLE, FRESH, BUSY, IDLE, PARTIAL, IDLE, FRESH, BUSY, IDLE, IDLE, IDLE, PARTIAL, IDLE]
@@ -229,7 +229,7 @@
         deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
         deployment.ask("read", answer(200, "for the next"))
         deployment.ask("no such")
-    compare("left", deployment.lines)
+    check_trace("left", deployment.lines)
 
 
 def test_a_client_that_leaves_before_its_hop_fails_gets_no_further_hop_and_no_thread_stays(
@@ -270,7 +270,7 @@
             assert sock.recv(1) == b""
             sock.close()
         assert deployment.event("stopped")["broken"] == {} and deployment.process.wait() == 0
-    compare("drain", deployment.lines)
+    check_trace("drain", deployment.lines)
 
 
 def test_the_watch_survives_failures_and_its_updates_apply_at_once(tmp_path: Path) -> None:
@@ -283,7 +283,7 @@
         for _ in range(4):
             assert deployment.discovery.met.acquire(timeout=5)
         deployment.ask("read")
-    compare("watched", deployment.discovery.lines + deployment.lines)
+    check_trace("watched", deployment.discovery.lines + deployment.lines)
 
 
 def test_sighup_switches_to_the_new_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
@@ -308,23 +308,23 @@
         deployment.hear()
         deployment.ask("read")
     lines = [line.replace(str(tmp_path), "") for line in deployment.discovery.lines + deployment.lines]
-    compare("reload", [line for line in lines if not line.startswith("discovery")])
+    check_trace("reload", [line for line in lines if not line.startswith("discovery")])
 
 
 def test_the_delay_of_own_threads_rises_at_once_and_falls_slowly(tmp_path: Path) -> None:
     owner = FakeDispatcher()
-    monitor = DelayMonitor(owner, AdmissionGate(config.config(Deployment(tmp_path, 0).told)))
+    monitor = DelayMonitor(owner, AdmissionGate(config.decode_config(Deployment(tmp_path, 0).told)))
     delays = []
     for late in (0, 0, 80_000, 0, 0, 100_000):
-        monitor.woke(monitor.due_at + late)
+        monitor.on_timer(monitor.due_at + late)
         delays.append(monitor.delay)
     assert delays == [0, 0, 80_000, 70_000, 61_250, 100_000] and owner.calls[-1] == monitor.due_at
     intervals = []
     for admitted in (0, 5, 5, 5):  # still late, new requests, none, none
-        monitor.admission_gate.queue.taken = admitted
+        monitor.admission_gate.queue.admitted = admitted
         due_at = monitor.due_at
         monitor.delay = 60_000 if not admitted else 0
-        monitor.woke(due_at)
+        monitor.on_timer(due_at)
         intervals.append(monitor.due_at - due_at)
     assert intervals == [25_000, 25_000, 100_000, 100_000]
 
@@ -340,11 +340,11 @@
             metrics = events
             def sum(self): pass
             def event(self, event, **figures): print(event, figures)
-            def wake(self, at, whom): print("again at", at)
+            def set_timer(self, at, whom): print("again at", at)
         watchman = Watchman(Dispatcher(), Clients())
         for holds in (True, False, False):
-            invariants.must(holds, "x")
-            watchman.woke(0)
+            invariants.check_invariant(holds, "x")
+            watchman.on_timer(0)
     """
     counted = "{'counts': {'x': 2}}\nagain at 1000000\n"
     for level, expected in (("-O", counted), ("-B", "AssertionError: x")):
@@ -367,7 +367,7 @@
         self.calls.append((kind.name, len(update.entries)))
         self.listed_event.release()
 
-    def wake(self, at, whom) -> None:
+    def set_timer(self, at, whom) -> None:
         self.calls.append(at)
 
     def event(self, event, **figures) -> None:
@@ -381,10 +381,10 @@
     deployment = Deployment(tmp_path, 1)
     for step in (deployment.listing(7, False, "active"), None, deployment.listing(8, False, "leaving")):
         deployment.lists.put("wait" if step is None else answer(200, json.dumps(step)))
-    discovery_address = address(deployment.discovery.address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 1, 1000), discovery_address)
+    discovery_address = parse_address(deployment.discovery.address)
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 1, 1000), discovery_address)
     watcher.dispatcher = FakeDispatcher()
-    watcher.follow()
+    watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
     for _ in range(2):
         assert watcher.dispatcher.listed_event.acquire(timeout=5)
@@ -399,8 +399,8 @@
 
 
 def test_an_idle_connection_that_is_closed_or_has_unexpected_bytes_is_not_used(tmp_path: Path) -> None:
-    pool = Pool(FakeDispatcher(), config.config(Deployment(tmp_path, 0).told), None)
-    pool.update_servers(Update(1, True, [entry(10)], [Address("127.0.0.1", 1)]))
+    pool = Pool(FakeDispatcher(), config.decode_config(Deployment(tmp_path, 0).told), None)
+    pool.update_servers(ServerListUpdate(1, True, [make_entry(10)], [Address("127.0.0.1", 1)]))
     hop = Hop(Exchange(None, "t", None, 0, None), 0, 10, 0, 0)
     used = []
     for event in (b"", b"HTTP/1.1 200 OK\r\n\r\n", None, "gone"):
@@ -412,7 +412,9 @@
         if event is None:
             peer.close()
         elif event == "gone":
-            pool.update_servers(Update(2, True, [entry(10, came_up=7)], [Address("127.0.0.1", 1)]))
+            pool.update_servers(
+                ServerListUpdate(2, True, [make_entry(10, started_at=7)], [Address("127.0.0.1", 1)])
+            )
         else:
             peer.sendall(event)
         used.append(pool.connection_for(0, hop) is connection)
@@ -435,7 +437,7 @@
 def test_calls_made_while_the_lock_is_held_are_run_by_its_owner_and_followed_up_by_their_callers(
     tmp_path: Path,
 ) -> None:
-    dispatcher = Dispatcher(config.config(Deployment(tmp_path, 0).told), Log("n0"), None)
+    dispatcher = Dispatcher(config.decode_config(Deployment(tmp_path, 0).told), Log("n0"), None)
     order: list = []
 
     def run(name: str) -> None:
@@ -504,7 +506,7 @@
             deployment.hear(sock, ResponseParser())
         deployment.script.put(answer(200, "room"))
         deployment.hear()
-    compare("bound", [line for line in deployment.lines if line.startswith("client")])
+    check_trace("bound", [line for line in deployment.lines if line.startswith("client")])
 
 
 @pytest.mark.parametrize(
