--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -332,19 +332,19 @@
 def test_broken_invariants_are_counted_in_release_builds_and_logged() -> None:
     script = """if True:
         from pumicepath import invariants
-        from pumicepath.sidecar.running import Watchman
+        from pumicepath.sidecar.running import ProblemReporter
         class Clients: bad_requests = bad_answers = {}
         class Dispatcher:
             events = property(lambda self: self)
             pool = Clients
             metrics = events
-            def sum(self): pass
+            def apply_pending(self): pass
             def event(self, event, **figures): print(event, figures)
             def set_timer(self, at, whom): print("again at", at)
-        watchman = Watchman(Dispatcher(), Clients())
+        reporter = ProblemReporter(Dispatcher(), Clients())
         for holds in (True, False, False):
             invariants.check_invariant(holds, "x")
-            watchman.on_timer(0)
+            reporter.on_timer(0)
     """
     counted = "{'counts': {'x': 2}}\nagain at 1000000\n"
     for level, expected in (("-O", counted), ("-B", "AssertionError: x")):
