--- a/pumicepath/http1/ring.py
+++ b/pumicepath/http1/ring.py
@@ -1,90 +1,97 @@
-"""A ring buffer for one direction of a connection; it grows by doubling up to its limit."""
+"""A ring buffer for one direction of a connection."""
 
 from __future__ import annotations
 
 from ..invariants import check_invariant
 
-FIRST = 2048
+INITIAL_CAPACITY = 2048
 
 
 class Ring:
-    __slots__ = ("limit", "store", "view", "head", "size")
+    """A ring buffer of bytes that grows by doubling, up to its limit."""
+
+    __slots__ = ("limit", "buffer", "view", "head", "size")
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.head = 0
         self.size = 0
-        self.resize(min(FIRST, limit))
+        self.resize(min(INITIAL_CAPACITY, limit))
 
     def __len__(self) -> int:
         return self.size
 
     def resize(self, capacity: int) -> None:
-        kept = self.peek(self.size) if self.size else b""
-        self.store = bytearray(capacity)
-        self.store[: len(kept)] = kept
-        self.view = memoryview(self.store)
+        """Move the content to a new buffer of that capacity, starting at its beginning."""
+        content = self.peek(self.size) if self.size else b""
+        self.buffer = bytearray(capacity)
+        self.buffer[: len(content)] = content
+        self.view = memoryview(self.buffer)
         self.head = 0
 
-    def room(self, wanted: int = 0) -> memoryview:
-        """Where the next bytes may be written, in one piece; empty only when the limit is reached."""
-        if not self.size and wanted > len(self.store):
+    def writable(self, wanted: int = 0) -> memoryview:
+        """Return contiguous free space, if empty for `wanted` bytes; none only when the limit is reached."""
+        if not self.size and wanted > len(self.buffer):
             self.resize(min(wanted, self.limit))
-        elif self.size == len(self.store) < self.limit:
-            self.resize(min(2 * len(self.store), self.limit))
+        elif self.size == len(self.buffer) < self.limit:
+            self.resize(min(2 * len(self.buffer), self.limit))
         elif not self.size:
             self.head = 0
-        tail = (self.head + self.size) % len(self.store)
-        if self.size == len(self.store):
+        tail = (self.head + self.size) % len(self.buffer)
+        if self.size == len(self.buffer):
             return self.view[:0]
         return self.view[tail : self.head] if tail < self.head else self.view[tail:]
 
-    def wrote(self, count: int) -> None:
-        check_invariant(0 <= count <= len(self.store) - self.size, "ring overrun")
+    def commit(self, count: int) -> None:
+        """Add bytes that were written to the start of `writable()`."""
+        check_invariant(0 <= count <= len(self.buffer) - self.size, "ring overrun")
         self.size += count
 
-    def put(self, data: bytes | memoryview) -> int:
-        """Store as much of the data as the limit allows, and tell how much that was."""
-        done = 0
-        while done < len(data):
-            room = self.room(len(data))
-            count = min(len(room), len(data) - done)
+    def write(self, chunk: bytes | memoryview) -> int:
+        """Store as much as the limit allows, and return how many bytes that was."""
+        written = 0
+        while written < len(chunk):
+            space = self.writable(len(chunk))
+            count = min(len(space), len(chunk) - written)
             if not count:
                 break
-            room[:count] = data[done : done + count]
-            self.wrote(count)
-            done += count
-        return done
+            space[:count] = chunk[written : written + count]
+            self.commit(count)
+            written += count
+        return written
 
-    def data(self) -> memoryview:
-        """The oldest bytes held, in one piece."""
-        return self.view[self.head : min(self.head + self.size, len(self.store))]
+    def readable(self) -> memoryview:
+        """Return the oldest bytes as far as they are contiguous."""
+        return self.view[self.head : min(self.head + self.size, len(self.buffer))]
 
     def peek(self, count: int) -> bytes:
+        """Return up to `count` of the oldest bytes without removing them."""
         count = min(count, self.size)
         end = self.head + count
-        if end <= len(self.store):
+        if end <= len(self.buffer):
             return bytes(self.view[self.head : end])
-        return bytes(self.view[self.head :]) + bytes(self.view[: end - len(self.store)])
+        return bytes(self.view[self.head :]) + bytes(self.view[: end - len(self.buffer)])
 
-    def take(self, count: int) -> bytes:
-        taken = self.peek(count)
-        self.drop(count)
-        return taken
+    def read(self, count: int) -> bytes:
+        """Remove and return up to `count` of the oldest bytes."""
+        data = self.peek(count)
+        self.consume(count)
+        return data
 
-    def drop(self, count: int) -> None:
+    def consume(self, count: int) -> None:
+        """Remove the oldest `count` bytes."""
         check_invariant(0 <= count <= self.size, "ring underrun")
         self.size -= count
-        self.head = (self.head + count) % len(self.store)
-
-    def rest(self) -> None:
-        """Guards the memory limit against many idle connections that once were busy."""
-        if not self.size and len(self.store) > FIRST:
-            self.resize(FIRST)
-
-    def find(self, what: bytes, start: int = 0) -> int:
-        """Where the bytes first stand from `start` on, counted from the oldest; -1 if they do not."""
-        if self.head + self.size > len(self.store):
-            self.resize(len(self.store))  # in one piece, so that nothing is missed over the edge
-        at = self.store.find(what, self.head + start, self.head + self.size)
-        return at - self.head if at >= 0 else -1
+        self.head = (self.head + count) % len(self.buffer)
+
+    def shrink(self) -> None:
+        """Free the memory of an empty buffer, which many idle connections that were busy would keep."""
+        if not self.size and len(self.buffer) > INITIAL_CAPACITY:
+            self.resize(INITIAL_CAPACITY)
+
+    def find(self, pattern: bytes, start: int = 0) -> int:
+        """Return the offset of the first match at or after `start`, counted from the oldest byte, or -1."""
+        if self.head + self.size > len(self.buffer):
+            self.resize(len(self.buffer))  # makes the content contiguous, so that a match can't wrap around
+        position = self.buffer.find(pattern, self.head + start, self.head + self.size)
+        return position - self.head if position >= 0 else -1
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -19,7 +19,7 @@
 from ...discovery.server_list import Address, BadList, ServerList, ServerListUpdate
 from ...discovery.watch import Overtaxed, Watch
 from ...distribution.relay_selector import RelaySelector
-from ...http1.messages import Malformed
+from ...http1.messages import MalformedMessageError
 from ...interface import ListKind, ServerState, TimerHandler
 from ...settings import decode_settings
 from ...sidecar import clock
@@ -133,7 +133,7 @@
         """`places` are its relays, or the one discovery."""
         self.number, self.name, self.loop = number, f"n{number}", loop
         info = told(plan, number)
-        self.roster = ServerList(info["dcs"], clock.since_unix_ms)
+        self.roster = ServerList(info["dcs"], clock.from_unix_ms)
         self.balancer = Balancer(decode_settings(info), number + 1, MUTE)
         self.chance = SeededRandom(random.Random(f"sidecar {plan.ask.seed} {number}").getrandbits(63))
         self.addresses: dict[int, Address] = {}
@@ -209,7 +209,7 @@
                 self.dialled(now)
             else:
                 self.read(now)
-        except (OSError, Malformed, BadList) as trouble:
+        except (OSError, MalformedMessageError, BadList) as trouble:
             self.failed(now, trouble)
 
     def dialled(self, now: int) -> None:
@@ -242,27 +242,27 @@
         parser = self.watch.parser
         while True:
             try:
-                count = self.sock.recv_into(parser.ring.room())
+                count = self.sock.recv_into(parser.ring.writable())
             except BlockingIOError:
                 return
-            parser.ring.wrote(count)
+            parser.ring.commit(count)
             self.bytes += count
             if not self.begun:
                 self.begun = True
                 self.alarm(max(self.due, now + int(1e6 * RESPONSE_TIMEOUT_S)))
             if not count:
-                parser.end()
+                parser.end_input()
             response = parser.next()
             if response is not None:
                 break
             if not count:
                 raise ConnectionResetError("discovery ended the connection")
         self.take(now, self.watch.handle_response(response))
-        if not response.keeps():
+        if not response.keeps_alive():
             self.close()
             self.begin(now)
         elif self.homes is not None and self.homes.call_answered(
-            clock.since_monotonic(now), *self.watch.region_counts()
+            clock.from_monotonic(now), *self.watch.region_counts()
         ):
             self.change(now)
         else:
@@ -279,7 +279,7 @@
         """Go on at the relay that answers, where another was tried beside it in vain."""
         if self.homes is None or self.before is None or self.homes.previous is None:
             return False
-        self.homes.call_failed(clock.since_monotonic(now))
+        self.homes.call_failed(clock.from_monotonic(now))
         if self.sock is not None:
             self.loop.expect_nothing(self)
             self.sock.close()
@@ -304,7 +304,7 @@
                 else:
                     self.addresses[entry.server] = where
             self.balancer.update_servers(
-                clock.since_monotonic(now),
+                clock.from_monotonic(now),
                 ListKind.FULL if update.whole else ListKind.CHANGES,
                 update.entries,
             )
@@ -324,7 +324,7 @@
         self.failures += 1
         self.failed_calls += 1
         if self.homes is not None:
-            self.alarm(now + self.homes.call_failed(clock.since_monotonic(now)))
+            self.alarm(now + self.homes.call_failed(clock.from_monotonic(now)))
         elif self.failures == 1 and not isinstance(trouble, Overtaxed):
             self.begin(now)
         else:
--- a/pumicepath/lab/loopback/wires.py
+++ b/pumicepath/lab/loopback/wires.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from ...http1 import writing
-from ...http1.messages import Malformed, Response
+from ...http1.messages import MalformedMessageError, Response
 from ...interface import RequestClass
 from ..model.clients import Ask
 from ..model.judge import Judge
@@ -130,14 +130,14 @@
             )
         )
 
-    def malformed(self, trouble: Malformed) -> None:
+    def malformed(self, trouble: MalformedMessageError) -> None:
         self.among.around.note(f"client got {trouble}")
         self.transport.abort()
 
     def answered(self, response: Response) -> None:
         ask, self.ask = self.ask, None
         self.used = True
-        if response.keeps():
+        if response.keeps_alive():
             self.among.idle.append(self)
         else:
             self.transport.close()
--- a/pumicepath/relay/followers.py
+++ b/pumicepath/relay/followers.py
@@ -18,7 +18,7 @@
 
 from ..distribution.interests import ALL_PLAIN, Interest, parse_interest
 from ..http1 import writing
-from ..http1.messages import Malformed, Request
+from ..http1.messages import MalformedMessageError, Request
 from ..http1.parsing import RequestParser
 
 if TYPE_CHECKING:
@@ -81,7 +81,7 @@
                 self.read(now)
             if not mask and self.state == READING:
                 self.next_request(now)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.keep_alive = False
             self.respond(error.status, f"{error}\n".encode(), now, TEXT_HEADERS)
         except BlockingIOError:
@@ -105,13 +105,13 @@
             self.next_request(now)
 
     def next_request(self, now: int) -> None:
-        """Pass the next complete request, if there is one, to the relay; raises Malformed."""
+        """Pass the next complete request, if there is one, to the relay; raises MalformedMessageError."""
         request = self.parser.next()
         if request is not None:
             self.state = PENDING
             self.state_since = now
             self.pipelined_bytes = 0
-            self.keep_alive = request.keeps()
+            self.keep_alive = request.keeps_alive()
             self.relay.handle_request(self, request, now)
 
     def respond(
@@ -156,7 +156,7 @@
             return
         self.state = READING
         self.state_since = now
-        if not self.parser.idle():
+        if not self.parser.is_idle():
             # Handled in a later iteration: a follower that pipelines many requests must neither cause
             # deep recursion nor hold up the others.
             self.relay.resume_queue.append(self)
@@ -170,12 +170,12 @@
 
 
 def parse_list_request(request: Request) -> ListRequest:
-    """Parse a request of discovery's protocol; raises Malformed for any other."""
+    """Parse a request of discovery's protocol; raises MalformedMessageError for any other."""
     path, _, query = request.target.partition("?")
     if path != "/discovery/hosts":
-        raise Malformed(404, "no such call")
+        raise MalformedMessageError(404, "no such call")
     if request.method != "GET":
-        raise Malformed(400, f"{request.method} is not GET")
+        raise MalformedMessageError(400, f"{request.method} is not GET")
     since, wait, services = -1, 0, None
     try:
         for part in query.split("&") if query else ():
@@ -190,4 +190,4 @@
                 services = value
         return ListRequest(since, wait * 1000, parse_interest(services))
     except ValueError as error:
-        raise Malformed(400, str(error)) from error
+        raise MalformedMessageError(400, str(error)) from error
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -22,7 +22,7 @@
 from ..distribution.relay_store import EncodedServer, RelayStore
 from ..distribution.subscriptions import Subscriptions
 from ..http1 import writing
-from ..http1.messages import Malformed, Request
+from ..http1.messages import MalformedMessageError, Request
 from . import metrics
 from .clock import now_us
 from .config import Config
@@ -41,7 +41,7 @@
 WRITE_TIMEOUT_US = 3_000_000  # from an answer's first byte until the socket has taken the last
 FULL_CLEAR_US = 1_000_000  # without a rejected connection, until the relay no longer counts as full
 LATE_ITERATION_US = 400_000  # past its timer, an iteration counts as late: the process was stalled
-FULL_RESPONSE = writing.response(503, [], b"", keep=False)
+FULL_RESPONSE = writing.response(503, [], b"", keep_alive=False)
 HALVED_FACTOR = 2  # a new list with fewer than 1 in 2 of the servers before is logged
 
 
@@ -237,7 +237,7 @@
         follower.close()
 
     def handle_request(self, follower: Follower, request: Request, now: int) -> None:
-        """Answer a request, or keep it until there is a change; raises Malformed for an invalid one."""
+        """Answer a request, or keep it until there is a change; raises MalformedMessageError for an invalid one."""
         if follower.admin:
             self.handle_admin_request(follower, request, now)
             return
@@ -432,10 +432,10 @@
             )
 
     def handle_admin_request(self, follower: Follower, request: Request, now: int) -> None:
-        """Answer an operator's request with the metrics; raises Malformed for any other than `/stats`."""
+        """Answer an operator's request with the metrics; raises MalformedMessageError for any other than `/stats`."""
         if request.target.partition("?")[0] != "/stats":
-            raise Malformed(404, "no such call")
+            raise MalformedMessageError(404, "no such call")
         if request.method != "GET":
-            raise Malformed(400, f"{request.method} is not GET")
+            raise MalformedMessageError(400, f"{request.method} is not GET")
         follower.keep_alive = False
         follower.respond(200, metrics.render(self, now).encode(), now, TEXT_HEADERS)
--- a/pumicepath/relay/upstreams.py
+++ b/pumicepath/relay/upstreams.py
@@ -19,7 +19,7 @@
 from ..distribution.origins import ListRejectedError, Origin
 from ..distribution.relay_store import EncodedServer, encode_entries
 from ..http1 import writing
-from ..http1.messages import Malformed, Response
+from ..http1.messages import MalformedMessageError, Response
 from ..http1.parsing import ResponseParser
 from .clock import now_us
 
@@ -122,11 +122,11 @@
                 self.due_at = now + ANSWER_TRANSFER_TIMEOUT_US
             self.parser.feed(data)
             if not data:
-                self.parser.end()
+                self.parser.end_input()
             response = self.parser.next()
             if response is not None:
                 self.due_at = NEVER  # the next step is our own request
-                self.decoding = self.process_answer(response, response.keeps() and bool(data), now)
+                self.decoding = self.process_answer(response, response.keeps_alive() and bool(data), now)
                 self.continue_decoding()
             elif not data:
                 raise ConnectionResetError("ended")
@@ -135,7 +135,7 @@
         except (BadList, ListRejectedError) as error:
             self.relay.report_refused_list(self, str(error))
             self.fail(now, str(error), refused=True)
-        except (OSError, Malformed) as error:
+        except (OSError, MalformedMessageError) as error:
             self.fail(now, str(error))
 
     def continue_decoding(self) -> None:
--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -1,4 +1,7 @@
-"""A connection of the application: its thread reads a request, carries it, answers, and reads the next."""
+"""One client connection: its thread reads a request, runs the submission, answers, and reads the next.
+
+Times are whole microseconds of `clock.now()`.
+"""
 
 from __future__ import annotations
 
@@ -11,397 +14,446 @@
 from typing import Protocol
 
 from ..http1 import writing
-from ..http1.messages import Malformed, Request
-from ..http1.parsing import MOST_BODY, MOST_HEAD, START, RequestParser
+from ..http1.messages import MalformedMessageError, Request
+from ..http1.parsing import MAX_BODY_BYTES, MAX_HEAD_BYTES, START, RequestParser
 from ..http1.ring import Ring
 from . import answers, arrival, clock
 from .dispatch import Dispatcher
-from .exchange import LATE, Abandoned, Exchange
-from .submissions import TARIFF, asked
-from .upload import FAR, Upload
-
-# Taken off a client's patience for the way to and fro and for threads that wait their turn.
-ALLOWANCE = 25_000
-LONGEST_WRITE = struct.pack("ll", 10, 0)
-RESET = struct.pack("ii", 1, 0)
-STEP_S = 0.005  # between two looks at a connection that wakes nobody any more
-SINK = bytearray(256 * 1024)  # what nobody reads goes there; the kernel does not even copy it
-MOST_UPLOAD = 40 << 20  # what says that it is longer is refused
-MOST_ERRORS = 3  # in a row, until the connection is closed
-# What a connection is doing: LAST has been told to end between requests, and serves what crossed that.
-FRESH, PARTIAL, BUSY, IDLE, CLOSING, LAST = range(6)
-
-
-class Owner(Protocol):
-    """All connections of the application, as one of them sees them."""
+from .exchange import CLIENT_CHECK_AFTER_US, Exchange, UploadError
+from .submissions import CLASS_HEADER, parse_submission
+from .upload import MAX_UPLOAD_US, Upload
+
+# Subtracted from a client's deadline for the network both ways and for threads that wait to run.
+DELIVERY_ALLOWANCE_US = 25_000
+WRITE_TIMEOUT = struct.pack("ll", 10, 0)  # 10 s, as a struct timeval
+LINGER_RESET = struct.pack("ii", 1, 0)  # struct linger: close() sends a reset
+POLL_INTERVAL_S = 0.005  # between reads after the read side was shut down, when a read no longer blocks
+DISCARD_BUFFER = bytearray(256 * 1024)  # length of discarding reads; with MSG_TRUNC the kernel copies nothing
+MAX_UPLOAD_BYTES = 40 << 20  # a request that announces a longer body is rejected
+MAX_CONSECUTIVE_ERRORS = 3  # after these the connection is closed
+# States of a connection.  FRESH: nothing received yet; PARTIAL: part of a request received; BUSY: a request
+# is being served; CLOSING: no further request is read; DRAINING: it was idle or fresh when its read side was
+# shut down, and a request that had already arrived by then is still served.
+FRESH, PARTIAL, BUSY, IDLE, CLOSING, DRAINING = range(6)
+
+
+class ClientOwner(Protocol):
+    """What a connection needs of the set of all client connections."""
 
     dispatcher: Dispatcher
     fresh: dict[Client, None]
-    refused: Counter[str]
+    bad_requests: Counter[str]
 
-    def crowded(self) -> bool: ...
+    def is_over_limit(self) -> bool:
+        """Whether more connections are in use than the limits allow."""
 
-    def ended(self, client: Client) -> None: ...
+    def remove(self, client: Client) -> None:
+        """Forget a connection that has ended."""
 
 
 class Client:
-    def __init__(self, sock: socket.socket, owner: Owner, now: int) -> None:
+    """A client's connection; `run` is the body of the one thread that reads from it.
+
+    Other threads may write the answer, and may close the connection by `expire`.
+    """
+
+    def __init__(self, sock: socket.socket, owner: ClientOwner, now: int) -> None:
         self.sock = sock
         self.owner = owner
         self.state = FRESH
-        self.since = now
-        self.bound = now  # before which nothing that is read next can have come
-        self.keep = True
-        self.errors = 0
-        self.served = 0
-        self.chunked = self.unframed = self.reset = False
-        self.last = self.blind = False
-        self.group = ""  # the class of the submission under way, and its answer's status
-        self.status = 0
-        self.head = False  # whether the answer has no body, as to HEAD
+        self.state_since = now
+        self.received_after = now  # lower bound of the arrival time of what is read next
+        self.keep_alive = True
+        self.consecutive_errors = 0
+        self.requests_served = 0
+        self.chunked = self.until_close = self.was_reset = False
+        self.draining = self.close_undetectable = False
+        self.class_name = ""  # of the submission in progress, if its class is known
+        self.status = 0  # of its answer
+        self.head_only = False  # the request is HEAD, so the response has no body
         self.upload: Upload | None = None
-        self.broken = False  # whether it broke a body off, or sent it too slowly
-        self.got = 0  # of a request that is not whole
-        self.inside = False  # at the entrance, which others wait for
+        self.upload_failed = False  # the client broke off a body or sent it too slowly
+        self.partial_bytes = 0  # received of an incomplete request
+        self.holds_slot = False  # of the admission gate
         self.answered = threading.Event()
-        self.gate = threading.Lock()
-        self.outgoing = Ring(MOST_HEAD + MOST_BODY + 1024)
+        self.state_lock = threading.Lock()
+        self.write_buffer = Ring(MAX_HEAD_BYTES + MAX_BODY_BYTES + 1024)
 
     # -- reading, by the connection's own thread
 
     def run(self) -> None:
+        """Serve the connection until it ends, then close it."""
         try:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            # Guards the thread that answers against a client that does not read.
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, LONGEST_WRITE)
-            arrival.mark(self.sock)
-            self.bound = arrival.latest(self.sock, self.since)
-            self.read()
-            while self.state == CLOSING and not self.reset and self.sock.recv_into(SINK, 0, socket.MSG_TRUNC):
-                pass  # guards the answer: closed with bytes unread, it would be lost on its way
+            # A client that does not read its response must not block the thread that writes it for ever.
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, WRITE_TIMEOUT)
+            arrival.enable_timestamps(self.sock)
+            self.received_after = arrival.last_received_at(self.sock, self.state_since)
+            self.read_requests()
+            while (
+                self.state == CLOSING
+                and not self.was_reset
+                and self.sock.recv_into(DISCARD_BUFFER, 0, socket.MSG_TRUNC)
+            ):
+                pass  # close() with unread bytes sends a reset, which could destroy the answer in transit
         except OSError:
-            pass  # the client has broken the connection off
-        except Exception as trouble:  # ends this connection only
-            self.owner.dispatcher.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
+            pass  # the client closed or reset the connection
+        except Exception as error:  # must end this connection only
+            self.owner.dispatcher.events.event("fault", text=f"{type(error).__name__}: {error}")
         finally:
-            self.leave()
-            self.owner.ended(self)
+            self.release_slot()
+            self.owner.remove(self)
             self.sock.close()
 
-    def read(self) -> None:
-        """Until the connection is to be closed."""
-        parser = RequestParser(MOST_UPLOAD)
-        intake = self.owner.dispatcher.entrance.intake
-        told = False
-        arrived = 0
+    def read_requests(self) -> None:
+        """Read and serve requests until the connection is to be closed."""
+        parser = RequestParser(MAX_UPLOAD_BYTES)
+        queue = self.owner.dispatcher.admission_gate.queue
+        continue_sent = False
+        received_at = 0
         while True:
             try:
                 request = parser.next()
-                if request is None and parser.long():
-                    request = parser.checked(parser.message)
+                if request is None and parser.is_long():
+                    request = parser.normalize(parser.message)
                     self.upload = Upload(self, parser)
-            except Malformed as trouble:
-                if self.enter(BUSY):
-                    self.refuse(trouble, False)
+            except MalformedMessageError as error:
+                if self.set_state(BUSY):
+                    self.send_error(error, False)
                 return
             if request is not None:
-                if not self.enter(BUSY):
+                if not self.set_state(BUSY):
                     return
-                if self.upload is not None and not told and parser.awaited():
+                if self.upload is not None and not continue_sent and parser.awaits_continue():
                     self.sock.sendall(writing.CONTINUE)
-                self.serve(request, arrived)
+                self.serve(request, received_at)
                 if self.upload is not None:
-                    if not self.upload.whole and not self.broken:
-                        with suppress(Abandoned):
+                    if not self.upload.complete and not self.upload_failed:
+                        with suppress(UploadError):
                             self.upload.discard()
                     self.upload = None
-                    if self.broken:
-                        self.enter(CLOSING)
-                told = False
-                if not self.enter(IDLE if parser.idle() else PARTIAL):
+                    if self.upload_failed:
+                        self.set_state(CLOSING)
+                continue_sent = False
+                if not self.set_state(IDLE if parser.is_idle() else PARTIAL):
                     return
                 continue
-            self.leave()  # not to be held while we wait, whatever was made of what came
-            if not told and parser.awaited():
-                told = True
+            self.release_slot()  # never held while waiting for the client's bytes
+            if not continue_sent and parser.awaits_continue():
+                continue_sent = True
                 self.sock.sendall(writing.CONTINUE)
-            count, arrived = arrival.receive(self.sock, parser.ring.room(), self.bound)
+            count, received_at = arrival.receive(self.sock, parser.ring.writable(), self.received_after)
             if not count:
-                if parser.idle() or not self.cut_short():
+                if parser.is_idle() or not self.is_read_shutdown():
                     return
                 continue
-            parser.ring.wrote(count)
-            self.got += count
-            if parser.step == START and intake.is_full() and self.turned_away(parser, arrived):
-                if not self.enter(IDLE):
+            parser.ring.commit(count)
+            self.partial_bytes += count
+            if parser.state == START and queue.is_full() and self.reject_early(parser, received_at):
+                if not self.set_state(IDLE):
                     return
-                time.sleep(intake.read_pause / 1e6)
+                time.sleep(queue.read_pause / 1e6)
                 continue
-            if self.state != PARTIAL and not self.enter(PARTIAL):
+            if self.state != PARTIAL and not self.set_state(PARTIAL):
                 return
 
-    def cut_short(self) -> bool:
-        """Whether reading has ended by our own doing, in the middle of what the client still sends.
+    def is_read_shutdown(self) -> bool:
+        """Whether a read that returned nothing did so because `expire` shut the read side down.
 
-        Then what comes wakes nobody any more: it waits a step, for who asks to look again.
+        The client may then still be sending, but a read no longer blocks until its bytes arrive; so this
+        waits for POLL_INTERVAL_S and the caller reads again.
         """
-        if not self.last or self.gone():
+        if not self.draining or self.has_left():
             return False
-        time.sleep(STEP_S)
+        time.sleep(POLL_INTERVAL_S)
         return True
 
-    def enter(self, state: int) -> bool:
-        """Go on to a state of the connection, unless it is being closed; what crossed its end is served."""
-        with self.gate:
-            if self.state == CLOSING or self.state == LAST and state == IDLE:
+    def set_state(self, state: int) -> bool:
+        """Enter a state, or return False if the connection is to end.
+
+        A draining connection may still enter BUSY or PARTIAL: its request was sent before the shutdown.
+        """
+        with self.state_lock:
+            if self.state == CLOSING or self.state == DRAINING and state == IDLE:
                 return False
             if self.state == FRESH:
                 self.owner.fresh.pop(self, None)
-            if self.state == LAST:
-                self.last = True
-                self.keep = False
+            if self.state == DRAINING:
+                self.draining = True
+                self.keep_alive = False
             self.state = state
-            self.since = self.bound = clock.now()
-            self.got = 0
+            self.state_since = self.received_after = clock.now()
+            self.partial_bytes = 0
         return True
 
-    def turned_away(self, parser: RequestParser, arrived: int) -> bool:
-        """Ask to be taken up before anything costs, at a glance.
+    def reject_early(self, parser: RequestParser, received_at: int) -> bool:
+        """Ask the admission gate before parsing, and answer 503 if it refuses; False if it doesn't.
 
-        Guards a core that is short of time: what it can't serve must not cost it as much as what it can, so
-        there is no parsing, no turn at the lock, and the connection is kept.
+        On an overloaded core a rejection must be much cheaper than a served request: it needs neither parsing
+        nor the dispatcher's lock, and the connection stays open.
         """
-        seen = parser.glance()
-        if seen is None:
+        peeked = parser.peek_request()
+        if peeked is None:
             return False
-        size, name, expires, retry = seen
-        self.head = False
+        size, name, expires, retry = peeked
+        self.head_only = False
         dispatcher = self.owner.dispatcher
-        config, terms = dispatcher.serving
-        tariff = config.request_classes.get(name)
-        if tariff is None or not self.enter(BUSY):
+        config, terms = dispatcher.active_config
+        request_class = config.request_classes.get(name)
+        if request_class is None or not self.set_state(BUSY):
             return False
-        patience = terms[tariff].request_class.deadline
+        deadline = terms[request_class].request_class.deadline
         if expires:
-            patience = min(patience, int(expires) * 1000)
-        usual = terms[tariff].typical_latency
-        self.inside = dispatcher.entrance.enter(arrived, arrived + patience, tariff, retry, usual)
-        if self.inside:
+            deadline = min(deadline, int(expires) * 1000)
+        typical_latency = terms[request_class].typical_latency
+        self.holds_slot = dispatcher.admission_gate.enter(
+            received_at, received_at + deadline, request_class, retry, typical_latency
+        )
+        if self.holds_slot:
             return False
-        parser.ring.drop(size)
-        self.group = name
-        self.keep = not self.last
+        parser.ring.consume(size)
+        self.class_name = name
+        self.keep_alive = not self.draining
         self.answer(
-            answers.deferred(dispatcher.entrance.intake.retry_after(tariff)), not dispatcher.leaving()
+            answers.rejected(dispatcher.admission_gate.queue.retry_after(request_class)),
+            not dispatcher.closes_connections(),
         )
         return True
 
-    def resume(self) -> None:
-        """Wait for a place to go on with what was taken up."""
-        self.owner.dispatcher.entrance.again()
-        self.inside = True
+    def acquire_slot(self) -> None:
+        """Wait for a slot to go on with a request that was admitted earlier."""
+        self.owner.dispatcher.admission_gate.reenter()
+        self.holds_slot = True
 
-    def leave(self, out: int = 0) -> None:
-        """Others may have the place, if this has one; `out` is how long ago the answer passed on came."""
-        if not self.inside:
+    def release_slot(self, delay: int = 0) -> None:
+        """Release the slot, if it is held; `delay`: how long a received response waited to be passed on."""
+        if not self.holds_slot:
             return
-        with self.gate:
-            inside, self.inside = self.inside, False
-        if inside:
-            self.owner.dispatcher.entrance.leave(out)
+        with self.state_lock:
+            held_slot, self.holds_slot = self.holds_slot, False
+        if held_slot:
+            self.owner.dispatcher.admission_gate.leave(delay)
 
-    def serve(self, request: Request, arrived: int) -> None:
-        """Carry a request to its final answer."""
+    def serve(self, request: Request, received_at: int) -> None:
+        """Run a request up to its final answer."""
         dispatcher = self.owner.dispatcher
-        self.served += 1
+        self.requests_served += 1
         try:
-            exchange = self.taken_up(request, arrived)
+            exchange = self.start_submission(request, received_at)
         finally:
-            self.leave()
+            self.release_slot()
         if exchange is None:
             return
         try:
-            dispatcher.carry(exchange)
+            dispatcher.run_hops(exchange)
         except Exception:
-            dispatcher.failed(exchange)
+            dispatcher.abort_exchange(exchange)
             raise
-        if exchange.left and self.last:
-            self.answer(answers.FORFEITED, False)  # guards what crossed our end; its client may go then
-        elif exchange.left:
-            self.group = ""
-            self.enter(CLOSING)
+        if exchange.client_left and self.draining:
+            # The request crossed our shutdown, after which its client may have closed its own side as well;
+            # it must still be answered.
+            self.answer(answers.FAILED, False)
+        elif exchange.client_left:
+            self.class_name = ""
+            self.set_state(CLOSING)
         else:
-            self.answered.wait()  # by the timers, if patience has ended
+            self.answered.wait()  # set by the timer thread if the deadline has passed
 
-    def taken_up(self, request: Request, arrived: int) -> Exchange | None:
-        """The submission, its first hop still to be carried out; None if its client is answered or gone."""
+    def start_submission(self, request: Request, received_at: int) -> Exchange | None:
+        """Submit a request, its first hop still to be run; None if the client was answered or has left."""
         dispatcher = self.owner.dispatcher
-        self.keep = request.keeps() and not self.last
-        self.head = request.method == "HEAD"
+        self.keep_alive = request.keeps_alive() and not self.draining
+        self.head_only = request.method == "HEAD"
         if request.target == "/up" and request.method in ("GET", "HEAD"):
-            if dispatcher.leaving():
-                self.answer(answers.SENT_AWAY, False)
+            if dispatcher.closes_connections():
+                self.answer(answers.OUT_OF_SERVICE, False)
             else:
                 self.answer(answers.READY if dispatcher.balancer.ready else answers.NOT_READY, True)
             return None
-        config, terms = dispatcher.serving
-        name = request.header(TARIFF)
-        self.group = name if name in config.request_classes else ""
+        config, terms = dispatcher.active_config
+        name = request.header(CLASS_HEADER)
+        self.class_name = name if name in config.request_classes else ""
         try:
-            what = asked(request, config.request_classes, config.settings.request_classes)
-        except Malformed as trouble:
-            self.refuse(trouble, True)
+            params = parse_submission(request, config.request_classes, config.settings.request_classes)
+        except MalformedMessageError as error:
+            self.send_error(error, True)
             return None
-        if self.owner.crowded():
-            # All connections that the limits allow are in use: nothing went out, so trying again is harmless.
-            # The connection stays: a new one would cost more than this answer.
-            self.owner.refused["no room"] += 1
+        if self.owner.is_over_limit():
+            # All connections that the limits allow are in use.  Nothing was sent to a server, so a retry is
+            # safe.  The connection stays open: a new one would cost more than this answer.
+            self.owner.bad_requests["no room"] += 1
             self.answer(
-                answers.deferred(dispatcher.balancer.fixed_retry_after(terms[what.tariff])),
-                not dispatcher.leaving(),
+                answers.rejected(dispatcher.balancer.fixed_retry_after(terms[params.request_class])),
+                not dispatcher.closes_connections(),
             )
             return None
-        if not self.inside:
-            usual = terms[what.tariff].typical_latency
-            self.inside = dispatcher.entrance.enter(
-                arrived, arrived + what.patience, what.tariff, what.retry, usual
+        if not self.holds_slot:
+            typical_latency = terms[params.request_class].typical_latency
+            self.holds_slot = dispatcher.admission_gate.enter(
+                received_at,
+                received_at + params.deadline,
+                params.request_class,
+                params.retry,
+                typical_latency,
             )
-            if not self.inside:
+            if not self.holds_slot:
                 self.answer(
-                    answers.deferred(dispatcher.entrance.intake.retry_after(what.tariff)),
-                    not dispatcher.leaving(),
+                    answers.rejected(dispatcher.admission_gate.queue.retry_after(params.request_class)),
+                    not dispatcher.closes_connections(),
                 )
                 return None
-        if clock.now() - arrived > LATE and self.gone():
-            self.group = ""
-            self.enter(CLOSING)  # guards a crowded core: nobody waits for this one any more
+        if clock.now() - received_at > CLIENT_CHECK_AFTER_US and self.has_left():
+            self.class_name = ""
+            self.set_state(CLOSING)  # a busy core should not work for a client that has left
             return None
-        # The way out will take about as long as a thread now waits for its turn: guards against patience that
-        # ends unseen on a crowded core.  A quarter at most: a hiccup must not cost what could be served.
-        allowance = min(ALLOWANCE, what.patience // 20) + min(dispatcher.pace.behind, what.patience // 4)
-        patience = what.patience - allowance
-        until = arrived + (patience if self.upload is None else FAR)
-        if dispatcher.ends < until and self.upload is None:
-            until = dispatcher.ends  # guards what comes late against the end of the process
-        exchange = Exchange(self, what.trace, request, until, dispatcher, self.upload, patience, arrived)
+        # Delivering the answer takes about as long as threads now wait to run; on a busy core the deadline
+        # would otherwise pass before the answer is sent.  At most a quarter of the deadline: a short stall
+        # must not fail requests that could still be served.
+        allowance = min(DELIVERY_ALLOWANCE_US, params.deadline // 20) + min(
+            dispatcher.delay_monitor.delay, params.deadline // 4
+        )
+        deadline = params.deadline - allowance
+        deadline_at = received_at + (deadline if self.upload is None else MAX_UPLOAD_US)
+        if dispatcher.shutdown_at < deadline_at and self.upload is None:
+            deadline_at = dispatcher.shutdown_at  # the process ends then
+        exchange = Exchange(
+            self, params.trace_id, request, deadline_at, dispatcher, self.upload, deadline, received_at
+        )
         self.answered.clear()
         try:
-            if dispatcher.take(exchange, terms[what.tariff], what.key, what.retry):
-                self.errors = 0
+            if dispatcher.submit(exchange, terms[params.request_class], params.key, params.retry):
+                self.consecutive_errors = 0
                 return exchange
         except Exception:
-            dispatcher.failed(exchange)
+            dispatcher.abort_exchange(exchange)
             raise
-        self.refuse(Malformed(409, "id of a request that is open, or was just now"), True)
+        self.send_error(MalformedMessageError(409, "id of a request that is open, or was just now"), True)
         return None
 
-    def refuse(self, trouble: Malformed, keep: bool) -> None:
-        self.owner.refused[str(trouble)] += 1
-        self.errors += 1
-        # Guards the core against a client that sends the same again as soon as it is told what is wrong.
-        self.answer(answers.plain(trouble.status, str(trouble)), keep and self.errors < MOST_ERRORS)
+    def send_error(self, error: MalformedMessageError, keep_alive: bool) -> None:
+        """Answer a malformed request; after several in a row the connection is closed."""
+        self.owner.bad_requests[str(error)] += 1
+        self.consecutive_errors += 1
+        # A client that repeats the same malformed request at once would otherwise keep a core busy.
+        self.answer(
+            answers.text_answer(error.status, str(error)),
+            keep_alive and self.consecutive_errors < MAX_CONSECUTIVE_ERRORS,
+        )
 
-    # -- answering, by whichever thread ended the submission
+    # -- answering, by the thread that ended the submission
 
-    def answer(self, answer: answers.Answer, keep: bool) -> None:
-        self.keep = keep and self.keep
+    def answer(self, answer: answers.Answer, keep_alive: bool) -> None:
+        """Write the final answer and finish the request."""
+        self.keep_alive = keep_alive and self.keep_alive
         self.status = answer.status
-        if self.head:
-            self.write(writing.response(answer.status, answer.headers, b"", self.keep, len(answer.body)))
+        if self.head_only:
+            self.write(
+                writing.response(answer.status, answer.headers, b"", self.keep_alive, len(answer.body))
+            )
         else:
-            self.write(writing.response(*answer, self.keep))
+            self.write(writing.response(*answer, self.keep_alive))
         self.finish()
 
-    def begin(self, answer: answers.Answer, length: int, keep: bool) -> None:
-        """The head of an answer that is passed on as it comes; `more` has its body, or `cut` ends it."""
-        self.keep = keep and self.keep and length != writing.NO_LENGTH
+    def start_response(self, answer: answers.Answer, length: int, keep_alive: bool) -> None:
+        """Write the head of a streamed response; `write_body` or `abort_response` must follow."""
+        self.keep_alive = keep_alive and self.keep_alive and length != writing.UNTIL_CLOSE
         self.status = answer.status
         self.chunked = length == writing.CHUNKED
-        self.unframed = length == writing.NO_LENGTH
-        self.write(writing.response(*answer, self.keep, length))
+        self.until_close = length == writing.UNTIL_CLOSE
+        self.write(writing.response(*answer, self.keep_alive, length))
 
-    def more(self, piece: bytes, last: bool) -> bool:
-        """Whether the client still takes it."""
-        done = self.write(writing.chunk(piece, last) if self.chunked else piece)
+    def write_body(self, piece: bytes, last: bool) -> bool:
+        """Write a piece of a streamed body; False if the client does not receive it."""
+        written = self.write(writing.chunk(piece, last) if self.chunked else piece)
         if last:
             self.finish()
-        return done
+        return written
+
+    def abort_response(self) -> None:
+        """End a streamed response whose rest will not come.
 
-    def cut(self) -> None:
-        """The rest of the answer will not come: the client can tell, as it lacks its end or is reset."""
-        self.keep = False
+        The client can tell: a framed body lacks its end, and a body that ends at the close is reset.
+        """
+        self.keep_alive = False
         self.status = 502
-        self.finish(self.unframed)
+        self.finish(self.until_close)
 
     def write(self, data: bytes) -> bool:
-        rest = memoryview(data)
+        """Write all of the data; False if the connection broke or timed out."""
+        remaining = memoryview(data)
         try:
-            while rest:
-                rest = rest[self.outgoing.put(rest) :]
-                while len(self.outgoing):
-                    self.outgoing.drop(self.send(self.outgoing.data()))
+            while remaining:
+                remaining = remaining[self.write_buffer.write(remaining) :]
+                while len(self.write_buffer):
+                    self.write_buffer.consume(self.send(self.write_buffer.readable()))
         except OSError:
-            self.keep = False  # gone, or it does not read: what it has is not whole
+            self.keep_alive = False  # the client left or does not read: the response is incomplete
             return False
         return True
 
     def send(self, data: memoryview) -> int:
+        """Send what the socket accepts, blocking if it accepts nothing."""
         try:
             return self.sock.send(data, socket.MSG_DONTWAIT)
         except BlockingIOError:
-            # Guards the places, and all who wait for them, against clients that do not read.
-            self.leave()
+            # While this blocks, a client that does not read must not hold a slot that others wait for.
+            self.release_slot()
             return self.sock.send(data)
 
     def finish(self, reset: bool = False) -> None:
-        self.outgoing.rest()
-        if self.group:
-            self.owner.dispatcher.figures.submission_finished(self.group, self.status)
-            self.group = ""
-        if not self.keep:
-            self.enter(CLOSING)
+        """Count the answer, shut the connection down unless it is kept alive, and wake its thread."""
+        self.write_buffer.shrink()
+        if self.class_name:
+            self.owner.dispatcher.metrics.submission_finished(self.class_name, self.status)
+            self.class_name = ""
+        if not self.keep_alive:
+            self.set_state(CLOSING)
             if reset:
                 with suppress(OSError):
-                    self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             else:
-                self.shut(socket.SHUT_WR)
-            self.reset = reset
+                self.shutdown(socket.SHUT_WR)
+            self.was_reset = reset
         self.answered.set()
 
-    def gone(self) -> bool:
-        """Whether the client has closed its connection, as far as that has come."""
-        return self.broken or not self.blind and arrival.gone(self.sock)
+    def has_left(self) -> bool:
+        """Whether the client is known to have closed the connection, or failed to send its body."""
+        return self.upload_failed or not self.close_undetectable and arrival.is_closed(self.sock)
 
     # -- closing, by other threads
 
     def expire(self, state: int) -> bool:
-        """Have the connection end if it is still in that state.
+        """End the connection if it is still in the given state; returns whether it was.
 
-        Between requests only its own thread closes it, once it has looked for what came meanwhile.  Guards
-        what was sent long before on a crowded core: its thread may be late by a second, with it in its hands.
+        A connection between requests is closed only by its own thread, after it has read what had arrived by
+        then: on a busy core that thread may be a second late, and the request it is about to read must not be
+        lost.  An incomplete request is answered 408.
         """
-        with self.gate:
-            if self.state != state or state == PARTIAL and self.unread():
+        with self.state_lock:
+            if self.state != state or state == PARTIAL and self.has_unread_bytes():
                 return False
-            self.state = LAST if state in (FRESH, IDLE) else CLOSING
-            self.since = self.bound = clock.now()
+            self.state = DRAINING if state in (FRESH, IDLE) else CLOSING
+            self.state_since = self.received_after = clock.now()
         if state == PARTIAL:
-            self.owner.refused["unfinished"] += 1
-            late = answers.plain(408, "unfinished")
+            self.owner.bad_requests["unfinished"] += 1
+            timeout_answer = answers.text_answer(408, "unfinished")
             with suppress(OSError):
-                self.sock.send(writing.response(*late, False), socket.MSG_DONTWAIT)
-            self.shut(socket.SHUT_WR)
+                self.sock.send(writing.response(*timeout_answer, False), socket.MSG_DONTWAIT)
+            self.shutdown(socket.SHUT_WR)
         else:
-            self.blind = arrival.ended(self.sock, socket.SHUT_RDWR if state == CLOSING else socket.SHUT_RD)
+            self.close_undetectable = arrival.shutdown(
+                self.sock, socket.SHUT_RDWR if state == CLOSING else socket.SHUT_RD
+            )
         return True
 
-    def unread(self) -> bool:
-        """Whether its thread only has to come to read what is there."""
+    def has_unread_bytes(self) -> bool:
+        """Whether bytes are waiting that the connection's thread has not read yet."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
             return False
 
-    def shut(self, how: int) -> None:
-        with suppress(OSError):  # the client was first
+    def shutdown(self, how: int) -> None:
+        """Shut the socket down (`how` as in socket.shutdown), even if the client closed it first."""
+        with suppress(OSError):  # already closed by the client
             self.sock.shutdown(how)
--- a/pumicepath/sidecar/clock.py
+++ b/pumicepath/sidecar/clock.py
@@ -1,25 +1,30 @@
-"""Whole microseconds of the monotonic clock, a day at the start, so that earlier times lie above 0."""
+"""The sidecar's clock: whole microseconds of the monotonic clock.
+
+It starts at one day, so that times before the start of the process are positive as well.
+"""
 
 from __future__ import annotations
 
 import time
 
-ORIGIN = time.monotonic_ns() // 1000 - 86_400_000_000
+EPOCH_US = time.monotonic_ns() // 1000 - 86_400_000_000
 
 
 def now() -> int:
-    return time.monotonic_ns() // 1000 - ORIGIN
+    """Return the current time."""
+    return time.monotonic_ns() // 1000 - EPOCH_US
 
 
-def to_monotonic(then: int) -> int:
-    """A time as another process of this machine knows it."""
-    return then + ORIGIN
+def to_monotonic(time_us: int) -> int:
+    """Convert a time to the machine's monotonic clock, which all processes share."""
+    return time_us + EPOCH_US
 
 
-def since_monotonic(then: int) -> int:
-    return then - ORIGIN
+def from_monotonic(monotonic_us: int) -> int:
+    """Convert a time of the machine's monotonic clock, in microseconds."""
+    return monotonic_us - EPOCH_US
 
 
-def since_unix_ms(then: int) -> int:
-    """A time of the machines' common clock by this one."""
-    return max(1, now() - (time.time_ns() // 1000 - then * 1000))
+def from_unix_ms(unix_ms: int) -> int:
+    """Convert a Unix time in milliseconds; at least 1."""
+    return max(1, now() - (time.time_ns() // 1000 - unix_ms * 1000))
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -1,4 +1,9 @@
-"""The one lock that owns the balancer; its answers become acts that are done once the lock is free."""
+"""Serializes all access to the balancer under one lock and runs its timers.
+
+The balancer's callbacks are called while the lock is held.  They only queue I/O (answers, socket shutdowns,
+log events), which the calling thread does after the lock is released, so that nothing blocks under the lock.
+Times are whole microseconds of `clock.now()`.
+"""
 
 from __future__ import annotations
 
@@ -16,442 +21,507 @@
 from ..interface import ListKind, Outcome, PeerTrials, TimerHandler
 from ..invariants import check_invariant
 from . import answers, clock
+from .admission_gate import AdmissionGate
 from .config import Config
-from .entrance import Entrance
+from .delay_monitor import DelayMonitor
 from .exchange import Exchange, Hop
 from .log import Log
-from .pace import Pace
-from .servers import Link, Pool
-
-FOREVER = (1 << 63) - 1
-TOO_LATE = 10_000  # from when our own threads' delay tells on what servers are judged by
+from .servers import Pool, ServerConnection
 
+NO_DEADLINE_US = (1 << 63) - 1
+MAX_THREAD_DELAY_US = 10_000  # above this scheduling delay of our own threads, latency timers are postponed
 
-Serving = tuple[Config, tuple[ClassState, ...]]
+# The configuration and the terms of its request classes, in the order of the configuration.
+ActiveConfig = tuple[Config, tuple[ClassState, ...]]
 
 
-class Turn:
-    """A call on the balancer, and what it led to."""
+class PendingCall:
+    """A call to run under the lock, its error, and the work that it queued for afterwards."""
 
-    __slots__ = ("call", "after", "fault", "done")
+    __slots__ = ("call", "after_unlock", "error", "done")
 
     def __init__(self, call: Callable[[int], None]) -> None:
         self.call = call
-        self.after: list[Callable[[], None]] = []
-        self.fault: Exception | None = None
+        self.after_unlock: list[Callable[[], None]] = []
+        self.error: Exception | None = None
         self.done: threading.Lock | None = None
 
 
-class Later:
-    """A submission's alarm, put off once."""
+class PostponedTimer:
+    """A submission's timer, postponed once because our own threads were late."""
 
-    __slots__ = ("whom",)
+    __slots__ = ("handler",)
 
-    def __init__(self, whom: Submission) -> None:
-        self.whom = whom
+    def __init__(self, handler: Submission) -> None:
+        self.handler = handler
 
     def is_finished(self) -> bool:
-        return self.whom.is_finished()
+        """Whether the submission has ended, so that the timer can be dropped."""
+        return self.handler.is_finished()
 
     def on_timer(self, now: int) -> None:
-        self.whom.on_timer(now)
+        """Run the submission's timer."""
+        self.handler.on_timer(now)
 
 
 class Dispatcher:
-    def __init__(self, config: Config, log: Log, follow: Callable[[], None]) -> None:
+    """Owns the balancer, the open exchanges and the timers, and is the balancer's host.
+
+    Public methods may be called from any thread unless their docstring says that the lock must be held.
+    """
+
+    def __init__(self, config: Config, log: Log, on_list_request: Callable[[], None]) -> None:
         self.events = log
-        self.on_follow = follow
+        self.on_list_request = on_list_request
         self.lock = threading.Lock()
-        self.waiting: deque[Turn] = deque()
-        self.due = threading.Event()
-        self.rest: float | None = None
-        self.alarms: list[tuple[int, int, TimerHandler]] = []
-        self.set_alarms = 0
-        self.closing: list[Callable[[], None]] = []
-        self.after: list[Callable[[], None]] = []
+        self.pending_calls: deque[PendingCall] = deque()
+        self.timers_changed = threading.Event()
+        self.timer_wait_s: float | None = None
+        self.timers: list[tuple[int, int, TimerHandler]] = []
+        self.timer_sequence = 0
+        self.pending_closes: list[Callable[[], None]] = []
+        self.after_unlock: list[Callable[[], None]] = []
         self.exchanges: dict[int, Exchange] = {}
-        self.taken = 0
+        self.admitted = 0
         self.draining = False  # since SIGTERM
-        self.ends = FOREVER  # by when all that is taken has to be answered, known from then on
-        self.emptied = False  # by an operator, until it is called back
-        self.figures = Metrics()
-        self.loaded = self.invalid = 0
+        self.shutdown_at = NO_DEADLINE_US  # when all admitted requests must be answered, set on SIGTERM
+        self.out_of_service = False  # this sidecar, by an operator
+        self.metrics = Metrics()
+        self.config_loads = self.config_failures = 0
         self.pool = Pool(self, config, log)
-        self.traces: set[str] = set()
-        self.expiring: deque[tuple[int, str]] = deque()
+        self.trace_ids: set[str] = set()
+        self.trace_expiries: deque[tuple[int, str]] = deque()
         self.balancer = Balancer(config.settings, config.seed, self)
-        # What requests are read by, replaced as one: whoever reads one takes it once and keeps to it.
-        self.serving: Serving = (config, self.balancer.class_states)
-        self.longest = max(tariff.deadline for tariff in config.settings.request_classes)
-        self.entrance = Entrance(config)
-        self.pace = Pace(self, self.entrance)
+        # Replaced as a whole: a thread reads it once per request and uses that one until the answer.
+        self.active_config: ActiveConfig = (config, self.balancer.class_states)
+        self.max_deadline = max(tariff.deadline for tariff in config.settings.request_classes)
+        self.admission_gate = AdmissionGate(config)
+        self.delay_monitor = DelayMonitor(self, self.admission_gate)
 
     # -- the lock and the timers
 
-    def decide(self, call: Callable[[int], None]) -> None:
-        """Run a call on the balancer under the lock, then what it led to without it.
+    def run_locked(self, call: Callable[[int], None]) -> None:
+        """Run a call under the lock, then, without the lock, the work that it queued; re-raise its exception.
 
-        Guards against a convoy: with hundreds of threads at the lock, each would have to wait for the
-        interpreter while it owns it.  Whoever has the lock runs the calls of those that wait, and wakes them.
+        The thread that holds the lock also runs the calls of the threads that wait for it (flat combining).
+        With a plain lock and hundreds of threads, each owner would have to wait for the interpreter lock
+        while all others wait for that owner (a lock convoy).
         """
-        turn = Turn(call)
+        pending = PendingCall(call)
         if self.lock.acquire(False):
-            self.run(turn)
-            self.run_waiting()
+            self.run_call(pending)
+            self.run_pending_calls()
         else:
-            turn.done = threading.Lock()
-            turn.done.acquire()
-            self.waiting.append(turn)
-            if self.lock.acquire(False):  # let go just before
-                self.run_waiting()
-            turn.done.acquire()
-        self.act(turn.after)
-        if turn.fault is not None:
-            raise turn.fault
-
-    def run(self, turn: Turn) -> None:
+            pending.done = threading.Lock()
+            pending.done.acquire()
+            self.pending_calls.append(pending)
+            if self.lock.acquire(False):  # released between the two attempts
+                self.run_pending_calls()
+            pending.done.acquire()
+        self.run_actions(pending.after_unlock)
+        if pending.error is not None:
+            raise pending.error
+
+    def run_call(self, pending: PendingCall) -> None:
+        """Run one call with the lock held and collect the work that it queued."""
         try:
-            turn.call(clock.now())
-        except Exception as trouble:  # told to the caller once what was decided before it is done
-            turn.fault = trouble
-        turn.after, self.after = self.closing + self.after, []
-        self.closing = []
-
-    def run_waiting(self) -> None:
-        """With the lock, which is free afterwards; what waits then has found it free or is run here."""
+            pending.call(clock.now())
+        except Exception as error:  # raised in the caller after the work queued before it
+            pending.error = error
+        pending.after_unlock, self.after_unlock = self.pending_closes + self.after_unlock, []
+        self.pending_closes = []
+
+    def run_pending_calls(self) -> None:
+        """Run all queued calls and release the lock, which the caller must hold.
+
+        The queue is checked again after the release: a thread that queued its call just before that may have
+        found the lock taken and now waits for someone to run it.
+        """
         while True:
-            while self.waiting:
-                turn = self.waiting.popleft()
-                self.run(turn)
-                if turn.done is not None:
-                    turn.done.release()
+            while self.pending_calls:
+                pending = self.pending_calls.popleft()
+                self.run_call(pending)
+                if pending.done is not None:
+                    pending.done.release()
             self.lock.release()
-            if not self.waiting or not self.lock.acquire(False):
+            if not self.pending_calls or not self.lock.acquire(False):
                 return
 
-    def act(self, after: list[Callable[[], None]]) -> None:
-        for each in after:
+    def run_actions(self, actions: list[Callable[[], None]]) -> None:
+        """Run queued work without the lock; exceptions are logged."""
+        for action in actions:
             try:
-                each()
-            except Exception as trouble:  # one connection's fault must not keep others from their answers
-                self.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
+                action()
+            except Exception as error:  # a failure on one connection must not stop the others' answers
+                self.events.event("fault", text=f"{type(error).__name__}: {error}")
 
     def run_timers(self) -> None:
+        """Run due timers for as long as the process lives; the body of the timer thread."""
         while True:
-            self.decide(self.ring)
-            self.due.wait(self.rest)
-            self.due.clear()
-
-    def ring(self, now: int) -> None:
-        while self.alarms and self.alarms[0][0] <= now:
-            whom = heappop(self.alarms)[2]
-            if type(whom) is Submission and self.pace.behind > TOO_LATE and not whom.is_finished():
-                # Guards servers against being judged by how late our own threads are: the answer may have
-                # come, and wait to be read.
-                self.set_timer(now + self.pace.behind, Later(whom))
+            self.run_locked(self.fire_timers)
+            self.timers_changed.wait(self.timer_wait_s)
+            self.timers_changed.clear()
+
+    def fire_timers(self, now: int) -> None:
+        """Run all timers that are due; called with the lock held."""
+        while self.timers and self.timers[0][0] <= now:
+            handler = heappop(self.timers)[2]
+            if (
+                type(handler) is Submission
+                and self.delay_monitor.delay > MAX_THREAD_DELAY_US
+                and not handler.is_finished()
+            ):
+                # Our own threads are late, so the response may already be in the socket's buffer, unread.
+                # Running the timer now would count our delay as the server's latency.
+                self.set_timer(now + self.delay_monitor.delay, PostponedTimer(handler))
                 continue
             try:
-                whom.on_timer(now)
-            except Exception as trouble:  # the thread answers for all silent servers and must go on
-                self.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
-        self.drop_idle_alarms()
-        self.rest = max(0.0, (self.alarms[0][0] - now) / 1e6) if self.alarms else None
-
-    def drop_idle_alarms(self) -> None:
-        """Guards the core against being woken for each submission that has ended long before its alarms."""
-        while self.alarms:
-            whom = self.alarms[0][2]
-            if not isinstance(whom, (Submission, Exchange, Later)) or not whom.is_finished():
+                handler.on_timer(now)
+            except Exception as error:  # this thread ends all timed-out submissions and must go on
+                self.events.event("fault", text=f"{type(error).__name__}: {error}")
+        self.drop_finished_timers()
+        self.timer_wait_s = max(0.0, (self.timers[0][0] - now) / 1e6) if self.timers else None
+
+    def drop_finished_timers(self) -> None:
+        """Drop timers of finished submissions at the head of the queue, which would only wake the thread."""
+        while self.timers:
+            handler = self.timers[0][2]
+            if not isinstance(handler, (Submission, Exchange, PostponedTimer)) or not handler.is_finished():
                 return
-            heappop(self.alarms)
+            heappop(self.timers)
 
-    # -- what happens to submissions
+    # -- configuration and submissions
 
-    def adopt(self, config: Config) -> None:
-        """Go by another configuration, in one step; what has been read ends under what it was read by."""
+    def apply_config(self, config: Config) -> None:
+        """Switch to another configuration atomically; requests that were read before keep the old one."""
 
         def call(now: int) -> None:
             self.balancer.apply_settings(now, config.settings)
-            self.pool.adopt(config)
-            self.serving = (config, self.balancer.class_states)
-            self.longest = max(self.longest, *(tariff.deadline for tariff in config.settings.request_classes))
+            self.pool.apply_config(config)
+            self.active_config = (config, self.balancer.class_states)
+            self.max_deadline = max(
+                self.max_deadline, *(tariff.deadline for tariff in config.settings.request_classes)
+            )
 
-        self.entrance.adopt(config)
-        self.decide(call)
+        self.admission_gate.apply_config(config)
+        self.run_locked(call)
 
-    def take(self, exchange: Exchange, terms: ClassState, key: int, retry: bool) -> bool:
-        """Whether it was taken.
+    def submit(self, exchange: Exchange, terms: ClassState, key: int, retry: bool) -> bool:
+        """Submit an exchange to the balancer; False if its trace id is in use.
 
-        Guards a submission that may still run against another one under its id, until its patience is over.
+        A trace id stays in use until the submission's deadline, even when it has been answered: a hop of it
+        may still run at a server, and servers identify submissions by this id.
         """
 
         def call(now: int) -> None:
-            while self.expiring and self.expiring[0][0] <= now:
-                self.traces.discard(self.expiring.popleft()[1])
-            if exchange.trace in self.traces:
+            while self.trace_expiries and self.trace_expiries[0][0] <= now:
+                self.trace_ids.discard(self.trace_expiries.popleft()[1])
+            if exchange.trace_id in self.trace_ids:
                 return
-            self.traces.add(exchange.trace)
-            self.expiring.append((min(exchange.until, now + self.longest), exchange.trace))
-            self.taken += 1
-            exchange.number = self.taken
+            self.trace_ids.add(exchange.trace_id)
+            self.trace_expiries.append(
+                (min(exchange.deadline_at, now + self.max_deadline), exchange.trace_id)
+            )
+            self.admitted += 1
+            exchange.number = self.admitted
             self.exchanges[exchange.number] = exchange
-            exchange.handle = self.balancer.submit_with(
-                now, exchange.number, terms, key, retry, exchange.until, exchange.upload is not None
+            exchange.submission = self.balancer.submit_with(
+                now, exchange.number, terms, key, retry, exchange.deadline_at, exchange.upload is not None
             )
             if not exchange.answered and exchange.upload is None:
-                self.set_timer(exchange.until, exchange)
-            self.forget(exchange)
+                self.set_timer(exchange.deadline_at, exchange)
+            self.remove_if_finished(exchange)
 
-        self.decide(call)
+        self.run_locked(call)
         return exchange.number > 0
 
-    def carry(self, exchange: Exchange) -> None:
-        """By the client's thread: carry out the hops, one after the other, until none follows."""
-        while exchange.pending:
-            hop = exchange.pending.popleft()
-            link = hop.link
-            assert isinstance(link, Link)
+    def run_hops(self, exchange: Exchange) -> None:
+        """Run the exchange's hops one after the other until no further one is pending.
+
+        Called by the client's thread, which does the I/O of the hops.
+        """
+        while exchange.pending_hops:
+            hop = exchange.pending_hops.popleft()
+            connection = hop.connection
+            assert isinstance(connection, ServerConnection)
             try:
-                outcome, response, reuse = link.carry(hop)
+                outcome, response, reuse = connection.run_hop(hop)
             except Exception:
-                self.decide(lambda now, link=link: self.dropped(link))  # type: ignore[misc]
+                self.run_locked(lambda now, failed=connection: self.discard_connection(failed))  # type: ignore[misc]
                 raise
-            exchange.client.resume()
+            exchange.client.acquire_slot()
             try:
-                self.returned(hop, link, outcome, response, reuse)
+                self.complete_hop(hop, connection, outcome, response, reuse)
             finally:
-                exchange.client.leave(clock.now() - hop.came if hop.came else 0)
+                exchange.client.release_slot(clock.now() - hop.received_at if hop.received_at else 0)
 
-    def dropped(self, link: Link) -> None:
-        link.hop = None
-        link.kill()
+    def discard_connection(self, connection: ServerConnection) -> None:
+        """Close a connection whose hop ended with an exception; called with the lock held."""
+        connection.hop = None
+        connection.close()
 
-    def whole(self, hop: Hop) -> None:
+    def upload_received(self, hop: Hop) -> None:
+        """Start the deadline of a submission whose body was streamed, now that its last byte has arrived."""
         exchange = hop.exchange
 
         def call(now: int) -> None:
-            if exchange.answered or exchange.handle is None:
+            if exchange.answered or exchange.submission is None:
                 return
-            exchange.until = min(now + exchange.patience, self.ends)
-            exchange.handle.body_complete(now, hop.number, exchange.until)
-            self.set_timer(exchange.until, exchange)
+            exchange.deadline_at = min(now + exchange.deadline, self.shutdown_at)
+            exchange.submission.body_complete(now, hop.number, exchange.deadline_at)
+            self.set_timer(exchange.deadline_at, exchange)
 
-        self.decide(call)
+        self.run_locked(call)
 
-    def returned(
-        self, hop: Hop, link: Link, outcome: Outcome, response: Response | None, reuse: bool
+    def complete_hop(
+        self, hop: Hop, connection: ServerConnection, outcome: Outcome, response: Response | None, reuse: bool
     ) -> None:
-        """A hop has ended; its connection is ready for another, or it is closed."""
+        """Report the outcome of a hop, and return its connection to the pool if `reuse`, else close it."""
         exchange = hop.exchange
-        left = outcome != Outcome.OK and not exchange.answered and exchange.client.gone()
+        client_left = outcome != Outcome.OK and not exchange.answered and exchange.client.has_left()
 
         def call(now: int) -> None:
-            link.hop = None
+            connection.hop = None
             if reuse:
-                self.pool.put(now, link)
+                self.pool.release(now, connection)
             else:
-                link.kill()
-            if left and not exchange.answered and exchange.handle is not None:
-                # Nobody waits for a further hop.
-                exchange.answered = exchange.left = True
-                exchange.handle.client_left(now)
+                connection.close()
+            if client_left and not exchange.answered and exchange.submission is not None:
+                # No further hop is needed: the client has closed its connection.
+                exchange.answered = exchange.client_left = True
+                exchange.submission.client_left(now)
             if hop.ended:
                 return
             if outcome == Outcome.OK and response is not None and not exchange.answered:
                 self.answer(exchange, answers.succeeded(response))
-            self.end(now, hop, Outcome.CANCELLED if hop.cancelled else outcome)
+            self.end_hop(now, hop, Outcome.CANCELLED if hop.cancelled else outcome)
+
+        self.run_locked(call)
 
-        self.decide(call)
+    def response_started(self, hop: Hop) -> None:
+        """Tell the balancer that the first bytes of a response have arrived."""
 
-    def started(self, hop: Hop) -> None:
         def call(now: int) -> None:
-            if not hop.ended and hop.exchange.handle is not None:
-                hop.exchange.handle.response_started(now, hop.number)
+            if not hop.ended and hop.exchange.submission is not None:
+                hop.exchange.submission.response_started(now, hop.number)
+
+        self.run_locked(call)
 
-        self.decide(call)
+    def stream_response(self, hop: Hop, parser: ResponseParser) -> bool:
+        """Start to stream a response that is too large to buffer; False if it can't be the final answer.
 
-    def pass_on(self, hop: Hop, parser: ResponseParser) -> bool:
-        """Guards the memory limit: an answer too long to be held is passed on as it comes.
+        Holding it until it is complete would exceed the memory limit.
 
-        For the balancer the hop has ended: what slows the rest may be the client, and nothing cuts it.
+        The hop ends here for the balancer, as the rest may be slowed down by the client as well as by the
+        server, and no timer ends it.
         """
-        exchange, begun = hop.exchange, parser.begun()
-        if begun is None:
+        exchange, incoming = hop.exchange, parser.incoming()
+        if incoming is None:
             return False
-        head, length = begun
+        head, length = incoming
         if not isinstance(head, Response) or head.status != 200:
             return False
         if length == writing.CHUNKED and not exchange.request.minor:
-            length = writing.NO_LENGTH
+            length = writing.UNTIL_CLOSE
 
         def call(now: int) -> None:
-            if not exchange.answered and not hop.ended and not hop.cancelled and exchange.handle is not None:
+            if (
+                not exchange.answered
+                and not hop.ended
+                and not hop.cancelled
+                and exchange.submission is not None
+            ):
                 exchange.answered = hop.ended = True
-                exchange.handle.hop_finished(
-                    now, hop.number, Outcome.OK, max(hop.at, hop.came) - hop.at, True
+                exchange.submission.hop_finished(
+                    now, hop.number, Outcome.OK, max(hop.started_at, hop.received_at) - hop.started_at, True
                 )
-                self.forget(exchange)
-                passed.append(True)
+                self.remove_if_finished(exchange)
+                accepted.append(True)
 
-        passed: list[bool] = []
-        self.decide(call)
-        if passed:
-            exchange.client.begin(answers.succeeded(head), length, not self.leaving())
-        return bool(passed)
+        accepted: list[bool] = []
+        self.run_locked(call)
+        if accepted:
+            exchange.client.start_response(answers.succeeded(head), length, not self.closes_connections())
+        return bool(accepted)
 
-    def failed(self, exchange: Exchange) -> None:
-        """A fault of our own on the client's side: hops are called off and the client is told."""
+    def abort_exchange(self, exchange: Exchange) -> None:
+        """Close the hops of an exchange and answer 502, after an exception in the client's thread."""
 
         def call(now: int) -> None:
             for hop in exchange.hops:
                 hop.ended = True
-                hop.link.hop = None
-                hop.link.kill()
+                hop.connection.hop = None
+                hop.connection.close()
             if not exchange.answered:
-                self.answer(exchange, answers.FORFEITED)
+                self.answer(exchange, answers.FAILED)
             self.exchanges.pop(exchange.number, None)
 
-        self.decide(call)
+        self.run_locked(call)
 
-    def end(self, now: int, hop: Hop, outcome: Outcome) -> None:
+    def end_hop(self, now: int, hop: Hop, outcome: Outcome) -> None:
+        """Report a hop's outcome to the balancer once; called with the lock held."""
         if hop.ended:
             return
         hop.ended = True
-        if hop.link.hop is hop:
-            hop.link.kill()
+        if hop.connection.hop is hop:
+            hop.connection.close()
         exchange = hop.exchange
-        if exchange.handle is not None:
-            # By when it reached this machine: what our threads took to read it is not the server's.
-            came = max(hop.at, hop.came) if outcome == Outcome.OK and hop.came else now
-            exchange.handle.hop_finished(now, hop.number, outcome, came - hop.at, exchange.answered)
-        self.forget(exchange)
+        if exchange.submission is not None:
+            # Measured up to when the kernel received the last bytes: the server is not charged for the time
+            # that our threads took to read them.
+            end = max(hop.started_at, hop.received_at) if outcome == Outcome.OK and hop.received_at else now
+            exchange.submission.hop_finished(
+                now, hop.number, outcome, end - hop.started_at, exchange.answered
+            )
+        self.remove_if_finished(exchange)
 
     def answer(self, exchange: Exchange, answer: answers.Answer) -> None:
+        """Queue the final answer of an exchange, of which there is exactly one; called with the lock held."""
         if check_invariant(not exchange.answered, "second final answer"):
             exchange.answered = True
             client = exchange.client
-            self.after.append(lambda: client.answer(answer, not self.leaving()))
+            self.after_unlock.append(lambda: client.answer(answer, not self.closes_connections()))
 
-    def forget(self, exchange: Exchange) -> None:
+    def remove_if_finished(self, exchange: Exchange) -> None:
+        """Forget an exchange that has its final answer and no hop in flight; called with the lock held."""
         if exchange.is_finished():
             self.exchanges.pop(exchange.number, None)
-            exchange.hops.clear()  # they know it, and would keep each other until the next collection
+            exchange.hops.clear()  # breaks the reference cycle, so that both are freed at once
 
-    def leaving(self) -> bool:
-        """Whether clients are sent away: every answer ends its connection."""
-        return self.draining or self.emptied
+    def closes_connections(self) -> bool:
+        """Whether every response closes its connection, because this sidecar drains or is out of service."""
+        return self.draining or self.out_of_service
 
-    def by_hand(self, name: str, out: bool, certain: bool = False) -> bool:
-        """Take a server out, or let it serve again; nothing more goes to it from the return on."""
+    def set_out_of_service(self, name: str, out: bool, certain: bool = False) -> bool:
+        """Take a server out of service (`out`) or back into it; False if it is unknown or too many are out.
+
+        Once this has returned, no request is written to a server that is out of service.  `certain`: the
+        other process of a hot restart knows the server, so it is accepted even if this one's list lacks it.
+        """
 
         def call(now: int) -> None:
             if self.balancer.set_out_of_service(now, stable_id(name), out, certain):
-                self.pool.by_hand(stable_id(name), out)
-                done.append(True)
+                self.pool.set_out_of_service(stable_id(name), out)
+                accepted.append(True)
 
-        done: list[bool] = []
-        self.decide(call)
-        return bool(done)
+        accepted: list[bool] = []
+        self.run_locked(call)
+        return bool(accepted)
 
-    def accompany(self, companions: PeerTrials | None) -> None:
-        """Have trials of sick servers agreed on with other sidecars, or each one's own again."""
+    def set_peer_trials(self, peer_trials: PeerTrials | None) -> None:
+        """Coordinate half-open trials of unhealthy servers with other sidecars, or with none of them."""
 
         def call(now: int) -> None:
-            self.balancer.peer_trials = companions
+            self.balancer.peer_trials = peer_trials
 
-        self.decide(call)
+        self.run_locked(call)
 
-    def put_off(self, server: int, wait: int) -> None:
-        """What another sidecar says of a server whose breaker may be open here."""
-        self.decide(lambda now: self.balancer.postpone_trial(now, server, wait))
+    def postpone_trial(self, server: int, wait: int) -> None:
+        """Postpone the half-open trial of a server by `wait`, or allow it now if 0, as others report."""
+        self.run_locked(lambda now: self.balancer.postpone_trial(now, server, wait))
 
-    def handed(self) -> tuple[dict[int, int], dict[int, int]]:
-        """The servers out by hand and those back that may be cold, with the times since when."""
+    def operator_state(self) -> tuple[dict[int, int], dict[int, int]]:
+        """Servers that an operator took out of service, and those put back, with the times of the changes."""
 
         def call(now: int) -> None:
-            told.append((dict(self.balancer.out_of_service), dict(self.balancer.returned_at)))
+            states.append((dict(self.balancer.out_of_service), dict(self.balancer.returned_at)))
+
+        states: list[tuple[dict[int, int], dict[int, int]]] = []
+        self.run_locked(call)
+        return states[0]
 
-        told: list[tuple[dict[int, int], dict[int, int]]] = []
-        self.decide(call)
-        return told[0]
+    def inherit_operator_state(self, out_of_service: dict[int, int], back_in_service: dict[int, int]) -> None:
+        """Take over what operators told the old process; must be called before the first server list."""
+        self.balancer.out_of_service, self.balancer.returned_at = out_of_service, back_in_service
+        self.pool.out_of_service = set(out_of_service)
 
-    def inherit(self, by_hand: dict[int, int], returned: dict[int, int]) -> None:
-        """Before the first list: what the process before this one was told by hand."""
-        self.balancer.out_of_service, self.balancer.returned_at = by_hand, returned
-        self.pool.barred = set(by_hand)
+    def scale_connection_limit(self, numerator: int, denominator: int) -> None:
+        """Limit the pool to a fraction of its connections.
 
-    def share(self, part: int, parts: int) -> None:
-        """Hold only so many connections to servers: guards the limits while two processes share them."""
-        self.decide(lambda now: self.pool.share(part, parts))
+        During a hot restart two processes share the limits of memory and descriptors.
+        """
+        self.run_locked(lambda now: self.pool.scale_limit(numerator, denominator))
 
-    def standing(self) -> tuple[int, int]:
-        """How many servers are listed, and how many of them avoided."""
+    def server_counts(self) -> tuple[int, int]:
+        """The number of listed servers, and how many of them are avoided."""
 
         def call(now: int) -> None:
-            told.append(self.balancer.server_counts())
+            counts.append(self.balancer.server_counts())
+
+        counts: list[tuple[int, int]] = []
+        self.run_locked(call)
+        return counts[0]
 
-        told: list[tuple[int, int]] = []
-        self.decide(call)
-        return told[0]
+    def update_servers(self, kind: ListKind, update: ServerListUpdate, elapsed: int = 0) -> None:
+        """Apply a server list, or note that fetching one failed (kind FAILED) after `elapsed` us."""
 
-    def listed(self, kind: ListKind, update: ServerListUpdate, spent: int = 0) -> None:
         def call(now: int) -> None:
-            alone = self.balancer.settings.only_draining_removes
+            drain_alone = self.balancer.settings.only_draining_removes
             if kind != ListKind.FAILED:
-                self.pool.listed(update, alone)
-            self.balancer.update_servers(now, kind, update.entries, spent)
-            if alone:
-                self.pool.prune(self.balancer.index_by_id)
+                self.pool.update_servers(update, drain_alone)
+            self.balancer.update_servers(now, kind, update.entries, elapsed)
+            if drain_alone:
+                self.pool.keep_only(self.balancer.index_by_id)
 
-        self.decide(call)
+        self.run_locked(call)
 
-    # -- the outlet of the balancer, called under the lock
+    # -- callbacks of the balancer and of connections; called with the lock held, except `hop_sent`
 
     def send(self, submission: int, server: int, timeout: int) -> None:
+        """Choose a connection for the next hop and queue it for the client's thread."""
         exchange = self.exchanges[submission]
         now = clock.now()
-        ends = min(exchange.until, now + timeout) if timeout > 0 else exchange.until
-        hop = Hop(exchange, len(exchange.hops), server, now, ends)
+        ends_at = min(exchange.deadline_at, now + timeout) if timeout > 0 else exchange.deadline_at
+        hop = Hop(exchange, len(exchange.hops), server, now, ends_at)
         exchange.hops.append(hop)
-        hop.link = self.pool.link_for(now, hop)
-        exchange.pending.append(hop)
+        hop.connection = self.pool.connection_for(now, hop)
+        exchange.pending_hops.append(hop)
         if timeout > 0:
             self.set_timer(now + timeout, hop)
 
     def reject(self, submission: int, retry_in: int) -> None:
-        self.answer(self.exchanges[submission], answers.deferred(retry_in))
+        """Answer 503 with the time after which the client may retry, in microseconds."""
+        self.answer(self.exchanges[submission], answers.rejected(retry_in))
 
     def fail(self, submission: int) -> None:
-        self.answer(self.exchanges[submission], answers.FORFEITED)
+        """Answer 502: the submission may have run at a server, and no further hop is allowed."""
+        self.answer(self.exchanges[submission], answers.FAILED)
 
-    def sent(self) -> None:
-        self.figures.count("sends")
+    def hop_sent(self) -> None:
+        """Count a request that was written completely."""
+        self.metrics.count("sends")
 
     def cancel(self, submission: int, hop: int) -> None:
-        given_up = self.exchanges[submission].hops[hop]
-        given_up.cancelled = True
-        given_up.link.kill()
+        """Abort a hop by closing its connection."""
+        cancelled_hop = self.exchanges[submission].hops[hop]
+        cancelled_hop.cancelled = True
+        cancelled_hop.connection.close()
 
     def probe(self, server: int) -> None:
-        """No decision asks for probes yet."""
+        """Do nothing: the balancer does not request probes yet."""
 
     def close_idle_connections(self, server: int) -> None:
-        self.pool.free(server)
+        """Close the idle connections to a server."""
+        self.pool.close_idle(server)
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """The platform says nothing of messages between sidecars: the hint is lost, as hints may be."""
+        """Drop the message: the platform has no channel for hints between sidecars, and hints may be lost."""
 
     def request_server_list(self) -> None:
-        self.after.append(self.on_follow)
+        """Request the server list once the lock is released."""
+        self.after_unlock.append(self.on_list_request)
 
-    def close(self, act: Callable[[], None]) -> None:
-        self.closing.append(act)
+    def close_after_unlock(self, action: Callable[[], None]) -> None:
+        """Queue a socket shutdown, done after the lock is released and before all other queued work."""
+        self.pending_closes.append(action)
 
-    def set_timer(self, at: int, whom: TimerHandler) -> None:
-        self.set_alarms += 1
-        heappush(self.alarms, (at, self.set_alarms, whom))
-        if self.alarms[0][1] == self.set_alarms:
-            self.due.set()
+    def set_timer(self, at: int, handler: TimerHandler) -> None:
+        """Set a timer; it is dropped early only if its submission has ended."""
+        self.timer_sequence += 1
+        heappush(self.timers, (at, self.timer_sequence, handler))
+        if self.timers[0][1] == self.timer_sequence:
+            self.timers_changed.set()
 
     def log(self, text: str) -> None:
-        self.after.append(lambda: self.events.event("mode", text=text))
+        """Queue a log event with a text of the balancer."""
+        self.after_unlock.append(lambda: self.events.event("mode", text=text))
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from ..discovery.server_list import Address, BadList, parse_address
-from ..http1.messages import Malformed
+from ..http1.messages import MalformedMessageError
 from . import clock
 from .watching import CONNECT_TIMEOUT_S, new_socket
 
@@ -46,7 +46,7 @@
         watcher, relay_selector = self.watcher, self.relay_selector
         watcher.failures += 1
         self.last_error = f"{type(error).__name__}: {error}"
-        expected = isinstance(error, (OSError, Malformed, BadList))
+        expected = isinstance(error, (OSError, MalformedMessageError, BadList))
         if watcher.failures == 1 or not expected:
             watcher.dispatcher.events.event(
                 "watch_failed" if expected else "fault", text=self.last_error, relay=relay_selector.current
@@ -75,7 +75,7 @@
                 silent_s=round(now - self.answered_at, 3) if self.current_relay else 0.0,
             )
             if self.current_relay:
-                watcher.dispatcher.figures.count("relay_changes")
+                watcher.dispatcher.metrics.count("relay_changes")
             self.current_relay = relay_selector.current
         self.answered_at = now
         stale = watch.stale_regions()
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -27,7 +27,7 @@
 from .dispatch import Dispatcher
 from .hot_restart import Handover, HotRestart, request_handover
 from .log import Log
-from .servers import start
+from .servers import start_thread
 from .watching import Watcher
 
 if TYPE_CHECKING:
@@ -70,7 +70,7 @@
     # of threads a short interval uses up a whole core, and is not needed: all of them soon wait for a socket.
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     log = Log(config.name)
-    server_list = ServerList(config.zones, clock.since_unix_ms, config.kinds)
+    server_list = ServerList(config.zones, clock.from_unix_ms, config.kinds)
     config = with_list_numbers(config, server_list)
     handover = request_handover(config.listen) if config.admin else None
     known, raw_list = initial_list(server_list, config, handover)
@@ -101,27 +101,27 @@
         )
     except OSError as error:
         raise ConfigError(f"cannot listen on {format_address(config.admin)}: {error.strerror}") from error
-    start(log.run)
-    start(dispatcher.run_timers)
-    start(watcher.run)
+    start_thread(log.run)
+    start_thread(dispatcher.run_timers)
+    start_thread(watcher.run)
     if peers is not None:
-        peers.on_trial_postponed = dispatcher.put_off
+        peers.on_trial_postponed = dispatcher.postpone_trial
         if shares_trials(config.peers):
-            dispatcher.accompany(peers.shared_trials)
-        start(peers.run)
+            dispatcher.set_peer_trials(peers.shared_trials)
+        start_thread(peers.run)
     if handover is not None:
-        dispatcher.inherit(handover.out_of_service, handover.back_in_service)
-        dispatcher.emptied = handover.drained_by_operator
-    dispatcher.listed(ListKind.CACHED, known)
+        dispatcher.inherit_operator_state(handover.out_of_service, handover.back_in_service)
+        dispatcher.out_of_service = handover.drained_by_operator
+    dispatcher.update_servers(ListKind.CACHED, known)
     if config.pushed:
         watcher.request_list()
         # From here on this sidecar counts as notified of whatever discovery has, while the file's list is
         # old: without waiting, requests could go to servers that are draining.
         watcher.first_call_done.wait(FIRST_LIST_TIMEOUT_S)
-    dispatcher.decide(dispatcher.pool.on_timer)
-    dispatcher.decide(clients.on_timer)
-    dispatcher.decide(dispatcher.pace.on_timer)
-    dispatcher.decide(ProblemReporter(dispatcher, clients).on_timer)
+    dispatcher.run_locked(dispatcher.pool.on_timer)
+    dispatcher.run_locked(clients.on_timer)
+    dispatcher.run_locked(dispatcher.delay_monitor.on_timer)
+    dispatcher.run_locked(ProblemReporter(dispatcher, clients).on_timer)
     gc.collect()
     gc.freeze()
     # Reference counting frees what a submission used when it ends; little is left to collect.
@@ -142,11 +142,11 @@
         **({"peers": peers.listen_address} if peers is not None else {}),
         **({"relays": len(config.relays)} if config.relays else {}),
     )
-    start(clients.run)
+    start_thread(clients.run)
     if admin_server is not None:
         if handover is not None:
             hot_restart.take_over(handover.channel)
-        start(admin_server.run)
+        start_thread(admin_server.run)
     while signal.sigwait(signals) == signal.SIGHUP:
         config = reload(config, path, dispatcher, watcher, log, peers)
     drain(dispatcher, clients, log, peers)
@@ -219,7 +219,7 @@
     try:
         new = configuration.read_replacement(path, config)
     except ConfigError as error:
-        dispatcher.invalid += 1
+        dispatcher.config_failures += 1
         log.event("reload_failed", text=str(error))
         return config
     needs_restart = [
@@ -236,7 +236,7 @@
     )
     if peers is not None and new.peers is not None and new.peers != config.peers:
         peers.apply_voting(new.peers.voting)
-        dispatcher.accompany(peers.shared_trials if shares_trials(new.peers) else None)
+        dispatcher.set_peer_trials(peers.shared_trials if shares_trials(new.peers) else None)
     before, after = config.settings, with_list_numbers(new, watcher.watch.server_list).settings
     changed = after != before or (new.zones, new.idle_timeout_us, new.connect_timeout_us) != (
         config.zones,
@@ -244,7 +244,7 @@
         config.connect_timeout_us,
     )
     if changed:
-        dispatcher.adopt(replace(new, settings=after))
+        dispatcher.apply_config(replace(new, settings=after))
     wait_us = 2 * min(before.poll_interval, after.poll_interval)
     if (new.relays, new.services) != (config.relays, config.services):
         relay_selector = watcher.relay_selector if new.relays == config.relays else create_relay_selector(new)
@@ -256,7 +256,7 @@
     elif changed or new.discovery != config.discovery:
         # The old wait, and what the old discovery reported, will soon no longer be valid.
         watcher.move(new.discovery, wait_us, new.pushed)
-    dispatcher.loaded += 1
+    dispatcher.config_loads += 1
     log.event(
         "reloaded",
         discovery=f"{new.discovery.host}:{new.discovery.port}",
@@ -323,13 +323,13 @@
 
     def on_timer(self, now: int) -> None:
         """Log what has been counted since the last call, and set the timer for the next one."""
-        self.dispatcher.figures.apply_pending()
+        self.dispatcher.metrics.apply_pending()
         count = sum(invariants.violation_counts.values())
         if count > self.reported:
             self.reported = count
             self.dispatcher.events.event("invariant_broken", counts=dict(invariants.violation_counts))
-        bad_answers = self.dispatcher.pool.spoilt
-        for event, counts in (("bad_requests", self.clients.refused), ("bad_answers", bad_answers)):
+        bad_answers = self.dispatcher.pool.bad_answers
+        for event, counts in (("bad_requests", self.clients.bad_requests), ("bad_answers", bad_answers)):
             if counts:
                 self.dispatcher.events.event(event, counts=dict(counts))
                 counts.clear()
@@ -343,16 +343,16 @@
     """
     started_at = monotonic()
     dispatcher.draining = True
-    deadline_s = dispatcher.longest / 1e6
-    dispatcher.ends = clock.now() + dispatcher.longest + LATE_ANSWER_GRACE_US
+    deadline_s = dispatcher.max_deadline / 1e6
+    dispatcher.shutdown_at = clock.now() + dispatcher.max_deadline + LATE_ANSWER_GRACE_US
     if peers is not None:
         peers.release_duties()
     log.event("draining", clients=len(clients.open), out=len(dispatcher.exchanges))
     while monotonic() - started_at < ACCEPT_AFTER_SIGTERM_S:
         sleep(0.01)
-    clients.stop()
+    clients.stop_accepting()
     while monotonic() - started_at < deadline_s + SHUTDOWN_GRACE_S:
-        queue_empty = clients.empty_queue()
+        queue_empty = clients.drain_backlog()
         clients.close_idle()
         if queue_empty and not clients.open:
             break
@@ -363,7 +363,7 @@
         "stopped",
         after_s=round(monotonic() - started_at, 3),
         clients=len(clients.open),
-        taken=dispatcher.taken,
+        taken=dispatcher.admitted,
         broken=invariants.violation_counts,
     )
     log.flush()
--- a/pumicepath/sidecar/servers.py
+++ b/pumicepath/sidecar/servers.py
@@ -1,4 +1,8 @@
-"""Connections to servers: the thread that carries a submission dials, writes and reads them."""
+"""Connections to servers and their pool.
+
+Connecting, writing and reading block, and are done by the client's thread that runs a hop.  Times are whole
+microseconds of `clock.now()`.
+"""
 
 from __future__ import annotations
 
@@ -12,375 +16,418 @@
 
 from ..discovery.server_list import Address, ServerListUpdate
 from ..http1 import writing
-from ..http1.messages import Malformed, Response
-from ..http1.parsing import MOST_BODY, MOST_HEAD, ResponseParser
+from ..http1.messages import MalformedMessageError, Response
+from ..http1.parsing import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResponseParser
 from ..http1.ring import Ring
 from ..interface import Outcome, ServerState
 from . import arrival, clock
 from .config import Config
-from .exchange import Abandoned, Hop, Owner, Upload
+from .exchange import ExchangeOwner, Hop, Upload, UploadError
 from .log import Log
 
-DEADLINE = "x-expires-in-ms"
-NEVER_RAN = "X-Never-Ran"
-ENOUGH = 5  # rests of about one length, from which their resets tell something
-KEPT = 0.99  # of what is known about rests, from one look at the connections to the next
-MOST_ANSWER = 40 << 20  # what says that it is larger is taken for spoilt
-PAST = 5_000  # of a dial past the end of its hop, which has timed out by then
-UNMOVED = struct.pack("ll", 10, 0)  # for how long nothing may move of what goes through as it comes
-UNBOUND = struct.pack("ll", 0, 0)
+DEADLINE_HEADER = "x-expires-in-ms"
+NEVER_RAN_HEADER = "X-Never-Ran"
+MIN_SAMPLES = 5  # uses after idle times of similar length, below which resets are not judged
+DECAY = 0.99  # of those counts, each time the idle connections are checked
+MAX_RESPONSE_BYTES = 40 << 20  # larger responses count as malformed
+DIAL_GRACE_US = 5_000  # how long a connect may outlast its hop, which the timers have ended by then
+STALL_TIMEOUT = struct.pack("ll", 10, 0)  # 10 s without progress while streaming a body, as a struct timeval
+NO_TIMEOUT = struct.pack("ll", 0, 0)
+
 
+class ServerInstance(NamedTuple):
+    """One run of a server's process at an address; connections to it can't be used for the next run."""
 
-class Origin(NamedTuple):
-    """One run of a server's process at its address; connections to it are of no use to the next."""
+    address: Address
+    started_at: int
 
-    where: Address
-    came_up: int
 
+class ServerConnection:
+    """One connection to a server; `hop` and `closed` change under the dispatcher's lock only.
 
-class Link:
-    """One connection; `hop` and `dead` change under the dispatcher's lock only."""
+    Without an instance there was no capacity for another connection, and a hop on it fails at once.
+    """
 
-    def __init__(self, pool: Pool, server: int, origin: Origin | None) -> None:
+    def __init__(self, pool: Pool, server: int, instance: ServerInstance | None) -> None:
         self.pool = pool
         self.server = server
-        self.origin = origin
+        self.instance = instance
         self.hop: Hop | None = None
         self.sock: socket.socket | None = None
-        self.outgoing = Ring(MOST_HEAD + MOST_BODY + 1024)
-        self.parser = ResponseParser(MOST_ANSWER)
-        self.dead = False
+        self.write_buffer = Ring(MAX_HEAD_BYTES + MAX_BODY_BYTES + 1024)
+        self.parser = ResponseParser(MAX_RESPONSE_BYTES)
+        self.closed = False
         self.idle_since = 0
-        self.got = 0  # bytes read so far
+        self.bytes_read = 0  # in total
 
-    def kill(self) -> None:
-        """Nothing goes out on it any more; whoever carries a hop on it wakes up and finds it broken.
+    def close(self) -> None:
+        """Make sure that nothing more is sent; a thread that runs a hop on it is woken by an error.
 
-        It is shut once the lock is free, ahead of all else that was decided: guards the lock, whose owner
-        would lose the interpreter to hundreds of threads in any call that may block.
+        Called with the lock held.  The socket is shut down only after the lock is released, before other
+        queued work: a call that may block gives up the interpreter lock, and with hundreds of threads it
+        would take long to get it back while all others wait for the dispatcher's lock.
         """
-        if not self.dead:
-            self.dead = True
-            self.pool.gone(self)
-            if self.sock is not None:  # else not connected yet: `dead` is looked at before a byte is written
-                self.pool.owner.close(self.shut)
+        if not self.closed:
+            self.closed = True
+            self.pool.remove(self)
+            if self.sock is not None:  # else not connected yet; `closed` is checked before the first write
+                self.pool.owner.close_after_unlock(self.shutdown)
         if self.hop is None and self.sock is not None:
-            self.pool.owner.close(self.sock.close)
+            self.pool.owner.close_after_unlock(self.sock.close)
 
-    def shut(self) -> None:
-        sock = self.sock  # its own thread may be about to take another
-        with suppress(OSError):  # the server was first
+    def shutdown(self) -> None:
+        """Shut the socket down, which wakes a thread that blocks on it."""
+        sock = self.sock  # the connection's thread may replace it at any time
+        with suppress(OSError):  # already closed by the server
             if sock is not None:
                 sock.shutdown(socket.SHUT_RDWR)
 
-    def quiet(self) -> bool:
-        """Whether an idle connection is still open, and nothing came on it that nobody asked for.
+    def is_reusable(self) -> bool:
+        """Whether an idle connection is still open and has no unread bytes.
 
-        Guards a hop against a connection that its server has closed, or on which bytes that followed the
-        last answer would be taken for its own.
+        The server may have closed it, and bytes that followed the last response would be taken for the
+        response to the next request.
         """
-        return self.sock is not None and arrival.quiet(self.sock, self.got)
+        return self.sock is not None and arrival.is_quiet(self.sock, self.bytes_read)
 
-    def carry(self, hop: Hop) -> tuple[Outcome, Response | None, bool]:
-        """Send a hop and wait for its answer; also tells whether the connection can be used again."""
-        if self.origin is None:
-            return Outcome.MOOT, None, False  # no room for a connection: nothing went out
+    def run_hop(self, hop: Hop) -> tuple[Outcome, Response | None, bool]:
+        """Send a hop's request and read the response; also returns whether the connection can be reused."""
+        if self.instance is None:
+            return Outcome.MOOT, None, False  # no capacity for a connection: nothing was sent
         try:
-            if self.sock is not None and not self.quiet():
-                self.renew()
+            if self.sock is not None and not self.is_reusable():
+                self.discard_socket()
             if self.sock is None:
-                self.connect(self.origin.where, hop)
-            if not hop.exchange.begins(clock.now(), hop):
-                return Outcome.MOOT, None, not hop.ended  # the connection has carried nothing
-            self.write(hop)
-        except Abandoned:
+                self.connect(self.instance.address, hop)
+            if not hop.exchange.may_write(clock.now(), hop):
+                return Outcome.MOOT, None, not hop.ended  # nothing was sent on the connection
+            self.send_request(hop)
+        except UploadError:
             return Outcome.CANCELLED, None, False
         except OSError:
             return Outcome.CONNECT_FAILED, None, False
         try:
-            outcome, response, reuse = self.read(hop)
-        except Malformed as trouble:
-            self.pool.spoilt[str(trouble)] += 1
+            outcome, response, reuse = self.read_response(hop)
+        except MalformedMessageError as error:
+            self.pool.bad_answers[str(error)] += 1
             outcome, response, reuse = Outcome.ERROR, None, False
         except OSError:
             outcome, response, reuse = Outcome.RESET, None, False
         if self.idle_since:
-            self.pool.rests.note(hop.at - self.idle_since, outcome == Outcome.RESET)
+            self.pool.idle_resets.record(hop.started_at - self.idle_since, outcome == Outcome.RESET)
         return outcome, response, reuse
 
-    def renew(self) -> None:
-        """Guards a hop against what came on a resting connection after it was chosen.
+    def discard_socket(self) -> None:
+        """Drop the socket of an idle connection that became unusable after it was chosen for a hop.
 
-        Its server has closed it, or sent more than an answer: nothing has been written, so a new one will do.
+        The server has closed it, or sent unexpected bytes.  Nothing has been written yet, so the hop can go
+        out on a new socket.
         """
-        old, self.sock = self.sock, None
-        if old is not None:
-            old.close()
-        self.parser = ResponseParser(MOST_ANSWER)
-        self.idle_since = self.got = 0
-
-    def connect(self, where: Address, hop: Hop) -> None:
-        """Dial for no longer than the hop may last; that it is over then is for the timers to say, before.
-
-        Guards what the client sends next against a thread that still dials for what has been answered: not
-        every platform wakes a dial that is shut by another thread.
+        stale, self.sock = self.sock, None
+        if stale is not None:
+            stale.close()
+        self.parser = ResponseParser(MAX_RESPONSE_BYTES)
+        self.idle_since = self.bytes_read = 0
+
+    def connect(self, address: Address, hop: Hop) -> None:
+        """Connect, for little longer than the hop may last; raises OSError.
+
+        Not every platform wakes a blocked connect when another thread shuts the socket down.  Without the
+        limit, the client's next request would wait for this thread although this hop has long been answered.
+        The grace time lets the timers report the end of the hop first.
         """
-        left = min(self.pool.dial, hop.ends + PAST - clock.now())
-        if left <= 0:
+        timeout = min(self.pool.connect_timeout, hop.ends_at + DIAL_GRACE_US - clock.now())
+        if timeout <= 0:
             raise TimeoutError
-        self.sock = sock = socket.socket(socket.AF_INET6 if ":" in where.host else socket.AF_INET)
-        sock.settimeout(left / 1e6)
-        sock.connect(where)
+        self.sock = sock = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET)
+        sock.settimeout(timeout / 1e6)
+        sock.connect(address)
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        arrival.mark(sock)
+        arrival.enable_timestamps(sock)
 
-    def write(self, hop: Hop) -> None:
-        """Raises OSError if the last byte is not written."""
-        if self.dead or hop.ended or self.sock is None or self.pool.origin(self.server) != self.origin:
-            # Guards a server that was taken out, or drains, since the hop was chosen: dialling takes time.
+    def send_request(self, hop: Hop) -> None:
+        """Write the request; raises OSError if that fails, UploadError if the client's body fails."""
+        if self.closed or hop.ended or self.sock is None or self.pool.instance(self.server) != self.instance:
+            # While this thread was connecting, the server may have been drained or taken out of service.
             raise ConnectionAbortedError
-        self.outgoing.put(request(hop, self.origin.where if self.origin else Address("", 0)))
+        self.write_buffer.write(
+            build_request(hop, self.instance.address if self.instance else Address("", 0))
+        )
         self.flush()
         if hop.exchange.upload is not None:
-            self.pass_body(hop, hop.exchange.upload)
-        self.outgoing.rest()
-        self.pool.owner.sent()
+            self.stream_body(hop, hop.exchange.upload)
+        self.write_buffer.shrink()
+        self.pool.owner.hop_sent()
 
     def flush(self) -> None:
-        while len(self.outgoing) and self.sock is not None:
-            self.outgoing.drop(self.sock.send(self.outgoing.data()))
+        """Send all buffered bytes."""
+        while len(self.write_buffer) and self.sock is not None:
+            self.write_buffer.consume(self.sock.send(self.write_buffer.readable()))
 
-    def pass_body(self, hop: Hop, upload: Upload) -> None:
-        """Guards the memory limit: a body too long to be held goes on as it comes."""
+    def stream_body(self, hop: Hop, upload: Upload) -> None:
+        """Pass on a body as it arrives, as it is too long to be buffered within the memory limit."""
         assert self.sock is not None
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, UNMOVED)
-        handle = hop.exchange.handle
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, STALL_TIMEOUT)
+        submission = hop.exchange.submission
         for piece, last in upload.pieces():
-            if handle is not None:
-                handle.body_discarded = True
+            if submission is not None:
+                submission.body_discarded = True
             if last:
-                self.pool.owner.whole(hop)
-            if self.dead or hop.ended:
+                self.pool.owner.upload_received(hop)
+            if self.closed or hop.ended:
                 raise ConnectionAbortedError
             data = memoryview(writing.chunk(piece, last) if upload.length == writing.CHUNKED else piece)
             while data:
-                data = data[self.outgoing.put(data) :]
+                data = data[self.write_buffer.write(data) :]
                 self.flush()
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, UNBOUND)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, NO_TIMEOUT)
+
+    def read_response(self, hop: Hop) -> tuple[Outcome, Response | None, bool]:
+        """Read the response; one too large for the memory limit is streamed to the client as it arrives.
 
-    def read(self, hop: Hop) -> tuple[Outcome, Response | None, bool]:
-        """Read the answer; what is too large to be held until it is whole is passed on as it comes."""
+        Raises MalformedMessageError and OSError.
+        """
         sock, parser, owner = self.sock, self.parser, self.pool.owner
         assert sock is not None
         parser.method = hop.exchange.request.method
         client = hop.exchange.client
-        passing = False
+        streaming = False
         try:
             while True:
-                count, hop.came = arrival.receive(sock, parser.ring.room(min(parser.left, MOST_BODY)), hop.at)
-                parser.ring.wrote(count)
-                self.got += count
-                if self.dead:
-                    # Guards against what we broke off ourselves being taken for an answer that ends there.
+                count, hop.received_at = arrival.receive(
+                    sock, parser.ring.writable(min(parser.remaining, MAX_BODY_BYTES)), hop.started_at
+                )
+                parser.ring.commit(count)
+                self.bytes_read += count
+                if self.closed:
+                    # Closed by this process: the end of the data must not be taken for the end of a response.
                     return Outcome.RESET, None, False
                 if not count:
-                    parser.end()
+                    parser.end_input()
                 response = parser.next()
                 if response is not None:
-                    # What follows a good answer unasked is the connection's trouble, not the answer's.
-                    reuse = response.keeps() and not response.until_close and parser.idle() and count > 0
-                    if passing:
-                        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, UNBOUND)
-                    if passing and client.more(response.body, True):
-                        passing = False
+                    # Unexpected bytes after a valid response make only the connection unusable.
+                    reuse = (
+                        response.keeps_alive() and not response.until_close and parser.is_idle() and count > 0
+                    )
+                    if streaming:
+                        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, NO_TIMEOUT)
+                    if streaming and client.write_body(response.body, True):
+                        streaming = False
                     return outcome_of(response), response, reuse
                 if not count:
                     return Outcome.RESET, None, False
-                if not passing:
-                    owner.started(hop)
-                    if parser.long():
-                        if not (passing := owner.pass_on(hop, parser)):
-                            raise Malformed(502, "answer too large to be held")
-                        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, UNMOVED)
-                if passing and not client.more(parser.taken(), False):
+                if not streaming:
+                    owner.response_started(hop)
+                    if parser.is_long():
+                        if not (streaming := owner.stream_response(hop, parser)):
+                            raise MalformedMessageError(502, "answer too large to be held")
+                        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, STALL_TIMEOUT)
+                if streaming and not client.write_body(parser.take_body(), False):
                     return Outcome.CANCELLED, None, False
         finally:
-            if passing:
-                client.cut()
+            if streaming:
+                client.abort_response()
 
 
-def request(hop: Hop, where: Address) -> bytes:
+def build_request(hop: Hop, address: Address) -> bytes:
+    """Return the bytes of a hop's request, or of its head if its body is streamed."""
     exchange = hop.exchange
-    left = max(1, (exchange.until - clock.now()) // 1000)
-    came = exchange.request
+    expires_in_ms = max(1, (exchange.deadline_at - clock.now()) // 1000)
+    original = exchange.request
     upload = exchange.upload
     if upload is not None:
-        left = max(1, exchange.patience // 1000)
-    headers = [(name, value) for name, value in came.passed_on() if name.lower() != DEADLINE]
-    if not came.all("host"):
-        headers.insert(0, ("Host", f"{where.host}:{where.port}"))  # HTTP/1.0 needs none, HTTP/1.1 does
+        expires_in_ms = max(1, exchange.deadline // 1000)
+    headers = [
+        (name, value) for name, value in original.end_to_end_headers() if name.lower() != DEADLINE_HEADER
+    ]
+    if not original.header_values("host"):
+        headers.insert(0, ("Host", f"{address.host}:{address.port}"))  # HTTP/1.0 needs none, HTTP/1.1 does
     return writing.request(
-        came.method,
-        came.target,
-        [*headers, (DEADLINE, str(left))],
-        came.body,
-        upload.length if upload is not None else writing.WHOLE,
+        original.method,
+        original.target,
+        [*headers, (DEADLINE_HEADER, str(expires_in_ms))],
+        original.body,
+        upload.length if upload is not None else writing.COMPLETE,
     )
 
 
 def outcome_of(response: Response) -> Outcome:
+    """Classify a response; a server marks a rejected request that did not run with X-Never-Ran."""
     if response.status == 200:
         return Outcome.OK
-    if response.status in (503, 504) and response.header(NEVER_RAN) == "1":
+    if response.status in (503, 504) and response.header(NEVER_RAN_HEADER) == "1":
         return Outcome.FULL
     return Outcome.ERROR
 
 
-class Rests:
-    """How often a hop is reset that is the first after a rest of its connection, by how long that was.
+class IdleResetTracker:
+    """Counts how often the first hop on an idle connection is reset, by idle time.
 
-    Guards hops, unrepeatable ones above all, against servers and what lies before them that drop connections
-    sooner than the settings say, and say nothing.
+    Servers, and devices in front of them, may silently drop idle connections earlier than configured.  A hop
+    on such a connection is reset, and a non-idempotent one can't be retried.  Idle times are grouped by
+    powers of two of microseconds, and old counts decay.
     """
 
     def __init__(self) -> None:
-        self.used = [0.0] * 64
-        self.reset = [0.0] * 64
-
-    def note(self, rest: int, reset: bool) -> None:
-        at = rest.bit_length()
-        self.used[at] += 1
-        self.reset[at] += reset
-
-    def fit(self, rest: int) -> bool:
-        """Whether a connection that has rested so long is about as good as others."""
-        at = rest.bit_length()
-        usual = sum(self.reset) / max(1.0, sum(self.used))
-        return self.used[at] < ENOUGH or self.reset[at] < (2 * usual + 0.1) * self.used[at]
+        self.uses = [0.0] * 64
+        self.resets = [0.0] * 64
+
+    def record(self, idle_us: int, reset: bool) -> None:
+        """Count a use after an idle time, and whether it was reset."""
+        bucket = idle_us.bit_length()
+        self.uses[bucket] += 1
+        self.resets[bucket] += reset
+
+    def is_safe(self, idle_us: int) -> bool:
+        """Whether a connection idle for so long is reset about as rarely as others, or little is known."""
+        bucket = idle_us.bit_length()
+        mean_rate = sum(self.resets) / max(1.0, sum(self.uses))
+        return (
+            self.uses[bucket] < MIN_SAMPLES or self.resets[bucket] < (2 * mean_rate + 0.1) * self.uses[bucket]
+        )
 
-    def forget(self) -> None:
-        self.used = [count * KEPT for count in self.used]
-        self.reset = [count * KEPT for count in self.reset]
+    def decay(self) -> None:
+        """Reduce the weight of all counts so far."""
+        self.uses = [count * DECAY for count in self.uses]
+        self.resets = [count * DECAY for count in self.resets]
 
 
 class Pool:
-    """All connections to servers; everything here is called under the dispatcher's lock."""
+    """All connections to servers; methods need the dispatcher's lock unless they say otherwise."""
 
-    def __init__(self, owner: Owner, config: Config, log: Log) -> None:
+    def __init__(self, owner: ExchangeOwner, config: Config, log: Log) -> None:
         self.owner = owner
         self.log = log
-        self.all = self.most = config.max_server_connections
-        self.adopt(config)
-        self.idle: dict[int, list[Link]] = {}
-        self.open = 0
-        self.origins: dict[int, Origin] = {}
-        self.barred: set[int] = set()  # servers out by hand
-        self.spoilt: Counter[str] = Counter()
-        self.rests = Rests()
-
-    def adopt(self, config: Config) -> None:
-        """Go by other settings from now on."""
-        self.dial = config.connect_timeout_us
-        # Well ahead of the server, whose closing would cross a hop that is being written.
-        self.retire = max(
+        self.max_connections = self.connection_limit = config.max_server_connections
+        self.apply_config(config)
+        self.idle: dict[int, list[ServerConnection]] = {}
+        self.open_count = 0
+        self.instances: dict[int, ServerInstance] = {}
+        self.out_of_service: set[int] = set()  # servers, by an operator
+        self.bad_answers: Counter[str] = Counter()
+        self.idle_resets = IdleResetTracker()
+
+    def apply_config(self, config: Config) -> None:
+        """Use the time limits of another configuration from now on."""
+        self.connect_timeout = config.connect_timeout_us
+        # Well before the server's own limit, as its close could cross a request that is being written.
+        self.max_idle = max(
             config.idle_timeout_us // 2,
             min(config.idle_timeout_us * 9 // 10, config.idle_timeout_us - 1_000_000),
         )
 
-    def free(self, server: int) -> None:
+    def close_idle(self, server: int) -> None:
         """Close the idle connections to a server."""
-        for link in self.idle.pop(server, []):
-            link.kill()
+        for connection in self.idle.pop(server, []):
+            connection.close()
 
-    def origin(self, server: int) -> Origin | None:
-        """Where hops to a server go now, from any thread."""
-        return None if server in self.barred else self.origins.get(server)
+    def instance(self, server: int) -> ServerInstance | None:
+        """The instance that hops to a server go to, or None; may be called from any thread."""
+        return None if server in self.out_of_service else self.instances.get(server)
 
-    def by_hand(self, server: int, out: bool) -> None:
-        """Nothing is written to a server that is out, whatever the list says of it."""
+    def set_out_of_service(self, server: int, out: bool) -> None:
+        """Stop writing to a server (`out`), whatever the list says, or use it again."""
         if out:
-            self.barred.add(server)
-            self.free(server)
+            self.out_of_service.add(server)
+            self.close_idle(server)
         else:
-            self.barred.discard(server)
+            self.out_of_service.discard(server)
 
-    def listed(self, update: ServerListUpdate, drain_alone: bool = False) -> None:
-        """Forget servers that want nothing new, and the connections to processes that have ended.
+    def update_servers(self, update: ServerListUpdate, drain_alone: bool = False) -> None:
+        """Forget servers that are draining or gone, and connections to instances that have ended.
 
-        Where only draining binds those that the list drops are kept, until `prune` says which are used.
+        With `drain_alone`, servers missing from the list are kept until `keep_only` tells which are in use.
         """
-        origins = {} if update.whole and not drain_alone else dict(self.origins)
-        for entry, where in zip(update.entries, update.addresses):
+        instances = {} if update.whole and not drain_alone else dict(self.instances)
+        for entry, address in zip(update.entries, update.addresses):
             if entry.state == ServerState.DRAINING or entry.state == ServerState.GONE and not drain_alone:
-                origins.pop(entry.server, None)
+                instances.pop(entry.server, None)
             elif entry.state == ServerState.READY:
-                origins[entry.server] = Origin(where, entry.started_at)
-        self.replace(origins)
+                instances[entry.server] = ServerInstance(address, entry.started_at)
+        self.set_instances(instances)
+
+    def keep_only(self, used: Container[int]) -> None:
+        """Forget all servers except those in `used`."""
+        self.set_instances(
+            {server: instance for server, instance in self.instances.items() if server in used}
+        )
 
-    def prune(self, used: Container[int]) -> None:
-        self.replace({server: origin for server, origin in self.origins.items() if server in used})
+    def set_instances(self, instances: dict[int, ServerInstance]) -> None:
+        """Replace the instances and close the idle connections to those that are gone."""
+        before, self.instances = self.instances, instances
+        for server, instance in before.items():
+            if instances.get(server) != instance:
+                for connection in self.idle.pop(server, []):
+                    connection.close()
 
-    def replace(self, origins: dict[int, Origin]) -> None:
-        before, self.origins = self.origins, origins
-        for server, origin in before.items():
-            if origins.get(server) != origin:
-                for link in self.idle.pop(server, []):
-                    link.kill()
+    def connection_for(self, now: int, hop: Hop) -> ServerConnection:
+        """Return a connection for the hop: the idle one used last, or a new one.
 
-    def link_for(self, now: int, hop: Hop) -> Link:
-        """A connection for the hop: the one used last, or a new one, or one that says there is no room."""
+        At the limit the oldest idle connection makes place; if there is none, the new one has no instance.
+        """
         idle = self.idle.get(hop.server, [])
         while idle:
-            link = idle.pop()
-            rest = now - link.idle_since
-            if rest < self.retire and self.rests.fit(rest) and link.quiet():
-                link.hop = hop
-                return link
-            link.kill()
-        if self.open >= self.most:
-            self.drop_oldest()
-        fresh = Link(self, hop.server, self.origin(hop.server) if self.open < self.most else None)
-        self.open += 1
+            connection = idle.pop()
+            idle_us = now - connection.idle_since
+            if idle_us < self.max_idle and self.idle_resets.is_safe(idle_us) and connection.is_reusable():
+                connection.hop = hop
+                return connection
+            connection.close()
+        if self.open_count >= self.connection_limit:
+            self.close_oldest_idle()
+        fresh = ServerConnection(
+            self, hop.server, self.instance(hop.server) if self.open_count < self.connection_limit else None
+        )
+        self.open_count += 1
         fresh.hop = hop
         return fresh
 
-    def put(self, now: int, link: Link) -> None:
-        if link.dead or self.origin(link.server) != link.origin:
-            link.kill()
+    def release(self, now: int, connection: ServerConnection) -> None:
+        """Put a connection back among the idle ones, or close it if it can't be used again."""
+        if connection.closed or self.instance(connection.server) != connection.instance:
+            connection.close()
         else:
-            link.idle_since = now
-            self.idle.setdefault(link.server, []).append(link)
-
-    def gone(self, link: Link) -> None:
-        self.open -= 1
-        idle = self.idle.get(link.server, [])
-        if link in idle:
-            idle.remove(link)
-
-    def drop_oldest(self) -> bool:
+            connection.idle_since = now
+            self.idle.setdefault(connection.server, []).append(connection)
+
+    def remove(self, connection: ServerConnection) -> None:
+        """Forget a connection that is being closed."""
+        self.open_count -= 1
+        idle = self.idle.get(connection.server, [])
+        if connection in idle:
+            idle.remove(connection)
+
+    def close_oldest_idle(self) -> bool:
+        """Close the connection that has been idle longest; False if none is idle."""
         oldest = min(
-            (idle[0] for idle in self.idle.values() if idle), key=lambda link: link.idle_since, default=None
+            (idle[0] for idle in self.idle.values() if idle),
+            key=lambda connection: connection.idle_since,
+            default=None,
         )
         if oldest is not None:
-            oldest.kill()
+            oldest.close()
         return oldest is not None
 
-    def share(self, part: int, parts: int) -> None:
-        self.most = self.all * part // parts
-        while self.open > self.most and self.drop_oldest():
+    def scale_limit(self, numerator: int, denominator: int) -> None:
+        """Use only a fraction of the connections: during a hot restart two processes share the limits."""
+        self.connection_limit = self.max_connections * numerator // denominator
+        while self.open_count > self.connection_limit and self.close_oldest_idle():
             pass
 
     def on_timer(self, now: int) -> None:
-        """Retire what has stood idle for long, or is no longer of use."""
-        self.rests.forget()
+        """Close connections that have been idle for too long or are unusable, and set the next timer."""
+        self.idle_resets.decay()
         for idle in list(self.idle.values()):
-            for link in list(idle):
-                if now - link.idle_since >= self.retire or not link.quiet():
-                    link.kill()
-        # Never at once again: guards the timers where servers keep no idle connections at all.
-        self.owner.set_timer(now + max(100_000, min(1_000_000, self.retire // 10)), self)
+            for connection in list(idle):
+                if now - connection.idle_since >= self.max_idle or not connection.is_reusable():
+                    connection.close()
+        # At least 0.1 s: where servers keep no idle connections the interval would be 0 and the timer always
+        # due.
+        self.owner.set_timer(now + max(100_000, min(1_000_000, self.max_idle // 10)), self)
 
 
-def start(run: Callable[[], None]) -> None:
+def start_thread(run: Callable[[], None]) -> None:
+    """Run a function in a new daemon thread; raises RuntimeError if none can be started."""
     threading.Thread(target=run, daemon=True).start()
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -10,7 +10,7 @@
 
 from ..discovery.server_list import EMPTY_UPDATE, Address, BadList
 from ..discovery.watch import Overtaxed, Watch
-from ..http1.messages import Malformed, Response
+from ..http1.messages import MalformedMessageError, Response
 from ..interface import ListKind
 from . import clock
 from .dispatch import Dispatcher
@@ -126,7 +126,7 @@
             self.call_requested.set()
             return
         self.failures += 1
-        expected = isinstance(error, (OSError, Malformed, BadList))
+        expected = isinstance(error, (OSError, MalformedMessageError, BadList))
         if self.failures == 1 or not expected:
             self.dispatcher.events.event(
                 "watch_failed" if expected else "fault", text=f"{type(error).__name__}: {error}"
@@ -145,7 +145,7 @@
             # Changes since this call began count as received 6 s later.  The balancer gets the time that has
             # passed since then: the call may have been given up late, and a long pause may follow.
             elapsed = max(0.0, monotonic() - self.call_started_at)
-            self.dispatcher.listed(ListKind.FAILED, EMPTY_UPDATE, int(elapsed * 1e6))
+            self.dispatcher.update_servers(ListKind.FAILED, EMPTY_UPDATE, int(elapsed * 1e6))
 
     def watch_until_failure(self) -> None:
         """Make one call after the other; raises what makes a call fail."""
@@ -155,7 +155,7 @@
             response = self.call(self.sock if self.sock is not None else self.connect())
             update = self.watch.handle_response(response)
             if first or update.whole or update.entries:
-                self.dispatcher.listed(ListKind.FULL if update.whole else ListKind.CHANGES, update)
+                self.dispatcher.update_servers(ListKind.FULL if update.whole else ListKind.CHANGES, update)
             first = False
             self.first_call_done.set()
             relay_watch = self.relay_watch
@@ -164,7 +164,7 @@
             if self.failures > 1:
                 self.dispatcher.events.event("watch_back", failures=self.failures, seq=update.version)
             self.failures = 0
-            if not response.keeps():
+            if not response.keeps_alive():
                 self.close()
             if relay_watch is not None and relay_watch.relay_selector.call_answered(
                 clock.now(), *self.watch.region_counts()
@@ -219,12 +219,12 @@
                 sock.sendall(request)
                 request = b""
                 continue
-            count = sock.recv_into(parser.ring.room())
-            parser.ring.wrote(count)
+            count = sock.recv_into(parser.ring.writable())
+            parser.ring.commit(count)
             if not begun:
                 begun, deadline = True, max(deadline, monotonic() + RESPONSE_TIMEOUT_S)
             if not count:
-                parser.end()
+                parser.end_input()
             response = parser.next()
             if response is not None:
                 return response
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -26,7 +26,7 @@
 from pumicepath.sidecar.watching import Watcher
 
 from .following_rig import RelayDeployment, ScriptedRelay
-from .rig import until
+from .rig import wait_until
 
 
 def test_a_drain_survives_the_switch_to_a_relay_that_is_behind(tmp_path: Path) -> None:
@@ -35,15 +35,15 @@
     first.publish("eu", 5, True, *deployment.lines_with_health("active", "active"))
     second.publish("eu", 5, False, *deployment.lines_with_health("active", "active"))
     with deployment.running():
-        until(first.is_caught_up)
+        wait_until(first.is_caught_up)
         assert deployment.servers_used(20) == {"s-0", "s-1"}
         first.publish("eu", 6, True, deployment.lines_with_health("leaving")[0])
-        until(first.is_caught_up)
+        wait_until(first.is_caught_up)
         assert deployment.servers_used(10) == {"s-1"}
         # The connection stays open without answers: the sidecar switches to the next relay.
         first.set_state("silent")
         began = time.monotonic()
-        until(second.is_caught_up)
+        wait_until(second.is_caught_up)
         # A wait of 3 s at most, 0.4 s of silence, a random 0.5 s: the bound is wide for slow machines.
         assert time.monotonic() - began < 15
         assert deployment.servers_used(30) == {"s-1"}
@@ -55,7 +55,7 @@
         assert (stale["region"], stale["seq"], stale["relay"]) == ("eu", 6, second.address)
         # A change that is newer than the drain is accepted from the second relay as well.
         second.publish("eu", 7, True, deployment.lines_with_health("active")[0])
-        until(lambda: second.is_caught_up() and "s-0" in deployment.servers_used(10))
+        wait_until(lambda: second.is_caught_up() and "s-0" in deployment.servers_used(10))
         assert deployment.event("region_back")["region"] == "eu"
 
 
@@ -65,15 +65,15 @@
         relay.publish("eu", 5, True, *deployment.lines_with_health("active", "active"))
     first, second, third = deployment.relays
     with deployment.running():
-        until(first.is_caught_up)
+        wait_until(first.is_caught_up)
         first.set_state("silent")
-        until(second.is_caught_up)
+        wait_until(second.is_caught_up)
         began = time.monotonic()
         second.kill()
-        until(lambda: third.requests)
+        wait_until(lambda: third.requests)
         assert time.monotonic() - began < 10
         third.publish("eu", 6, True, deployment.lines_with_health("leaving")[0])
-        until(third.is_caught_up)
+        wait_until(third.is_caught_up)
         assert deployment.servers_used(10) == {"s-1"}
         assert all("services=*" in target for relay in deployment.relays for _, target in relay.requests)
         assert not deployment.discovery.met.acquire(blocking=False), "discovery receives no request at all"
@@ -86,7 +86,7 @@
         relay.publish("eu", 5, True, *deployment.lines_with_health("leaving", "active"))
     with deployment.running():
         requests = [relay.requests for relay in deployment.relays]
-        until(lambda: requests[0] and requests[1])
+        wait_until(lambda: requests[0] and requests[1])
         began = requests[0][0][0]
         time.sleep(2)
         calls = sum(when < began + 2 for calls in requests for when, _ in calls)
@@ -96,7 +96,7 @@
         assert deployment.servers_used(4) <= {"s-0", "s-1"} and deployment.servers_used(4)
         for relay in deployment.relays:
             relay.set_state("serving")
-        until(lambda: any(relay.is_caught_up() for relay in deployment.relays))
+        wait_until(lambda: any(relay.is_caught_up() for relay in deployment.relays))
         assert deployment.servers_used(10) == {"s-1"}
 
 
@@ -107,7 +107,7 @@
     second.publish("eu", 6, True, *deployment.lines_with_health("active", "leaving"))
     deployment.write_config(relays=[first.address])
     with deployment.running():
-        until(first.is_caught_up)
+        wait_until(first.is_caught_up)
         assert all(target.endswith("services=cart") for _, target in first.requests)
 
         def reload(event: str, **changed: Any) -> dict:
@@ -120,17 +120,17 @@
         del deployment.told["services"]
         assert "services is missing" in reload("reload_failed")["text"]
         calls = len(first.requests)
-        until(lambda: len(first.requests) > calls + 1)
+        wait_until(lambda: len(first.requests) > calls + 1)
         assert all("since=" in target for _, target in first.requests[calls:]), "the watch goes on unchanged"
 
         event = reload("reloaded", services=["stock", "cart"])
         assert event["services"] == ["cart", "stock"] and event["needs_restart"] == []
-        until(lambda: first.requests[-1][1].endswith("&services=cart,stock"))
+        wait_until(lambda: first.requests[-1][1].endswith("&services=cart,stock"))
         assert "/discovery/hosts?services=cart,stock" in [target for _, target in first.requests], (
             "the whole list"
         )
         assert reload("reloaded", relays=[second.address])["relays"] == [second.address]
-        until(second.is_caught_up)
+        wait_until(second.is_caught_up)
         assert deployment.servers_used(10) == {"s-0"}
         calls = len(first.requests)
         reload("reloaded", relays=None, services=None)
@@ -154,7 +154,7 @@
     first.publish("eu", 6, True, *deployment.lines_with_health("leaving", "active"))
     second.publish("eu", 5, True, *deployment.lines_with_health("active", "active"))
     with deployment.running():
-        until(first.is_caught_up)
+        wait_until(first.is_caught_up)
         first.set_state("busy")
         after = deployment.begun()
         try:
@@ -163,7 +163,7 @@
             deployment.process.kill()
             deployment.process.wait()
             calls = len(second.requests)
-            until(lambda: any("since=" in target for _, target in second.requests[calls:]))
+            wait_until(lambda: any("since=" in target for _, target in second.requests[calls:]))
             assert deployment.servers_used(20) == {"s-1"}
         finally:
             after.kill()
@@ -177,7 +177,7 @@
     (relay,) = deployment.relays
     relay.publish("eu", 6, True, *deployment.lines_with_health("leaving", "active"))
     with deployment.running():
-        until(relay.is_caught_up)
+        wait_until(relay.is_caught_up)
         deployment.write_config(relays=None)
         after = deployment.begun()
         try:
@@ -250,10 +250,10 @@
     """Records what the watcher sends to the dispatcher."""
 
     def __init__(self) -> None:
-        self.events = self.figures = self
+        self.events = self.metrics = self
         self.lines: list[str] = []
 
-    def listed(self, kind: Any, update: Any) -> None:
+    def update_servers(self, kind: Any, update: Any) -> None:
         if update.entries:
             self.lines.append(f"{kind.name} {' '.join(entry.name for entry in update.entries)}")
 
@@ -300,21 +300,21 @@
     monkeypatch.setattr(deciding, "HOME_RETRY_US", 500_000)
     relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, list_line("s-1")) for at in (1, 2)]
     with following_watcher(*relays) as (watcher, (first, second), recorder):
-        until(first.is_caught_up)
+        wait_until(first.is_caught_up)
         host, port = first.address.split(":")
         first.kill()
-        until(second.is_caught_up)
+        wait_until(second.is_caught_up)
         # Attempts to connect to the first fail meanwhile; the watch on the second goes on, without another
         # whole list.
-        until(lambda: watcher.relay_selector and watcher.relay_selector.home_retry_interval > 500_000)
-        until(lambda: sum("since" in target for _, target in second.requests) > 5)
+        wait_until(lambda: watcher.relay_selector and watcher.relay_selector.home_retry_interval > 500_000)
+        wait_until(lambda: sum("since" in target for _, target in second.requests) > 5)
         assert sum("since" not in target for _, target in second.requests) == 1 == second.accepted
         first.listener = socket.create_server((host, int(port)))
         first.listener.settimeout(None)
         threading.Thread(target=first.accept, daemon=True).start()
         calls = len(first.requests)
-        until(lambda: len(first.requests) > calls and first.is_caught_up())
-        until(lambda: not second.connections)
+        wait_until(lambda: len(first.requests) > calls and first.is_caught_up())
+        wait_until(lambda: not second.connections)
         changes = [each for each in recorder.lines if each.startswith("relay")]
         assert changes[0] == f"relay_changed {first.address} start"
         assert changes[1].startswith(f"relay_changed {second.address} Connection")
@@ -336,14 +336,14 @@
 
     relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, list_line("s-1")) for at in (1, 2)]
     with following_watcher(*relays) as (watcher, (first, second), _):
-        until(first.is_caught_up)
+        wait_until(first.is_caught_up)
         first.set_state("busy")
-        until(second.is_caught_up)
+        wait_until(second.is_caught_up)
         monkeypatch.setattr("pumicepath.sidecar.following.new_socket", none_left)
         first.set_state("serving")
-        until(lambda: watcher.relay_selector and watcher.relay_selector.home_retry_interval > 500_000)
+        wait_until(lambda: watcher.relay_selector and watcher.relay_selector.home_retry_interval > 500_000)
         calls = len(second.requests)
-        until(lambda: len(second.requests) > calls + 3)
+        wait_until(lambda: len(second.requests) > calls + 3)
         assert second.accepted == 1
 
 
@@ -354,13 +354,13 @@
     monkeypatch.setattr("pumicepath.discovery.watch.IMMEDIATE_TIMEOUT_S", 0.5)
     relays = [ScriptedRelay(1000 * at).publish("eu", 5, True, list_line("s-1")) for at in (1, 2, 3)]
     with following_watcher(*relays) as (watcher, (first, second, third), recorder):
-        until(first.is_caught_up)
+        wait_until(first.is_caught_up)
         first.set_state("silent")
-        until(second.is_caught_up)
+        wait_until(second.is_caught_up)
         calls = len(first.requests)
-        until(lambda: len(first.requests) > calls)  # tried
+        wait_until(lambda: len(first.requests) > calls)  # tried
         calls = len(second.requests)
-        until(lambda: len(second.requests) > calls + 2 and second.is_caught_up())
+        wait_until(lambda: len(second.requests) > calls + 2 and second.is_caught_up())
         assert not third.requests, "back to the relay that answered, not on to the next"
 
 
@@ -375,13 +375,13 @@
         for at in (1, 2, 3)
     ]
     with following_watcher(*relays) as (watcher, (first, second, third), recorder):
-        until(first.is_caught_up)
+        wait_until(first.is_caught_up)
         second.publish("us", 5, False).publish("eu", 5, False)
         first.publish("us", 5, False)
-        until(lambda: second.requests)  # tried, and left at once since it is in touch with fewer regions
-        until(lambda: third.requests and third.is_caught_up())
+        wait_until(lambda: second.requests)  # tried, and left at once since it is in touch with fewer regions
+        wait_until(lambda: third.requests and third.is_caught_up())
         calls = len(third.requests)
-        until(lambda: len(third.requests) > calls + 3)
-        until(lambda: not first.connections and not second.connections)
+        wait_until(lambda: len(third.requests) > calls + 3)
+        wait_until(lambda: not first.connections and not second.connections)
         assert f"relay_changed {third.address} a region is out of touch" in recorder.lines
         assert recorder.lines.count("region_stale") <= 4 and "region_back" in recorder.lines
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -19,7 +19,7 @@
 from pumicepath.sidecar.hot_restart import SOCKET_NAME, Channel, HotRestart, ShortPath, request_handover
 
 from .helpers import check_trace
-from .rig import Rig, held, until
+from .rig import Rig, paused, wait_until
 
 
 class EchoServer(Peer):
@@ -90,7 +90,7 @@
                 sock.sendall(sending)
                 response = next_of(sock, parser)
             correct.append(response is not None and response.status == 200 and int(response.body) == number)
-            if response is None or not response.keeps() or not keep_alive:
+            if response is None or not response.keeps_alive() or not keep_alive:
                 sock.close()
                 sock, parser = socket.create_connection(deployment.where), ResponseParser()
         sock.close()
@@ -231,13 +231,13 @@
             before.bind(short)
         before.listen()
         after = HotRestart(None, None, dict, Address("127.0.0.1", 1))
-        with held(monkeypatch, os, "replace") as (reached, proceed):
+        with paused(monkeypatch, os, "replace") as (reached, proceed):
             threading.Thread(target=after.open_socket, daemon=True).start()
             assert reached.acquire(timeout=20)
             with socket.socket(socket.AF_UNIX) as connected, ShortPath(tmp_path / SOCKET_NAME) as short:
                 connected.connect(short)
             proceed.release()
-            until(lambda: not (tmp_path / f"{SOCKET_NAME}.{os.getpid()}").exists())
+            wait_until(lambda: not (tmp_path / f"{SOCKET_NAME}.{os.getpid()}").exists())
         with socket.socket(socket.AF_UNIX) as connected, ShortPath(tmp_path / SOCKET_NAME) as short:
             connected.connect(short)
             before.setblocking(False)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,7 +8,7 @@
 
 from pumicepath.admin.calls import parse_call
 from pumicepath.admin.metrics import Metrics
-from pumicepath.http1.messages import Malformed, Request
+from pumicepath.http1.messages import MalformedMessageError, Request
 from pumicepath.interface import ListKind, Outcome, ServerState
 from pumicepath.lab.loopback.scripted import Deployment, answer
 
@@ -45,7 +45,7 @@
         try:
             call, server = parse_call(Request(method=method, target=target))
             lines.append(f"{line}: {call.value} {server}".rstrip())
-        except Malformed as error:
+        except MalformedMessageError as error:
             lines.append(f"{line}: {error.status} {error}")
     check_trace("calls", lines)
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Decisions for pools of sidecars: live weights, few connections, dropped ones, full servers, settings."""
+"""Balancer decisions: live weights, cold and full servers, connection costs, idle losses, new settings."""
 
 import dataclasses
 import math
@@ -19,14 +19,14 @@
 )
 
 
-def live(*scales: float, kind: int = 0) -> list[ServerEntry]:
+def live_entries(*scales: float, kind: int = 0) -> list[ServerEntry]:
     return [
         ServerEntry(at + 1, 0, 0, ServerState.READY, scale, 0, "", kind) for at, scale in enumerate(scales)
     ]
 
 
-def sent(bench: ScriptedHost, count: int, rate: float) -> list[int]:
-    """Where that many submissions go, as many a second, each answered at once."""
+def targets_of(bench: ScriptedHost, count: int, rate: float) -> list[int]:
+    """Servers to which `count` submissions go, `rate` a second, each answered at once."""
     first, start = len(bench.sent_to), bench.now / SECOND
     for step in range(count):
         bench.finish_hop(bench.advance_to(start + step / rate).submit(step, step % 40 + 1), Outcome.OK)
@@ -34,41 +34,45 @@
 
 
 @pytest.mark.parametrize("kind", [0, -1])
-def test_no_key_moves_while_live_weights_fall_and_rise_or_are_no_numbers(kind: int) -> None:
-    bench = ScriptedHost(make_settings(live_weights=True), live(2.0, 2.0, 2.0, 2.0, kind=kind))
-    before = sent(bench, 40, 2)
+def test_keys_stay_while_live_weights_fall_and_rise_or_are_not_finite(kind: int) -> None:
+    bench = ScriptedHost(make_settings(live=True), live_entries(2.0, 2.0, 2.0, 2.0, kind=kind))
+    before = targets_of(bench, 40, 2)
     for scales in ((1.0, 2.0, 1.3, 2.0), (2.0, 0.4, 2.0, 1.0), (math.nan, -1.0, math.inf, 0.0)):
-        bench.balancer.update_servers(bench.now, ListKind.CHANGES, live(*scales, kind=kind))
-    assert sent(bench, 40, 2) == before
+        bench.balancer.update_servers(bench.now, ListKind.CHANGES, live_entries(*scales, kind=kind))
+    assert targets_of(bench, 40, 2) == before
 
 
-def test_cold_server_gets_no_more_than_its_part() -> None:
-    got = []
-    for scale in (2.0, 0.5):  # beside idle and beside loaded ones
+def test_cold_server_gets_no_more_than_its_fraction() -> None:
+    counts = []
+    for scale in (2.0, 0.5):  # the other servers are idle, then loaded
         bench = ScriptedHost(
-            make_settings(live_weights=True, cold_duration=1000 * SECOND), live(2.0, 2.0, 2.0, 2.0)
+            make_settings(live=True, cold_for=1000 * SECOND), live_entries(2.0, 2.0, 2.0, 2.0)
         )
-        bench.balancer.update_servers(0, ListKind.CHANGES, live(scale, scale, scale))
+        bench.balancer.update_servers(0, ListKind.CHANGES, live_entries(scale, scale, scale))
         bench.balancer.update_servers(
             0, ListKind.CHANGES, [ServerEntry(4, 0, 0, ServerState.READY, 2.0, 1, "", 0)]
         )
-        got.append(sent(bench, 40, 2).count(4))
-    assert got[0] == got[1] > 0
+        counts.append(targets_of(bench, 40, 2).count(4))
+    assert counts[0] == counts[1] > 0
     servers = [make_entry(at) for at in range(1, 10)] + [make_entry(10, started_at=1)]
-    for fleet in (20, 200):  # all restarted together, at four times what tenants may ask for
-        pool = (
-            ScriptedHost(make_settings(sidecar_index=me, fleet_size=fleet, tenant_quotas=(100.0,)), servers)
-            for me in range(fleet)
+    for fleet in (20, 200):  # all sidecars restarted together, at four times the quota of the tenants
+        benches = (
+            ScriptedHost(make_settings(me=me, fleet=fleet, quotas=(100.0,)), servers) for me in range(fleet)
         )
-        assert 0 < sum(sent(bench, 1200 // fleet, 400 / fleet).count(10) for bench in pool) < 27
-    plain = make_settings(fleet_size=1, cold_duration=1000 * SECOND, cold_fraction=0.5)
-    quotas, across = dataclasses.replace(plain, tenant_quotas=(40.0,)), []
-    for first, then in ((plain, plain), (plain, quotas), (quotas, plain), (quotas, quotas)):
+        assert 0 < sum(targets_of(bench, 1200 // fleet, 400 / fleet).count(10) for bench in benches) < 27
+    without_quotas = make_settings(fleet=1, cold_for=1000 * SECOND, cold_from=0.5)
+    quotas, changed = dataclasses.replace(without_quotas, quotas=(40.0,)), []
+    for first, then in (
+        (without_quotas, without_quotas),
+        (without_quotas, quotas),
+        (quotas, without_quotas),
+        (quotas, quotas),
+    ):
         bench = ScriptedHost(first, servers[:3] + [make_entry(10, started_at=1)])
-        before = sent(bench, 300, 200)
+        before = targets_of(bench, 300, 200)
         bench.balancer.apply_settings(bench.now, then)
-        across.append((before + sent(bench, 300, 200)).count(10))
-    assert across[1] <= across[0] and across[2] <= across[3] + 1 and min(across) > 10
+        changed.append((before + targets_of(bench, 300, 200)).count(10))
+    assert changed[1] <= changed[0] and changed[2] <= changed[3] + 1 and min(changed) > 10
 
 
 def test_each_sidecar_uses_few_servers_where_connections_cost() -> None:
@@ -81,7 +85,7 @@
         near, at = list(reach.subset), reach.subset[0]
         for each in near:
             used[balancer.ids[each]] += 1
-        balancer.open_breaker(0, at, "test")  # stood in for by another, and back after a trial
+        balancer.open_breaker(0, at, "test")  # replaced by another server, until a trial succeeds
         assert len(near) == 5 and set(near) < set(reach.subset) and len(reach.subset) == 6
         balancer.record_answer(
             SECOND,
@@ -93,8 +97,8 @@
     assert max(used) < 45 and min(used[1:61]) > 8
 
 
-def test_full_servers_turn_submissions_away_and_are_not_judged() -> None:
-    bench = ScriptedHost(make_settings(live_weights=True), live(1.0, 1.0, 1.0))
+def test_full_servers_cause_rejections_and_open_no_breaker() -> None:
+    bench = ScriptedHost(make_settings(live=True), live_entries(1.0, 1.0, 1.0))
     for step in range(40):
         one = bench.advance_to(step / 4).submit(step, step + 1)
         while one.hops_in_flight:
@@ -102,8 +106,8 @@
     assert len(bench.sent_to) < 30 and not any("open for" in line for line in bench.lines)
 
 
-def test_rests_that_kill_are_learnt_within_few_losses_and_tried_anew() -> None:
-    bench, dropped, freed = (
+def test_lossy_idle_times_are_learnt_within_few_losses_and_tried_again() -> None:
+    bench, losses, closings = (
         ScriptedHost(make_settings(), [make_entry(1), make_entry(2), make_entry(3)]),
         [],
         [],
@@ -111,25 +115,25 @@
     for step in range(70):
         before = len(bench.lines)
         one = bench.advance_to(step * 0.6).submit(step, step % 3 + 1, request_class=1, deadline=1.5)
-        freed += [step] if any("freed" in line for line in bench.lines[before:]) else []
-        if one.hops[0].idle_time > SECOND and step not in freed and step < 33:
-            dropped.append(step)
+        closings += [step] if any("freed" in line for line in bench.lines[before:]) else []
+        if one.hops[0].idle_time > SECOND and step not in closings and step < 33:
+            losses.append(step)
             bench.advance_to(step * 0.6 + 0.599)
             bench.balancer.record_overdue(bench.now, one.class_state, one.hops[0])
-        bench.finish_hop(one, Outcome.TIMEOUT if step in dropped else Outcome.OK)
-    assert len(dropped) == 6 < len(freed) and freed[0] > dropped[-1] and freed[-1] < 45
-    rests = IdleLossTracker()  # what is lost alike after any rest is no dropped connection
+        bench.finish_hop(one, Outcome.TIMEOUT if step in losses else Outcome.OK)
+    assert len(losses) == 6 < len(closings) and closings[0] > losses[-1] and closings[-1] < 45
+    tracker = IdleLossTracker()  # losses that do not depend on the idle time are not dropped connections
     for step in range(100):
-        rests.record(step * 100_000, 0 if step % 2 else 3 * SECOND, step % 4 < 2)
-    assert rests.idle_limit > 60 * SECOND
+        tracker.record(step * 100_000, 0 if step % 2 else 3 * SECOND, step % 4 < 2)
+    assert tracker.idle_limit > 60 * SECOND
 
 
-def test_hints_are_weighed_and_never_passed_on_and_what_cannot_be_read_is_counted() -> None:
+def test_hints_are_weighted_and_never_forwarded_and_malformed_ones_are_counted() -> None:
     good = bytes([1]) + 2 * bytes([0, 0, 0, 0, 0, 9, 0, 0])
     bench = ScriptedHost(make_settings(peer_messages_allowed=True), [make_entry(1), make_entry(2)])
     for bad in (b"", b"\1", good[:-1], good + b"\0", b"\2" + good[1:], bytes(17), b"\xff" * 17):
         bench.balancer.receive_peer_message(0, bad)
-    bench.balancer.receive_peer_message(0, bytes([1]) + bytes(8) + b"\xff" * 8)  # more in vain than used
+    bench.balancer.receive_peer_message(0, bytes([1]) + bytes(8) + b"\xff" * 8)  # more losses than uses
     assert bench.balancer.ignored_messages == 7 and bench.balancer.idle_losses.idle_limit > 60 * SECOND
     bench.balancer.receive_peer_message(SECOND, good)
     bench.balancer.send_hints(2 * SECOND)
@@ -140,16 +144,16 @@
     )
     for leave in (True, False):
         bench = ScriptedHost(make_settings(peer_messages_allowed=leave), [make_entry(1)])
-        sent(bench, 6, 0.8)
+        targets_of(bench, 6, 0.8)
         assert any("tells" in line for line in bench.lines) == leave
 
 
 @pytest.mark.parametrize(
-    "tariff",
+    "request_class",
     [READ_CLASS, ONCE_CLASS, deduplicated_class(DedupGroup.ALL), deduplicated_class(DedupGroup.ZONE)],
 )
-def test_given_up_means_answered_in_the_same_call(tariff) -> None:  # type: ignore[no-untyped-def]
-    bench = ScriptedHost(make_settings(tariff), [make_entry(1, zone=0), make_entry(2, zone=1)])
+def test_a_submission_without_further_hops_is_answered_at_once(request_class) -> None:  # type: ignore[no-untyped-def]
+    bench = ScriptedHost(make_settings(request_class), [make_entry(1, zone=0), make_entry(2, zone=1)])
     for outcome in (Outcome.ERROR, Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.TIMEOUT):
         one = bench.advance_to(bench.now / SECOND + 30).submit(int(outcome))
         while one.hops_in_flight:
@@ -157,11 +161,11 @@
         assert one.done and bench.lines[-1].endswith(("deferred", "forfeited"))
 
 
-def test_settings_are_adopted_and_the_stricter_figures_hold_for_a_while() -> None:
+def test_new_settings_apply_and_the_stricter_values_stay_in_force_for_a_while() -> None:
     named = dataclasses.replace(READ_CLASS, name="read"), dataclasses.replace(ONCE_CLASS, name="once")
     bench = ScriptedHost(make_settings(*named), [make_entry(1), make_entry(2), make_entry(3)])
-    sent(bench, 30, 10)
-    one, usual = bench.submit(100, request_class=1), bench.balancer.class_states[0].typical_latency
+    targets_of(bench, 30, 10)
+    one, typical_latency = bench.submit(100, request_class=1), bench.balancer.class_states[0].typical_latency
     new = make_settings(
         dataclasses.replace(named[0], latency_target=SECOND // 5),
         cold_fraction=0.1,
@@ -170,8 +174,15 @@
         overload_window=5 * SECOND,
     )
     bench.balancer.apply_settings(bench.now, new)
-    held = bench.balancer.settings
-    assert (held.cold_fraction, held.cold_duration, held.overload_multiple) == (0.1, 20 * SECOND, 2.5)
-    assert bench.balancer.class_states[0].typical_latency == usual and len(bench.balancer.class_states) == 1
-    bench.finish_hop(one, Outcome.RESET)  # unrepeatable, under a tariff that is no longer known
+    in_force = bench.balancer.settings
+    assert (in_force.cold_fraction, in_force.cold_duration, in_force.overload_multiple) == (
+        0.1,
+        20 * SECOND,
+        2.5,
+    )
+    assert (
+        bench.balancer.class_states[0].typical_latency == typical_latency
+        and len(bench.balancer.class_states) == 1
+    )
+    bench.finish_hop(one, Outcome.RESET)  # non-idempotent, of a request class that is no longer configured
     assert bench.lines[-1].endswith("forfeited") and bench.advance_to(23.5).balancer.settings == new
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -28,7 +28,7 @@
 from pumicepath.relay.upstreams import DECODE_BATCH_LINES
 
 from .relay_rig import TIMEOUT_S, Follower, Origin, RelayProcess, list_line, wait_until
-from .rig import Quiet
+from .rig import NullLog
 
 MakeRelay = Callable[..., RelayProcess]
 
@@ -299,7 +299,7 @@
     settings = config.parse_config(
         {**VALID_CONFIG, "listen": "127.0.0.1:0", "sources": {"eu": "127.0.0.1:1"}}
     )
-    log = Quiet()
+    log = NullLog()
     relay = loop.Relay(settings, log, 0, random.Random(1).random)  # type: ignore[arg-type]
     upstream = relay.upstreams[0]
     upstream.origin.answer_accepted(41)
@@ -327,7 +327,7 @@
     settings = config.parse_config(
         {**VALID_CONFIG, "listen": "127.0.0.1:0", "sources": {"eu": "127.0.0.1:1"}}
     )
-    relay = loop.Relay(settings, Quiet(), 0, random.Random(1).random)  # type: ignore[arg-type]
+    relay = loop.Relay(settings, NullLog(), 0, random.Random(1).random)  # type: ignore[arg-type]
     upstream, (here, there) = relay.upstreams[0], socket.socketpair()
     here.setblocking(False)
     hosts = [list_line(f"h{at}", "cart") for at in range(3 * DECODE_BATCH_LINES)]
@@ -604,7 +604,7 @@
         raise ZeroDivisionError("injected")
 
     settings = config.parse_config({**VALID_CONFIG, "listen": "127.0.0.1:0"})
-    relay = loop.Relay(settings, Quiet(), 0, random.Random(1).random)  # type: ignore[arg-type]
+    relay = loop.Relay(settings, NullLog(), 0, random.Random(1).random)  # type: ignore[arg-type]
     far, other = (socket.create_connection(relay.listener.getsockname()) for _ in range(2))
     wait_until(lambda: relay.accept_followers(0) or len(relay.followers) == 2)
     monkeypatch.setattr(loop, "parse_list_request", fault)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -13,7 +13,7 @@
 
 from pumicepath.balancer import Submission
 from pumicepath.http1 import writing
-from pumicepath.http1.messages import Malformed
+from pumicepath.http1.messages import MalformedMessageError
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.interface import Effect, Outcome, RequestClass
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
@@ -65,7 +65,7 @@
             if (message := parser.next()) is not None:
                 return f"{message.status} {digest(message.body)}"
         if not data:
-            parser.end()
+            parser.end_input()
             message = parser.next()
             return f"{message.status} {digest(message.body)} at close" if message else "its end is missing"
     return f"{message.status} {digest(message.body)}"
@@ -169,7 +169,7 @@
             partial_head.replace(b"cut", b"odd").replace(b"X-Qos: once", b"X-Qos: gold") + LONG_BODY
         )
         deployment.hear()
-        send("after", body=b"", length=writing.WHOLE)
+        send("after", body=b"", length=writing.COMPLETE)
     check_trace("long_bodies", deployment.lines)
 
 
@@ -221,23 +221,23 @@
 
 def test_uploads_slower_than_the_minimum_rate_are_aborted() -> None:
     class Sender:
-        broken = False
+        upload_failed = False
         sock, far = socket.socketpair()
 
-        def leave(self) -> None: ...
+        def release_slot(self) -> None: ...
 
-    parser = RequestParser(upload.FAR)
+    parser = RequestParser(upload.MAX_UPLOAD_US)
     parser.feed(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n")
-    assert parser.next() is None and parser.long()
+    assert parser.next() is None and parser.is_long()
     body = upload.Upload(Sender(), parser)
     Sender.far.sendall(b"x" * 4_800)
-    body.waited = upload.FIRST + 90_000  # these bytes are worth 100,000 us
-    body.receive()
-    assert body.got == 4_800
+    body.waited = upload.INITIAL_ALLOWANCE_US + 90_000  # these bytes are worth 100,000 us
+    body.read_more()
+    assert body.bytes_read == 4_800
     Sender.far.sendall(b"x")
-    body.waited = upload.FIRST + 101_000
+    body.waited = upload.INITIAL_ALLOWANCE_US + 101_000
     with pytest.raises(ConnectionAbortedError, match="too slow"):
-        body.receive()
+        body.read_more()
 
 
 def test_deadline_and_hop_time_start_with_the_last_byte_and_a_sent_body_is_not_retried() -> None:
@@ -293,7 +293,7 @@
     parser = RequestParser(40 << 20)
     parser.feed(f"POST {target} HTTP/1.1\r\nHost: a\r\n{head}\r\n\r\n".encode())
     if expected is None:
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessageError):
             parser.next()
     else:
         assert parser.next().target == expected
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -16,10 +16,10 @@
 from pumicepath.balancer import SeededRandom
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
 from pumicepath.sidecar import clock
-from pumicepath.sidecar.entrance import Entrance
-from pumicepath.sidecar.servers import Link, start
+from pumicepath.sidecar.admission_gate import AdmissionGate
+from pumicepath.sidecar.servers import ServerConnection, start_thread
 
-from .rig import Rig, held, status, until
+from .rig import Rig, paused, read_status, wait_until
 
 RESET = struct.pack("ii", 1, 0)
 NEVER = ("X-Never-Ran", "1")
@@ -208,16 +208,16 @@
         """Have the client leave, and return 0.1 s after the kernel knows of it."""
         if way:
             DEPARTURES[way](self.far)
-            until(self.client.gone)
+            wait_until(self.client.has_left)
         gone = clock.now()
-        until(lambda: clock.now() - gone > 100_000)
+        wait_until(lambda: clock.now() - gone > 100_000)
 
     def requests_sent(self, way: str) -> list[str]:
         if not way:
-            assert status(self.far) == 200
+            assert read_status(self.far) == 200
             self.far.close()
-        until(lambda: self.client not in self.rig.clients.open and not self.rig.dispatcher.exchanges)
-        return [line.split(" ", 1)[1] for line in self.rig.around.lines]
+        wait_until(lambda: self.client not in self.rig.clients.open and not self.rig.dispatcher.exchanges)
+        return [line.split(" ", 1)[1] for line in self.rig.deployment.lines]
 
 
 @pytest.mark.parametrize("way", ["", *DEPARTURES])
@@ -229,22 +229,22 @@
     far, client = rig.connect()
     one = LeavingClient(rig, far, client)
     first = answer(503, "", NEVER) if fault == "full" else "reset" if fault == "late dial" else fault
-    with held(monkeypatch, Link, "connect", before=False) as (came, go):
-        far.sendall(rig.asked("hangs", "read"))
-        start(client.run)
+    with paused(monkeypatch, ServerConnection, "connect", before=False) as (came, go):
+        far.sendall(rig.request("hangs", "read"))
+        start_thread(client.run)
         assert came.acquire(timeout=20)
         go.release()
-        until(lambda: rig.around.lines)  # the first hop hangs
+        wait_until(lambda: rig.deployment.lines)  # the first hop hangs
         if fault == "late dial":
-            rig.around.script.put(first)
+            rig.deployment.script.put(first)
             assert came.acquire(timeout=20)  # the retry is connected and not written yet
             one.leave(way)
         else:
             one.leave(way)
-            rig.around.script.put(first)
+            rig.deployment.script.put(first)
         go.release(10)
         if not way:
-            rig.around.script.put(answer(200, "served"))
+            rig.deployment.script.put(answer(200, "served"))
         assert one.requests_sent(way) == ["GET /hangs hangs"] * (1 if way else 2)
 
 
@@ -259,30 +259,30 @@
     far, client = rig.connect()
     one = LeavingClient(rig, far, client)
     for name in ("first", "second") if where.startswith("behind") else ("second",):
-        far.sendall(rig.asked(name, "read"))
+        far.sendall(rig.request(name, "read"))
     if where.startswith("behind"):
-        start(client.run)
-        until(lambda: rig.around.lines)
+        start_thread(client.run)
+        wait_until(lambda: rig.deployment.lines)
         one.leave(way)
-        rig.around.script.put(answer(200, "served"))
+        rig.deployment.script.put(answer(200, "served"))
         if not way:
-            assert status(far) == 200
+            assert read_status(far) == 200
     elif where.startswith("before"):
         one.leave(way)
-        start(client.run)
+        start_thread(client.run)
     else:
         entrance = where == "at the entrance"
-        with held(
+        with paused(
             monkeypatch,
-            *((Entrance, "enter") if entrance else (Link, "carry")),  # type: ignore[arg-type]
+            *((AdmissionGate, "enter") if entrance else (ServerConnection, "run_hop")),  # type: ignore[arg-type]
             before=not entrance,
         ) as (came, go):
-            start(client.run)
+            start_thread(client.run)
             assert came.acquire(timeout=20)
             one.leave(way)
             go.release(10)
     if not way:
-        rig.around.script.put(answer(200, "served"))
+        rig.deployment.script.put(answer(200, "served"))
     sent = one.requests_sent(way)
     assert ("GET /second second" in sent) == (not way), sent
 
@@ -298,14 +298,14 @@
 
     with deployment.running():
         deployment.send("read", 20_000)
-        until(lambda: deployment.lines)
+        wait_until(lambda: deployment.lines)
         if way:
             DEPARTURES[way](deployment.client)
             gone = time.monotonic()
-            until(lambda: time.monotonic() - gone > 0.1)
+            wait_until(lambda: time.monotonic() - gone > 0.1)
         deployment.script.put("reset")
         if not way:
             deployment.script.put(answer(200, "served"))
-            assert status(deployment.client) == 200
-        until(lambda: not under_way())
+            assert read_status(deployment.client) == 200
+        wait_until(lambda: not under_way())
         assert len(deployment.lines) == (1 if way else 2)
