--- a/pumicepath/admin/calls.py
+++ b/pumicepath/admin/calls.py
@@ -45,7 +45,8 @@
 def parse_call(request: Request) -> ParsedCall:
     """Return the call that a request makes.
 
-    Raises MalformedMessageError with status 404 for an unknown path, 405 for a method that the path does not allow.
+    Raises MalformedMessageError with status 404 for an unknown path, 405 for a method that the path does not
+    allow.
     """
     allowed: tuple[str, ...] = ("PUT",)
     path = tuple(urlsplit(request.target).path.split("/")[1:])
--- a/pumicepath/relay/loop.py
+++ b/pumicepath/relay/loop.py
@@ -237,7 +237,10 @@
         follower.close()
 
     def handle_request(self, follower: Follower, request: Request, now: int) -> None:
-        """Answer a request, or keep it until there is a change; raises MalformedMessageError for an invalid one."""
+        """Answer a request, or keep it until there is a change.
+
+        Raises MalformedMessageError for an invalid one.
+        """
         if follower.admin:
             self.handle_admin_request(follower, request, now)
             return
@@ -432,7 +435,10 @@
             )
 
     def handle_admin_request(self, follower: Follower, request: Request, now: int) -> None:
-        """Answer an operator's request with the metrics; raises MalformedMessageError for any other than `/stats`."""
+        """Answer an operator's request with the metrics.
+
+        Raises MalformedMessageError for any other than `/stats`.
+        """
         if request.target.partition("?")[0] != "/stats":
             raise MalformedMessageError(404, "no such call")
         if request.method != "GET":
--- a/pumicepath/sidecar/admin_server.py
+++ b/pumicepath/sidecar/admin_server.py
@@ -134,7 +134,7 @@
             pass  # closing with unread bytes would reset the connection, and the answer could be lost
 
     def answer(self, request: Request) -> answers.Answer:
-        """Carry a call out and return its answer; raises Malformed if the request is not a known call."""
+        """Carry a call out and return its answer; raises MalformedMessageError if the request is not a known call."""
         parsed = parse_call(request)
         dispatcher = self.dispatcher
         match parsed.call:
