--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -24,7 +24,7 @@
 
 from pumicepath.fleet.fellow import Fellow  # noqa: E402
 from pumicepath.fleet.settings import Voting  # noqa: E402
-from pumicepath.lab.experiments.fleet import judged  # noqa: E402
+from pumicepath.lab.experiments.fleet_report import check_history  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.links import Links  # noqa: E402
 from pumicepath.lab.model.timeline import SECOND, Virtual  # noqa: E402
@@ -100,12 +100,12 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "history"
         result = play(soaked(count, seconds, seed), seed, history=path)
-        found = judged(path)
+        found = check_history(path)
     print(
         f"{count} real sidecars for {seconds:g} s, seed {seed}: {found.handovers} hand-overs, "
         f"service {result.service:.4f}, {sum(result.rules.values())} rules broken"
     )
-    print("\n".join(found.lines()))
+    print("\n".join(found.summary_lines()))
     return 1 if found.violations or any(result.rules.values()) else 0
 
 
--- a/benchmarks/pacing.py
+++ b/benchmarks/pacing.py
@@ -29,7 +29,7 @@
 from relay import Asker  # noqa: E402
 
 from pumicepath.compiled import FORM  # noqa: E402
-from pumicepath.lab.hollow.plan import Ask, Plan  # noqa: E402
+from pumicepath.lab.hollow.plan import RunOptions, Plan  # noqa: E402
 from tests.relay_rig import Origin, Relay, line, until  # noqa: E402
 
 LONGEST_MS = 3000
@@ -39,7 +39,7 @@
 
 
 def services(plan: Plan, number: int) -> str:
-    return ",".join(sorted(plan.service_name(service) for service in plan.calls[number]))
+    return ",".join(sorted(plan.service_name(service) for service in plan.called_services[number]))
 
 
 def come(where: tuple[str, int], plan: Plan, numbers: range, pipe: Connection) -> None:
@@ -87,7 +87,7 @@
 
 class Bench:
     def __init__(self, told: argparse.Namespace, pace: int) -> None:
-        self.plan = Plan(Ask(20_000, 1_900, 10, 34, calls=8, popular=0.5))
+        self.plan = Plan(RunOptions(20_000, 1_900, 10, 34, calls=8, popular=0.5))
         plan = self.plan
         self.draw = random.Random(told.seed)
         self.names = [plan.service_name(service) for service in plan.service_of]
--- a/pumicepath/commands/lab.py
+++ b/pumicepath/commands/lab.py
@@ -13,20 +13,20 @@
 from .errors import fail
 
 if TYPE_CHECKING:
-    from ..lab.experiments.files import Read
+    from ..lab.experiments.files import LoadedExperiment
 
 MISSING = "needs what `pip install -e '.[lab]'` installs: {}"
 FILE = click.argument("file", type=click.Path(path_type=Path))
 
 
-def read(file: Path, seeds: int = 0, host: str = "") -> Read:
+def read(file: Path, seeds: int = 0, host: str = "") -> LoadedExperiment:
     try:
         from ..lab.experiments import files
     except ImportError as trouble:
         fail(MISSING.format(trouble))
     try:
-        return files.read(file, seeds, host)
-    except files.BadExperiment as trouble:
+        return files.load_experiment(file, seeds, host)
+    except files.ExperimentError as trouble:
         fail(trouble)
 
 
@@ -75,13 +75,13 @@
     made = read(file, seeds or 0, host)
     if host != "loopback" and (seed is not None or as_json):
         fail("--seed and --json go with --on loopback")
-    from ..lab.experiments.folders import Taken, owned
+    from ..lab.experiments.folder_lock import FolderLockedError, locked_folder
 
     where = folder or Path("found") / made.name
     with ExitStack() as until_it_ends:
         try:
-            until_it_ends.enter_context(owned(where))
-        except Taken as trouble:
+            until_it_ends.enter_context(locked_folder(where))
+        except FolderLockedError as trouble:
             fail(trouble)
         except OSError as trouble:
             fail(f"{where}: {trouble.strerror}")
@@ -91,41 +91,43 @@
             virtually(made, where, workers)
 
 
-def virtually(made: Read, where: Path, workers: int) -> None:
+def virtually(made: LoadedExperiment, where: Path, workers: int) -> None:
     """Play all runs in virtual time, and write the report."""
     from rich.console import Console
     from rich.progress import Progress
 
-    from ..lab.experiments import comparing, report, running
+    from ..lab.experiments import comparison, report, runner
     from ..lab.virtual.run import OURS
 
     console = Console(stderr=True)
     with Progress(console=console, disable=not console.is_terminal) as progress:
         task = progress.add_task(made.name, total=len(made.runs))
         try:
-            whole = running.run(made, where, workers, lambda count, _: progress.update(task, completed=count))
+            whole = runner.run_experiment(
+                made, where, workers, lambda count, _: progress.update(task, completed=count)
+            )
         except OSError as trouble:
             fail(f"{where}: {trouble.strerror}")
-    head, runs = running.results(where)
+    head, runs = runner.read_results(where)
     if not runs:
         fail("interrupted before the first run had ended", 130)
-    rows = comparing.rows(head, runs)
-    click.echo("\n".join(comparing.table(head, rows)))
-    click.echo(f"report: {report.write(where, head, runs)}")
+    rows = comparison.summarize_arms(head, runs)
+    click.echo("\n".join(comparison.terminal_table(head, rows)))
+    click.echo(f"report: {report.write_report(where, head, runs)}")
     if not whole:
         fail(f"interrupted after {len(runs)} of {head['runs']} runs; the report holds these", 130)
     if any(run["policy"] == OURS and any(run["rules"].values()) for run in runs):
         fail("a rule was broken", 1)
 
 
-def really(made: Read, folder: Path, seed: int, as_json: bool) -> None:
+def really(made: LoadedExperiment, folder: Path, seed: int, as_json: bool) -> None:
     """Play with real processes; the history and the page about it go into the folder."""
     import orjson
 
-    from ..lab.experiments import fleet
+    from ..lab.experiments import fleet_report
     from ..lab.loopback import demo, world
 
-    history = folder / fleet.HISTORY
+    history = folder / fleet_report.HISTORY_FILE
     try:
         result = world.play(
             made.plan, seed, None if as_json else lambda each: click.echo(demo.line(each)), history
@@ -136,13 +138,15 @@
         fail(f"loopback: {trouble.strerror or trouble}")
     except KeyboardInterrupt:
         fail(f"interrupted; no process is left, and {history} holds what was seen", 130)
-    found = fleet.judged(history)
-    page = fleet.write(folder, made.experiment.title, found)
+    found = fleet_report.check_history(history)
+    page = fleet_report.write_report(folder, made.experiment.title, found)
     if as_json:
-        click.echo(orjson.dumps({**demo.totals(result), **found.figures()}).decode())
+        click.echo(orjson.dumps({**demo.totals(result), **found.metrics()}).decode())
     else:
         click.echo(
-            "\n".join([*demo.verdict(result), *found.lines(), f"history: {history}", f"report: {page}"])
+            "\n".join(
+                [*demo.verdict(result), *found.summary_lines(), f"history: {history}", f"report: {page}"]
+            )
         )
     if found.violations:
         raise SystemExit(1)
@@ -156,15 +160,15 @@
     try:
         import orjson
 
-        from ..lab.experiments import fleet
+        from ..lab.experiments import fleet_report
         from ..lab.faults.history import BadHistory
     except ImportError as trouble:
         fail(MISSING.format(trouble))
     try:
-        found = fleet.judged(history)
+        found = fleet_report.check_history(history)
     except BadHistory as trouble:
         fail(trouble)
-    click.echo(orjson.dumps(found.figures()).decode() if as_json else "\n".join(found.lines()))
+    click.echo(orjson.dumps(found.metrics()).decode() if as_json else "\n".join(found.summary_lines()))
     if found.violations:
         raise SystemExit(1)
 
@@ -206,16 +210,16 @@
 def compare(one: Path, other: Path) -> None:
     """Hold the second report against the first, in pairs with the same seed."""
     try:
-        from ..lab.experiments import comparing, running
+        from ..lab.experiments import comparison, runner
     except ImportError as trouble:
         fail(MISSING.format(trouble))
     both = []
     for path in (one, other):
         try:
-            both.append(running.results(path))
+            both.append(runner.read_results(path))
         except (OSError, ValueError, KeyError) as trouble:
             fail(f"{path}: {getattr(trouble, 'strerror', None) or trouble}")
-    click.echo("\n".join(comparing.compared(both[0], both[1])))
+    click.echo("\n".join(comparison.compare_reports(both[0], both[1])))
 
 
 lab.add_command(scale.scale)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from pumicepath.command import main
-from pumicepath.lab.experiments import files, fleet
+from pumicepath.lab.experiments import files, fleet_report
 from pumicepath.lab.faults import checks, history, times
 from pumicepath.lab.faults.clocks import VARIABLE, Page
 from pumicepath.lab.faults.disks import Disk
@@ -384,14 +384,14 @@
     path = tmp_path / "one.toml"
     path.write_text(SMALL.replace(old, new))
     if key:
-        with pytest.raises(files.BadExperiment, match=key):
-            files.read(path)
+        with pytest.raises(files.ExperimentError, match=key):
+            files.load_experiment(path)
     path.write_text(SMALL.replace("peers = true", "").replace("sidecars-killed", "peers-cut"))
-    with pytest.raises(files.BadExperiment, match="14: troubles.0.kind: peers-cut needs peers = true"):
-        files.read(path)
+    with pytest.raises(files.ExperimentError, match="14: troubles.0.kind: peers-cut needs peers = true"):
+        files.load_experiment(path)
     path.write_text(SMALL)
-    with pytest.raises(files.BadExperiment, match="troubles.1.kind: sidecars-stopped needs real processes"):
-        files.read(path, host="virtual")
+    with pytest.raises(files.ExperimentError, match="troubles.1.kind: sidecars-stopped needs real processes"):
+        files.load_experiment(path, host="virtual")
 
 
 def test_an_experiment_with_real_processes_ends_in_one_object_and_a_page(tmp_path: Path) -> None:
@@ -421,11 +421,11 @@
     assert told["faults"] == {"sidecars-killed": 1, "sidecars-stopped": 1, "clock-rate": 1}
     assert ended.returncode == bool(told["violations"])
     assert [told[name] for name in ("duplicated", "late_sends", "pushed_over")] == [0, 0, 0], told
-    again = fleet.judged(folder / fleet.HISTORY)
-    assert again.figures().items() <= told.items(), "the history alone says the same"
+    again = fleet_report.check_history(folder / fleet_report.HISTORY_FILE)
+    assert again.metrics().items() <= told.items(), "the history alone says the same"
     page = (folder / "fleet.html").read_text()
     assert page.count("data:image/png;base64,") == 2 and "sidecars-stopped: sidecar 2" in page
-    names, at, rows = fleet.seen(again.history)
+    names, at, rows = fleet_report.liveness_matrix(again.history)
     assert names == ["sidecar-0", "sidecar-1", "sidecar-2"] and len(at) == len(rows) > 5
 
 
