--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -42,7 +42,7 @@
 import telling  # noqa: E402
 
 from pumicepath.compiled import FORM  # noqa: E402
-from pumicepath.lab.capacity import page, measurements  # noqa: E402
+from pumicepath.lab.capacity import measurements, page  # noqa: E402
 
 FILE, PAGE = ROOT / "docs" / "capacity.json", ROOT / "docs" / "CAPACITY.md"
 LISTS = (12, 100, 1000, 5000, 20_000)
--- a/benchmarks/hollow_against_real.py
+++ b/benchmarks/hollow_against_real.py
@@ -27,7 +27,7 @@
 
 from pumicepath import compiled  # noqa: E402
 from pumicepath.lab.hollow import processes  # noqa: E402
-from pumicepath.lab.hollow.plan import RunOptions, Plan  # noqa: E402
+from pumicepath.lab.hollow.plan import Plan, RunOptions  # noqa: E402
 from pumicepath.lab.hollow.processes import ChildProcess  # noqa: E402
 from pumicepath.lab.hollow.sidecar import sidecar_settings  # noqa: E402
 
--- a/benchmarks/pacing.py
+++ b/benchmarks/pacing.py
@@ -29,7 +29,7 @@
 from relay import Asker  # noqa: E402
 
 from pumicepath.compiled import FORM  # noqa: E402
-from pumicepath.lab.hollow.plan import RunOptions, Plan  # noqa: E402
+from pumicepath.lab.hollow.plan import Plan, RunOptions  # noqa: E402
 from tests.relay_rig import Origin, Relay, line, until  # noqa: E402
 
 LONGEST_MS = 3000
--- a/benchmarks/ranking.py
+++ b/benchmarks/ranking.py
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.experiments import statistics, files  # noqa: E402
+from pumicepath.lab.experiments import files, statistics  # noqa: E402
 from pumicepath.lab.virtual.baselines import TEXTBOOK  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
--- a/pumicepath/commands/scale.py
+++ b/pumicepath/commands/scale.py
@@ -94,7 +94,7 @@
     from ..lab.experiments.folder_lock import FolderLockedError, locked_folder
     from ..lab.hollow import resource_estimate
     from ..lab.hollow.faults import check_faults
-    from ..lab.hollow.plan import RunOptions, RunOptionsError, Plan, check_options
+    from ..lab.hollow.plan import Plan, RunOptions, RunOptionsError, check_options
     from ..lab.hollow.processes import InvalidRunError
     from ..lab.hollow.run import HollowRun
 
--- a/pumicepath/lab/capacity/page.py
+++ b/pumicepath/lab/capacity/page.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from functools import partial
 
-from . import scenarios, roles
-from .sensitivity import assumptions_table
-from .ranking import ranked_rows
-from .rows import row_cells, format_number, markdown_table
+from . import roles, scenarios
 from .measurements import Capacity
+from .ranking import ranked_rows
+from .rows import format_number, markdown_table, row_cells
+from .sensitivity import assumptions_table
 from .target import ASSUMPTIONS, TARGET
 
 MARKED_TABLE = re.compile(r"<!-- begin ([a-z-]+) -->\n(.*?)<!-- end \1 -->\n", re.S)
--- a/pumicepath/lab/capacity/ranking.py
+++ b/pumicepath/lab/capacity/ranking.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .rows import MISSING, Row
 from .measurements import Capacity, Estimate, as_estimate, assumed_value
+from .rows import MISSING, Row
 from .target import Assumptions, Target
 
 LIST_ROLE, DATA_PATH_ROLE, MEMBERSHIP_ROLE, CONTROL_ROLE, OPERATOR_ROLE = (
--- a/pumicepath/lab/capacity/roles.py
+++ b/pumicepath/lab/capacity/roles.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
+from .measurements import Capacity, Estimate, as_estimate, assumed_value
 from .ranking import list_changes_per_s
 from .rows import MISSING, Row
-from .measurements import Capacity, Estimate, as_estimate, assumed_value
 from .target import Assumptions, Target
 
 WATCH_MECHANISM = "`discovery/watch.py`, `discovery/roster.py` by `services`; `distribution/homes.py`"
--- a/pumicepath/lab/capacity/scenarios.py
+++ b/pumicepath/lab/capacity/scenarios.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from . import roles, rows
-from .ranking import list_changes_per_s
-from .rows import NOT_MEASURED, Row, provenance, format_number
 from .measurements import Capacity, Estimate, assumed_value
+from .ranking import list_changes_per_s
+from .rows import NOT_MEASURED, Row, format_number, provenance
 from .target import Assumptions, Target
 
 CLOCK_START_RULE = "rule 3 counts from when discovery had a change and could be reached"
--- a/pumicepath/lab/capacity/sensitivity.py
+++ b/pumicepath/lab/capacity/sensitivity.py
@@ -5,26 +5,26 @@
 from collections.abc import Iterator
 from dataclasses import replace
 
-from .scenarios import build_scenarios
+from .measurements import Capacity
 from .roles import ROLE_ROWS
 from .rows import Row, format_number, markdown_table
-from .measurements import Capacity
+from .scenarios import build_scenarios
 from .target import Assumptions, Target
 
 ASSUMPTION_TEXTS = {
-    "calls_each": "calls a second of a sidecar, 3 million by 20,000",
-    "called": "services that a sidecar calls",
-    "mean": "servers of a usual service, 20,000 by 1,900",
-    "largest": "servers of the largest service, from a long tail",
-    "calling_largest": "part of the sidecars that call the largest service",
-    "peak": "changes over their mean, for ten minutes",
-    "steps": "changes of the list for a server that is replaced",
-    "rack": "servers of a rack",
-    "relayed_s": "seconds between two calls of a sidecar's watch",
-    "relays": "relays in a region: 20 machines, 10 regions",
-    "whole_bytes_s": "bytes a second that a relay gives to whole lists",
-    "release_s": "seconds in which a release replaces all servers",
-    "cut_s": "seconds that a region is cut off",
+    "calls_per_sidecar_s": "calls a second of a sidecar, 3 million by 20,000",
+    "called_services": "services that a sidecar calls",
+    "mean_service_servers": "servers of a usual service, 20,000 by 1,900",
+    "largest_service_servers": "servers of the largest service, from a long tail",
+    "largest_service_caller_fraction": "part of the sidecars that call the largest service",
+    "peak_factor": "changes over their mean, for ten minutes",
+    "changes_per_replacement": "changes of the list for a server that is replaced",
+    "rack_servers": "servers of a rack",
+    "relay_renewal_interval_s": "seconds between two calls of a sidecar's watch",
+    "relays_per_region": "relays in a region: 20 machines, 10 regions",
+    "full_list_bytes_per_s": "bytes a second that a relay gives to whole lists",
+    "release_duration_s": "seconds in which a release replaces all servers",
+    "partition_duration_s": "seconds that a region is cut off",
 }
 MAX_ROWS_SHOWN = 2
 
--- a/pumicepath/lab/experiments/comparison.py
+++ b/pumicepath/lab/experiments/comparison.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .statistics import Interval, paired_difference, bootstrap_interval, merge_histograms, latency_percentiles
+from .statistics import Interval, bootstrap_interval, latency_percentiles, merge_histograms, paired_difference
 
 LOSS_CAUSES = ("late", "deferred", "forfeited", "left", "lost")
 
@@ -75,9 +75,8 @@
             + (", ".join(f"{rule} {count}" for rule, count in row.violations.items()) or "kept")
         )
         if row.baseline_difference is not None:
-            lines.append(
-                f"  {'':<34} against {head['arms'][0]}: {row.baseline_difference}, {describe_difference(row.baseline_difference)}"
-            )
+            outcome = describe_difference(row.baseline_difference)
+            lines.append(f"  {'':<34} against {head['arms'][0]}: {row.baseline_difference}, {outcome}")
     return lines
 
 
--- a/pumicepath/lab/experiments/fleet_report.py
+++ b/pumicepath/lab/experiments/fleet_report.py
@@ -76,7 +76,8 @@
         done = ", ".join(f"{kind} {count}" for kind, count in self.fault_counts.items()) or "none"
         return [
             f"faults: {done}",
-            f"views right: {format_duration(self.view_recovery_s)}; full service: {format_duration(self.service_recovery_s)}",
+            f"views right: {format_duration(self.view_recovery_s)}; "
+            f"full service: {format_duration(self.service_recovery_s)}",
             *(found or [f"checked, and kept: {', '.join(PROPERTIES)}"]),
         ]
 
--- a/pumicepath/lab/experiments/report.py
+++ b/pumicepath/lab/experiments/report.py
@@ -10,7 +10,7 @@
 import jinja2
 
 from . import charts
-from .comparison import ArmSummary, summarize_arms, describe_difference
+from .comparison import ArmSummary, describe_difference, summarize_arms
 
 PAGE_TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ head.title }}</title><style>
@@ -30,10 +30,13 @@
 <th>against {{ head.arms[0] }}</th><th>p50</th><th>p99</th><th>p99.9 ms</th><th>rules</th></tr>
 {% for row in rows %}<tr><td>{{ row.point }}</td><td>{{ row.arm }}</td>
 <td class="n">{{ row.service }}</td>
-<td class="n">{% if row.against %}{{ row.against }}, {{ verdict(row.against) }}{% endif %}</td>
+<td class="n">{% if row.baseline_difference %}{{ row.baseline_difference }}, {{
+describe_difference(row.baseline_difference) }}{% endif %}</td>
 {% for part in ("p50", "p99", "p99.9") %}<td class="n">{{ "%.1f"|format(row.latency[part]) }}</td>
-{% endfor %}<td>{% if row.broken %}{% for rule, count in row.broken.items() %}<span class="bad">{{ rule }}
-{{ count }}</span> <span class="small">{{ row.first[rule] }}</span><br>{% endfor %}{% else %}kept{% endif %}
+{% endfor %}<td>{% if row.violations %}{% for rule, count in
+row.violations.items() %}<span class="bad">{{ rule }}
+{{ count }}</span> <span class="small">{{ row.first_violations[rule] }}</span><br>{% endfor %}{% else
+%}kept{% endif %}
 </td></tr>
 {% endfor %}</table>
 {% for title, data in pictures %}<h2>{{ title }}</h2>
@@ -78,7 +81,7 @@
         head=head,
         runs=runs,
         rows=made,
-        verdict=describe_difference,
+        describe_difference=describe_difference,
         pictures=inlined,
         marks=runs[0]["marks"],
         whole=len(runs) == head["runs"],
--- a/pumicepath/lab/experiments/runner.py
+++ b/pumicepath/lab/experiments/runner.py
@@ -16,8 +16,8 @@
 from ...compiled import FORM
 from ..model.result import summary
 from ..virtual.run import VirtualWorld
+from .files import ExperimentRun, LoadedExperiment
 from .statistics import latency_histogram
-from .files import LoadedExperiment, ExperimentRun
 
 RESULTS_FILE = "results.jsonl"
 
--- a/pumicepath/lab/hollow/evaluation.py
+++ b/pumicepath/lab/hollow/evaluation.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterable, Sequence
 from typing import Any, NamedTuple
 
-from .plan import Plan
 from .ground_truth import LEAVING, LEFT, Change
+from .plan import Plan
 
 MAX_PROPAGATION_US = 6_000_000  # the operators' rule
 RIG_SLACK_US = 500_000  # of the rig: its tick, and the processes' turns at the cores
--- a/pumicepath/lab/hollow/faults.py
+++ b/pumicepath/lab/hollow/faults.py
@@ -10,9 +10,9 @@
 import signal
 from typing import TYPE_CHECKING
 
-from .plan import RunOptions, RunOptionsError
-from .ground_truth import now_us
 from .evaluation import OutageWindow
+from .ground_truth import now_us
+from .plan import RunOptions, RunOptionsError
 
 if TYPE_CHECKING:
     from .run import HollowRun
--- a/pumicepath/lab/hollow/host.py
+++ b/pumicepath/lab/hollow/host.py
@@ -22,8 +22,8 @@
 from ... import compiled
 from ...discovery.roster import Update
 from ...interface import Phase
-from . import processes, ground_truth
-from .plan import RunOptions, Plan
+from . import ground_truth, processes
+from .plan import Plan, RunOptions
 from .sidecar import HollowSidecar
 from .view_checker import ViewChecker
 
--- a/pumicepath/lab/hollow/origin.py
+++ b/pumicepath/lab/hollow/origin.py
@@ -22,9 +22,9 @@
 
 import orjson
 
-from . import processes, ground_truth
-from .plan import STATES_PER_SHARE_UNIT, RunOptions, Plan
+from . import ground_truth, processes
 from .ground_truth import ACTIVE, LEAVING, LEFT, Change
+from .plan import STATES_PER_SHARE_UNIT, Plan, RunOptions
 
 REQUEST_TARGET = re.compile(rb"GET (/discovery/hosts(?:\?(\S*))?) HTTP/1\.[01]\r\n")
 MAX_WAIT_MS = 60_000
@@ -50,7 +50,7 @@
 class Connection:
     """One connection; one call at a time is out on it."""
 
-    __slots__ = ("sock", "head", "out", "since", "wanted", "watch_id", "stats", "answered_version")
+    __slots__ = ("sock", "head", "outgoing", "since", "services", "watch_id", "stats", "answered_version")
 
     def __init__(self, sock: socket.socket, peer: AddressStats) -> None:
         self.sock = sock
--- a/pumicepath/lab/hollow/plan.py
+++ b/pumicepath/lab/hollow/plan.py
@@ -81,7 +81,8 @@
         and not MIN_FULL_LIST_BYTES_PER_S <= ask.whole_bytes_per_s <= MAX_FULL_LIST_BYTES_PER_S
     ):
         raise RunOptionsError(
-            f"--whole-bytes-per-s: {ask.whole_bytes_per_s} is not from {MIN_FULL_LIST_BYTES_PER_S} to {MAX_FULL_LIST_BYTES_PER_S}"
+            f"--whole-bytes-per-s: {ask.whole_bytes_per_s} is not from {MIN_FULL_LIST_BYTES_PER_S} "
+            f"to {MAX_FULL_LIST_BYTES_PER_S}"
         )
     if ask.faults and ask.fault_s * len(ask.faults) > ask.seconds:
         raise RunOptionsError(
--- a/pumicepath/lab/hollow/resource_estimate.py
+++ b/pumicepath/lab/hollow/resource_estimate.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from .plan import RunOptionsError, Plan
+from .plan import Plan, RunOptionsError
 
 MAX_MEMORY_MB = 11_000
 MAX_PROCESSES = 300
@@ -33,8 +33,8 @@
 
     def summary(self) -> str:
         return (
-            f"{self.processes} processes, about {self.memory_mb:.0f} MB, {self.held_servers} held servers, up to "
-            f"{self.max_connections} connections a process"
+            f"{self.processes} processes, about {self.memory_mb:.0f} MB, {self.held_servers} held servers, "
+            f"up to {self.max_connections} connections a process"
         )
 
 
--- a/pumicepath/lab/hollow/run.py
+++ b/pumicepath/lab/hollow/run.py
@@ -17,11 +17,11 @@
 
 import orjson
 
-from . import processes, ground_truth
+from . import ground_truth, processes
+from .evaluation import MAX_PROPAGATION_US, Evaluation, OutageWindow, quantile
 from .faults import FAULT_TYPES
 from .plan import Plan
 from .processes import ChildProcess, InvalidRunError
-from .evaluation import MAX_PROPAGATION_US, Evaluation, OutageWindow, quantile
 
 START_TIMEOUT_S = 60.0  # for a start, and so much more for each
 START_TIMEOUT_PER_SIDECAR_S = 0.05  # sidecar's first list
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -123,9 +123,9 @@
         "bytes",
         "updated_at",
         "has_list",
-        "plant",
-        "homes",
-        "before",
+        "injected_bug",
+        "relay_selector",
+        "previous_sock",
         "failed_calls",
     )
 
--- a/pumicepath/lab/hollow/view_checker.py
+++ b/pumicepath/lab/hollow/view_checker.py
@@ -16,8 +16,8 @@
 from ...discovery.roster import stable
 from ...interface import Phase
 from ...logic import Balancer
-from .plan import STATES_PER_SHARE_UNIT, Plan
 from .ground_truth import ACTIVE, LEFT, Change, now_us
+from .plan import STATES_PER_SHARE_UNIT, Plan
 
 PHASES = {"active": Phase.READY, "leaving": Phase.DRAINING}
 MAX_CHECKS_PER_UPDATE = 64  # settled servers of a sidecar that are looked at after each of its updates
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from pumicepath.lab.capacity import scenarios, sensitivity, page, ranking, roles, rows
-from pumicepath.lab.capacity.measurements import CapacityError, Capacity, Estimate, decode, fit_line
+from pumicepath.lab.capacity import page, ranking, roles, rows, scenarios, sensitivity
+from pumicepath.lab.capacity.measurements import Capacity, CapacityError, Estimate, decode, fit_line
 from pumicepath.lab.capacity.target import ASSUMPTIONS, TARGET, Assumptions
 
 DOCS = Path(__file__).parent.parent / "docs"
@@ -239,7 +239,7 @@
 
 def test_what_twice_an_assumption_changes() -> None:
     known = with_flat_series(call_cpu_ms=0.5)
-    found = sensitivity.changed_rows(known, TARGET, ASSUMPTIONS, "calls_each")
+    found = sensitivity.changed_rows(known, TARGET, ASSUMPTIONS, "calls_per_sidecar_s")
     assert found and "with the largest service: 7.5 to 15 of 100 % of a core" in found[0][2]
     for name in sensitivity.ASSUMPTION_TEXTS:
         assert hasattr(ASSUMPTIONS, name)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 
 from pumicepath.command import main
-from pumicepath.lab.experiments import comparison, statistics, files, runner
+from pumicepath.lab.experiments import comparison, files, runner, statistics
 from tests.helpers import compare, interruptible
 
 SHIPPED_FOLDER = Path(__file__).parent.parent / "experiments"
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -18,11 +18,11 @@
 from pumicepath.interface import Entry, Listing, Phase
 from pumicepath.lab.experiments.folder_lock import LOCK_FILE, FolderLockedError, locked_folder
 from pumicepath.lab.hollow import resource_estimate
-from pumicepath.lab.hollow.plan import STATES_PER_SHARE_UNIT, RunOptions, RunOptionsError, Plan, check_options
+from pumicepath.lab.hollow.evaluation import Evaluation, OutageWindow, reachable_delay
+from pumicepath.lab.hollow.ground_truth import ACTIVE, LEAVING, LEFT, Change, LedgerReader, LedgerWriter
+from pumicepath.lab.hollow.plan import STATES_PER_SHARE_UNIT, Plan, RunOptions, RunOptionsError, check_options
 from pumicepath.lab.hollow.run import HollowRun
 from pumicepath.lab.hollow.sidecar import MUTE, sidecar_settings
-from pumicepath.lab.hollow.ground_truth import ACTIVE, LEAVING, LEFT, Change, LedgerWriter, LedgerReader
-from pumicepath.lab.hollow.evaluation import Evaluation, OutageWindow, reachable_delay
 from pumicepath.lab.hollow.view_checker import ViewChecker
 from pumicepath.logic import Balancer
 from pumicepath.settings import decode
@@ -430,8 +430,8 @@
             sys.executable,
             "-c",
             "import sys; from pathlib import Path\n"
-            "from pumicepath.lab.experiments.folder_lock import owned\n"
-            "with owned(Path(sys.argv[1])): print('has it', flush=True); sys.stdin.read()",
+            "from pumicepath.lab.experiments.folder_lock import locked_folder\n"
+            "with locked_folder(Path(sys.argv[1])): print('has it', flush=True); sys.stdin.read()",
             str(tmp_path),
         ],
         stdin=subprocess.PIPE,
