--- a/pumicepath/lab/capacity/__init__.py
+++ b/pumicepath/lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What the system takes at the size that is coming, from measured slopes: formulas, nothing measured."""
+"""Capacity model: what the system takes at the target size, computed from measured series by formulas."""
--- a/pumicepath/lab/capacity/measurements.py
+++ b/pumicepath/lab/capacity/measurements.py
@@ -1,7 +1,7 @@
-"""Measured series, the line through each, and figures read off them.
+"""Measured series, a linear fit of each, and estimates derived from them.
 
-`decode(data)` takes `docs/capacity.json` as loaded and raises BadCapacity, naming the key, for what is
-missing or odd in it.  `Capacity.at(name, size)` is a figure that says by itself whether it was measured.
+`decode(data)` validates the parsed `docs/capacity.json` and raises CapacityError, which names the key, for a
+missing or invalid value.  `Capacity.at(name, size)` returns an estimate that records whether it was measured.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 import numpy
 
-MIN_SIZES = 4  # sizes that a slope needs
-MAX_LINEAR_RESIDUAL = 0.25  # of a middle: the farthest that one may lie off the line of a linear series
-FAR_EXTRAPOLATION_RATIO = 20.0  # times the largest measured size, beyond which the page says so at the figure
+MIN_SIZES = 4  # of a series: with fewer a linear fit is not meaningful
+MAX_LINEAR_RESIDUAL = 0.25  # a series is linear if no median is farther from its line, relative to the median
+FAR_EXTRAPOLATION_RATIO = 20.0  # over the largest measured size; the page warns at estimates beyond it
 FORMS = ("compiled", "interpreted", "neither")
 KINDS = ("measured", "extrapolated", "reckoned")
 MACHINE_KEYS = ("processor", "cores", "memory_gb", "system", "python", "numpy", "orjson")
@@ -25,12 +25,16 @@
 
 
 class CapacityError(Exception):
-    """The file can't be used; the text names the key in one line."""
+    """The measurement file is invalid; the message names the key in one line."""
 
 
 @dataclass(frozen=True)
 class Estimate:
-    """A number and how it is known: `beyond` is the largest size asked for over the largest measured."""
+    """A value with its provenance, one of KINDS.
+
+    `size_ratio` is the requested size over the largest measured size, and 1 within the measured sizes.
+    Arithmetic keeps the weaker provenance and the larger ratio of both operands.
+    """
 
     value: float
     kind: str = "reckoned"
@@ -50,22 +54,26 @@
 
 
 def assumed_value(value: float) -> Estimate:
-    """Of the target or an assumption: what is multiplied by it was not measured at that many."""
+    """Wrap a number of the target or an assumption; a product with it counts as "reckoned", not measured."""
     return Estimate(value, "reckoned")
 
 
 def as_estimate(number: Estimate | float) -> Estimate:
-    """A change of unit, which takes nothing from how the other was found."""
+    """Wrap a plain number, such as a unit factor; it does not weaken the other operand's provenance."""
     return number if isinstance(number, Estimate) else Estimate(float(number), "measured")
 
 
 def weaker_provenance(one: Estimate, other: Estimate) -> tuple[str, float]:
+    """Return the less certain kind and the larger size ratio of both."""
     return max(one.kind, other.kind, key=KINDS.index), max(one.size_ratio, other.size_ratio)
 
 
 @dataclass(frozen=True)
 class LinearFit:
-    """`base + slope * size`; `residual` is the largest distance of a middle from it, over that middle."""
+    """The line `intercept + slope * size`.
+
+    `residual` is the largest distance of a median from the line, relative to that median.
+    """
 
     intercept: float
     slope: float
@@ -80,31 +88,31 @@
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> LinearFit:
-    """Least squares of the relative distances: small sizes count as much as large ones.
+    """Fit a line by least squares of the relative distances, so that small sizes count as much as large ones.
 
-    Exact sums give the same line on every processor.  A slope that moves the line by no more than the last
-    digits of two points is rounding, and 0.
+    `math.fsum` gives the same line on every processor.  A slope that changes the line by at most two units in
+    the last place over all sizes is a rounding error and becomes 0.
     """
-    weights = [1 / (middle * middle) for _, middle in points]
+    weights = [1 / (value * value) for _, value in points]
     total = math.fsum(weights)
     mean_size = math.fsum(weight * size for weight, (size, _) in zip(weights, points)) / total
-    mean = math.fsum(weight * middle for weight, (_, middle) in zip(weights, points)) / total
+    mean_value = math.fsum(weight * value for weight, (_, value) in zip(weights, points)) / total
     offsets = [size - mean_size for size, _ in points]
     slope = math.fsum(
-        weight * offset * (middle - mean) for weight, offset, (_, middle) in zip(weights, offsets, points)
+        weight * offset * (value - mean_value) for weight, offset, (_, value) in zip(weights, offsets, points)
     ) / math.fsum(weight * offset * offset for weight, offset in zip(weights, offsets))
     sizes = [size for size, _ in points]
-    last_digit = math.ulp(max(middle for _, middle in points))
-    if abs(slope) * (max(sizes) - min(sizes)) <= 2 * last_digit:
+    last_place = math.ulp(max(value for _, value in points))
+    if abs(slope) * (max(sizes) - min(sizes)) <= 2 * last_place:
         slope = 0.0
-    base = mean - slope * mean_size
-    residual = max(abs(base + slope * size - middle) / middle for size, middle in points)
-    return LinearFit(base, slope, residual)
+    intercept = mean_value - slope * mean_size
+    residual = max(abs(intercept + slope * size - value) / value for size, value in points)
+    return LinearFit(intercept, slope, residual)
 
 
 @dataclass(frozen=True)
 class Series:
-    """One quantity by one size: for each size the values of the repeats."""
+    """Measurements of one quantity over one size parameter; each point is a size and its repeated values."""
 
     name: str
     description: str
@@ -120,7 +128,7 @@
 
     @property
     def relative_spread(self) -> float:
-        """The widest of the sizes: largest less smallest repeat, over the middle."""
+        """The largest spread of any size: largest minus smallest repeat, relative to the median."""
         return max((max(values) - min(values)) / median(values) for _, values in self.points)
 
     @cached_property
@@ -128,28 +136,30 @@
         return fit_line(self.medians)
 
     def at(self, size: float) -> Estimate:
-        """Between measured sizes on the straight line between their middles.
+        """Estimate the value at a size.
 
-        Beyond the largest by the line through all of them where that is one, else by that through the last
-        two; below the smallest that one's.  A line that falls is not followed beyond what was measured.
+        Between measured sizes it interpolates linearly between their medians; below the smallest size it
+        returns the smallest size's median.  Beyond the largest size it follows the fit of all points if the
+        series is linear, else the line through the last two points.  A falling line is not extrapolated, as
+        it would become negative: the last median is used.
         """
-        middles = self.medians
-        least, most = middles[0], middles[-1]
-        if size <= least[0]:
-            return Estimate(least[1], "measured")
-        if size <= most[0]:
-            sizes, values = zip(*middles)
+        medians = self.medians
+        smallest, largest = medians[0], medians[-1]
+        if size <= smallest[0]:
+            return Estimate(smallest[1], "measured")
+        if size <= largest[0]:
+            sizes, values = zip(*medians)
             return Estimate(float(numpy.interp(size, sizes, values)), "measured")
-        found = self.fit
-        if not found.is_linear:
-            found = fit_line(middles[-2:])
-        value = found.at(size) if found.slope > 0 else most[1]
-        return Estimate(value, "extrapolated", size / most[0])
+        fit = self.fit
+        if not fit.is_linear:
+            fit = fit_line(medians[-2:])
+        value = fit.at(size) if fit.slope > 0 else largest[1]
+        return Estimate(value, "extrapolated", size / largest[0])
 
 
 @dataclass(frozen=True)
 class Capacity:
-    """All that was measured, and where."""
+    """All measured series, and the machine on which they were measured."""
 
     machine: Mapping[str, Any]
     series: Mapping[str, Series]
@@ -163,14 +173,14 @@
         return self[name].at(size)
 
     def at_if_measured(self, name: str, size: float) -> Estimate | None:
-        """None where it was not measured: for what needs an idle machine, or many processes."""
+        """Like `at`, but None if the series is absent: some need an idle machine or many processes."""
         return self.series[name].at(size) if name in self.series else None
 
 
 def require_object(data: Any, where: str, keys: Sequence[str]) -> dict[str, Any]:
-    """An object with these keys and no others."""
+    """Return `data` if it is an object with exactly these keys.  Raises CapacityError."""
     if not isinstance(data, dict):
-        raise CapacityError(f"{where} is no object")
+        raise CapacityError(f"{where} must be an object")
     for key in keys:
         if key not in data:
             raise CapacityError(f"{where}.{key} is missing".lstrip("."))
@@ -181,19 +191,24 @@
 
 
 def require_texts(data: dict[str, Any], where: str, keys: Sequence[str]) -> None:
+    """Check that these keys hold non-empty texts.  Raises CapacityError."""
     for key in keys:
         if not isinstance(data[key], str) or not data[key]:
-            raise CapacityError(f"{where}.{key} is no text")
+            raise CapacityError(f"{where}.{key} must be a non-empty text")
 
 
-def require_number(value: Any, where: str, fits: Callable[[float], bool] = lambda value: value > 0) -> float:
-    odd = isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value)
-    if odd or not fits(value):
+def require_number(
+    value: Any, where: str, is_valid: Callable[[float], bool] = lambda value: value > 0
+) -> float:
+    """Return a finite number that `is_valid` accepts, by default a positive one.  Raises CapacityError."""
+    not_finite = isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value)
+    if not_finite or not is_valid(value):
         raise CapacityError(f"{where}: {value!r} is not above 0")
     return float(value)
 
 
 def decode_series(name: str, data: Any) -> Series:
+    """Validate one series.  Raises CapacityError."""
     where = f"series.{name}"
     require_object(data, where, ("what", "unit", "by", "form", "run", "points"))
     require_texts(data, where, ("what", "unit", "by", "form"))
@@ -205,10 +220,10 @@
     if not isinstance(data["points"], list) or len(data["points"]) < MIN_SIZES:
         raise CapacityError(f"{where}.points: fewer than {MIN_SIZES} sizes")
     points: list[tuple[float, tuple[float, ...]]] = []
-    for at, point in enumerate(data["points"]):
-        here = f"{where}.points[{at}]"
+    for index, point in enumerate(data["points"]):
+        here = f"{where}.points[{index}]"
         if not isinstance(point, list) or len(point) != 2 or not isinstance(point[1], list) or not point[1]:
-            raise CapacityError(f"{here} is no size with its repeats")
+            raise CapacityError(f"{here} must be a size with a list of repeats")
         size = require_number(point[0], here)
         if points and size <= points[-1][0]:
             raise CapacityError(f"{here}: sizes do not grow")
@@ -217,11 +232,12 @@
 
 
 def decode(data: Any) -> Capacity:
+    """Validate the parsed measurement file.  Raises CapacityError, which names the key."""
     require_object(data, "", ("machine", "series"))
     machine = require_object(data["machine"], "machine", MACHINE_KEYS)
     require_texts(machine, "machine", ("processor", "system", "python", "numpy", "orjson"))
     for key in ("cores", "memory_gb"):
         require_number(machine[key], f"machine.{key}")
     if not isinstance(data["series"], dict):
-        raise CapacityError("series is no object")
+        raise CapacityError("series must be an object")
     return Capacity(machine, {name: decode_series(name, one) for name, one in data["series"].items()})
--- a/pumicepath/lab/capacity/page.py
+++ b/pumicepath/lab/capacity/page.py
@@ -1,7 +1,7 @@
-"""The page's tables, written between its markers; all else in it is by hand.
+"""Renders the generated tables of the capacity page between their markers; the other text is left as it is.
 
-`written(text, capacity)` gives the page with its tables as the figures have them; ValueError for a marker
-that is missing, twice, or of no table.
+`render_page(text, capacity)` returns the page with current tables.  It raises ValueError for a marker that is
+missing, occurs twice or names no table.
 """
 
 from __future__ import annotations
@@ -30,11 +30,13 @@
 
 
 def ranking_table(capacity: Capacity) -> str:
+    """Format the ranking of the direct form's rows."""
     lines = [[row.role, *row_cells(row, capacity)] for row in ranked_rows(capacity, TARGET, ASSUMPTIONS)]
     return markdown_table(["role", *ROW_HEADINGS], lines)
 
 
 def role_table(name: str, capacity: Capacity) -> str:
+    """Format the rows of one role, named as in ROLE_ROWS."""
     return markdown_table(
         ROW_HEADINGS,
         [row_cells(row, capacity) for row in roles.ROLE_ROWS[name](capacity, TARGET, ASSUMPTIONS)],
@@ -42,10 +44,11 @@
 
 
 def scenarios_table(capacity: Capacity) -> str:
+    """Format the scenarios, one line for each of their peaks."""
     lines = [
         line
-        for day in scenarios.build_scenarios(capacity, TARGET, ASSUMPTIONS)
-        for line in scenarios.scenario_cells(day, capacity)
+        for scenario in scenarios.build_scenarios(capacity, TARGET, ASSUMPTIONS)
+        for line in scenarios.scenario_cells(scenario, capacity)
     ]
     return markdown_table(
         [
@@ -63,22 +66,23 @@
 
 
 def series_table(capacity: Capacity) -> str:
+    """Format the measured series with their linear fits."""
     lines = []
-    for one in capacity.series.values():
-        line, middles = one.fit, one.medians
+    for series in capacity.series.values():
+        fit, medians = series.fit, series.medians
         lines.append(
             [
-                f"`{one.name}`",
-                f"{one.description}, {one.unit}, by {one.size_name}",
-                ", ".join(f"{size:,g}: {format_number(value)}" for size, value in middles),
-                f"{format_number(line.intercept)} + {format_number(line.slope)} n"
-                if line.is_linear
+                f"`{series.name}`",
+                f"{series.description}, {series.unit}, by {series.size_name}",
+                ", ".join(f"{size:,g}: {format_number(value)}" for size, value in medians),
+                f"{format_number(fit.intercept)} + {format_number(fit.slope)} n"
+                if fit.is_linear
                 else "not linear",
-                f"{100 * line.residual:.0f}%",
-                f"{100 * one.relative_spread:.0f}%",
-                str(len(one.points[0][1])),
-                one.form,
-                f"{one.run['date']}, {one.run['commit']}, load {one.run['load']:g}",
+                f"{100 * fit.residual:.0f}%",
+                f"{100 * series.relative_spread:.0f}%",
+                str(len(series.points[0][1])),
+                series.form,
+                f"{series.run['date']}, {series.run['commit']}, load {series.run['load']:g}",
             ]
         )
     return markdown_table(
@@ -98,10 +102,12 @@
 
 
 def machine_text(capacity: Capacity) -> str:
-    told = capacity.machine
+    """Describe the machine on which the series were measured."""
+    machine = capacity.machine
     return (
-        f"{told['processor']}, {told['cores']} cores, {told['memory_gb']:g} GB, {told['system']}; Python "
-        f"{told['python']}, numpy {told['numpy']}, orjson {told['orjson']}."
+        f"{machine['processor']}, {machine['cores']} cores, {machine['memory_gb']:g} GB, "
+        f"{machine['system']}; Python {machine['python']}, "
+        f"numpy {machine['numpy']}, orjson {machine['orjson']}."
     )
 
 
@@ -116,13 +122,15 @@
 
 
 def render_page(text: str, capacity: Capacity) -> str:
-    found = [each[1] for each in MARKED_TABLE.finditer(text)]
+    """Return the page with all tables rendered again.  Raises ValueError for a wrong set of markers."""
+    markers = [match[1] for match in MARKED_TABLE.finditer(text)]
     for name in TABLES:
-        if found.count(name) != 1:
-            raise ValueError(f"the page has {found.count(name)} tables {name}")
+        if markers.count(name) != 1:
+            raise ValueError(f"the page has {markers.count(name)} tables {name}")
     for name in re.findall(r"<!-- begin (.*?) -->", text):
         if name not in TABLES:
             raise ValueError(f"the page has a table {name} that nothing writes")
     return MARKED_TABLE.sub(
-        lambda each: f"<!-- begin {each[1]} -->\n{TABLES[each[1]](capacity)}\n<!-- end {each[1]} -->\n", text
+        lambda match: f"<!-- begin {match[1]} -->\n{TABLES[match[1]](capacity)}\n<!-- end {match[1]} -->\n",
+        text,
     )
--- a/pumicepath/lab/capacity/ranking.py
+++ b/pumicepath/lab/capacity/ranking.py
@@ -1,4 +1,4 @@
-"""What is missing first: today's direct form at the target, each role's figures against their budgets."""
+"""Rows of the direct form, without relays, at the target, ranked by how far each role exceeds its budgets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def list_changes_per_s(target: Target, assumed: Assumptions) -> float:
-    """Changes of the list: the operators' own, and those of servers that fail or are replaced."""
+    """List changes a second: those made by operators and those of servers that fail or are replaced."""
     return (
         target.changes_per_s
         + (target.failures_per_day + target.replacements_per_day) * assumed.changes_per_replacement / 86_400
@@ -30,28 +30,30 @@
 
 
 def direct_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
-    """The rows in the order of their roles; `ranked` sorts them."""
-    n, peak = target.servers, list_changes_per_s(target, assumed) * assumed.peak_factor
-    cpu_s, bytes_ = (
+    """Return the rows in the order of their roles; `ranked_rows` sorts them."""
+    n, peak_changes_per_s = target.servers, list_changes_per_s(target, assumed) * assumed.peak_factor
+    cpu_budget_s, bytes_budget = (
         target.max_core_fraction * target.max_propagation_s,
         target.max_bytes_per_s * target.max_propagation_s,
     )
-    told = capacity.at("told_us", n)
-    late = capacity.at_if_measured("direct_in_force_ms", n)
-    in_force = late.divided_by(1000) if late is not None else None
-    # By its size a list's cost was measured with 20 followers.  How that grows with them was measured at one
-    # size and is nearly flat; the slope of that would be noise far out, so what the largest following adds is
-    # taken for all that it adds.
-    following = capacity["sent_many_us"].medians
-    more = Estimate(following[-1][1] / following[0][1], "extrapolated", n / following[-1][0])
-    sent = capacity.at("sent_us", n).times(more)
-    size = capacity.at("list_bytes", n)
-    join = capacity.at("join_kb", n)
+    change_us = capacity.at("told_us", n)
+    in_force_ms = capacity.at_if_measured("direct_in_force_ms", n)
+    in_force = in_force_ms.divided_by(1000) if in_force_ms is not None else None
+    # The cost of a list by its size was measured with 20 followers.  Its growth with the number of followers
+    # was measured at one size and is nearly flat: extrapolating that slope would extrapolate noise.  The
+    # increase at the largest measured number of followers is therefore taken for any larger number.
+    by_followers = capacity["sent_many_us"].medians
+    follower_factor = Estimate(
+        by_followers[-1][1] / by_followers[0][1], "extrapolated", n / by_followers[-1][0]
+    )
+    full_list_us = capacity.at("sent_us", n).times(follower_factor)
+    list_bytes = capacity.at("list_bytes", n)
+    join_kb = capacity.at("join_kb", n)
     return [
         Row(
             LIST_ROLE,
             "all sidecars come back: whole lists to all, the source's CPU",
-            sent.times(assumed_value(n / 1e6)),
+            full_list_us.times(assumed_value(n / 1e6)),
             "s",
             target.max_propagation_s,
             "sidecars x CPU of sending a list of 20,000, as it is with 1,000 followers",
@@ -61,7 +63,7 @@
         Row(
             LIST_ROLE,
             "all sidecars come back: bytes over one 10 Gbit line",
-            size.times(assumed_value(n / assumed.network_bytes_per_s)),
+            list_bytes.times(assumed_value(n / assumed.network_bytes_per_s)),
             "s",
             target.max_propagation_s,
             "sidecars x bytes of a list / 1.25 GB a second",
@@ -71,9 +73,9 @@
         Row(
             LIST_ROLE,
             "a whole list, bytes to one sidecar within 6 s",
-            size.divided_by(1000.0),
+            list_bytes.divided_by(1000.0),
             "kB",
-            bytes_ / 1000,
+            bytes_budget / 1000,
             "bytes of a list of 20,000; 6 s x 7 KB",
             ("list_bytes",),
             LIST_MECHANISM,
@@ -83,7 +85,7 @@
             "a whole list, CPU at one sidecar within 6 s",
             capacity.at("first_us", n).divided_by(1e6),
             "s",
-            cpu_s,
+            cpu_budget_s,
             "CPU of reading the first list; 6 s x 2%",
             ("first_us",),
             LIST_MECHANISM,
@@ -121,7 +123,7 @@
         Row(
             LIST_ROLE,
             "a zone lost: 590 changes to all, each told for itself, the source's CPU",
-            told.times(assumed_value(target.zone_servers * n / 1e6)),
+            change_us.times(assumed_value(target.zone_servers * n / 1e6)),
             "s",
             target.max_propagation_s,
             "590 x sidecars x CPU of telling one",
@@ -131,7 +133,7 @@
         Row(
             LIST_ROLE,
             "changes at ten times the mean, the source's CPU",
-            told.times(assumed_value(n * peak / 1e6)),
+            change_us.times(assumed_value(n * peak_changes_per_s / 1e6)),
             "cores",
             1.0,
             "10 x changes a second x sidecars x CPU of telling one; one thread",
@@ -141,7 +143,7 @@
         Row(
             LIST_ROLE,
             "changes at ten times the mean, CPU at one sidecar",
-            capacity.at("change_us", n).times(assumed_value(peak / 1e6 * 100)),
+            capacity.at("change_us", n).times(assumed_value(peak_changes_per_s / 1e6 * 100)),
             "% of a core",
             target.max_core_fraction * 100,
             "10 x changes a second x CPU of reading one among 20,000",
@@ -203,7 +205,7 @@
         Row(
             MEMBERSHIP_ROLE,
             "join, bytes sent by each, over 7 KB a second",
-            join.times(1000 / target.max_bytes_per_s),
+            join_kb.times(1000 / target.max_bytes_per_s),
             "s",
             None,
             "kB sent until views are right / 7 KB a second",
@@ -264,9 +266,12 @@
 
 
 def ranked_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
-    """Roles by their worst factor, and within each its rows by theirs; what has no budget comes last."""
+    """Sort roles by their highest ratio to a budget, and each role's rows likewise.
+
+    Rows without a budget come last.
+    """
     rows = direct_rows(capacity, target, assumed)
-    worst: dict[str, float] = {}
+    highest_ratio: dict[str, float] = {}
     for row in rows:
-        worst[row.role] = max(worst.get(row.role, 0.0), row.budget_ratio)
-    return sorted(rows, key=lambda row: (-worst[row.role], row.role, -row.budget_ratio))
+        highest_ratio[row.role] = max(highest_ratio.get(row.role, 0.0), row.budget_ratio)
+    return sorted(rows, key=lambda row: (-highest_ratio[row.role], row.role, -row.budget_ratio))
--- a/pumicepath/lab/capacity/roles.py
+++ b/pumicepath/lab/capacity/roles.py
@@ -1,6 +1,7 @@
-"""Each role at the target, with relays between discovery and sidecars: state, messages, bytes, CPU, memory.
+"""Rows of each role at the target, with relays between discovery and sidecars.
 
-`roles(capacity, target, assumed)` gives the rows of each role by the name of its table.
+They cover state, messages, bytes, CPU and memory.  ROLE_ROWS maps the name of a role's table to the function
+that returns its rows.
 """
 
 from __future__ import annotations
@@ -14,89 +15,94 @@
 MEMBERSHIP_MECHANISM = "`fleet/membership.py`, a fleet for each zone; off by default"
 RELAY_MECHANISM = "`relay/loop.py`, `distribution/subscriptions.py`, `distribution/held.py`"
 RATE_LIMIT_MECHANISM = "`distribution/pace.py`"
-MEASURED_LIST_SERVERS = 8 * 20_000 / 1_900  # servers in the lists of `relay_whole_bytes`, in the mean
+MEASURED_LIST_SERVERS = 8 * 20_000 / 1_900  # mean servers in a list of `relay_whole_bytes`
 DISCOVERY_MECHANISM = "the regions' discoveries, given; `relay/upstreams.py` is all that calls them"
 
 
 def list_entry_bytes(capacity: Capacity, assumed: Assumptions) -> Estimate:
-    """Of one server in a relay's list: the list that was measured is of 8 services among 1,900."""
+    """Bytes of one server in a relay's list; the measured list holds 8 of 1,900 services."""
     return capacity.at("relay_whole_bytes", assumed.followers_per_relay).divided_by(MEASURED_LIST_SERVERS)
 
 
 def ratio_if_measured(one: Estimate | None, other: Estimate | None) -> Estimate | None:
+    """The quotient of both, or None if one of them was not measured."""
     return one.divided_by(other) if one is not None and other is not None else None
 
 
 def data_path_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
-    usual, most = assumed.typical_listed_servers, assumed.max_listed_servers
-    made, pick = assumed.calls_per_sidecar_s, "`logic.py`, `sidecar/dispatch.py`"
-    spent = capacity.at("call_cpu_ms", usual), capacity.at("call_cpu_ms", most)
-    added = capacity.at_if_measured("added_p99_ms", usual), capacity.at_if_measured("added_p99_ms", most)
+    """Rows of a sidecar's data path: decisions, calls and their CPU, latency and memory."""
+    typical, largest = assumed.typical_listed_servers, assumed.max_listed_servers
+    calls_per_s, mechanism = assumed.calls_per_sidecar_s, "`logic.py`, `sidecar/dispatch.py`"
+    call_cpu_ms = capacity.at("call_cpu_ms", typical), capacity.at("call_cpu_ms", largest)
+    added_ms = (
+        capacity.at_if_measured("added_p99_ms", typical),
+        capacity.at_if_measured("added_p99_ms", largest),
+    )
     return [
         Row(
             "",
             "state: servers that it chooses from, usual",
-            assumed_value(usual),
+            assumed_value(typical),
             "servers",
             None,
             "8 services x 10.5",
             (),
-            pick,
+            mechanism,
         ),
         Row(
             "",
             "state: with the largest service",
-            assumed_value(most),
+            assumed_value(largest),
             "servers",
             None,
             "8 x 10.5 + 2,500",
             (),
-            pick,
+            mechanism,
         ),
         Row(
             "",
             "messages: calls in, and as many attempts out or more",
-            assumed_value(made),
+            assumed_value(calls_per_s),
             "a second",
             None,
             "3 million calls / 20,000",
             (),
-            pick,
+            mechanism,
         ),
         Row(
             "",
             "CPU, usual",
-            spent[0].times(made / 10),
+            call_cpu_ms[0].times(calls_per_s / 10),
             "% of a core",
             None,
             "150 x CPU of a call",
             ("call_cpu_ms",),
-            pick,
+            mechanism,
         ),
         Row(
             "",
             "CPU, with the largest service",
-            spent[1].times(made / 10),
+            call_cpu_ms[1].times(calls_per_s / 10),
             "% of a core",
             100.0,
             "150 x CPU of a call; one core, as one thread decides at a time",
             ("call_cpu_ms",),
-            pick + "; O(servers) a decision",
+            mechanism + "; O(servers) a decision",
         ),
         Row(
             "",
             "added for 99 in 100, usual",
-            added[0],
+            added_ms[0],
             "ms",
             target.max_added_latency_ms,
             "one call",
             ("added_p99_ms",),
-            pick,
+            mechanism,
         ),
         Row(
             "",
             "added for 99 in 100 by a plain process in the way, in turns with it",
-            capacity.at_if_measured("passed_p99_ms", usual),
+            capacity.at_if_measured("passed_p99_ms", typical),
             "ms",
             None,
             "one that hands on bytes and does nothing else",
@@ -106,42 +112,42 @@
         Row(
             "",
             "added for 99 in 100, with the largest service",
-            added[1],
+            added_ms[1],
             "ms",
             target.max_added_latency_ms,
             "one call",
             ("added_p99_ms",),
-            pick + "; O(servers) a decision",
+            mechanism + "; O(servers) a decision",
         ),
         Row(
             "",
             "CPU of one call, a floor of what is added, usual",
-            spent[0],
+            call_cpu_ms[0],
             "ms",
             target.max_added_latency_ms,
             "CPU of a call",
             ("call_cpu_ms",),
-            pick,
+            mechanism,
         ),
         Row(
             "",
             "CPU of one call, with the largest service",
-            spent[1],
+            call_cpu_ms[1],
             "ms",
             target.max_added_latency_ms,
             "CPU of a call",
             ("call_cpu_ms",),
-            pick + "; O(servers) a decision",
+            mechanism + "; O(servers) a decision",
         ),
         Row(
             "",
             "CPU of calls 13 deep, usual",
-            spent[0].times(assumed_value(target.call_depth)),
+            call_cpu_ms[0].times(assumed_value(target.call_depth)),
             "ms",
             target.max_added_latency_ms,
             "13 x CPU of a call, if 1.8 ms is for all of them",
             ("call_cpu_ms",),
-            pick,
+            mechanism,
         ),
         Row(
             "",
@@ -156,43 +162,44 @@
         Row(
             "",
             "memory after calls, usual",
-            capacity.at("calling_mb", usual),
+            capacity.at("calling_mb", typical),
             "MB",
             None,
             "resident",
             ("calling_mb",),
-            pick,
+            mechanism,
         ),
     ]
 
 
 def list_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
-    usual, most, changed = (
+    """Rows of a sidecar's server lists as relays deliver them."""
+    typical, largest, changes_per_s = (
         assumed.typical_listed_servers,
         assumed.max_listed_servers,
         list_changes_per_s(target, assumed),
     )
-    renewals = 1 / assumed.relay_renewal_interval_s
-    answer = capacity.at("relay_renewed_bytes", assumed.followers_per_relay).plus(
+    renewals_per_s = 1 / assumed.relay_renewal_interval_s
+    renewal_bytes = capacity.at("relay_renewed_bytes", assumed.followers_per_relay).plus(
         assumed_value((target.regions - 1) * assumed.region_bytes)
     )
-    line = list_entry_bytes(capacity, assumed)
-    heard = changed * assumed.typical_listed_servers / target.servers
-    at_peak = changed * assumed.peak_factor * most / target.servers
-    part = target.max_propagation_s / 100
-    pairs = {}
+    entry_bytes = list_entry_bytes(capacity, assumed)
+    notified_per_s = changes_per_s * assumed.typical_listed_servers / target.servers
+    peak_notified_per_s = changes_per_s * assumed.peak_factor * largest / target.servers
+    percent_of_budget_s = target.max_propagation_s / 100
+    comparisons = {}
     for side in ("real", "hollow"):
         small, large = (capacity.at_if_measured(f"{side}_list_mb", size) for size in (100, 2000))
-        pairs[side] = (
-            capacity.at_if_measured(f"{side}_told_us", usual),
+        comparisons[side] = (
+            capacity.at_if_measured(f"{side}_told_us", typical),
             large.plus(small.times(-1)) if small is not None and large is not None else None,
         )
-    each = answer.plus(assumed_value(assumed.request_bytes)).times(renewals)
+    idle_bytes_per_s = renewal_bytes.plus(assumed_value(assumed.request_bytes)).times(renewals_per_s)
     return [
         Row(
             "",
             "state: servers held, usual",
-            assumed_value(usual),
+            assumed_value(typical),
             "servers",
             None,
             "8 x 10.5",
@@ -202,7 +209,7 @@
         Row(
             "",
             "messages: calls of its watch",
-            assumed_value(renewals + heard),
+            assumed_value(renewals_per_s + notified_per_s),
             "a second",
             None,
             "1 / 2.25 s, and changes that concern it",
@@ -212,7 +219,7 @@
         Row(
             "",
             "bytes at rest, both ways",
-            each,
+            idle_bytes_per_s,
             "bytes a second",
             target.max_bytes_per_s,
             "(a call and an answer with nothing new, 10 regions) / 2.25 s",
@@ -252,7 +259,7 @@
         Row(
             "",
             "a real one over a hollow one: CPU of a change, usual",
-            ratio_if_measured(pairs["real"][0], pairs["hollow"][0]),
+            ratio_if_measured(comparisons["real"][0], comparisons["hollow"][0]),
             "times",
             None,
             "100 of each side by side",
@@ -262,7 +269,7 @@
         Row(
             "",
             "a real one over a hollow one: memory for 1,900 servers more",
-            ratio_if_measured(pairs["real"][1], pairs["hollow"][1]),
+            ratio_if_measured(comparisons["real"][1], comparisons["hollow"][1]),
             "times",
             None,
             "100 of each side by side",
@@ -272,7 +279,7 @@
         Row(
             "",
             "bytes at ten times the changes, with the largest service",
-            each.plus(line.plus(answer).times(assumed_value(at_peak))),
+            idle_bytes_per_s.plus(entry_bytes.plus(renewal_bytes).times(assumed_value(peak_notified_per_s))),
             "bytes a second",
             target.max_bytes_per_s,
             "at rest, and 10 x changes x its part of the servers",
@@ -282,7 +289,7 @@
         Row(
             "",
             "CPU without calls",
-            capacity.at("followed_cpu_ms", usual).divided_by(10.0),
+            capacity.at("followed_cpu_ms", typical).divided_by(10.0),
             "% of a core",
             target.max_core_fraction * 100,
             "of a `serve` at rest that follows a relay",
@@ -292,9 +299,9 @@
         Row(
             "",
             "CPU at ten times the changes, with the largest service",
-            capacity.at("followed_cpu_ms", most)
+            capacity.at("followed_cpu_ms", largest)
             .divided_by(10.0)
-            .plus(capacity.at("change_us", most).times(assumed_value(at_peak / 1e4))),
+            .plus(capacity.at("change_us", largest).times(assumed_value(peak_notified_per_s / 1e4))),
             "% of a core",
             target.max_core_fraction * 100,
             "at rest, and 10 x changes x CPU of one among 2,584",
@@ -304,7 +311,7 @@
         Row(
             "",
             "memory, usual",
-            capacity.at("followed_mb", usual),
+            capacity.at("followed_mb", typical),
             "MB",
             target.max_memory_mb,
             "a `serve` at rest that follows a relay",
@@ -314,7 +321,7 @@
         Row(
             "",
             "memory, with the largest service",
-            capacity.at("followed_mb", most),
+            capacity.at("followed_mb", largest),
             "MB",
             target.max_memory_mb,
             "a `serve` at rest that follows a relay",
@@ -334,7 +341,7 @@
         Row(
             "",
             "a whole list, with the largest service, in 6 s",
-            line.times(assumed_value(most / 1000)),
+            entry_bytes.times(assumed_value(largest / 1000)),
             "kB",
             target.max_bytes_per_s * target.max_propagation_s / 1000,
             "2,584 x bytes of a line; 6 s x 7 KB",
@@ -344,7 +351,7 @@
         Row(
             "",
             "CPU of a first list, with the largest service, of 6 s",
-            capacity.at("first_us", most).divided_by(1e6 * part),
+            capacity.at("first_us", largest).divided_by(1e6 * percent_of_budget_s),
             "% of a core",
             target.max_core_fraction * 100,
             "CPU of reading it / 6 s",
@@ -355,7 +362,8 @@
 
 
 def membership_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
-    zone, all_ = target.zone_servers, target.servers
+    """Rows of a sidecar's membership of a fleet."""
+    zone, fleet = target.zone_servers, target.servers
     return [
         Row(
             "",
@@ -410,7 +418,7 @@
         Row(
             "",
             "memory, all in one fleet",
-            capacity.at("peer_kb", all_).divided_by(1000),
+            capacity.at("peer_kb", fleet).divided_by(1000),
             "MB",
             target.max_memory_mb,
             "resident",
@@ -430,7 +438,7 @@
         Row(
             "",
             "a join, all in one fleet, over 7 KB a second",
-            capacity.at("join_kb", all_).times(1000 / target.max_bytes_per_s),
+            capacity.at("join_kb", fleet).times(1000 / target.max_bytes_per_s),
             "s",
             None,
             "kB sent / 7 KB a second",
@@ -451,7 +459,8 @@
 
 
 def duty_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
-    voter = "`fleet/leases.py`, `fleet/duties.py`; three voters for each zone"
+    """Rows of a voter that grants leases for duties."""
+    mechanism = "`fleet/leases.py`, `fleet/duties.py`; three voters for each zone"
     return [
         Row(
             "",
@@ -461,7 +470,7 @@
             None,
             "taken: 200 duties a zone",
             (),
-            voter,
+            mechanism,
         ),
         Row(
             "",
@@ -471,7 +480,7 @@
             None,
             "200 duties, leases of 10 s",
             ("voter_messages",),
-            voter,
+            mechanism,
         ),
         Row(
             "",
@@ -481,7 +490,7 @@
             target.max_bytes_per_s,
             "200 duties, leases of 10 s",
             ("voter_bytes",),
-            voter,
+            mechanism,
         ),
         Row(
             "",
@@ -491,7 +500,7 @@
             target.max_core_fraction * 100,
             "200 duties, leases of 10 s, decisions alone",
             ("voter_cpu_us",),
-            voter,
+            mechanism,
         ),
         Row(
             "",
@@ -501,23 +510,28 @@
             target.max_memory_mb,
             "200 duties; all that they take in a fleet, a third of it",
             ("voter_kb",),
-            voter,
+            mechanism,
         ),
     ]
 
 
 def control_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
-    n, changed = assumed.followers_per_relay, list_changes_per_s(target, assumed)
+    """Rows of the control machines, which run the relays."""
+    relay_followers, changes_per_s = assumed.followers_per_relay, list_changes_per_s(target, assumed)
 
-    def core(followers: float, times: float) -> Estimate:
+    def cpu_percent(followers: float, change_factor: float) -> Estimate:
         return (
             capacity.at("relay_renewed_us", followers)
             .times(followers / assumed.relay_renewal_interval_s / 1e4)
-            .plus(capacity.at("relay_change_us", followers).times(assumed_value(changed * times / 1e4)))
+            .plus(
+                capacity.at("relay_change_us", followers).times(
+                    assumed_value(changes_per_s * change_factor / 1e4)
+                )
+            )
         )
 
-    spent = ("relay_renewed_us", "relay_change_us")
-    answer = capacity.at("relay_renewed_bytes", n).plus(
+    cpu_series = ("relay_renewed_us", "relay_change_us")
+    renewal_bytes = capacity.at("relay_renewed_bytes", relay_followers).plus(
         assumed_value((target.regions - 1) * assumed.region_bytes + assumed.request_bytes)
     )
     return [
@@ -544,7 +558,7 @@
         Row(
             "",
             "followers, one of a pair down",
-            assumed_value(2 * n),
+            assumed_value(2 * relay_followers),
             "connections",
             4096,
             "20,000 / 10; `mostFollowers` by default",
@@ -554,7 +568,7 @@
         Row(
             "",
             "messages: renewals",
-            assumed_value(n / assumed.relay_renewal_interval_s),
+            assumed_value(relay_followers / assumed.relay_renewal_interval_s),
             "a second",
             None,
             "1,000 / 2.25 s",
@@ -564,7 +578,7 @@
         Row(
             "",
             "bytes, both ways",
-            answer.times(n / assumed.relay_renewal_interval_s / 1000),
+            renewal_bytes.times(relay_followers / assumed.relay_renewal_interval_s / 1000),
             "kB a second",
             assumed.network_bytes_per_s / 1000,
             "renewals x (call and answer)",
@@ -574,37 +588,37 @@
         Row(
             "",
             "CPU",
-            core(n, 1),
+            cpu_percent(relay_followers, 1),
             "% of a core",
             100.0,
             "renewals and changes; one thread",
-            spent,
+            cpu_series,
             RELAY_MECHANISM,
         ),
         Row(
             "",
             "CPU, one of a pair down",
-            core(2 * n, 1),
+            cpu_percent(2 * relay_followers, 1),
             "% of a core",
             100.0,
             "the same with 2,000 followers",
-            spent,
+            cpu_series,
             RELAY_MECHANISM,
         ),
         Row(
             "",
             "CPU, one down and ten times the changes",
-            core(2 * n, assumed.peak_factor),
+            cpu_percent(2 * relay_followers, assumed.peak_factor),
             "% of a core",
             100.0,
             "the same",
-            spent,
+            cpu_series,
             RELAY_MECHANISM,
         ),
         Row(
             "",
             "memory, one of a pair down",
-            capacity.at("relay_mb", 2 * n),
+            capacity.at("relay_mb", 2 * relay_followers),
             "MB",
             assumed.machine_mb,
             "resident; a machine's 16 GB",
@@ -625,16 +639,17 @@
 
 
 def discovery_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
-    callers, own = (
+    """Rows of one region's discovery, which only relays call."""
+    relays, changes_per_s = (
         target.regions * assumed.relays_per_region,
         list_changes_per_s(target, assumed) / target.regions,
     )
-    told, renewed = capacity.at("told_us", 50), capacity.at("renewed_us", 50)
+    change_us, renewal_us = capacity.at("told_us", 50), capacity.at("renewed_us", 50)
     return [
         Row(
             "",
             "callers of one",
-            assumed_value(callers),
+            assumed_value(relays),
             "relays",
             None,
             "20 relays, each calls all 10",
@@ -644,7 +659,7 @@
         Row(
             "",
             "messages: renewals and changes",
-            assumed_value(callers * (1 / assumed.relay_renewal_interval_s + own)),
+            assumed_value(relays * (1 / assumed.relay_renewal_interval_s + changes_per_s)),
             "a second",
             None,
             "20 x (1 / 2.25 s + changes / 10)",
@@ -654,8 +669,8 @@
         Row(
             "",
             "CPU of the least one",
-            renewed.times(assumed_value(callers / assumed.relay_renewal_interval_s / 1e4)).plus(
-                told.times(assumed_value(callers * own / 1e4))
+            renewal_us.times(assumed_value(relays / assumed.relay_renewal_interval_s / 1e4)).plus(
+                change_us.times(assumed_value(relays * changes_per_s / 1e4))
             ),
             "% of a core",
             100.0,
@@ -666,8 +681,8 @@
         Row(
             "",
             "CPU at ten times the changes",
-            renewed.times(assumed_value(callers / assumed.relay_renewal_interval_s / 1e4)).plus(
-                told.times(assumed_value(callers * own * assumed.peak_factor / 1e4))
+            renewal_us.times(assumed_value(relays / assumed.relay_renewal_interval_s / 1e4)).plus(
+                change_us.times(assumed_value(relays * changes_per_s * assumed.peak_factor / 1e4))
             ),
             "% of a core",
             100.0,
@@ -679,7 +694,7 @@
             "",
             "a region's whole list to all relays",
             list_entry_bytes(capacity, assumed).times(
-                assumed_value(callers * target.servers / target.regions / 1e6)
+                assumed_value(relays * target.servers / target.regions / 1e6)
             ),
             "MB",
             None,
@@ -691,24 +706,25 @@
 
 
 def change_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
-    way = "`relay/upstreams.py`, `relay/loop.py`, `discovery/watch.py`"
-    told = capacity.at_if_measured("hollow_in_force_ms", target.servers)
-    lag = capacity.at_if_measured("hollow_lag_ms", target.servers)
+    """Rows of a change on its way to all sidecars."""
+    mechanism = "`relay/upstreams.py`, `relay/loop.py`, `discovery/watch.py`"
+    in_force_ms = capacity.at_if_measured("hollow_in_force_ms", target.servers)
+    rig_delay_ms = capacity.at_if_measured("hollow_lag_ms", target.servers)
     return [
         Row(
             "",
             "a change of servers' entries in force, p99",
-            told.divided_by(1000) if told is not None else None,
+            in_force_ms.divided_by(1000) if in_force_ms is not None else None,
             "s",
             target.max_propagation_s,
             "hollow sidecars, real relays",
             ("hollow_in_force_ms",),
-            way,
+            mechanism,
         ),
         Row(
             "",
             "in that run, how late the rig itself was at most",
-            lag.divided_by(1000) if lag is not None else None,
+            rig_delay_ms.divided_by(1000) if rig_delay_ms is not None else None,
             "s",
             None,
             "its loops, of all processes",
--- a/pumicepath/lab/capacity/rows.py
+++ b/pumicepath/lab/capacity/rows.py
@@ -1,4 +1,4 @@
-"""One line of a table: a figure at the target against its budget, with formula, slopes and mechanism."""
+"""A table row: an estimate at the target compared with its budget, with its formula, series and mechanism."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True)
 class Row:
-    """`budget` is None where the target sets none; `series` are the slopes that the formula uses.
+    """One estimate of a role; `series` names the measured series that the formula uses.
 
-    `value` is None where those were not measured.
+    `value` is None if one of them was not measured; `budget` is None if the target sets none.
     """
 
     role: str
@@ -28,12 +28,12 @@
 
     @property
     def budget_ratio(self) -> float:
-        """Over its budget; 0 where there is none."""
+        """The value over its budget; 0 without a budget or a value."""
         return self.value.value / self.budget if self.budget and self.value is not None else 0.0
 
 
 def format_number(value: float) -> str:
-    """Three digits that count, with thousands apart."""
+    """Format with three significant digits and thousands separators."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -42,25 +42,26 @@
     return f"{float(f'{value:.3g}'):g}"
 
 
-def provenance(figure: Estimate, series: tuple[str, ...] = ()) -> str:
-    """How it is known, and from how far."""
-    told = "reckoned from slopes" if figure.kind == "reckoned" and series else figure.kind
-    if figure.size_ratio <= 1:
-        return told
-    return f"{told}, extrapolated x {format_number(figure.size_ratio)}".replace("extrapolated, ", "", 1) + (
+def provenance(estimate: Estimate, series: tuple[str, ...] = ()) -> str:
+    """Say how the estimate is known, and how far beyond the measured sizes it lies."""
+    kind = "reckoned from slopes" if estimate.kind == "reckoned" and series else estimate.kind
+    if estimate.size_ratio <= 1:
+        return kind
+    return f"{kind}, extrapolated x {format_number(estimate.size_ratio)}".replace("extrapolated, ", "", 1) + (
         f" (**more than {FAR_EXTRAPOLATION_RATIO:g} times the largest measured size**)"
-        if figure.size_ratio > FAR_EXTRAPOLATION_RATIO
+        if estimate.size_ratio > FAR_EXTRAPOLATION_RATIO
         else ""
     )
 
 
 def build_forms(row: Row, capacity: Capacity) -> str:
-    found = sorted({capacity[name].form for name in row.series} - {"neither"})
-    return " and ".join(found)
+    """Name the forms of the program (compiled, interpreted) in which the row's series were measured."""
+    forms = sorted({capacity[name].form for name in row.series} - {"neither"})
+    return " and ".join(forms)
 
 
 def budget_text(row: Row) -> str:
-    """The factor over the budget, in bold where it is missed."""
+    """The ratio to the budget, in bold where the budget is exceeded."""
     if not row.budget:
         return "no budget"
     if row.value is None:
@@ -71,21 +72,23 @@
 
 
 def row_cells(row: Row, capacity: Capacity) -> list[str]:
+    """Format the row's cells, without its role."""
     if row.value is None:
-        figure = how = NOT_MEASURED
+        value = source = NOT_MEASURED
     else:
-        figure, form = f"{format_number(row.value.value)} {row.unit}".strip(), build_forms(row, capacity)
-        how = provenance(row.value, row.series) + (f", {form}" if form else "")
+        value, form = f"{format_number(row.value.value)} {row.unit}".strip(), build_forms(row, capacity)
+        source = provenance(row.value, row.series) + (f", {form}" if form else "")
     return [
         row.quantity,
-        figure,
+        value,
         f"{format_number(row.budget)} {row.unit}" if row.budget else "none",
         budget_text(row),
-        how,
+        source,
         row.formula + (f" [{', '.join(row.series)}]" if row.series else ""),
         row.mechanism,
     ]
 
 
 def markdown_table(head: list[str], lines: list[list[str]]) -> str:
+    """Format a Markdown table."""
     return "\n".join("| " + " | ".join(line) + " |" for line in [head, ["---"] * len(head), *lines])
--- a/pumicepath/lab/capacity/scenarios.py
+++ b/pumicepath/lab/capacity/scenarios.py
@@ -1,4 +1,4 @@
-"""The days: what each puts on the busiest part against its budget, when all is in force, what is stale."""
+"""Operating scenarios: the peak load of each, when all changes are applied, and what is stale until then."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """`peaks` are rows without a role; `until` is when all is in force, in s; None: not measured."""
+    """An operating situation: its peak loads, rows without a role, and how long state is stale.
+
+    `applied_after` is the time in seconds until all changes are applied, None if it was not measured.
+    """
 
     name: str
     peaks: list[Row]
@@ -26,41 +29,44 @@
 
 
 def build_scenarios(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Scenario]:
-    n, changed, most = (
+    """Compute the scenarios, from an ordinary day to ten times the mean rate of changes."""
+    followers, changes_per_s, largest = (
         assumed.followers_per_relay,
         list_changes_per_s(target, assumed),
         assumed.max_listed_servers,
     )
-    one = capacity.at("relay_change_us", n)
-    renewing = capacity.at("relay_renewed_us", n).times(n / assumed.relay_renewal_interval_s / 1e4)
-    answer = capacity.at("relay_renewed_bytes", n).plus(
+    change_us = capacity.at("relay_change_us", followers)
+    renewal_percent = capacity.at("relay_renewed_us", followers).times(
+        followers / assumed.relay_renewal_interval_s / 1e4
+    )
+    renewal_bytes = capacity.at("relay_renewed_bytes", followers).plus(
         assumed_value((target.regions - 1) * assumed.region_bytes + assumed.request_bytes)
     )
-    resting = answer.times(1 / assumed.relay_renewal_interval_s)
-    usual_list = capacity.at("relay_whole_bytes", n)
-    line = roles.list_entry_bytes(capacity, assumed)
-    told = capacity.at_if_measured("hollow_in_force_ms", target.servers)
-    in_force = told.divided_by(1000) if told is not None else None
-
-    def hollow(fault: str, else_: Estimate | None) -> tuple[Estimate | None, str]:
-        """From the end of a fault until all is in force, by hollow runs where there are any."""
+    idle_bytes_per_s = renewal_bytes.times(1 / assumed.relay_renewal_interval_s)
+    typical_list_bytes = capacity.at("relay_whole_bytes", followers)
+    entry_bytes = roles.list_entry_bytes(capacity, assumed)
+    in_force_ms = capacity.at_if_measured("hollow_in_force_ms", target.servers)
+    in_force = in_force_ms.divided_by(1000) if in_force_ms is not None else None
+
+    def recovery(fault: str, fallback: Estimate | None) -> tuple[Estimate | None, str]:
+        """Time from a fault's end until all changes are applied: from hollow runs, else `fallback`."""
         name = f"{fault}_s"
         if name not in capacity.series:
-            return else_, ""
+            return fallback, ""
         size, value = capacity[name].medians[-1]
         return capacity.at(name, target.servers), (
             f"hollow runs, from its end [{name}: {format_number(value)} s at {format_number(size)}]"
         )
 
-    silent = assumed_value(assumed.silence_timeout_s + 0.5 + 2 * assumed.batch_interval_s)
+    silence_s = assumed_value(assumed.silence_timeout_s + 0.5 + 2 * assumed.batch_interval_s)
     relays = target.regions * assumed.relays_per_region
 
-    def relay(what: str, rate: float, times: float = 1) -> Row:
-        """CPU of a relay at so many changes a second, each told for itself; so many times its followers."""
-        cpu = renewing.times(times).plus(one.times(assumed_value(rate / 1e4)))
+    def relay_row(quantity: str, rate: float, times: float = 1) -> Row:
+        """CPU of a relay with `times` its usual followers, at `rate` changes a second sent one by one."""
+        cpu = renewal_percent.times(times).plus(change_us.times(assumed_value(rate / 1e4)))
         return Row(
             "",
-            what,
+            quantity,
             cpu,
             "% of a core",
             100.0,
@@ -69,13 +75,13 @@
             "",
         )
 
-    def heard(what: str, rate: float, listed: float) -> Row:
-        """Bytes to a sidecar that lists so many, at so many changes a second of all servers."""
-        concerned = rate * listed / target.servers
+    def sidecar_row(quantity: str, rate: float, listed: float) -> Row:
+        """Bytes to a sidecar that lists `listed` servers, at `rate` changes a second of all servers."""
+        notified_per_s = rate * listed / target.servers
         return Row(
             "",
-            what,
-            resting.plus(line.times(assumed_value(concerned))),
+            quantity,
+            idle_bytes_per_s.plus(entry_bytes.times(assumed_value(notified_per_s))),
             "bytes a second",
             target.max_bytes_per_s,
             "watch, and lines of what changed",
@@ -83,18 +89,18 @@
             "",
         )
 
-    def wholes(sidecars: float, machines: float) -> tuple[list[Row], Estimate]:
-        """Whole lists to so many from so many relays: usual ones, and with the largest service; seconds."""
-        pace = machines * assumed.full_list_bytes_per_s
-        with_largest = usual_list.times(1 - assumed.largest_service_caller_fraction).plus(
-            line.times(assumed_value(assumed.largest_service_caller_fraction * most))
+    def full_list_rows(sidecars: float, machines: float) -> tuple[list[Row], Estimate]:
+        """Full lists to `sidecars` sidecars from `machines` relays: the rows, and the longer duration."""
+        bytes_per_s = machines * assumed.full_list_bytes_per_s
+        mixed_list_bytes = typical_list_bytes.times(1 - assumed.largest_service_caller_fraction).plus(
+            entry_bytes.times(assumed_value(assumed.largest_service_caller_fraction * largest))
         )
-        lasts = with_largest.times(sidecars / pace)
+        duration = mixed_list_bytes.times(sidecars / bytes_per_s)
         return [
             Row(
                 "",
                 "whole lists, usual",
-                usual_list.times(assumed_value(sidecars / pace)),
+                typical_list_bytes.times(assumed_value(sidecars / bytes_per_s)),
                 "s",
                 target.max_propagation_s,
                 f"sidecars x bytes / relays / {assumed.full_list_bytes_per_s / 1e6:g} MB a second",
@@ -104,29 +110,35 @@
             Row(
                 "",
                 "whole lists, one in ten with the largest service",
-                lasts,
+                duration,
                 "s",
                 target.max_propagation_s,
                 "the same, a tenth with 2,584 lines",
                 ("relay_whole_bytes",),
                 "",
             ),
-        ], lasts
-
-    zone, peak = target.zone_servers / target.max_propagation_s, changed * assumed.peak_factor
-    region_hour = changed / target.regions * assumed.partition_duration_s
-    released = target.servers * assumed.changes_per_replacement / assumed.release_duration_s
-    zone_lists, zone_lists_s = wholes(target.zone_servers, relays / target.regions)
-    all_lists, all_lists_s = wholes(target.servers, relays)
-    zone_s, zone_by = hollow("zone-lost", in_force)
-    cut_s, cut_by = hollow("region-cut", silent)
-    restart_s, restart_by = hollow("region-of-all-control-restarted", None)
-    one_s, one_by = hollow("region-of-all-control-killed", None)
-    one_lists, _ = wholes(n, 1)
+        ], duration
+
+    zone_changes_per_s, peak_changes_per_s = (
+        target.zone_servers / target.max_propagation_s,
+        changes_per_s * assumed.peak_factor,
+    )
+    missed_changes = changes_per_s / target.regions * assumed.partition_duration_s
+    release_changes_per_s = target.servers * assumed.changes_per_replacement / assumed.release_duration_s
+    zone_lists, zone_lists_s = full_list_rows(target.zone_servers, relays / target.regions)
+    all_lists, all_lists_s = full_list_rows(target.servers, relays)
+    zone_s, zone_source = recovery("zone-lost", in_force)
+    cut_s, cut_source = recovery("region-cut", silence_s)
+    restart_s, restart_source = recovery("region-of-all-control-restarted", None)
+    lost_relay_s, lost_relay_source = recovery("region-of-all-control-killed", None)
+    lost_relay_lists, _ = full_list_rows(followers, 1)
     return [
         Scenario(
             "ordinary",
-            [relay("a relay", changed), heard("a sidecar, usual", changed, assumed.typical_listed_servers)],
+            [
+                relay_row("a relay", changes_per_s),
+                sidecar_row("a sidecar, usual", changes_per_s, assumed.typical_listed_servers),
+            ],
             in_force,
             "hollow sidecars, p99",
             "nothing for longer than that",
@@ -134,11 +146,11 @@
         Scenario(
             "a rack, 40 servers and sidecars",
             [
-                relay("a relay, in 6 s", assumed.rack_servers / target.max_propagation_s),
-                heard(
+                relay_row("a relay, in 6 s", assumed.rack_servers / target.max_propagation_s),
+                sidecar_row(
                     "a sidecar with the largest service",
                     assumed.rack_servers / target.max_propagation_s,
-                    most,
+                    largest,
                 ),
             ],
             in_force,
@@ -147,14 +159,17 @@
         ),
         Scenario(
             "a zone, 590 at once",
-            [relay("a relay, in 6 s", zone), heard("a sidecar with the largest service", zone, most)],
+            [
+                relay_row("a relay, in 6 s", zone_changes_per_s),
+                sidecar_row("a sidecar with the largest service", zone_changes_per_s, largest),
+            ],
             zone_s,
-            zone_by or "as on an ordinary day, if batches hold them",
+            zone_source or "as on an ordinary day, if batches hold them",
             "the zone's servers until told; breakers open before that",
         ),
         Scenario(
             "the zone back",
-            [relay("a relay, in 6 s", zone), *zone_lists],
+            [relay_row("a relay, in 6 s", zone_changes_per_s), *zone_lists],
             zone_lists_s,
             "590 whole lists by its region's two relays",
             "nobody is sent to who is not there: what is late is a server that could serve",
@@ -162,11 +177,11 @@
         Scenario(
             "a region cut off for an hour, and healed",
             [
-                relay("a relay, in 6 s after", region_hour / target.max_propagation_s),
+                relay_row("a relay, in 6 s after", missed_changes / target.max_propagation_s),
                 Row(
                     "",
                     "changes missed, of those that a relay can continue",
-                    assumed_value(region_hour),
+                    assumed_value(missed_changes),
                     "changes",
                     float(assumed.retained_changes),
                     "changes / 10 regions x an hour",
@@ -175,21 +190,24 @@
                 ),
             ],
             cut_s,
-            cut_by or "a relay's next call to the region's discovery, and a batch",
+            cut_source or "a relay's next call to the region's discovery, and a batch",
             "the region's servers as last told; " + CLOCK_START_RULE + "; " + LAST_LIST_STAYS,
         ),
         Scenario(
             "a release of everything in an hour",
-            [relay("a relay", released), heard("a sidecar with the largest service", released, most)],
+            [
+                relay_row("a relay", release_changes_per_s),
+                sidecar_row("a sidecar with the largest service", release_changes_per_s, largest),
+            ],
             in_force,
             "as on an ordinary day",
             "nothing for longer than that",
         ),
         Scenario(
             "a control machine lost",
-            [relay("the other, with twice the followers", changed, 2), *one_lists],
-            one_s,
-            one_by or NOT_MEASURED,
+            [relay_row("the other, with twice the followers", changes_per_s, 2), *lost_relay_lists],
+            lost_relay_s,
+            lost_relay_source or NOT_MEASURED,
             "nothing for its followers until they have gone to the other",
         ),
         Scenario(
@@ -199,7 +217,7 @@
                 Row(
                     "",
                     "a relay's CPU for its followers' lists",
-                    capacity.at("relay_whole_us", n).times(n / 1e6),
+                    capacity.at("relay_whole_us", followers).times(followers / 1e6),
                     "s",
                     target.max_propagation_s,
                     "1,000 x CPU of a list",
@@ -208,7 +226,7 @@
                 ),
             ],
             restart_s if restart_s is not None else all_lists_s.plus(assumed_value(4.0)),
-            restart_by
+            restart_source
             or "until the last whole list, after a drawn pause of up to 4 s; runs of that: " + NOT_MEASURED,
             "all entries as last told while no relay runs; "
             + CLOCK_START_RULE
@@ -218,7 +236,10 @@
         ),
         Scenario(
             "61,000 changes at ten times the mean, ten minutes",
-            [relay("a relay", peak), heard("a sidecar with the largest service", peak, most)],
+            [
+                relay_row("a relay", peak_changes_per_s),
+                sidecar_row("a sidecar with the largest service", peak_changes_per_s, largest),
+            ],
             in_force,
             "as on an ordinary day, if a relay has room",
             "nothing for longer than that",
@@ -226,29 +247,29 @@
     ]
 
 
-def scenario_cells(day: Scenario, capacity: Capacity) -> list[list[str]]:
-    """One line for each peak; the first has what is said of the day."""
-    until = (
-        f"{format_number(day.applied_after.value)} s, {provenance(day.applied_after)}"
-        if day.applied_after is not None
+def scenario_cells(scenario: Scenario, capacity: Capacity) -> list[list[str]]:
+    """Format one line for each peak; only the first carries the scenario's name and its last two columns."""
+    applied = (
+        f"{format_number(scenario.applied_after.value)} s, {provenance(scenario.applied_after)}"
+        if scenario.applied_after is not None
         else NOT_MEASURED
     )
-    until += f": {day.applied_after_source}"
+    applied += f": {scenario.applied_after_source}"
     lines = []
-    for row in day.peaks:
-        first = row is day.peaks[0]
-        what, *found = rows.row_cells(row, capacity)
-        figure, budget, over, how, formula, _ = found
+    for row in scenario.peaks:
+        first = row is scenario.peaks[0]
+        what, *cells = rows.row_cells(row, capacity)
+        figure, budget, over, source, formula, _ = cells
         lines.append(
             [
-                day.name if first else "",
+                scenario.name if first else "",
                 f"{what}: {figure}",
                 budget,
                 over,
-                how,
+                source,
                 formula,
-                until if first else "",
-                day.stale_state if first else "",
+                applied if first else "",
+                scenario.stale_state if first else "",
             ]
         )
     return lines
--- a/pumicepath/lab/capacity/sensitivity.py
+++ b/pumicepath/lab/capacity/sensitivity.py
@@ -1,4 +1,4 @@
-"""What the target leaves open: the figure taken, and what changes if it is twice that."""
+"""Sensitivity to the assumptions: which rows change, and by how much, if an assumed value is doubled."""
 
 from __future__ import annotations
 
@@ -30,27 +30,31 @@
 
 
 def all_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> Iterator[tuple[str, Row]]:
+    """Yield every row of the roles and scenarios, with a key that stays the same when assumptions change."""
     for name, rows in ROLE_ROWS.items():
-        for at, row in enumerate(rows(capacity, target, assumed)):
-            yield f"{name} {at}", row
-    for day in build_scenarios(capacity, target, assumed):
-        for at, row in enumerate(day.peaks):
-            yield f"{day.name} {at}", row
+        for index, row in enumerate(rows(capacity, target, assumed)):
+            yield f"{name} {index}", row
+    for scenario in build_scenarios(capacity, target, assumed):
+        for index, row in enumerate(scenario.peaks):
+            yield f"{scenario.name} {index}", row
 
 
 def changed_rows(
     capacity: Capacity, target: Target, assumed: Assumptions, name: str
 ) -> list[tuple[float, str, str]]:
-    """What comes closest to its budget, or farthest over it, of all that differs: factor, which row, text."""
+    """List the rows that change by more than half a percent if the assumption `name` is doubled.
+
+    Each is (ratio to its budget, row key, text), the highest ratio first; rows without a budget are left out.
+    """
     before = dict(all_rows(capacity, target, assumed))
-    twice = replace(assumed, **{name: type(getattr(assumed, name))(2 * getattr(assumed, name))})
-    found = []
-    for key, row in all_rows(capacity, target, twice):
+    doubled = replace(assumed, **{name: type(getattr(assumed, name))(2 * getattr(assumed, name))})
+    changed = []
+    for key, row in all_rows(capacity, target, doubled):
         old = before[key]
         if row.value is None or old.value is None or not row.budget:
             continue
         if abs(row.value.value - old.value.value) > 0.005 * abs(old.value.value):
-            found.append(
+            changed.append(
                 (
                     row.budget_ratio,
                     key,
@@ -58,20 +62,22 @@
                     f"{format_number(row.value.value)} of {format_number(row.budget)} {row.unit}",
                 )
             )
-    return sorted(found, reverse=True)
+    return sorted(changed, reverse=True)
 
 
 def row_prefix(key: str) -> str:
+    """The role or scenario of a row's key, as a prefix of its text."""
     return f"{key.rpartition(' ')[0]}: "
 
 
 def assumptions_table(capacity: Capacity, target: Target, assumed: Assumptions) -> str:
+    """Format the table of all assumptions with the rows that react most to a doubled value."""
     lines = []
     for name, text in ASSUMPTION_TEXTS.items():
-        found = changed_rows(capacity, target, assumed, name)
-        told = "; ".join(line for _, _, line in found[:MAX_ROWS_SHOWN])
+        rows = changed_rows(capacity, target, assumed, name)
+        shown = "; ".join(line for _, _, line in rows[:MAX_ROWS_SHOWN])
         lines.append(
-            [text, format_number(getattr(assumed, name)), told or "no row with a budget by half a percent"]
+            [text, format_number(getattr(assumed, name)), shown or "no row with a budget by half a percent"]
         )
     return markdown_table(
         ["open", "taken", "if twice that, the rows that it changes and that come nearest to their budgets"],
--- a/pumicepath/lab/experiments/__init__.py
+++ b/pumicepath/lab/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: files that say what to run, runs on all cores, figures with their spread, and reports."""
+"""Experiments: declared in files, run on all cores, summarized with confidence intervals and reports."""
--- a/pumicepath/lab/experiments/charts.py
+++ b/pumicepath/lab/experiments/charts.py
@@ -1,4 +1,4 @@
-"""Pictures of results: service over time, hops and breakers by server, latency, and what was lost."""
+"""Charts of results: service over time, hops and breakers by server, latency, losses, and fleet views."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 def save_figure(figure: Any, path: Path) -> Path:
+    """Write the figure to `path`, close it and return the path."""
     figure.tight_layout()
     figure.savefig(path, dpi=110)
     pyplot.close(figure)
@@ -26,10 +27,11 @@
 
 
 def mark_faults(axes: Axes, marks: Sequence[Sequence[Any]]) -> None:
-    for at, until, text in marks:
-        axes.axvspan(at / 1e6, max(until, at + 100_000) / 1e6, color="tab:red", alpha=0.10, lw=0)
+    """Shade the period of each fault, (start in microseconds, end in microseconds, text), and label it."""
+    for start, end, text in marks:
+        axes.axvspan(start / 1e6, max(end, start + 100_000) / 1e6, color="tab:red", alpha=0.10, lw=0)
         axes.text(
-            at / 1e6,
+            start / 1e6,
             0.02,
             f" {text[:44]}",
             rotation=90,
@@ -41,10 +43,10 @@
 
 
 def plot_service(runs: Sequence[dict[str, Any]], arms: Sequence[str], path: Path) -> Path:
-    """The share of each second's submissions served in time: middle of the seeds, and from least to most."""
+    """Plot the fraction of each second's submissions served in time: median and range over the seeds."""
     figure, axes = pyplot.subplots(figsize=(9, 3.6))
     for arm in arms:
-        shares = numpy.array(
+        fractions = numpy.array(
             [
                 [
                     good / offered if offered else numpy.nan
@@ -54,15 +56,15 @@
                 if run["arm"] == arm
             ]
         )
-        if not shares.size:
+        if not fractions.size:
             continue
-        shares = shares[:, ~numpy.all(numpy.isnan(shares), axis=0)]
-        seconds = numpy.arange(shares.shape[1]) + 0.5
-        (line,) = axes.plot(seconds, numpy.nanmedian(shares, axis=0), label=arm, lw=1.4)
+        fractions = fractions[:, ~numpy.all(numpy.isnan(fractions), axis=0)]
+        seconds = numpy.arange(fractions.shape[1]) + 0.5
+        (line,) = axes.plot(seconds, numpy.nanmedian(fractions, axis=0), label=arm, lw=1.4)
         axes.fill_between(
             seconds,
-            numpy.nanmin(shares, axis=0),
-            numpy.nanmax(shares, axis=0),
+            numpy.nanmin(fractions, axis=0),
+            numpy.nanmax(fractions, axis=0),
             color=line.get_color(),
             alpha=0.12,
             lw=0,
@@ -74,38 +76,40 @@
 
 
 def plot_servers(run: dict[str, Any], path: Path) -> Path:
-    """Hops at each server, and the share of sidecars whose breaker refuses it, second by second."""
-    figure, both = pyplot.subplots(2, 1, figsize=(9, 5), sharex=True)
-    for axes, name, title, colours in (
-        (both[0], "at_servers", "hops at each server", "viridis"),
-        (both[1], "breakers", "sidecars that refuse it", "magma"),
+    """Plot for each second and server the hops, and the fraction of sidecars whose breaker rejects it."""
+    figure, panels = pyplot.subplots(2, 1, figsize=(9, 5), sharex=True)
+    for axes, name, title, colormap in (
+        (panels[0], "at_servers", "hops at each server", "viridis"),
+        (panels[1], "breakers", "sidecars that refuse it", "magma"),
     ):
         values = numpy.array(run[name], dtype=float).T
-        shown = axes.imshow(
+        image = axes.imshow(
             values,
             aspect="auto",
             origin="lower",
-            cmap=colours,
+            cmap=colormap,
             interpolation="nearest",
             extent=(0, values.shape[1], -0.5, values.shape[0] - 0.5),
             vmin=0,
             vmax=1 if name == "breakers" else max(1.0, values.max()),
         )
-        figure.colorbar(shown, ax=axes)
+        figure.colorbar(image, ax=axes)
         axes.set(ylabel="server's place", title=f"{title} ({run['arm']}, seed {run['seed']})")
-    both[1].set(xlabel="seconds")
+    panels[1].set(xlabel="seconds")
     return save_figure(figure, path)
 
 
 def plot_latency(runs: Sequence[dict[str, Any]], arms: Sequence[str], path: Path) -> Path:
-    """Percentiles on the scale of HdrHistogram's plots: each step to the right is a nine more."""
+    """Plot latency percentiles on the scale of HdrHistogram's plots, on which each unit adds a nine."""
     figure, axes = pyplot.subplots(figsize=(9, 3.6))
     nines = numpy.linspace(0.1, 4.0, 60)
     for arm in arms:
-        held = merge_histograms([run["latency"] for run in runs if run["arm"] == arm])
-        if held.get_total_count():
+        histogram = merge_histograms([run["latency"] for run in runs if run["arm"] == arm])
+        if histogram.get_total_count():
             axes.plot(
-                nines, [held.get_value_at_percentile(100 * (1 - 10**-n)) / 1000 for n in nines], label=arm
+                nines,
+                [histogram.get_value_at_percentile(100 * (1 - 10**-n)) / 1000 for n in nines],
+                label=arm,
             )
     axes.set_xticks([1, 2, 3, 4], ["90%", "99%", "99.9%", "99.99%"])
     axes.set(ylabel="ms from when it should go out", yscale="log")
@@ -113,15 +117,15 @@
     return save_figure(figure, path)
 
 
-def plot_losses(made: Sequence[ArmSummary], path: Path) -> Path:
-    """What was not served in time, by cause."""
-    figure, axes = pyplot.subplots(figsize=(9, 0.6 + 0.34 * len(made)))
-    names = [f"{row.point}: {row.arm}" if row.point else row.arm for row in made][::-1]
-    left = numpy.zeros(len(made))
-    for cause in made[0].losses:
-        shares = numpy.array([row.losses[cause] for row in made][::-1])
-        axes.barh(names, shares, left=left, label=cause)
-        left += shares
+def plot_losses(summaries: Sequence[ArmSummary], path: Path) -> Path:
+    """Plot the fractions of submissions that were not served in time, by cause."""
+    figure, axes = pyplot.subplots(figsize=(9, 0.6 + 0.34 * len(summaries)))
+    names = [f"{row.point}: {row.arm}" if row.point else row.arm for row in summaries][::-1]
+    left = numpy.zeros(len(summaries))
+    for cause in summaries[0].losses:
+        fractions = numpy.array([row.losses[cause] for row in summaries][::-1])
+        axes.barh(names, fractions, left=left, label=cause)
+        left += fractions
     axes.set(xlabel="share of what was offered")
     axes.tick_params(labelsize=7)
     axes.legend(fontsize=7, ncol=5, loc="lower right")
@@ -130,39 +134,39 @@
 
 def plot_liveness(
     names: Sequence[str],
-    at: Sequence[float],
+    times: Sequence[float],
     rows: Sequence[Sequence[float]],
     marks: Sequence[Sequence[Any]],
     path: Path,
 ) -> Path:
-    """A row a sidecar, a column a look: the share of the others that see it as alive."""
+    """Plot for each sidecar, over time, the fraction of the others that see it as alive."""
     figure, axes = pyplot.subplots(figsize=(9, min(9.0, 1.8 + 0.16 * len(names))))
-    edges = [*at, at[-1] + (at[-1] - at[0]) / max(1, len(at) - 1)]
-    shown = axes.pcolormesh(
+    edges = [*times, times[-1] + (times[-1] - times[0]) / max(1, len(times) - 1)]
+    mesh = axes.pcolormesh(
         edges, numpy.arange(len(names) + 1), numpy.array(rows, dtype=float).T, vmin=0, vmax=1, cmap="RdYlGn"
     )
     step = max(1, len(names) // 25)
     axes.set_yticks(numpy.arange(0, len(names), step) + 0.5, names[::step], fontsize=6)
     axes.invert_yaxis()
-    figure.colorbar(shown, ax=axes, label="seen as alive by")
+    figure.colorbar(mesh, ax=axes, label="seen as alive by")
     mark_faults(axes, marks)
     axes.set(xlabel="seconds")
     return save_figure(figure, path)
 
 
 def plot_traffic(
-    at: Sequence[float],
+    times: Sequence[float],
     messages: Sequence[float],
     sizes: Sequence[float],
     marks: Sequence[Sequence[Any]],
     path: Path,
 ) -> Path:
-    """Messages and kilobytes a second, all sidecars together."""
+    """Plot messages and kilobytes a second of all sidecars together."""
     figure, axes = pyplot.subplots(figsize=(9, 3))
-    axes.plot(at, messages, lw=1.4, label="messages a second")
-    other = axes.twinx()
-    other.plot(at, [size / 1000 for size in sizes], lw=1.0, color="tab:orange")
-    other.set_ylabel("kB a second", color="tab:orange")
+    axes.plot(times, messages, lw=1.4, label="messages a second")
+    size_axes = axes.twinx()
+    size_axes.plot(times, [size / 1000 for size in sizes], lw=1.0, color="tab:orange")
+    size_axes.set_ylabel("kB a second", color="tab:orange")
     mark_faults(axes, marks)
     axes.set(xlabel="seconds", ylabel="messages a second")
     return save_figure(figure, path)
--- a/pumicepath/lab/experiments/files.py
+++ b/pumicepath/lab/experiments/files.py
@@ -1,4 +1,4 @@
-"""Experiments as TOML files: read, checked with file, line and key, and taken apart into single runs."""
+"""Experiments as TOML files: loading, validation that names file, line and key, and single runs."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class ExperimentError(Exception):
-    """The file can't be used; the text names file, line and key, and what would be right."""
+    """The file is invalid; the message names file, line and key, and what would be valid."""
 
 
 class Experiment(Part):
-    """What a file holds besides its plan: what is compared, how often, and over which values."""
+    """Keys of a file besides its plan: what is compared, with how many seeds, and over which swept values."""
 
     title: str
     why: str = ""
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class ExperimentRun:
-    """One run: an arm (policy and variant), a point of the sweep, a seed."""
+    """One run: an arm (policy and variant), a point of the sweep, and a seed."""
 
     arm: str
     point: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class LoadedExperiment:
-    """A file that was read; `runs` come arm by arm for each seed, so that pairs end close to each other."""
+    """A loaded file; `runs` keeps all arms of a seed together, so that the runs of a pair finish together."""
 
     path: Path
     name: str
@@ -72,35 +72,40 @@
 
 
 def load_experiment(path: Path, seeds: int = 0, host: str = "") -> LoadedExperiment:
-    """Read and check; `seeds` goes before the file's own number, `host` is where it is to be played.
+    """Load and validate an experiment file.  Raises ExperimentError.
 
-    Raises BadExperiment.
+    `seeds` overrides the file's number of seeds unless it is 0.  `host` is where the experiment is to run
+    ("virtual" or "loopback"), or empty if it is only loaded.
     """
     try:
         text = path.read_text()
-        told = tomllib.loads(text)
-    except (OSError, UnicodeDecodeError) as trouble:
-        raise ExperimentError(f"{path}: {getattr(trouble, 'strerror', None) or trouble}") from trouble
-    except tomllib.TOMLDecodeError as trouble:
-        raise ExperimentError(f"{path}: {trouble}") from trouble
-    own = {name: told.pop(name) for name in Experiment.model_fields if name in told}
-    experiment = validate(Experiment, own, path, text)
-    plan = validate(Plan, told, path, text)
-    for number, key, what in plan_errors(plan, host):
-        raise ExperimentError(f"{locate_key(path, text, ('troubles', number, key))}: {what}")
+        raw = tomllib.loads(text)
+    except (OSError, UnicodeDecodeError) as error:
+        raise ExperimentError(f"{path}: {getattr(error, 'strerror', None) or error}") from error
+    except tomllib.TOMLDecodeError as error:
+        raise ExperimentError(f"{path}: {error}") from error
+    experiment_keys = {name: raw.pop(name) for name in Experiment.model_fields if name in raw}
+    experiment = validate(Experiment, experiment_keys, path, text)
+    plan = validate(Plan, raw, path, text)
+    for index, key, problem in plan_errors(plan, host):
+        raise ExperimentError(f"{locate_key(path, text, ('troubles', index, key))}: {problem}")
     variants: dict[str, dict[str, Scalar]] = experiment.variants or {"": {}}
     runs = []
     points = tuple(sweep_points(experiment.sweep))
     for seed in range(experiment.first_seed, experiment.first_seed + (seeds or experiment.seeds)):
         for values in points:
             for variant, changes in variants.items():
-                given = with_changes(told, changes, path, text, ("variants", variant))
-                given = with_changes(given, values, path, text, ("sweep",))
-                made = validate(Plan, given, path, text)
+                changed = with_changes(raw, changes, path, text, ("variants", variant))
+                changed = with_changes(changed, values, path, text, ("sweep",))
+                variant_plan = validate(Plan, changed, path, text)
                 for policy in experiment.policies:
                     runs.append(
                         ExperimentRun(
-                            arm_name(policy, variant, experiment), point_name(values), seed, policy, made
+                            arm_name(policy, variant, experiment),
+                            point_name(values),
+                            seed,
+                            policy,
+                            variant_plan,
                         )
                     )
     arms = tuple(dict.fromkeys(run.arm for run in runs))
@@ -110,91 +115,99 @@
 
 
 def plan_errors(plan: Plan, host: str) -> Iterator[tuple[int, str, str]]:
-    """Troubles that can't happen in this plan: number, key, and what would be right."""
+    """Yield faults that are impossible in this plan: index, key, and what would be valid."""
     servers, halls = plan.fleet.servers, plan.fleet.halls
-    for number, trouble in enumerate(plan.troubles):
-        if trouble.kind not in KINDS:
-            yield number, "kind", f"no trouble {trouble.kind!r}; there are {', '.join(sorted(KINDS))}"
+    for index, fault in enumerate(plan.troubles):
+        if fault.kind not in KINDS:
+            yield index, "kind", f"no trouble {fault.kind!r}; there are {', '.join(sorted(KINDS))}"
             continue
-        kind = KINDS[trouble.kind]
-        if host == "virtual" and (kind.real or kind.bends and trouble.sidecars or trouble.state != "old"):
+        kind = KINDS[fault.kind]
+        if host == "virtual" and (kind.real or kind.bends and fault.sidecars or fault.state != "old"):
             yield (
-                number,
+                index,
                 "kind",
-                (f"{trouble.kind} needs real processes here: play it by `lab run FILE --on loopback`"),
+                (f"{fault.kind} needs real processes here: play it by `lab run FILE --on loopback`"),
             )
         if kind.needs_peers and not plan.sidecars.peers:
-            yield number, "kind", f"{trouble.kind} needs peers = true under [sidecars]"
+            yield index, "kind", f"{fault.kind} needs peers = true under [sidecars]"
         for key in ("sidecars", "from_", "to"):
-            if any(not 0 <= each < plan.sidecars.count for each in getattr(trouble, key)):
-                yield number, key, f"there are sidecars 0 to {plan.sidecars.count - 1}"
-        if trouble.at_s >= plan.lasts_s:
-            yield number, "at_s", f"it must begin before the end at {plan.lasts_s:g} s"
-        if any(not 0 <= place < servers for place in trouble.servers):
-            yield number, "servers", f"there are servers 0 to {servers - 1}"
-        if not 0 <= trouble.hall < halls:
-            yield number, "hall", f"there are halls 0 to {halls - 1}"
-        if trouble.count > servers:
-            yield number, "count", f"there are {servers} servers"
+            if any(not 0 <= sidecar < plan.sidecars.count for sidecar in getattr(fault, key)):
+                yield index, key, f"there are sidecars 0 to {plan.sidecars.count - 1}"
+        if fault.at_s >= plan.lasts_s:
+            yield index, "at_s", f"it must begin before the end at {plan.lasts_s:g} s"
+        if any(not 0 <= server < servers for server in fault.servers):
+            yield index, "servers", f"there are servers 0 to {servers - 1}"
+        if not 0 <= fault.hall < halls:
+            yield index, "hall", f"there are halls 0 to {halls - 1}"
+        if fault.count > servers:
+            yield index, "count", f"there are {servers} servers"
 
 
 def arm_name(policy: str, variant: str, experiment: Experiment) -> str:
-    """Named by what differs."""
+    """Name an arm by what distinguishes it: its policy, its variant or both."""
     if not variant:
         return policy
     return variant if len(experiment.policies) == 1 else f"{policy}, {variant}"
 
 
 def point_name(values: dict[str, Scalar]) -> str:
+    """Name a point of the sweep by its values."""
     return ", ".join(f"{key} {value}" for key, value in values.items())
 
 
 def sweep_points(sweep: dict[str, tuple[Scalar, ...]]) -> Iterator[dict[str, Scalar]]:
+    """Yield every combination of the swept values."""
     for values in itertools.product(*sweep.values()):
         yield dict(zip(sweep, values))
 
 
 def with_changes(
-    told: dict[str, Any], changes: dict[str, Scalar], path: Path, text: str, within: tuple[str, ...]
+    raw: dict[str, Any], changes: dict[str, Scalar], path: Path, text: str, within: tuple[str, ...]
 ) -> dict[str, Any]:
-    """A copy in which dotted keys, such as `load.part` or `troubles.0.for_s`, have other values."""
+    """Copy the file's data with other values for dotted keys such as `load.part` or `troubles.0.for_s`.
+
+    `within` is the file's table that holds the changes, for the error message.  Raises ExperimentError.
+    """
 
     def copy(value: Any) -> Any:
         if isinstance(value, dict):
-            return {key: copy(each) for key, each in value.items()}
-        return [copy(each) for each in value] if isinstance(value, list) else value
+            return {key: copy(item) for key, item in value.items()}
+        return [copy(item) for item in value] if isinstance(value, list) else value
 
-    made: dict[str, Any] = copy(told)
+    changed: dict[str, Any] = copy(raw)
     for dotted, value in changes.items():
-        *way, last = dotted.split(".")
-        at: Any = made
+        *path_keys, last = dotted.split(".")
+        container: Any = changed
         try:
-            for step in way:
-                at = at[int(step)] if isinstance(at, list) else at.setdefault(step, {})
-            at[int(last) if isinstance(at, list) else last] = value
-        except (IndexError, ValueError, TypeError, AttributeError) as trouble:
+            for step in path_keys:
+                container = (
+                    container[int(step)] if isinstance(container, list) else container.setdefault(step, {})
+                )
+            container[int(last) if isinstance(container, list) else last] = value
+        except (IndexError, ValueError, TypeError, AttributeError) as error:
             raise ExperimentError(
                 f"{locate_key(path, text, (*within, dotted))}: no value {dotted!r} to change; "
                 "name one as in load.part or troubles.0.for_s"
-            ) from trouble
-    return made
+            ) from error
+    return changed
 
 
-def validate(kind: type[Any], told: dict[str, Any], path: Path, text: str) -> Any:
+def validate(kind: type[Any], raw: dict[str, Any], path: Path, text: str) -> Any:
+    """Construct the pydantic model `kind`.  Raises ExperimentError, which locates the first invalid key."""
     try:
-        return kind(**told)
-    except ValidationError as trouble:
-        first = trouble.errors()[0]
-        where = tuple(first["loc"])
-        what = first["msg"].removeprefix("Value error, ")
+        return kind(**raw)
+    except ValidationError as error:
+        first = error.errors()[0]
+        keys = tuple(first["loc"])
+        problem = first["msg"].removeprefix("Value error, ")
         if first["type"] == "extra_forbidden":
-            what = f"unknown; there are {', '.join(known_keys(kind, where[:-1]))}"
-        raise ExperimentError(f"{locate_key(path, text, where)}: {what}") from trouble
+            problem = f"unknown; there are {', '.join(known_keys(kind, keys[:-1]))}"
+        raise ExperimentError(f"{locate_key(path, text, keys)}: {problem}") from error
 
 
-def known_keys(kind: Any, way: tuple[Any, ...]) -> list[str]:
-    """The keys that there are at a place."""
-    for step in way:
+def known_keys(kind: Any, keys: tuple[Any, ...]) -> list[str]:
+    """The valid keys of the model at `keys`, a path of keys and list indexes from `kind`."""
+    for step in keys:
         if isinstance(step, int):
             continue
         inner = kind.model_fields[step].annotation
@@ -202,23 +215,23 @@
     return sorted(kind.model_fields)
 
 
-def locate_key(path: Path, text: str, where: tuple[Any, ...]) -> str:
-    """`file:line: key`; the line is where the longest part of the key that the file names is set."""
-    key = ".".join(map(str, where))
-    best, found, table, counts = -1, 1, "", dict[str, int]()
-    for number, written in enumerate(text.splitlines(), 1):
-        header, pair = TABLE_LINE.match(written), KEY_LINE.match(written)
+def locate_key(path: Path, text: str, keys: tuple[Any, ...]) -> str:
+    """Format `file:line: key`; the line is that of the longest prefix of the key which the file sets."""
+    key = ".".join(map(str, keys))
+    longest, found_line, table, table_counts = -1, 1, "", dict[str, int]()
+    for number, content in enumerate(text.splitlines(), 1):
+        header, pair = TABLE_LINE.match(content), KEY_LINE.match(content)
         if header:
             table = re.sub(r"[\"'\s]", "", header[2])
             if header[1] == "[[":
-                counts[table] = counts.get(table, -1) + 1
-                table = f"{table}.{counts[table]}"
-            at = table
+                table_counts[table] = table_counts.get(table, -1) + 1
+                table = f"{table}.{table_counts[table]}"
+            current = table
         elif pair:
             name = re.sub(r"[\"'\s]", "", pair[1])
-            at = f"{table}.{name}" if table else name
+            current = f"{table}.{name}" if table else name
         else:
             continue
-        if (key == at or key.startswith(at + ".")) and len(at) > best:
-            best, found = len(at), number
-    return f"{path}:{found}: {key or 'the whole'}"
+        if (key == current or key.startswith(current + ".")) and len(current) > longest:
+            longest, found_line = len(current), number
+    return f"{path}:{found_line}: {key or 'the whole'}"
--- a/pumicepath/lab/experiments/fleet_report.py
+++ b/pumicepath/lab/experiments/fleet_report.py
@@ -1,7 +1,7 @@
-"""What a history of real processes comes to: checks, times, and the fleet's page.
+"""Results of a history of real processes: violated properties, recovery times, and the fleet's HTML report.
 
-`judged` reads and checks a history, `write` makes the page: who saw whom as alive over time, faults marked,
-messages and bytes a second.
+`check_history` reads and checks a history; `write_report` writes the page, which shows which sidecars were
+seen as alive over time, the faults, and the messages and bytes a second.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 HISTORY_FILE = "history.jsonl"
 STATE_WEIGHTS = {"alive": 1.0, "suspected": 0.5}
-MAX_VIOLATIONS_SHOWN = 5  # breaches of one check on the page and in a terminal
+MAX_VIOLATIONS_SHOWN = 5  # of one property, on the page and in a terminal
 
 PAGE_TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}: the fleet</title><style>
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class CheckedHistory:
-    """Times are seconds after the last fault's end, None for never."""
+    """A checked history.  Recovery times are seconds after the end of the last fault, None for never."""
 
     history: Sequence[Line]
     violations: dict[str, list[str]]
@@ -57,37 +57,38 @@
     handovers: int = 0
 
     def metrics(self) -> dict[str, Any]:
-        broken = {name: len(each) for name, each in self.violations.items()}
+        violation_counts = {name: len(texts) for name, texts in self.violations.items()}
         return {
             "faults": self.fault_counts,
-            "violations": broken,
+            "violations": violation_counts,
             "views_right_s": self.view_recovery_s,
             "full_service_s": self.service_recovery_s,
             "handovers": self.handovers,
         }
 
     def summary_lines(self) -> list[str]:
-        """For people."""
-        found = [
-            f"BROKEN {name}: {each}"
-            for name, breaches in self.violations.items()
-            for each in breaches[:MAX_VIOLATIONS_SHOWN]
+        """Format the results as lines for a terminal."""
+        broken = [
+            f"BROKEN {name}: {text}"
+            for name, texts in self.violations.items()
+            for text in texts[:MAX_VIOLATIONS_SHOWN]
         ]
-        done = ", ".join(f"{kind} {count}" for kind, count in self.fault_counts.items()) or "none"
+        faults = ", ".join(f"{kind} {count}" for kind, count in self.fault_counts.items()) or "none"
         return [
-            f"faults: {done}",
+            f"faults: {faults}",
             f"views right: {format_duration(self.view_recovery_s)}; "
             f"full service: {format_duration(self.service_recovery_s)}",
-            *(found or [f"checked, and kept: {', '.join(PROPERTIES)}"]),
+            *(broken or [f"checked, and kept: {', '.join(PROPERTIES)}"]),
         ]
 
 
 def format_duration(seconds: float | None) -> str:
+    """Format seconds, or "never" for None."""
     return "never" if seconds is None else f"{seconds:.1f} s"
 
 
 def check_history(path: Path) -> CheckedHistory:
-    """Raises BadHistory."""
+    """Read a history file and check its properties.  Raises BadHistory for an invalid file."""
     lines = history.read(path)
     return CheckedHistory(
         lines,
@@ -100,46 +101,46 @@
 
 
 def liveness_matrix(lines: Sequence[Line]) -> tuple[list[str], list[float], list[list[float]]]:
-    """Names, times in seconds, and for each time the share of the others that see each as alive.
+    """Return sidecar names, times in seconds, and the liveness of each at each time.
 
-    A suspicion counts half.
+    Liveness is the fraction of the other sidecars that see it as alive; one that suspects it counts half.
     """
     views = [line for line in lines if line["what"] == "views"]
     names = sorted({name for line in views for name in line["running"]}, key=lambda name: (len(name), name))
     rows = []
     for line in views:
-        asked = line["sees"]
-        count: dict[str, float] = {}
-        for view in asked.values():
+        reports = line["sees"]
+        weights: dict[str, float] = {}
+        for view in reports.values():
             for name, state in view:
-                count[name] = count.get(name, 0) + STATE_WEIGHTS.get(state, 0.0)
-        rows.append([count.get(name, 0) / max(1, len(asked) - (name in asked)) for name in names])
+                weights[name] = weights.get(name, 0) + STATE_WEIGHTS.get(state, 0.0)
+        rows.append([weights.get(name, 0) / max(1, len(reports) - (name in reports)) for name in names])
     return names, [line["at"] / 1e6 for line in views], rows
 
 
 def traffic_rates(lines: Sequence[Line]) -> tuple[list[float], list[float], list[float]]:
-    """Times in seconds, and messages and bytes a second of all sidecars together since the time before."""
-    met = [line for line in lines if line["what"] == "carried"]
-    at, messages, sizes = [], [], []
-    for one, other in zip(met, met[1:]):
-        span = max(1e-6, (other["at"] - one["at"]) / 1e6)
-        at.append(other["at"] / 1e6)
-        messages.append((other["messages"] - one["messages"]) / span)
-        sizes.append((other["bytes"] - one["bytes"]) / span)
-    return at, messages, sizes
-
-
-def write_report(folder: Path, title: str, found: CheckedHistory) -> Path:
-    """`folder`/fleet.html, with its pictures beside it."""
-    lines = found.history
+    """Return times in seconds, and messages and bytes a second of all sidecars since the previous time."""
+    totals = [line for line in lines if line["what"] == "carried"]
+    times_s, messages, sizes = [], [], []
+    for previous, current in zip(totals, totals[1:]):
+        elapsed_s = max(1e-6, (current["at"] - previous["at"]) / 1e6)
+        times_s.append(current["at"] / 1e6)
+        messages.append((current["messages"] - previous["messages"]) / elapsed_s)
+        sizes.append((current["bytes"] - previous["bytes"]) / elapsed_s)
+    return times_s, messages, sizes
+
+
+def write_report(folder: Path, title: str, checked: CheckedHistory) -> Path:
+    """Write `folder`/fleet.html, and its charts beside it as PNG files."""
+    lines = checked.history
     faults = [(line["at"], line["until"], line["text"]) for line in lines if line["what"] == "fault"]
-    shown = []
-    names, at, rows = liveness_matrix(lines)
+    images = []
+    names, times_s, rows = liveness_matrix(lines)
     if rows:
-        shown = [
+        images = [
             (
                 "Who is seen as alive, by how many of the others",
-                charts.plot_liveness(names, at, rows, faults, folder / "seen.png"),
+                charts.plot_liveness(names, times_s, rows, faults, folder / "seen.png"),
             ),
             (
                 "Messages and bytes a second among sidecars",
@@ -152,13 +153,13 @@
         sidecars=lines[0]["plan"]["sidecars"]["count"],
         seed=lines[0]["seed"],
         lasts=lines[-1]["at"] / 1e6,
-        views=format_duration(found.view_recovery_s),
-        full=format_duration(found.service_recovery_s),
+        views=format_duration(checked.view_recovery_s),
+        full=format_duration(checked.service_recovery_s),
         properties=PROPERTIES,
-        broken=found.violations,
+        broken=checked.violations,
         shown=MAX_VIOLATIONS_SHOWN,
         faults=faults,
-        pictures=[(name, base64.b64encode(path.read_bytes()).decode()) for name, path in shown],
+        pictures=[(name, base64.b64encode(path.read_bytes()).decode()) for name, path in images],
     )
     path = folder / "fleet.html"
     path.write_text(page)
--- a/pumicepath/lab/experiments/folder_lock.py
+++ b/pumicepath/lab/experiments/folder_lock.py
@@ -1,9 +1,10 @@
-"""A folder that one run at a time may write into.
+"""Exclusive lock on a run's output folder.
 
-    with owned(folder): ...     # raises Taken, by name, while another run has it
+    with locked_folder(folder): ...     # raises FolderLockedError while another run holds the lock
 
-Guards a history against two runs that write into one file, from which the judge then reads nonsense.
-The lock is the kernel's (flock), so it ends with its process however that ends; the file tells whose it is.
+Two runs that write into the same history file would interleave their lines, and the checker would report on
+a mix of both.  The lock is an flock, which the kernel releases when its process ends in whatever way.  The
+lock file holds the process id for the error message.
 """
 
 from __future__ import annotations
@@ -18,24 +19,27 @@
 
 
 class FolderLockedError(Exception):
-    """Another run writes there; the text names folder and process."""
+    """Another run holds the folder; the message names the folder and the process."""
 
 
 @contextmanager
 def locked_folder(folder: Path) -> Iterator[None]:
-    """Have the folder, made where it is missing, for as long as the block runs.  Raises Taken or OSError."""
+    """Create the folder if it is missing and hold its lock within the block.
+
+    Raises FolderLockedError or OSError.
+    """
     folder.mkdir(parents=True, exist_ok=True)
-    file = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o644)
+    descriptor = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o644)
     try:
         try:
-            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            whose = os.pread(file, 32, 0).decode("ascii", "replace").strip() or "unknown"
+            holder = os.pread(descriptor, 32, 0).decode("ascii", "replace").strip() or "unknown"
             raise FolderLockedError(
-                f"{folder}: another run (process {whose}) is writing its report there"
+                f"{folder}: another run (process {holder}) is writing its report there"
             ) from None
-        os.ftruncate(file, 0)
-        os.pwrite(file, f"{os.getpid()}\n".encode(), 0)
+        os.ftruncate(descriptor, 0)
+        os.pwrite(descriptor, f"{os.getpid()}\n".encode(), 0)
         yield
     finally:
-        os.close(file)
+        os.close(descriptor)
--- a/pumicepath/lab/experiments/report.py
+++ b/pumicepath/lab/experiments/report.py
@@ -1,4 +1,4 @@
-"""One page that needs nothing else: figures, pictures, rules; the pictures also lie beside it as PNG."""
+"""The HTML report of an experiment: one self-contained page; its charts are also written as PNG files."""
 
 from __future__ import annotations
 
@@ -50,37 +50,37 @@
 
 
 def draw_charts(
-    head: dict[str, Any], runs: Sequence[dict[str, Any]], made: Sequence[ArmSummary], folder: Path
+    head: dict[str, Any], runs: Sequence[dict[str, Any]], summaries: Sequence[ArmSummary], folder: Path
 ) -> list[tuple[str, Path]]:
-    """Pictures of the first point, and of its first arm's first run; losses of all."""
-    point = made[0].point
-    shown = [run for run in runs if run["point"] == point]
-    at = f" at {point}" if point else ""
+    """Draw the charts of the first point (that by server: of its first run), and the losses of all points."""
+    point = summaries[0].point
+    point_runs = [run for run in runs if run["point"] == point]
+    suffix = f" at {point}" if point else ""
     return [
         (
-            f"Service over time{at}, troubles marked",
-            charts.plot_service(shown, head["arms"], folder / "time.png"),
+            f"Service over time{suffix}, faults marked",
+            charts.plot_service(point_runs, head["arms"], folder / "time.png"),
         ),
-        (f"By server{at}", charts.plot_servers(shown[0], folder / "servers.png")),
-        (f"Latency{at}", charts.plot_latency(shown, head["arms"], folder / "latency.png")),
-        ("Not served in time, by cause", charts.plot_losses(made, folder / "losses.png")),
+        (f"By server{suffix}", charts.plot_servers(point_runs[0], folder / "servers.png")),
+        (f"Latency{suffix}", charts.plot_latency(point_runs, head["arms"], folder / "latency.png")),
+        ("Not served in time, by cause", charts.plot_losses(summaries, folder / "losses.png")),
     ]
 
 
 def write_report(folder: Path, head: dict[str, Any], runs: Sequence[dict[str, Any]]) -> Path:
-    """`folder`/report.html; it says so if runs are missing.  ValueError if there are none at all."""
-    made = summarize_arms(head, runs)
-    if not made:
+    """Write `folder`/report.html, which says so if runs are missing.  Raises ValueError if there are none."""
+    summaries = summarize_arms(head, runs)
+    if not summaries:
         raise ValueError("no run has ended")
     inlined = [
         (title, base64.b64encode(path.read_bytes()).decode())
-        for title, path in draw_charts(head, runs, made, folder)
+        for title, path in draw_charts(head, runs, summaries, folder)
     ]
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     page = environment.from_string(PAGE_TEMPLATE).render(
         head=head,
         runs=runs,
-        rows=made,
+        rows=summaries,
         describe_difference=describe_difference,
         pictures=inlined,
         marks=runs[0]["marks"],
--- a/pumicepath/lab/experiments/runner.py
+++ b/pumicepath/lab/experiments/runner.py
@@ -1,4 +1,4 @@
-"""Runs of an experiment on all cores; what has ended is kept whatever happens to the rest."""
+"""Plays an experiment's runs on all cores; each is stored when it finishes, so an interruption keeps it."""
 
 from __future__ import annotations
 
@@ -23,43 +23,47 @@
 
 
 def play_run(run: ExperimentRun) -> dict[str, Any]:
-    """One run in this process, and all that a report needs of it."""
-    began = time.process_time()
+    """Play one run in this process and return what a report needs of it."""
+    cpu_before = time.process_time()
     result = VirtualWorld(run.plan, run.seed, run.policy).run()
-    told = summary(result)
-    held = latency_histogram([spent for times in result.times for spent in times])
+    metrics = summary(result)
+    histogram = latency_histogram([latency for latencies in result.times for latency in latencies])
     return {
         "arm": run.arm,
         "point": run.point,
-        **told,
-        "cpu_s": round(time.process_time() - began, 3),
+        **metrics,
+        "cpu_s": round(time.process_time() - cpu_before, 3),
         "first": result.first,
         "columns": result.columns,
         "marks": result.marks,
         "at_servers": result.at_servers,
-        "breakers": [[round(share, 2) for share in row] for row in result.breakers],
+        "breakers": [[round(fraction, 2) for fraction in row] for row in result.breakers],
         "views_wrong": result.views_wrong,
-        "latency": held.encode().decode(),
+        "latency": histogram.encode().decode(),
     }
 
 
 def ignore_interrupts() -> None:
-    """A worker leaves an interrupt to the process that started it."""
+    """Ignore SIGINT in a worker: the parent process handles the interrupt and stops its workers."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
 def play_runs(runs: tuple[ExperimentRun, ...], workers: int) -> Iterator[dict[str, Any]]:
-    """Results as they end.  However this is left, no process stays behind, and nothing waits for one."""
+    """Yield results as runs finish.
+
+    However the generator ends, its workers are terminated at once: no run is waited for and no process is
+    left running.
+    """
     if workers <= 1:
         yield from map(play_run, runs)
         return
     pool = ProcessPoolExecutor(min(workers, len(runs)), initializer=ignore_interrupts)
     try:
-        waiting: set[Future[dict[str, Any]]] = {pool.submit(play_run, run) for run in runs}
-        while waiting:
-            done, waiting = wait(waiting, return_when=FIRST_COMPLETED)
-            for each in done:
-                yield each.result()
+        pending: set[Future[dict[str, Any]]] = {pool.submit(play_run, run) for run in runs}
+        while pending:
+            done, pending = wait(pending, return_when=FIRST_COMPLETED)
+            for future in done:
+                yield future.result()
     finally:
         processes = list((pool._processes or {}).values())
         pool.shutdown(wait=False, cancel_futures=True)
@@ -69,50 +73,56 @@
             process.join()
 
 
-def results_header(read: LoadedExperiment, runs: int) -> dict[str, Any]:
-    """The first line of results: what was run, where."""
+def results_header(loaded: LoadedExperiment, runs: int) -> dict[str, Any]:
+    """The first line of a results file: what was run, and on what machine."""
     return {
-        "experiment": read.name,
-        "title": read.experiment.title,
-        "why": read.experiment.why,
-        "arms": read.arms,
-        "points": read.points,
+        "experiment": loaded.name,
+        "title": loaded.experiment.title,
+        "why": loaded.experiment.why,
+        "arms": loaded.arms,
+        "points": loaded.points,
         "runs": runs,
         "servers": "simulated",
         "cores": os.cpu_count(),
         "python": platform.python_version(),
         "form": FORM,
         "machine": platform.machine(),
-        "plan": read.plan.model_dump(),
+        "plan": loaded.plan.model_dump(),
     }
 
 
 def run_experiment(
-    read: LoadedExperiment, folder: Path, workers: int, on_progress: Callable[[int, int], None]
+    loaded: LoadedExperiment, folder: Path, workers: int, on_progress: Callable[[int, int], None]
 ) -> bool:
-    """Play the whole experiment into `folder`/results.jsonl; False if it was interrupted."""
+    """Play the experiment into `folder`/results.jsonl; return False if it was interrupted.
+
+    `on_progress` is called with the finished and the total number of runs.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     count = 0
     with (folder / RESULTS_FILE).open("wb") as out:
-        out.write(orjson.dumps(results_header(read, len(read.runs))) + b"\n")
+        out.write(orjson.dumps(results_header(loaded, len(loaded.runs))) + b"\n")
         try:
-            for result in play_runs(read.runs, workers):
+            for result in play_runs(loaded.runs, workers):
                 out.write(orjson.dumps(result) + b"\n")
                 out.flush()
                 count += 1
-                on_progress(count, len(read.runs))
+                on_progress(count, len(loaded.runs))
         except KeyboardInterrupt:
             return False
     return True
 
 
 def read_results(path: Path) -> tuple[dict[str, Any], list[dict[str, Any]]]:
-    """Head and runs of a report's folder or of its file of results; ValueError if it is none."""
+    """Read the header and the runs from a report's folder or a results file.
+
+    The runs are sorted by point, arm and seed.  Raises ValueError if the file holds no results.
+    """
     file = path / RESULTS_FILE if path.is_dir() else path
     lines = file.read_bytes().splitlines()
     if not lines:
         raise ValueError("no results")
-    first, *rest = map(orjson.loads, lines)
-    if "experiment" not in first:
+    head, *runs = map(orjson.loads, lines)
+    if "experiment" not in head:
         raise ValueError("not results of an experiment")
-    return first, sorted(rest, key=lambda one: (one["point"], first["arms"].index(one["arm"]), one["seed"]))
+    return head, sorted(runs, key=lambda run: (run["point"], head["arms"].index(run["arm"]), run["seed"]))
