--- a/pumicepath/lab/hollow/faults.py
+++ b/pumicepath/lab/hollow/faults.py
@@ -1,8 +1,9 @@
-"""What may go wrong in a run of hollow sidecars, by name; each tells when origins were out of reach.
+"""Faults that can be injected into a run of hollow sidecars, by name.
 
-    begun = FAULTS["control-killed"](run); ...; windows = begun.end()
+    fault = FAULT_TYPES["control-killed"](run); ...; windows = fault.end()
 
-A fault begins when it is made, and ends when `end` is called `fault_s` later.
+A fault begins when it is constructed and ends when `end` is called, `fault_s` later.  `end` returns the
+windows in which origins were unreachable for some sidecars.
 """
 
 from __future__ import annotations
@@ -19,7 +20,9 @@
 
 
 class Fault:
-    has_duration = True  # until `fault_s` have passed; else over once it has begun
+    """Base class: begins when constructed, ends when `end` is called."""
+
+    has_duration = True  # lasts for `fault_s`; if False, it is over as soon as it has begun
 
     def __init__(self, run: HollowRun) -> None:
         self.run = run
@@ -27,23 +30,25 @@
         self.begin()
 
     def begin(self) -> None:
+        """Inject the fault."""
         raise NotImplementedError
 
     def end(self) -> list[OutageWindow]:
+        """End the fault and return the outage windows that it caused."""
         return []
 
     def outage_windows(self, control: int) -> list[OutageWindow]:
-        """A relay that is out leaves its followers nowhere to go only where it is its region's only one."""
-        ask = self.run.plan.options
-        if ask.form == "direct":
+        """The outage caused by control process `control`: none if its region has another relay to follow."""
+        options = self.run.plan.options
+        if options.form == "direct":
             return [OutageWindow(self.began_at, now_us())]
-        if ask.relays_per_region > 1:
+        if options.relays_per_region > 1:
             return []
         return [OutageWindow(self.began_at, now_us(), sidecar_region=self.run.region_of_relay(control))]
 
 
 class ControlKilled(Fault):
-    """One relay, or the origin where there are none, dies and comes back."""
+    """One relay, or the origin in a direct run, is killed and restarted."""
 
     def begin(self) -> None:
         self.run.control[0].kill()
@@ -54,7 +59,7 @@
 
 
 class ControlStopped(Fault):
-    """The same stands still, with all its connections open."""
+    """One relay, or the origin in a direct run, is paused (SIGSTOP) with its connections open."""
 
     def begin(self) -> None:
         self.run.control[0].send_signal(signal.SIGSTOP)
@@ -65,7 +70,7 @@
 
 
 class ControlRestarted(Fault):
-    """All relays, or the origin, at once."""
+    """All relays, or the origin in a direct run, are killed and restarted at once."""
 
     has_duration = False
 
@@ -79,7 +84,7 @@
 
 
 class ZoneLost(Fault):
-    """All servers of a zone are gone at once, and back."""
+    """All servers of a zone leave at once, and come back."""
 
     def begin(self) -> None:
         self.run.send_to_origins({"do": "lose", "zone": 0})
@@ -90,7 +95,7 @@
 
 
 class RegionCut(Fault):
-    """The first region's origin is out of reach for the other regions' relays."""
+    """The first region's origin is unreachable for the other regions' relays."""
 
     def begin(self) -> None:
         assert self.run.forwarder is not None
@@ -103,7 +108,7 @@
 
 
 class Release(Fault):
-    """Every server drains, goes, and comes back as a new process, one after the other."""
+    """Every server drains, leaves and comes back as a new process, one after the other."""
 
     def begin(self) -> None:
         self.run.send_to_origins({"do": "release", "seconds": max(0.1, self.run.plan.options.fault_s - 2.0)})
@@ -119,10 +124,10 @@
 }
 
 
-def check_faults(ask: RunOptions) -> None:
-    """Raises BadAsk for a fault that there is not, or that this form of run can't have."""
-    for name in ask.faults:
+def check_faults(options: RunOptions) -> None:
+    """Raises RunOptionsError for an unknown fault or one that this form of run does not support."""
+    for name in options.faults:
         if name not in FAULT_TYPES:
             raise RunOptionsError(f"--fault: {name!r} is none of {', '.join(FAULT_TYPES)}")
-    if "region-cut" in ask.faults and (ask.form == "direct" or ask.regions < 2):
+    if "region-cut" in options.faults and (options.form == "direct" or options.regions < 2):
         raise RunOptionsError("--fault: region-cut needs --form relayed and 2 regions at least")
--- a/pumicepath/lab/hollow/forward.py
+++ b/pumicepath/lab/hollow/forward.py
@@ -1,9 +1,9 @@
-"""What stands between two regions: forwards bytes, and can fall silent both ways without closing anything.
+"""A TCP proxy between two regions that can simulate a partition without closing connections.
 
     python -m pumicepath.lab.hollow.forward TARGET    ({"do": "cut"} and {"do": "heal"} on stdin)
 
-While cut it reads and accepts nothing: what is connected stays connected and silent, new connections are
-never answered; healed, it goes on with what was underway, as TCP does.
+While cut it neither reads nor accepts: open connections stay open and silent, and new connections are not
+answered.  Once healed it delivers the bytes that were in flight, as TCP does after a partition.
 """
 
 from __future__ import annotations
@@ -15,21 +15,23 @@
 
 from . import processes
 
-MAX_BUFFERED_BYTES = 1 << 20  # bytes on their way in one direction, from which that side is not read
+MAX_BUFFERED_BYTES = 1 << 20  # in one direction; beyond it the sending end is not read
 
 
 class Endpoint:
-    """One end of a forwarded connection."""
+    """One end of a forwarded connection; `other` is the opposite end."""
 
     __slots__ = ("sock", "other", "outgoing")
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.other: Endpoint
-        self.outgoing = bytearray()  # for this end, not yet written
+        self.outgoing = bytearray()  # not yet written to this end
 
 
 class Forwarder:
+    """Accepts connections on a loopback port and forwards each to the target."""
+
     def __init__(self, target: tuple[str, int]) -> None:
         self.target = target
         self.selector = selectors.DefaultSelector()
@@ -40,60 +42,64 @@
         self.update_registrations()
 
     def update_registrations(self) -> None:
-        """Register what is to be read or written now."""
+        """Register the sockets that are to be read or written now, and unregister all others."""
         wanted: dict[socket.socket, tuple[int, Endpoint | None]] = {}
         if not self.is_cut:
             wanted[self.listener] = (selectors.EVENT_READ, None)
-            for side in self.endpoints:
-                events = selectors.EVENT_READ if len(side.other.outgoing) < MAX_BUFFERED_BYTES else 0
-                events |= selectors.EVENT_WRITE if side.outgoing else 0
+            for endpoint in self.endpoints:
+                events = selectors.EVENT_READ if len(endpoint.other.outgoing) < MAX_BUFFERED_BYTES else 0
+                events |= selectors.EVENT_WRITE if endpoint.outgoing else 0
                 if events:
-                    wanted[side.sock] = (events, side)
+                    wanted[endpoint.sock] = (events, endpoint)
         for key in list(self.selector.get_map().values()):
             if key.fileobj != 0 and key.fileobj not in wanted:
                 self.selector.unregister(key.fileobj)
-        known = {key.fileobj: key.events for key in self.selector.get_map().values()}
+        registered = {key.fileobj: key.events for key in self.selector.get_map().values()}
         for sock, (events, data) in wanted.items():
-            if sock not in known:
+            if sock not in registered:
                 self.selector.register(sock, events, data)
-            elif known[sock] != events:
+            elif registered[sock] != events:
                 self.selector.modify(sock, events, data)
 
     def accept(self) -> None:
+        """Accept a connection and open the one to the target."""
         with suppress(OSError):
             near = Endpoint(self.listener.accept()[0])
             far = Endpoint(socket.create_connection(self.target, timeout=2.0))
             near.other, far.other = far, near
-            for side in (near, far):
-                side.sock.setblocking(False)
-                side.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self.endpoints.add(side)
+            for endpoint in (near, far):
+                endpoint.sock.setblocking(False)
+                endpoint.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                self.endpoints.add(endpoint)
 
-    def transfer(self, side: Endpoint, events: int) -> None:
+    def transfer(self, endpoint: Endpoint, events: int) -> None:
+        """Read from or write to an endpoint; an error or end of stream closes both ends."""
         try:
             if events & selectors.EVENT_READ:
-                data = side.sock.recv(65536)
+                data = endpoint.sock.recv(65536)
                 if not data:
                     raise ConnectionResetError
-                side.other.outgoing += data
-                self.flush(side.other)
+                endpoint.other.outgoing += data
+                self.flush(endpoint.other)
             if events & selectors.EVENT_WRITE:
-                self.flush(side)
+                self.flush(endpoint)
         except BlockingIOError:
             return
         except OSError:
-            for end in (side, side.other):
+            for end in (endpoint, endpoint.other):
                 self.endpoints.discard(end)
                 with suppress(KeyError, ValueError):
                     self.selector.unregister(end.sock)
                 end.sock.close()
 
-    def flush(self, side: Endpoint) -> None:
+    def flush(self, endpoint: Endpoint) -> None:
+        """Write as much to an endpoint as its socket accepts."""
         with suppress(BlockingIOError):
-            while side.outgoing:
-                del side.outgoing[: side.sock.send(side.outgoing)]
+            while endpoint.outgoing:
+                del endpoint.outgoing[: endpoint.sock.send(endpoint.outgoing)]
 
     def run(self) -> None:
+        """Run the loop; the process exits when its stdin ends."""
         orders = processes.OrderReader()
         self.selector.register(0, selectors.EVENT_READ)
         while True:
@@ -110,10 +116,11 @@
 
 
 def main() -> None:
+    """Run the forwarder until its stdin ends."""
     host, _, port = sys.argv[1].rpartition(":")
     forwarder = Forwarder((host, int(port)))
-    where, bound = forwarder.listener.getsockname()[:2]
-    processes.send_event({"event": "started", "listen": f"{where}:{bound}"})
+    bound_host, bound_port = forwarder.listener.getsockname()[:2]
+    processes.send_event({"event": "started", "listen": f"{bound_host}:{bound_port}"})
     forwarder.run()
 
 
--- a/pumicepath/lab/hollow/ground_truth.py
+++ b/pumicepath/lab/hollow/ground_truth.py
@@ -1,11 +1,11 @@
-"""The truth of a run: each change of each server, with the time at which its origin had it.
+"""The ground truth of a run: each change of each server, with the time at which its origin made it.
 
-    truth = Truth(plan, region, chance); truth.draw() -> Change     (an origin makes changes)
-    for change in Tail(path).read(): ...                            (everybody else reads of them)
+    truth = GroundTruth(plan, servers, seed); truth.draw_change(at) -> Change     (an origin makes changes)
+    for change in LedgerReader(path).read(): ...                                  (other processes read them)
 
-A file of the run's folder holds one JSON line a change: [time, server, state, health, born].  Time is the
-machine's monotonic clock in whole microseconds, one clock for all processes of a run.  A line is written
-before anybody is told of the change, so who has seen a change somewhere finds it there.
+Each origin has a ledger file in the run's folder with one JSON line per change: [time, server, state, health,
+start time].  Time is the machine's monotonic clock in whole microseconds, which all processes of a run share.
+A line is written before the change is sent to anyone, so a change that is visible anywhere is in a ledger.
 """
 
 from __future__ import annotations
@@ -22,33 +22,36 @@
 from .plan import Plan
 
 ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
-CONTINUE_PROBABILITY = 0.25  # chance that a change goes on with a server that leaves, or one that has left
+CONTINUE_PROBABILITY = 0.25  # that a change continues with a server that is leaving, or has left
 
 
 def now_us() -> int:
+    """The machine's monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 def unix_ms() -> int:
+    """The wall clock in Unix milliseconds."""
     return time.time_ns() // 1_000_000
 
 
 class Change(NamedTuple):
-    """The state of a server from a time on; `state` counts its changes."""
+    """The state of a server from the time `at` on; `state` counts the server's changes."""
 
     at: int
     server: int
     state: int
     health: str
-    started_at_ms: int  # unix ms, 0: long ago
+    started_at_ms: int  # Unix ms; 0: long ago
 
 
 def ledger_path(folder: Path, region: int) -> Path:
+    """The file with the changes of a region's origin."""
     return folder / f"truth-{region}.jsonl"
 
 
 class GroundTruth:
-    """What one origin's servers are, and the changes that it makes to them."""
+    """The state of one origin's servers, and the random changes that the origin makes to them."""
 
     def __init__(self, plan: Plan, servers: Iterable[int], seed: str) -> None:
         self.plan = plan
@@ -59,20 +62,20 @@
         self.left: list[int] = []
 
     def apply(self, change: Change) -> None:
-        """A change of an earlier life of this origin, or one that it makes now."""
+        """Apply a change that the origin makes now, or made before it was restarted."""
         self.states[change.server] = change
-        for where, health in ((self.leaving, LEAVING), (self.left, LEFT)):
-            if change.server in where:
-                where.remove(change.server)
+        for servers, health in ((self.leaving, LEAVING), (self.left, LEFT)):
+            if change.server in servers:
+                servers.remove(change.server)
             if change.health == health:
-                where.append(change.server)
+                servers.append(change.server)
 
-    def next_change(self, at: int, server: int, health: str, born: int) -> Change:
-        before = self.states[server]
-        return Change(at, server, before.state + 1, health, born or before.started_at_ms)
+    def next_change(self, at: int, server: int, health: str, started_at_ms: int) -> Change:
+        previous = self.states[server]
+        return Change(at, server, previous.state + 1, health, started_at_ms or previous.started_at_ms)
 
     def draw_change(self, at: int) -> Change:
-        """One change: a server drains, goes, comes back as a new process, or has another share."""
+        """Draw a change: a server drains, leaves, comes back as a new process, or gets another share."""
         if self.left and self.rng.random() < CONTINUE_PROBABILITY:
             return self.next_change(at, self.left[0], ACTIVE, unix_ms())
         if self.leaving and self.rng.random() < CONTINUE_PROBABILITY:
@@ -82,13 +85,13 @@
         if health == LEFT:
             return self.next_change(at, server, ACTIVE, unix_ms())
         if health == LEAVING:
-            return self.next_change(at, server, LEAVING, 0)  # another share of one that drains
+            return self.next_change(at, server, LEAVING, 0)  # another share for a draining server
         drains = self.rng.random() < 0.5 and len(self.leaving) < max(1, len(self.servers) // 10)
         return self.next_change(at, server, LEAVING if drains else ACTIVE, 0)
 
 
 class LedgerWriter:
-    """Where an origin writes its changes down."""
+    """Appends an origin's changes to its ledger."""
 
     def __init__(self, path: Path) -> None:
         self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
@@ -98,7 +101,7 @@
 
 
 class LedgerReader:
-    """Reads on in a ledger; whole lines only."""
+    """Reads the lines added to a ledger since the last read; an incomplete last line waits for the next."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -111,17 +114,17 @@
                 self.file = os.open(self.path, os.O_RDONLY)
             except FileNotFoundError:
                 return []
-        found: list[Change] = []
+        changes: list[Change] = []
         while data := os.pread(self.file, 1 << 20, self.offset):
             end = data.rfind(b"\n") + 1
             if not end:
                 break
             self.offset += end
-            found += [Change(*orjson.loads(line)) for line in data[:end].splitlines()]
-        return found
+            changes += [Change(*orjson.loads(line)) for line in data[:end].splitlines()]
+        return changes
 
 
 def ledgers_reader(folder: Path, origins: int) -> Callable[[], list[Change]]:
-    """All that the origins have written since the last call."""
-    tails = [LedgerReader(ledger_path(folder, region)) for region in range(origins)]
-    return lambda: [change for tail in tails for change in tail.read()]
+    """Return a function that returns all changes written by the origins since its last call."""
+    readers = [LedgerReader(ledger_path(folder, region)) for region in range(origins)]
+    return lambda: [change for reader in readers for change in reader.read()]
--- a/pumicepath/lab/hollow/host.py
+++ b/pumicepath/lab/hollow/host.py
@@ -1,9 +1,10 @@
-"""A process that holds many hollow sidecars: one selector loop, a tick for the witness, orders on stdin.
+"""A process that runs many hollow sidecars in one selector loop and checks their views periodically.
 
-    python -m pumicepath.lab.hollow.host FOLDER FIRST COUNT PLACES      # of those that the run plays
+    python -m pumicepath.lab.hollow.host FOLDER FIRST COUNT ADDRESSES
 
-Reads the run's `ask.json`; PLACES are the relays' addresses, parted by commas, region by region;
-without relays the origin's.
+FIRST and COUNT select from the sidecars that the run plays.  ADDRESSES are those of the relays, separated by
+commas, region by region; in a direct run that of the origin.  The process reads the run's `ask.json` in
+FOLDER and takes orders on stdin.
 """
 
 from __future__ import annotations
@@ -28,40 +29,47 @@
 from .view_checker import ViewChecker
 
 TICK_US = 50_000
-MAX_CONCURRENT_STARTS = 32  # first lists that are out together: guards the start against all asking at once
-GC_THRESHOLD = 10_000  # collections of the garbage collector, as `serve` sets them
+MAX_CONCURRENT_STARTS = (
+    32  # pending first lists; if all were requested at once, the start would overload the origin
+)
+GC_THRESHOLD = 10_000  # as `serve` sets it
 
 
 class SidecarHost:
-    def __init__(self, plan: Plan, folder: Path, numbers: Sequence[int], places: list[str]) -> None:
+    """The loop of all hollow sidecars of this process, with their timers and the checker of their views."""
+
+    def __init__(self, plan: Plan, folder: Path, numbers: Sequence[int], addresses: list[str]) -> None:
         self.plan, self.folder = plan, folder
         self.selector = selectors.DefaultSelector()
         self.base_mb = processes.resident_mb()
         self.timers: list[tuple[int, int, HollowSidecar]] = []
         self.timer_count = 0
         self.sidecars = [
-            HollowSidecar(plan, number, self.upstream_addresses(places, number), self) for number in numbers
+            HollowSidecar(plan, number, self.upstream_addresses(addresses, number), self)
+            for number in numbers
         ]
-        origins = 1 if plan.options.form == "direct" else plan.options.regions
-        self.view_checker = ViewChecker(plan, self.sidecars, ground_truth.ledgers_reader(folder, origins))
+        origin_count = 1 if plan.options.form == "direct" else plan.options.regions
+        self.view_checker = ViewChecker(
+            plan, self.sidecars, ground_truth.ledgers_reader(folder, origin_count)
+        )
         self.not_started = list(reversed(self.sidecars))
         self.starting: set[int] = set()
         self.all_started = False
-        self.checker_cpu_s = 0.0  # CPU seconds of the witness's
+        self.checker_cpu_s = 0.0  # of the view checker
         self.failed_calls_before = 0
-        self.max_tick_delay_us = 0  # the longest that a tick came late, in microseconds
+        self.max_tick_delay_us = 0
         self.usage_before: tuple[float, float, float, list[int]] = (0.0, 0.0, 0.0, [])
         self.inject_bugs()
 
-    def upstream_addresses(self, places: list[str], number: int) -> list[str]:
-        """The relays of a sidecar's region, or the one discovery."""
+    def upstream_addresses(self, addresses: list[str], number: int) -> list[str]:
+        """The relays of a sidecar's region, or the origin in a direct run."""
         if self.plan.options.form == "direct":
-            return places
-        each = self.plan.options.relays_per_region
-        first = self.plan.region_of(number) * each
-        return places[first : first + each]
+            return addresses
+        relays_per_region = self.plan.options.relays_per_region
+        first = self.plan.region_of(number) * relays_per_region
+        return addresses[first : first + relays_per_region]
 
-    # -- what a sidecar needs
+    # -- the interface for sidecars: see `sidecar.Loop`
 
     def register(self, sidecar: HollowSidecar, writable: bool) -> None:
         events = selectors.EVENT_WRITE if writable else selectors.EVENT_READ
@@ -86,11 +94,12 @@
         self.run_checker(lambda: self.view_checker.list_updated(sidecar, whole))
 
     def run_checker(self, call: Callable[[], None]) -> None:
-        began = time.thread_time()
+        """Run `call` and account its CPU time to the checker instead of the sidecars."""
+        cpu_before = time.thread_time()
         call()
-        self.checker_cpu_s += time.thread_time() - began
+        self.checker_cpu_s += time.thread_time() - cpu_before
 
-    # -- faults in the rig itself, by which its judge is tested
+    # -- bugs injected into the rig itself, which tests use to verify that the checker finds them
 
     def inject_bugs(self) -> None:
         if "ignores-drain" in self.plan.options.planted:
@@ -101,25 +110,29 @@
     # -- the run
 
     def handle_order(self, order: dict[str, Any]) -> None:
+        """Execute an order of the run, one JSON line on stdin."""
         do = order["do"]
         if do == "measure":
             self.max_tick_delay_us = 0
-            self.failed_calls_before = sum(one.failed_calls for one in self.sidecars)
-            before = [one.bytes for one in self.sidecars]
-            self.usage_before = (processes.cpu_seconds(), self.checker_cpu_s, time.monotonic(), before)
+            self.failed_calls_before = sum(sidecar.failed_calls for sidecar in self.sidecars)
+            bytes_before = [sidecar.bytes for sidecar in self.sidecars]
+            self.usage_before = (processes.cpu_seconds(), self.checker_cpu_s, time.monotonic(), bytes_before)
         elif do == "measured":
-            cpu, judged, at, before = self.usage_before
+            cpu_before, checker_cpu_before, measured_since, bytes_before = self.usage_before
             processes.send_event(
                 {
                     "event": "measured",
-                    "cpu_s": processes.cpu_seconds() - cpu,
-                    "judged_s": self.checker_cpu_s - judged,
-                    "seconds": time.monotonic() - at,
+                    "cpu_s": processes.cpu_seconds() - cpu_before,
+                    "judged_s": self.checker_cpu_s - checker_cpu_before,
+                    "seconds": time.monotonic() - measured_since,
                     "mb": processes.resident_mb(),
                     "base_mb": self.base_mb,
-                    "bytes": [one.bytes - then for one, then in zip(self.sidecars, before)],
+                    "bytes": [
+                        sidecar.bytes - previous for sidecar, previous in zip(self.sidecars, bytes_before)
+                    ],
                     "lag_us": self.max_tick_delay_us,
-                    "failed": sum(one.failed_calls for one in self.sidecars) - self.failed_calls_before,
+                    "failed": sum(sidecar.failed_calls for sidecar in self.sidecars)
+                    - self.failed_calls_before,
                 }
             )
         elif do == "waiting":
@@ -133,6 +146,7 @@
             processes.send_event({"event": "judged", "path": str(path)})
 
     def start_sidecars(self, now: int) -> None:
+        """Connect further sidecars; report "ready" once all have their first list."""
         while self.not_started and len(self.starting) < MAX_CONCURRENT_STARTS:
             sidecar = self.not_started.pop()
             self.starting.add(sidecar.number)
@@ -148,20 +162,21 @@
                     "mb": processes.resident_mb(),
                     "base_mb": self.base_mb,
                     "form": compiled.FORM,
-                    "held": sum(len(one.server_list.lines) for one in self.sidecars),
+                    "held": sum(len(each.server_list.lines) for each in self.sidecars),
                 }
             )
 
     def run(self) -> None:
+        """Run the loop; the process exits when its stdin ends."""
         orders = processes.OrderReader()
         self.selector.register(0, selectors.EVENT_READ, orders)
-        tick = ground_truth.now_us()
+        next_tick = ground_truth.now_us()
         while True:
             now = ground_truth.now_us()
             if not self.all_started:
                 self.start_sidecars(now)
-            until = min(tick, self.timers[0][0]) if self.timers else tick
-            for key, _ in self.selector.select(max(0.0, (until - now) / 1e6)):
+            wake_at = min(next_tick, self.timers[0][0]) if self.timers else next_tick
+            for key, _ in self.selector.select(max(0.0, (wake_at - now) / 1e6)):
                 if isinstance(key.data, HollowSidecar):
                     key.data.on_socket_ready(ground_truth.now_us())
                 else:
@@ -172,23 +187,24 @@
                 at, _, sidecar = heappop(self.timers)
                 if sidecar.due_at == at:
                     sidecar.on_timer(now)
-            if now >= tick:
-                self.max_tick_delay_us = max(self.max_tick_delay_us, now - tick)
+            if now >= next_tick:
+                self.max_tick_delay_us = max(self.max_tick_delay_us, now - next_tick)
                 if self.all_started:
                     self.run_checker(lambda: self.view_checker.tick(ground_truth.now_us()))
-                tick = max(tick + TICK_US, ground_truth.now_us())
+                next_tick = max(next_tick + TICK_US, ground_truth.now_us())
 
 
 def ignore_drain(update: Update) -> Update:
-    """What drains stays as it was: a fault planted for a test."""
-    kept = [at for at, entry in enumerate(update.entries) if entry.phase != Phase.DRAINING]
+    """Drop the entries of draining servers from an update: an injected bug that the checker must find."""
+    kept_indexes = [index for index, entry in enumerate(update.entries) if entry.phase != Phase.DRAINING]
     return update._replace(
-        entries=[update.entries[at] for at in kept], addresses=[update.addresses[at] for at in kept]
+        entries=[update.entries[index] for index in kept_indexes],
+        addresses=[update.addresses[index] for index in kept_indexes],
     )
 
 
 class RevertState:
-    """Gives a server's state before the last beside the next update: a fault planted for a test."""
+    """Add servers' states of the last full list to later updates: a bug that the checker must find."""
 
     def __init__(self) -> None:
         self.previous_entries: dict[int, Any] = {}
@@ -196,20 +212,21 @@
     def __call__(self, update: Update) -> Update:
         if update.whole:
             self.previous_entries = {
-                entry.server: (entry, where) for entry, where in zip(update.entries, update.addresses)
+                entry.server: (entry, address) for entry, address in zip(update.entries, update.addresses)
             }
             return update
-        here = {entry.server for entry in update.entries}
-        back = [
-            self.previous_entries[server] for server in sorted(self.previous_entries) if server not in here
+        updated = {entry.server for entry in update.entries}
+        reverted = [
+            self.previous_entries[server] for server in sorted(self.previous_entries) if server not in updated
         ][:MAX_CONCURRENT_STARTS]
         return update._replace(
-            entries=[*update.entries, *(entry for entry, _ in back)],
-            addresses=[*update.addresses, *(where for _, where in back)],
+            entries=[*update.entries, *(entry for entry, _ in reverted)],
+            addresses=[*update.addresses, *(address for _, address in reverted)],
         )
 
 
 def main() -> None:
+    """Run the hollow sidecars given on the command line."""
     folder, first, count = Path(sys.argv[1]), int(sys.argv[2]), int(sys.argv[3])
     processes.raise_descriptor_limit()
     plan = Plan(RunOptions.from_dict(orjson.loads((folder / "ask.json").read_bytes())))
--- a/pumicepath/lab/hollow/origin.py
+++ b/pumicepath/lab/hollow/origin.py
@@ -1,10 +1,10 @@
-"""A stand-in for one region's discovery: its own process, one selector loop, calls worked through in turn.
+"""A simulated discovery service of one region: a process with one selector loop that serves requests in turn.
 
-    python -m pumicepath.lab.hollow.origin FOLDER REGION
+    python -m pumicepath.lab.hollow.origin FOLDER REGION HOST PORT
 
-It reads the run's `ask.json` in the folder, listens on a port that it tells on stdout, makes changes from the
-time that it is told to ({"do": "go"} on stdin), writes each down as truth (see `truth`) and answers the
-discovery protocol: whole lists, watches that wait, and the parameter `services`.  Ends with its stdin.
+It reads the run's `ask.json` in the folder and reports its port on stdout.  After the order {"do": "go"} on
+stdin it makes changes, and writes each to its ledger (see `ground_truth`).  It serves the discovery protocol:
+full lists, long-polling watches, and the parameter `services`.  The process ends with its stdin.
 """
 
 from __future__ import annotations
@@ -29,17 +29,18 @@
 REQUEST_TARGET = re.compile(rb"GET (/discovery/hosts(?:\?(\S*))?) HTTP/1\.[01]\r\n")
 MAX_WAIT_MS = 60_000
 MAX_HEAD_BYTES = 16_384
-MAX_KEPT_DELAYS = 20_000  # times of one address
-POKED_SERVERS = 20  # servers that change at a word of the run
-MAX_CACHED_RESPONSES = 64  # answers that are kept, until the next change
-MAX_CHANGE_BACKLOG_US = 1_000_000  # changes that were due longer ago are let go: the process stood still
+MAX_KEPT_DELAYS = 20_000  # of one address
+POKED_SERVERS = 20  # servers that change at the order "poke"
+MAX_CACHED_RESPONSES = 64  # until the next change
+MAX_CHANGE_BACKLOG_US = 1_000_000  # changes overdue for longer, after the process was stopped, are dropped
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 
 
 class AddressStats:
-    """All connections from one address: bytes both ways, and how long after changes the next calls came.
+    """Bytes in both directions of all connections from one address, and delays until changes were applied.
 
-    Who calls with a version has taken it, so that is when a change was applied at the latest.
+    A request that names a version shows that the caller has applied it, so the time from the change to that
+    request is an upper bound of the delay.
     """
 
     def __init__(self) -> None:
@@ -48,23 +49,25 @@
 
 
 class Connection:
-    """One connection; one call at a time is out on it."""
+    """A client connection, with at most one request in progress."""
 
     __slots__ = ("sock", "head", "outgoing", "since", "services", "watch_id", "stats", "answered_version")
 
-    def __init__(self, sock: socket.socket, peer: AddressStats) -> None:
+    def __init__(self, sock: socket.socket, stats: AddressStats) -> None:
         self.sock = sock
-        self.stats = peer
-        self.answered_version = -1  # the version that it was answered last
+        self.stats = stats
+        self.answered_version = -1  # version in the last answer, -1: nothing new in it
         self.head = b""
         self.outgoing: memoryview | None = None
-        self.since = -1  # of the watch that waits here, -1: none
+        self.since = -1  # version of the pending watch, -1: none
         self.services: str | None = None
         self.watch_id = 0
 
 
 class Origin:
-    def __init__(self, plan: Plan, folder: Path, region: int, where: str, port: int) -> None:
+    """The servers of one region (of all regions in a direct run), their changes, and the connections."""
+
+    def __init__(self, plan: Plan, folder: Path, region: int, host: str, port: int) -> None:
         self.plan, self.region = plan, region
         servers = (
             range(plan.options.sidecars)
@@ -77,11 +80,10 @@
         )
         self.encoded_servers: dict[int, bytes] = {}
         self.version = 1
-        self.versions: list[int] = []  # of the changes, rising
-        self.changed_servers: list[int] = []  # the servers
-        for change in ground_truth.LedgerReader(
-            ground_truth.ledger_path(folder, region)
-        ).read():  # of a life before this one
+        self.versions: list[int] = []  # of all changes, ascending
+        self.changed_servers: list[int] = []  # the server of each change
+        # After a restart: the changes that the previous process made.
+        for change in ground_truth.LedgerReader(ground_truth.ledger_path(folder, region)).read():
             self.version += 1
             self.ground_truth.apply(change)
             self.versions.append(self.version)
@@ -97,19 +99,19 @@
         self.bytes_out = self.bytes_in = self.request_count = self.full_list_count = 0
         self.connection_count = 0
         self.address_stats: dict[str, AddressStats] = {}
-        self.last_change_at = 0  # the last change
-        self.next_change_at = 0  # when, 0: never
-        self.scheduled_changes: list[
-            tuple[int, list[tuple[int, str]]]
-        ] = []  # (when, changes): faults on their way
+        self.last_change_at = 0
+        self.next_change_at = 0  # 0: never
+        # (time, [(server, new state)]): changes that faults will make.
+        self.scheduled_changes: list[tuple[int, list[tuple[int, str]]]] = []
         self.selector = selectors.DefaultSelector()
-        self.listener = socket.create_server((where, port), backlog=4096)
+        self.listener = socket.create_server((host, port), backlog=4096)
         self.listener.setblocking(False)
         self.selector.register(self.listener, selectors.EVENT_READ)
 
     # -- the list
 
     def encode_server(self, change: Change) -> bytes:
+        """A server's entry in a list, as JSON."""
         plan, server = self.plan, change.server
         return orjson.dumps(
             {
@@ -125,12 +127,12 @@
             }
         )
 
-    def response(self, since: int, wanted: str | None) -> bytes:
-        """Changes since a version where that can be told, else the whole list."""
-        key = (since, wanted)
-        found = self.cache.get(key)
-        if found is None:
-            names = None if wanted is None or wanted == "*" else set(wanted.split(","))
+    def response(self, since: int, services: str | None) -> bytes:
+        """The response with the changes since a version, or with the full list if they are not known."""
+        key = (since, services)
+        response = self.cache.get(key)
+        if response is None:
+            names = None if services is None or services == "*" else set(services.split(","))
             whole = since < 0 or since > self.version or since < self.version - len(self.versions)
             if whole:
                 servers = [
@@ -139,9 +141,11 @@
                     if self.ground_truth.states[server].health != LEFT and server != self.omitted_server
                 ]
             else:
-                at = bisect_right(self.versions, since)
+                start = bisect_right(self.versions, since)
                 servers = [
-                    one for one in dict.fromkeys(self.changed_servers[at:]) if one != self.omitted_server
+                    each
+                    for each in dict.fromkeys(self.changed_servers[start:])
+                    if each != self.omitted_server
                 ]
             if names is not None:
                 servers = [
@@ -152,17 +156,17 @@
             body = b'{"seq":%d,"whole":%s,"hosts":[%s]}' % (
                 self.version,
                 b"true" if whole else b"false",
-                b",".join(self.encoded_servers[one] for one in servers),
+                b",".join(self.encoded_servers[each] for each in servers),
             )
-            found = RESPONSE_HEAD % len(body) + body
+            response = RESPONSE_HEAD % len(body) + body
             if len(self.cache) >= MAX_CACHED_RESPONSES:
                 self.cache.clear()
-            self.cache[key] = found
-        self.full_list_count += b'"whole":true' in found[:140]
-        return found
+            self.cache[key] = response
+        self.full_list_count += b'"whole":true' in response[:140]
+        return response
 
     def apply_changes(self, changes: list[Change]) -> None:
-        """They are in force from here on; whoever watches is told."""
+        """Write changes to the ledger, apply them, and answer the watches that they concern."""
         self.last_change_at = ground_truth.now_us()
         self.ledger.write(changes)
         for change in changes:
@@ -173,13 +177,18 @@
             self.encoded_servers[change.server] = self.encode_server(change)
         self.cache.clear()
         names = {self.plan.service_name(self.plan.service_of[change.server]) for change in changes}
-        for caller in sorted(self.watching, key=lambda each: each.watch_id):
-            if caller.services is None or caller.services == "*" or names & set(caller.services.split(",")):
-                self.reply(caller)
+        for connection in sorted(self.watching, key=lambda watch: watch.watch_id):
+            if (
+                connection.services is None
+                or connection.services == "*"
+                or names & set(connection.services.split(","))
+            ):
+                self.reply(connection)
 
-    # -- calls
+    # -- requests
 
     def accept(self) -> None:
+        """Accept waiting connections."""
         for _ in range(256):
             try:
                 sock, address = self.listener.accept()
@@ -188,87 +197,92 @@
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.connection_count += 1
-            peer = self.address_stats.setdefault(
+            stats = self.address_stats.setdefault(
                 "127.0.0.1" if address[0] == "127.0.0.1" else "others", AddressStats()
             )
-            self.selector.register(sock, selectors.EVENT_READ, Connection(sock, peer))
-
-    def close(self, caller: Connection) -> None:
-        self.watching.discard(caller)
-        self.selector.unregister(caller.sock)
-        caller.sock.close()
-        caller.since = -1
+            self.selector.register(sock, selectors.EVENT_READ, Connection(sock, stats))
+
+    def close(self, connection: Connection) -> None:
+        """Close a connection."""
+        self.watching.discard(connection)
+        self.selector.unregister(connection.sock)
+        connection.sock.close()
+        connection.since = -1
         self.connection_count -= 1
 
-    def read(self, caller: Connection) -> None:
+    def read(self, connection: Connection) -> None:
+        """Read from a connection, and handle its request once the head is complete."""
         try:
-            data = caller.sock.recv(MAX_HEAD_BYTES)
+            data = connection.sock.recv(MAX_HEAD_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
-        caller.head += data
+        connection.head += data
         self.bytes_in += len(data)
-        caller.stats.bytes += len(data)
-        if not data or len(caller.head) > MAX_HEAD_BYTES:
-            self.close(caller)
+        connection.stats.bytes += len(data)
+        if not data or len(connection.head) > MAX_HEAD_BYTES:
+            self.close(connection)
             return
-        end = caller.head.find(b"\r\n\r\n")
-        if end < 0 or caller.outgoing is not None:
+        end = connection.head.find(b"\r\n\r\n")
+        if end < 0 or connection.outgoing is not None:
             return
-        head, caller.head = caller.head[: end + 4], caller.head[end + 4 :]
-        found = REQUEST_TARGET.match(head)
-        if not found:
-            self.close(caller)
+        head, connection.head = connection.head[: end + 4], connection.head[end + 4 :]
+        match = REQUEST_TARGET.match(head)
+        if not match:
+            self.close(connection)
             return
-        self.handle_request(caller, (found[2] or b"").decode("latin-1"))
+        self.handle_request(connection, (match[2] or b"").decode("latin-1"))
 
-    def handle_request(self, caller: Connection, query: str) -> None:
-        told = dict(part.partition("=")[::2] for part in query.split("&") if part)
+    def handle_request(self, connection: Connection, query: str) -> None:
+        """Answer a request at once if there is a newer version, else let its watch wait."""
+        parameters = dict(pair.partition("=")[::2] for pair in query.split("&") if pair)
         self.request_count += 1
-        caller.services = told.get("services")
-        caller.since = int(told.get("since", "-1"))
-        if caller.since == self.version == caller.answered_version and self.last_change_at:
-            caller.stats.apply_delays_us.append(ground_truth.now_us() - self.last_change_at)
-        caller.answered_version = -1
-        wait = min(MAX_WAIT_MS, int(told.get("timeout_ms", "0")))
-        if caller.since != self.version:
-            self.reply(caller)
+        connection.services = parameters.get("services")
+        connection.since = int(parameters.get("since", "-1"))
+        if connection.since == self.version == connection.answered_version and self.last_change_at:
+            connection.stats.apply_delays_us.append(ground_truth.now_us() - self.last_change_at)
+        connection.answered_version = -1
+        wait_ms = min(MAX_WAIT_MS, int(parameters.get("timeout_ms", "0")))
+        if connection.since != self.version:
+            self.reply(connection)
             return
         self.watch_count += 1
-        caller.watch_id = self.watch_count
-        self.watching.add(caller)
+        connection.watch_id = self.watch_count
+        self.watching.add(connection)
         heappush(
             self.watch_timeouts,
-            (ground_truth.now_us() + 1000 * wait, self.watch_count, self.watch_count, caller),
+            (ground_truth.now_us() + 1000 * wait_ms, self.watch_count, self.watch_count, connection),
         )
 
-    def reply(self, caller: Connection) -> None:
-        self.watching.discard(caller)
-        since, caller.since = caller.since, -1
-        caller.watch_id = 0
-        caller.answered_version = self.version if since != self.version else -1
-        self.send(caller, memoryview(self.response(since, caller.services)))
+    def reply(self, connection: Connection) -> None:
+        """Answer a connection's request."""
+        self.watching.discard(connection)
+        since, connection.since = connection.since, -1
+        connection.watch_id = 0
+        connection.answered_version = self.version if since != self.version else -1
+        self.send(connection, memoryview(self.response(since, connection.services)))
 
-    def send(self, caller: Connection, data: memoryview) -> None:
+    def send(self, connection: Connection, data: memoryview) -> None:
+        """Write as much as the socket accepts; the rest follows when it is writable."""
         try:
-            sent = caller.sock.send(data)
+            sent = connection.sock.send(data)
         except BlockingIOError:
             sent = 0
         except OSError:
-            self.close(caller)
+            self.close(connection)
             return
         self.bytes_out += sent
-        caller.stats.bytes += sent
-        before, caller.outgoing = caller.outgoing, data[sent:] if sent < len(data) else None
-        if (before is None) != (caller.outgoing is None):
-            events = selectors.EVENT_READ if caller.outgoing is None else selectors.EVENT_WRITE
-            self.selector.modify(caller.sock, events, caller)
+        connection.stats.bytes += sent
+        unsent_before, connection.outgoing = connection.outgoing, data[sent:] if sent < len(data) else None
+        if (unsent_before is None) != (connection.outgoing is None):
+            events = selectors.EVENT_READ if connection.outgoing is None else selectors.EVENT_WRITE
+            self.selector.modify(connection.sock, events, connection)
 
-    # -- what it is told by the run, and time
+    # -- orders and timers
 
     def handle_order(self, order: dict[str, Any]) -> None:
-        """Orders of the run, by lines on stdin."""
+        """Execute an order of the run, one JSON line on stdin."""
         do, now = order["do"], ground_truth.now_us()
         if do == "go":
             self.next_change_at = self.draw_change_time(now)
@@ -293,44 +307,47 @@
                 {
                     "event": "peers",
                     **{
-                        name: {"bytes": peer.bytes, "took": list(peer.apply_delays_us)}
-                        for name, peer in self.address_stats.items()
+                        name: {"bytes": stats.bytes, "took": list(stats.apply_delays_us)}
+                        for name, stats in self.address_stats.items()
                     },
                 }
             )
-            for peer in self.address_stats.values():
-                peer.apply_delays_us.clear()
+            for stats in self.address_stats.values():
+                stats.apply_delays_us.clear()
         elif do in ("lose", "back"):
-            zone, want = order["zone"], LEFT if do == "lose" else ACTIVE
-            here = [
-                one
-                for one in self.ground_truth.servers
-                if self.plan.zone_of[one] == zone
-                and (self.ground_truth.states[one].health == LEFT) != (want == LEFT)
+            zone, health = order["zone"], LEFT if do == "lose" else ACTIVE
+            servers = [
+                each
+                for each in self.ground_truth.servers
+                if self.plan.zone_of[each] == zone
+                and (self.ground_truth.states[each].health == LEFT) != (health == LEFT)
             ]
-            self.scheduled_changes.append((now, [(one, want) for one in here]))
+            self.scheduled_changes.append((now, [(each, health) for each in servers]))
         elif do == "release":
-            # Server by server: it drains, is gone, and comes back as a new process.
-            every = int(1e6 * order["seconds"] / max(1, len(self.ground_truth.servers)))
-            for at, server in enumerate(self.ground_truth.servers):
-                begin = now + at * every
+            # One server after the other drains, leaves and comes back as a new process.
+            interval_us = int(1e6 * order["seconds"] / max(1, len(self.ground_truth.servers)))
+            for index, server in enumerate(self.ground_truth.servers):
+                start = now + index * interval_us
                 self.scheduled_changes += [
-                    (begin, [(server, LEAVING)]),
-                    (begin + 1_000_000, [(server, LEFT)]),
-                    (begin + 1_500_000, [(server, ACTIVE)]),
+                    (start, [(server, LEAVING)]),
+                    (start + 1_000_000, [(server, LEFT)]),
+                    (start + 1_500_000, [(server, ACTIVE)]),
                 ]
         elif do == "poke":
-            here = [one for one in self.ground_truth.servers if self.ground_truth.states[one].health != LEFT]
+            servers = [
+                each for each in self.ground_truth.servers if self.ground_truth.states[each].health != LEFT
+            ]
             self.apply_changes(
                 [
-                    self.ground_truth.next_change(now, one, self.ground_truth.states[one].health, 0)
-                    for one in self.ground_truth.rng.sample(here, min(POKED_SERVERS, len(here)))
+                    self.ground_truth.next_change(now, each, self.ground_truth.states[each].health, 0)
+                    for each in self.ground_truth.rng.sample(servers, min(POKED_SERVERS, len(servers)))
                 ]
             )
             processes.send_event({"event": "poked", "at": now})
         self.scheduled_changes.sort(key=lambda step: step[0])
 
     def draw_change_time(self, at: int) -> int:
+        """The time of the next random change after `at`, by a Poisson process; 0 for never."""
         return (
             at + max(1, int(1e6 * self.ground_truth.rng.expovariate(self.changes_per_s)))
             if self.changes_per_s > 0
@@ -338,28 +355,32 @@
         )
 
     def apply_due_changes(self, now: int) -> None:
+        """Make the scheduled and the random changes that are due."""
         while self.scheduled_changes and self.scheduled_changes[0][0] <= now:
-            _, wanted = self.scheduled_changes.pop(0)
-            made = []
-            for server, want in wanted:
-                before = self.ground_truth.states[server].health
-                born = ground_truth.unix_ms() if want == ACTIVE and before == LEFT else 0
-                made.append(self.ground_truth.next_change(now, server, want or before, born))
-            if made:
-                self.apply_changes(made)
+            _, targets = self.scheduled_changes.pop(0)
+            changes = []
+            for server, health in targets:
+                previous = self.ground_truth.states[server].health
+                started_at_ms = ground_truth.unix_ms() if health == ACTIVE and previous == LEFT else 0
+                changes.append(self.ground_truth.next_change(now, server, health or previous, started_at_ms))
+            if changes:
+                self.apply_changes(changes)
         while 0 < self.next_change_at <= now:
             self.next_change_at = self.draw_change_time(max(self.next_change_at, now - MAX_CHANGE_BACKLOG_US))
             self.apply_changes([self.ground_truth.draw_change(ground_truth.now_us())])
 
     def run(self) -> None:
+        """Run the loop; the process exits when its stdin ends."""
         orders = processes.OrderReader()
         self.selector.register(0, selectors.EVENT_READ, orders)
         while True:
             now = ground_truth.now_us()
-            nexts = [self.watch_timeouts[0][0]] if self.watch_timeouts else []
-            nexts += [self.next_change_at] if self.next_change_at else []
-            nexts += [self.scheduled_changes[0][0]] if self.scheduled_changes else []
-            for key, events in self.selector.select(max(0.0, (min(nexts) - now) / 1e6) if nexts else None):
+            deadlines = [self.watch_timeouts[0][0]] if self.watch_timeouts else []
+            deadlines += [self.next_change_at] if self.next_change_at else []
+            deadlines += [self.scheduled_changes[0][0]] if self.scheduled_changes else []
+            for key, events in self.selector.select(
+                max(0.0, (min(deadlines) - now) / 1e6) if deadlines else None
+            ):
                 if isinstance(key.data, Connection):
                     if events & selectors.EVENT_WRITE and key.data.outgoing is not None:
                         self.send(key.data, key.data.outgoing)
@@ -373,18 +394,19 @@
             now = ground_truth.now_us()
             self.apply_due_changes(now)
             while self.watch_timeouts and self.watch_timeouts[0][0] <= now:
-                _, _, token, caller = heappop(self.watch_timeouts)
-                if caller.watch_id == token and caller.since >= 0:
-                    self.reply(caller)
+                _, _, watch_id, connection = heappop(self.watch_timeouts)
+                if connection.watch_id == watch_id and connection.since >= 0:
+                    self.reply(connection)
 
 
 def main() -> None:
-    folder, region, where, port = Path(sys.argv[1]), int(sys.argv[2]), sys.argv[3], int(sys.argv[4])
+    """Run the origin given on the command line."""
+    folder, region, listen_host, port = Path(sys.argv[1]), int(sys.argv[2]), sys.argv[3], int(sys.argv[4])
     processes.raise_descriptor_limit()
     plan = Plan(RunOptions.from_dict(orjson.loads((folder / "ask.json").read_bytes())))
-    origin = Origin(plan, folder, region, where, port)
-    host, bound = origin.listener.getsockname()[:2]
-    processes.send_event({"event": "started", "listen": f"{host}:{bound}", "pid": os.getpid()})
+    origin = Origin(plan, folder, region, listen_host, port)
+    bound_host, bound_port = origin.listener.getsockname()[:2]
+    processes.send_event({"event": "started", "listen": f"{bound_host}:{bound_port}", "pid": os.getpid()})
     origin.run()
 
 
--- a/pumicepath/lab/hollow/processes.py
+++ b/pumicepath/lab/hollow/processes.py
@@ -1,8 +1,9 @@
-"""What the processes of a run share: lines of JSON on stdin and stdout, what they use, and how they end.
+"""The processes of a run: JSON lines on stdin and stdout, resource usage, and termination with the parent.
 
-    child = Child(["-m", "pumicepath.lab.hollow.origin", folder, "0"]); child.event("started")
+    child = ChildProcess(["-m", "pumicepath.lab.hollow.origin", folder, "0"], folder, "origin")
+    child.wait_for("started")
 
-A child ends with its starter: its stdin ends, and the kernel sends it SIGKILL (prctl, PR_SET_PDEATHSIG).
+A child ends with its parent: its stdin ends, and the kernel sends it SIGKILL (prctl, PR_SET_PDEATHSIG).
 """
 
 from __future__ import annotations
@@ -25,25 +26,27 @@
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 ROOT = Path(__file__).resolve().parents[3]
-PR_SET_PDEATHSIG = 1  # PR_SET_PDEATHSIG (linux/prctl.h)
+PR_SET_PDEATHSIG = 1  # linux/prctl.h
 
 
 class InvalidRunError(Exception):
-    """The run tells nothing: a process of the rig did not start, or ended by itself."""
+    """The run has no valid result: a process of the rig did not start, or ended unexpectedly."""
 
 
 def send_event(line: dict[str, Any]) -> None:
+    """Write an event as a JSON line to stdout, for the parent process."""
     sys.stdout.buffer.write(orjson.dumps(line) + b"\n")
     sys.stdout.buffer.flush()
 
 
 class OrderReader:
-    """Lines on stdin, read as they come; the process ends when that does."""
+    """Reads orders, JSON lines, from stdin; ends the process when stdin ends."""
 
     def __init__(self) -> None:
         self.partial_line = b""
 
     def read(self) -> list[dict[str, Any]]:
+        """Return the orders that have arrived in full."""
         data = os.read(0, 65536)
         if not data:
             os._exit(0)
@@ -52,12 +55,13 @@
 
 
 def raise_descriptor_limit() -> None:
+    """Raise the soft limit of open descriptors to the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
 def cpu_seconds(pid: int | str = "self") -> float:
-    """Seconds of CPU that a process has used."""
+    """CPU seconds used by a process."""
     if pid == "self":
         return time.process_time()
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -65,22 +69,24 @@
 
 
 def resident_mb(pid: int | str = "self") -> float:
-    """MB resident."""
+    """Resident memory of a process in MB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
 
 def die_with_parent() -> None:
+    """Have the kernel kill this process when its parent ends."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class ChildProcess:
-    """A process of the run; what it says on stdout is read by a thread, so that it never has to wait."""
+    """A process of the run; a thread reads its stdout, so that it never blocks on a full pipe."""
 
     def __init__(self, arguments: list[str], folder: Path, name: str) -> None:
         self.arguments, self.folder, self.name = arguments, folder, name
         self.start()
 
     def start(self) -> None:
+        """Start the process, or start it again with the same arguments."""
         self.events: queue.SimpleQueue[dict[str, Any]] = queue.SimpleQueue()
         with (self.folder / f"{self.name}.err").open("ab") as errors:
             self.process = subprocess.Popen(
@@ -93,25 +99,32 @@
             )
         threading.Thread(target=self.read_events, args=(self.process, self.events), daemon=True).start()
 
-    def read_events(self, process: subprocess.Popen[bytes], said: queue.SimpleQueue[dict[str, Any]]) -> None:
+    def read_events(
+        self, process: subprocess.Popen[bytes], events: queue.SimpleQueue[dict[str, Any]]
+    ) -> None:
+        """Queue the process's events; ignores lines that are not JSON."""
         assert process.stdout is not None
         for line in process.stdout:
             with suppress(ValueError):
-                said.put(orjson.loads(line))
-        said.put({"event": "ended"})
+                events.put(orjson.loads(line))
+        events.put({"event": "ended"})
 
     def send(self, order: dict[str, Any]) -> None:
+        """Send an order."""
         assert self.process.stdin is not None
-        with suppress(OSError):  # it has ended, which whoever waits for its answer is told
+        with suppress(OSError):  # if it has ended, `wait_for` reports that
             self.process.stdin.write(orjson.dumps(order) + b"\n")
             self.process.stdin.flush()
 
     def wait_for(self, name: str, within: float = 120.0) -> dict[str, Any]:
-        """The next such line; raises Void if it ends, or says nothing for so many seconds."""
-        until = time.monotonic() + within
+        """Return the next event called `name`, and skip others.
+
+        Raises InvalidRunError if the process ends, or if there is no such event within `within` seconds.
+        """
+        deadline = time.monotonic() + within
         while True:
             try:
-                line = self.events.get(timeout=max(0.01, until - time.monotonic()))
+                line = self.events.get(timeout=max(0.01, deadline - time.monotonic()))
             except queue.Empty:
                 raise InvalidRunError(f"{self.name}: no {name!r} within {within:g} s") from None
             if line.get("event") == "ended":
@@ -120,14 +133,17 @@
                 return line
 
     def request(self, order: dict[str, Any], name: str, within: float = 120.0) -> dict[str, Any]:
+        """Send an order and wait for the event `name`.  Raises InvalidRunError."""
         self.send(order)
         return self.wait_for(name, within)
 
     def last_error_line(self) -> str:
+        """The last line of the process's stderr."""
         lines = (self.folder / f"{self.name}.err").read_text(errors="replace").strip().splitlines()
-        return lines[-1] if lines else "it said nothing"
+        return lines[-1] if lines else "no error output"
 
     def kill(self) -> None:
+        """Kill the process if it still runs, and wait for its end."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -1,9 +1,8 @@
-"""One hollow sidecar: the real watch, list and balancer behind one socket of a loop.
+"""A hollow sidecar: the real watch, server list and balancer, driven by one socket of a shared loop.
 
-It does on the loop what `sidecar/watching.py` does on its thread, with the same bounds: how long a dial may
-take, when a call counts as silent, after which failures it asks again at once, and with relays which of them
-it follows (`distribution/homes.py`).  Times are whole
-microseconds of the machine's monotonic clock, one for all processes of a run.
+It does on the loop what `sidecar/watching.py` does on its own thread, with the same connect, response and
+silence timeouts and the same retries, and follows a relay chosen by `distribution/homes.py`.  Times are whole
+microseconds of the machine's monotonic clock, which all processes of a run share.
 """
 
 from __future__ import annotations
@@ -26,7 +25,9 @@
 from ...sidecar.watching import CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S, RETRY_INTERVAL_S
 from .plan import Plan
 
-IP_BIND_ADDRESS_NO_PORT = 24  # linux/in.h: the port is chosen at connect, so that each pair can use all
+IP_BIND_ADDRESS_NO_PORT = (
+    24  # linux/in.h: choose the port at connect, so that each address pair has all ports
+)
 WAITING, CONNECTING, REQUESTING, SWITCHING = range(4)
 SETTINGS: dict[str, Any] = {
     "membershipMode": "pushed",
@@ -46,7 +47,7 @@
 
 
 class Loop(Protocol):
-    """What a hollow sidecar needs of the process that it is in."""
+    """What a hollow sidecar needs of the process that hosts it."""
 
     def register(self, sidecar: HollowSidecar, writable: bool) -> None: ...
 
@@ -58,7 +59,7 @@
 
 
 class Mute:
-    """In the place of a host: nothing is sent, so the balancer has nothing to say."""
+    """Callbacks that do nothing: a hollow sidecar has no clients, so its balancer sends nothing."""
 
     def send(self, submission: int, server: int, timeout: int) -> None: ...
 
@@ -85,7 +86,7 @@
 
 
 def sidecar_settings(plan: Plan, number: int) -> dict[str, Any]:
-    """The settings that sidecar `number` is told, as a real one would find them in its file."""
+    """The settings of sidecar `number`, as a real sidecar reads them from its file."""
     zones = [plan.zone_name(zone) for zone in range(plan.options.zones)]
     return {
         **SETTINGS,
@@ -97,13 +98,19 @@
 
 
 def is_ready(sock: socket.socket, writable: bool) -> bool:
-    """Whether a socket can be used without waiting."""
+    """Whether a socket can be written or read without blocking."""
     poll = select.poll()
     poll.register(sock, select.POLLOUT if writable else select.POLLIN)
     return bool(poll.poll(0))
 
 
 class HollowSidecar:
+    """A state machine that connects, requests and reads lists, and applies them to a balancer.
+
+    States: WAITING for a timer, CONNECTING, REQUESTING (a watch request is pending), and SWITCHING, in which
+    it connects to another relay while the connection to the previous one is kept.
+    """
+
     __slots__ = (
         "number",
         "name",
@@ -129,33 +136,34 @@
         "failed_calls",
     )
 
-    def __init__(self, plan: Plan, number: int, places: Sequence[str], loop: Loop) -> None:
-        """`places` are its relays, or the one discovery."""
+    def __init__(self, plan: Plan, number: int, upstreams: Sequence[str], loop: Loop) -> None:
+        """`upstreams` are the addresses of its region's relays, or that of the origin."""
         self.number, self.name, self.loop = number, f"n{number}", loop
-        info = sidecar_settings(plan, number)
-        self.server_list = Roster(info["dcs"], clock.since_unix_ms)
-        self.balancer = Balancer(decode(info), number + 1, MUTE)
+        settings = sidecar_settings(plan, number)
+        self.server_list = Roster(settings["dcs"], clock.since_unix_ms)
+        self.balancer = Balancer(decode(settings), number + 1, MUTE)
         self.rng = Chance(random.Random(f"sidecar {plan.options.seed} {number}").getrandbits(63))
         self.addresses: dict[int, Address] = {}
         self.sock: socket.socket | None = None
         self.state = WAITING
-        self.due_at = 0  # what happens next if nothing comes: see `woke`
+        self.due_at = 0  # see `on_timer`
         self.relay_selector: Homes | None = None
-        self.previous_sock: socket.socket | None = None  # to the relay that is left once another is dialled
+        self.previous_sock: socket.socket | None = None  # to the relay that is left once another is connected
         if plan.options.form == "relayed":
-            self.relay_selector = Homes(self.name, places, Chance(self.rng.bits()).share)
-        self.address = self.relay_selector.at if self.relay_selector else places[0]
+            self.relay_selector = Homes(self.name, upstreams, Chance(self.rng.bits()).share)
+        self.address = self.relay_selector.at if self.relay_selector else upstreams[0]
         self.response_started = False
         self.connect_timeout_s = CONNECT_TIMEOUT_S
         self.failures = 0  # in a row
         self.failed_calls = 0  # in all
-        self.bytes = 0  # both ways, payload alone
+        self.bytes = 0  # both directions, without TCP/IP headers
         self.updated_at = 0
-        self.has_list = False  # whether it has had a list
+        self.has_list = False
         self.injected_bug: Callable[[Update], Update] | None = None
         self.watch = self.make_watch(plan)
 
     def make_watch(self, plan: Plan) -> Watch:
+        """Make the watch; with relays it names the services that the sidecar calls."""
         wait_us = int(2e6 * SETTINGS["rules"]["askEveryS"])
         services = (
             [plan.service_name(service) for service in plan.called_services[self.number]]
@@ -167,7 +175,7 @@
     # -- the socket
 
     def connect(self, now: int) -> None:
-        """Dial, from one of many addresses, as no single one has ports for all."""
+        """Connect from one of many local addresses: a single one has too few ports for all sidecars."""
         if self.relay_selector is not None:
             self.address = self.relay_selector.at
             if self.state != SWITCHING and self.watch.host != self.address:
@@ -177,9 +185,9 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
         sock.bind((f"127.{16 + (self.number >> 12 & 31)}.{self.number >> 4 & 255}.1", 0))
-        found = sock.connect_ex((host, int(port)))
-        if found not in (0, errno.EINPROGRESS):
-            self.on_failure(now, OSError(found, "dial"))
+        result = sock.connect_ex((host, int(port)))
+        if result not in (0, errno.EINPROGRESS):
+            self.on_failure(now, OSError(result, "connect"))
             return
         self.loop.register(self, True)
         if self.state == SWITCHING:
@@ -190,37 +198,38 @@
         self.connect_timeout_s = min(MAX_CONNECT_TIMEOUT_S, 2 * self.connect_timeout_s)
 
     def set_timer(self, at: int) -> None:
+        """Have `on_timer` called at `at`; replaces an earlier timer."""
         self.due_at = at
         self.loop.set_timer(at, self)
 
     def on_timer(self, now: int) -> None:
-        """Nothing has come until `due`: time to dial, or too long for a dial or an answer."""
+        """Handle `due_at`: connect after waiting, or time out a connect or a request."""
         if self.state == WAITING:
             self.connect(now)
             return
-        due = self.due_at
+        due_before = self.due_at
         if self.sock is not None and is_ready(self.sock, self.state != REQUESTING):
-            # Guards a sidecar against being judged by how late the loop is that it shares: it has come in
-            # time, and waits to be read.
+            # The socket became ready in time, but the shared loop is late: that is not a timeout.
             self.on_socket_ready(now)
-        if self.due_at == due:
+        if self.due_at == due_before:
             self.on_failure(now, TimeoutError("silent"))
 
     def on_socket_ready(self, now: int) -> None:
-        """The socket can be used."""
+        """Continue with a socket that is writable or readable."""
         try:
             if self.state in (CONNECTING, SWITCHING):
                 self.on_connected(now)
             else:
                 self.read_response(now)
-        except (OSError, Malformed, BadList) as trouble:
-            self.on_failure(now, trouble)
+        except (OSError, Malformed, BadList) as error:
+            self.on_failure(now, error)
 
     def on_connected(self, now: int) -> None:
+        """Send the first request of a new connection.  Raises OSError if connecting failed."""
         assert self.sock is not None
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
-            raise OSError(error, "dial")
+            raise OSError(error, "connect")
         self.connect_timeout_s = CONNECT_TIMEOUT_S
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.previous_sock is not None:
@@ -233,15 +242,17 @@
         self.send_request(now)
 
     def send_request(self, now: int) -> None:
+        """Send the watch's next request.  Raises OSError."""
         assert self.sock is not None
         request = self.watch.request()
         if self.sock.send(request) < len(request):
-            raise OSError(errno.ENOBUFS, "no room for a request")
+            raise OSError(errno.ENOBUFS, "the request exceeds the free send buffer")
         self.bytes += len(request)
         self.response_started = False
         self.set_timer(now + int(1e6 * self.watch.until_silent()))
 
     def read_response(self, now: int) -> None:
+        """Read the response; once complete, apply it and continue with the next request."""
         assert self.sock is not None
         parser = self.watch.parser
         while True:
@@ -273,14 +284,14 @@
             self.send_request(now)
 
     def switch_relay(self, now: int) -> None:
-        """Leave one relay that answers for another, once that can be dialled."""
+        """Move to another relay; the connection to this one is kept until the other is connected."""
         self.loop.unregister(self)
         self.previous_sock, self.sock = self.sock, None
         self.state = SWITCHING
         self.connect(now)
 
     def keep_relay(self, now: int) -> bool:
-        """Go on at the relay that answers, where another was tried beside it in vain."""
+        """Stay with the previous relay after connecting to another failed; False if there is none."""
         if self.relay_selector is None or self.previous_sock is None or self.relay_selector.before is None:
             return False
         self.relay_selector.failed(clock.since_monotonic(now))
@@ -294,6 +305,7 @@
         return True
 
     def apply_update(self, now: int, update: Update) -> None:
+        """Update the balancer, and report an update that may have changed the view."""
         if self.injected_bug is not None:
             update = self.injected_bug(update)
         first = not self.has_list or self.failures > 0
@@ -302,19 +314,19 @@
         if first or update.whole or update.entries:
             if update.whole:
                 self.addresses.clear()
-            for entry, where in zip(update.entries, update.addresses):
+            for entry, address in zip(update.entries, update.addresses):
                 if entry.phase == Phase.GONE:
                     self.addresses.pop(entry.server, None)
                 else:
-                    self.addresses[entry.server] = where
+                    self.addresses[entry.server] = address
             self.balancer.listed(
                 clock.since_monotonic(now), Listing.FULL if update.whole else Listing.CHANGES, update.entries
             )
             self.updated_at = now
             self.loop.list_updated(self, update.whole)
 
-    def on_failure(self, now: int, trouble: Exception) -> None:
-        """Ask again: at once after a first failure, else after a step; with relays, at the next of them."""
+    def on_failure(self, now: int, error: Exception) -> None:
+        """Retry: at once after a first failure, else after an interval; with relays, at the next relay."""
         if self.state == SWITCHING and self.keep_relay(now):
             try:
                 self.send_request(now)
@@ -327,12 +339,13 @@
         self.failed_calls += 1
         if self.relay_selector is not None:
             self.set_timer(now + self.relay_selector.failed(clock.since_monotonic(now)))
-        elif self.failures == 1 and not isinstance(trouble, Overtaxed):
+        elif self.failures == 1 and not isinstance(error, Overtaxed):
             self.connect(now)
         else:
             self.set_timer(now + int(1e6 * RETRY_INTERVAL_S))
 
     def close(self) -> None:
+        """Close all connections."""
         self.state = WAITING
         if self.previous_sock is not None:
             self.previous_sock.close()
