--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: its tables are its file's, its formulas are right on cases worked by hand."""
+"""The capacity page: its tables match the measurement file, and its formulas match cases computed by hand."""
 
 from __future__ import annotations
 
@@ -31,33 +31,33 @@
 
 
 def make_capacity(**named: list[Any]) -> Capacity:
-    told = {name: make_series(points) for name, points in named.items()}
-    return decode({"machine": DATA["machine"], "series": told})
+    series = {name: make_series(points) for name, points in named.items()}
+    return decode({"machine": DATA["machine"], "series": series})
 
 
 def with_flat_series(**named: float) -> Capacity:
-    """The file's series, some of them the same at all sizes."""
+    """The measurement file with the named series replaced by constant ones."""
     changed = copy.deepcopy(DATA)
     for name, value in named.items():
         changed["series"][name] = make_series([[size, [value]] for size in (0.1, 10, 1000, 100_000)])
     return decode(changed)
 
 
-def find_row(known: Capacity, role: str, begins: str) -> rows.Row:
+def find_row(capacity: Capacity, role: str, prefix: str) -> rows.Row:
     return next(
-        row for row in roles.ROLE_ROWS[role](known, TARGET, ASSUMPTIONS) if row.quantity.startswith(begins)
+        row for row in roles.ROLE_ROWS[role](capacity, TARGET, ASSUMPTIONS) if row.quantity.startswith(prefix)
     )
 
 
 STRAIGHT_POINTS = [[10, [30, 30, 31]], [20, [50]], [30, [70, 60, 80]], [40, [90]]]  # 10 + 2 n
 
 
-def test_the_page_is_what_the_file_says() -> None:
+def test_page_matches_measurement_file() -> None:
     text = (DOCS / "CAPACITY.md").read_text()
     assert page.render_page(text, decode(DATA)) == text, "benchmarks/capacity.py --write-page was not run"
 
 
-def test_a_figure_changed_in_the_file_shows_in_the_page() -> None:
+def test_each_series_affects_the_page() -> None:
     text = (DOCS / "CAPACITY.md").read_text()
     for name in DATA["series"]:
         changed = copy.deepcopy(DATA)
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "<!-- begin odd -->\n<!-- end odd -->\n"])
-def test_a_page_without_its_markers_is_refused(text: str) -> None:
+def test_page_with_missing_or_unknown_markers_is_rejected(text: str) -> None:
     with pytest.raises(ValueError, match="table"):
         page.render_page(text, decode(DATA))
     whole = (DOCS / "CAPACITY.md").read_text()
@@ -75,62 +75,62 @@
         page.render_page(whole + "<!-- begin odd -->\n<!-- end odd -->\n", decode(DATA))
 
 
-def test_a_line_and_its_residual() -> None:
-    found = fit_line([(10, 30), (20, 50), (30, 70), (40, 90)])
-    assert found.intercept == pytest.approx(10) and found.slope == pytest.approx(2)
-    assert found.residual == pytest.approx(0, abs=1e-9) and found.is_linear
+def test_linear_fit_and_its_residual() -> None:
+    fit = fit_line([(10, 30), (20, 50), (30, 70), (40, 90)])
+    assert fit.intercept == pytest.approx(10) and fit.slope == pytest.approx(2)
+    assert fit.residual == pytest.approx(0, abs=1e-9) and fit.is_linear
     square = fit_line([(1, 1), (10, 100), (100, 10_000), (1000, 1_000_000)])
     assert not square.is_linear and square.residual > 0.5
 
 
 @pytest.mark.parametrize("value", [2.0, 0.1, 1 / 3, 1e-7, 12_345.678])
-def test_equal_points_have_no_slope(value: float) -> None:
-    found = fit_line([(size, value) for size in (12, 100, 1000, 20_000)])
-    assert found.slope == 0
-    assert found.intercept == pytest.approx(value, rel=1e-15)
-    assert found.residual < 1e-15
+def test_equal_points_have_zero_slope(value: float) -> None:
+    fit = fit_line([(size, value) for size in (12, 100, 1000, 20_000)])
+    assert fit.slope == 0
+    assert fit.intercept == pytest.approx(value, rel=1e-15)
+    assert fit.residual < 1e-15
 
 
 @pytest.mark.parametrize("value", [2.0, 0.1, 1 / 3, 1e-7, 12_345.678])
 @pytest.mark.parametrize("raised", [1, 2, 4, 8, 12, 14])
-def test_points_that_differ_in_the_last_bit_have_no_slope(value: float, raised: int) -> None:
+def test_points_that_differ_in_the_last_bit_have_zero_slope(value: float, raised: int) -> None:
     sizes = (12, 100, 1000, 20_000)
-    found = fit_line(
+    fit = fit_line(
         [
             (size, math.nextafter(value, math.inf) if raised & 1 << at else value)
             for at, size in enumerate(sizes)
         ]
     )
-    assert found.slope == 0
+    assert fit.slope == 0
 
 
-def test_a_small_slope_above_rounding_stays() -> None:
-    found = fit_line([(size, 2.0 + 1e-12 * size) for size in (12, 100, 1000, 20_000)])
-    assert found.slope == pytest.approx(1e-12, rel=1e-3)
+def test_small_slope_above_rounding_error_is_kept() -> None:
+    fit = fit_line([(size, 2.0 + 1e-12 * size) for size in (12, 100, 1000, 20_000)])
+    assert fit.slope == pytest.approx(1e-12, rel=1e-3)
 
 
-def test_figures_between_beyond_and_below_what_was_measured() -> None:
-    known = make_capacity(
+def test_estimates_between_beyond_and_below_measured_sizes() -> None:
+    capacity = make_capacity(
         straight=STRAIGHT_POINTS, bent=[[1, [1]], [10, [100]], [100, [10_000]], [200, [40_000]]]
     )
-    assert known.at("straight", 25) == Estimate(60, "measured")
-    assert known.at("straight", 5) == Estimate(30, "measured")
-    far = known.at("straight", 1000)
+    assert capacity.at("straight", 25) == Estimate(60, "measured")
+    assert capacity.at("straight", 5) == Estimate(30, "measured")
+    far = capacity.at("straight", 1000)
     assert (far.value, far.kind, far.size_ratio) == (pytest.approx(2010), "extrapolated", 25)
-    assert known.at("bent", 300).value == pytest.approx(70_000)  # by the line through the last two points
+    assert capacity.at("bent", 300).value == pytest.approx(70_000)  # by the line through the last two points
     falling = make_capacity(falling=[[1, [40]], [2, [30]], [3, [20]], [4, [10]]])
-    assert falling.at("falling", 100).value == 10  # and not below nothing
-    assert known["straight"].relative_spread == pytest.approx(20 / 70)
+    assert falling.at("falling", 100).value == 10  # a falling line is not extrapolated
+    assert capacity["straight"].relative_spread == pytest.approx(20 / 70)
 
 
-def test_what_figures_become_together() -> None:
-    measured, far, by_hand = Estimate(6, "measured"), Estimate(3, "extrapolated", 4), Estimate(2)
+def test_arithmetic_of_estimates_keeps_weaker_provenance() -> None:
+    measured, extrapolated, assumed = Estimate(6, "measured"), Estimate(3, "extrapolated", 4), Estimate(2)
     assert measured.times(2) == Estimate(12, "measured")
-    assert measured.divided_by(far) == Estimate(2, "extrapolated", 4)
-    assert far.plus(by_hand) == Estimate(5, "reckoned", 4)
+    assert measured.divided_by(extrapolated) == Estimate(2, "extrapolated", 4)
+    assert extrapolated.plus(assumed) == Estimate(5, "reckoned", 4)
 
 
-def test_a_figure_says_how_it_is_known() -> None:
+def test_provenance_and_number_texts() -> None:
     assert rows.provenance(Estimate(1, "measured")) == "measured"
     assert rows.provenance(Estimate(1, "extrapolated", 4)) == "extrapolated x 4"
     assert rows.provenance(Estimate(1, "reckoned", 4), ("a",)) == "reckoned from slopes, extrapolated x 4"
@@ -138,11 +138,11 @@
     assert rows.provenance(Estimate(1, "reckoned")) == "reckoned"
     assert "more than 20 times" in rows.provenance(Estimate(1, "reckoned", 25), ("a",))
     assert "more than 20 times" not in rows.provenance(Estimate(1, "extrapolated", 20))
-    told = [rows.format_number(value) for value in (0.12345, 9.999, 123.4, 12_345.6)]
-    assert told == ["0.123", "10", "123", "12,300"]
+    texts = [rows.format_number(value) for value in (0.12345, 9.999, 123.4, 12_345.6)]
+    assert texts == ["0.123", "10", "123", "12,300"]
 
 
-def test_a_row_against_its_budget() -> None:
+def test_row_compared_with_its_budget() -> None:
     row = rows.Row("role", "what", Estimate(9, "measured"), "s", 6, "f", ("straight",), "m")
     assert row.budget_ratio == 1.5 and rows.budget_text(row) == "**1.5**"
     assert rows.row_cells(row, make_capacity(straight=STRAIGHT_POINTS)) == [
@@ -157,59 +157,70 @@
     assert rows.budget_text(rows.Row("role", "what", Estimate(9), "s", None, "f", (), "m")) == "no budget"
 
 
-def test_changes_a_second() -> None:
-    # 61,000 and three each for 40 and 1,600 servers, in 86,400 s.
+def test_list_changes_per_second() -> None:
+    # 61,000 changes, and three each for 40 failed and 1,600 replaced servers, in 86,400 s.
     assert ranking.list_changes_per_s(TARGET, ASSUMPTIONS) == pytest.approx(65_920 / 86_400)
     assert ranking.list_changes_per_s(TARGET, Assumptions(changes_per_replacement=6)) == pytest.approx(
         70_840 / 86_400
     )
 
 
-def test_the_ranking_by_hand() -> None:
-    found = {(row.role, row.quantity): row for row in ranking.direct_rows(decode(DATA), TARGET, ASSUMPTIONS)}
+def test_ranking_matches_hand_computation() -> None:
+    by_role_and_quantity = {
+        (row.role, row.quantity): row for row in ranking.direct_rows(decode(DATA), TARGET, ASSUMPTIONS)
+    }
     size, values = DATA["series"]["list_bytes"]["points"][-1]
     assert size == 20_000
-    by_bytes = next(row for (_, what), row in found.items() if what.startswith("a whole list, bytes"))
-    assert by_bytes.value.value == pytest.approx(sorted(values)[len(values) // 2] / 1000)
-    assert by_bytes.budget_ratio == pytest.approx(by_bytes.value.value / 42)
+    list_bytes = next(
+        row
+        for (_, quantity), row in by_role_and_quantity.items()
+        if quantity.startswith("a whole list, bytes")
+    )
+    assert list_bytes.value.value == pytest.approx(sorted(values)[len(values) // 2] / 1000)
+    assert list_bytes.budget_ratio == pytest.approx(list_bytes.value.value / 42)
     ordered = ranking.ranked_rows(decode(DATA), TARGET, ASSUMPTIONS)
     roles = list(dict.fromkeys(row.role for row in ordered))
     worst = [max(row.budget_ratio for row in ordered if row.role == role) for role in roles]
-    assert worst == sorted(worst, reverse=True) and len(ordered) == len(found)
+    assert worst == sorted(worst, reverse=True) and len(ordered) == len(by_role_and_quantity)
 
 
-def test_a_relay_by_hand() -> None:
-    known = with_flat_series(
+def test_relay_rows_match_hand_computation() -> None:
+    capacity = with_flat_series(
         relay_renewed_us=100, relay_change_us=1000, relay_whole_bytes=14_000, relay_whole_us=300
     )
-    # 1,000 followers each 2.25 s at 100 us, and 65,920 changes a day at 1 ms.
+    # 1,000 followers, each renewing every 2.25 s at 100 us, and 65,920 changes a day at 1 ms.
     at_rest, changes = 1000 / 2.25 * 100 / 1e6, 65_920 / 86_400 * 1000 / 1e6
-    assert find_row(known, "control", "CPU").value.value == pytest.approx(100 * (at_rest + changes))  # type: ignore
-    assert find_row(known, "control", "CPU, one down").value.value == pytest.approx(  # type: ignore
+    assert find_row(capacity, "control", "CPU").value.value == pytest.approx(100 * (at_rest + changes))  # type: ignore
+    assert find_row(capacity, "control", "CPU, one down").value.value == pytest.approx(  # type: ignore
         100 * (2 * at_rest + 10 * changes)
     )
-    found = {day.name: day for day in scenarios.build_scenarios(known, TARGET, ASSUMPTIONS)}
-    usual, largest, spent = found["all control machines restarted"].peaks
-    assert usual.value.value == pytest.approx(20_000 * 14_000 / 20 / 64e6)  # type: ignore
+    by_name = {
+        scenario.name: scenario for scenario in scenarios.build_scenarios(capacity, TARGET, ASSUMPTIONS)
+    }
+    typical, largest, relay_cpu = by_name["all control machines restarted"].peaks
+    assert typical.value.value == pytest.approx(20_000 * 14_000 / 20 / 64e6)  # type: ignore
     assert largest.value.value == pytest.approx(  # type: ignore
         20_000 * (0.9 * 14_000 + 0.1 * 2584 * 14_000 / (160_000 / 1900)) / 20 / 64e6
     )
-    assert spent.value.value == pytest.approx(1000 * 300 / 1e6)  # type: ignore
-    zone = found["a zone, 590 at once"].peaks[0]
+    assert relay_cpu.value.value == pytest.approx(1000 * 300 / 1e6)  # type: ignore
+    zone = by_name["a zone, 590 at once"].peaks[0]
     assert zone.value.value == pytest.approx(100 * (at_rest + 590 / 6 * 1000 / 1e6))  # type: ignore
 
 
-def test_a_sidecar_by_hand() -> None:
-    known = with_flat_series(call_cpu_ms=0.5, relay_renewed_bytes=160, followed_mb=25)
-    assert find_row(known, "data-path", "CPU, usual").value == Estimate(7.5, "measured")  # 150 x 0.5 ms, in %
-    assert find_row(known, "data-path", "CPU of calls 13 deep").budget_ratio == pytest.approx(13 * 0.5 / 1.8)
-    at_rest = find_row(known, "lists", "bytes at rest")
+def test_sidecar_rows_match_hand_computation() -> None:
+    capacity = with_flat_series(call_cpu_ms=0.5, relay_renewed_bytes=160, followed_mb=25)
+    # 150 calls x 0.5 ms, in %.
+    assert find_row(capacity, "data-path", "CPU, usual").value == Estimate(7.5, "measured")
+    assert find_row(capacity, "data-path", "CPU of calls 13 deep").budget_ratio == pytest.approx(
+        13 * 0.5 / 1.8
+    )
+    at_rest = find_row(capacity, "lists", "bytes at rest")
     assert at_rest.value is not None and at_rest.value.kind == "reckoned"
     assert at_rest.value.value == pytest.approx((160 + 9 * 36 + 260) / 2.25)
-    assert find_row(known, "lists", "memory, usual").budget_ratio == pytest.approx(25 / 32)
+    assert find_row(capacity, "lists", "memory, usual").budget_ratio == pytest.approx(25 / 32)
 
 
-def test_what_was_not_measured_is_said_so() -> None:
+def test_missing_series_are_shown_as_not_measured() -> None:
     changed = copy.deepcopy(DATA)
     for name in [
         name
@@ -217,34 +228,34 @@
         if name.startswith(("hollow_", "real_", "direct_", "added_", "control-", "zone-", "region-"))
     ]:
         del changed["series"][name]
-    known = decode(changed)
-    told = find_row(known, "change", "a change of servers' entries")
-    assert told.value is None and told.budget_ratio == 0
-    assert rows.row_cells(told, known)[1:5] == [
+    capacity = decode(changed)
+    unmeasured_row = find_row(capacity, "change", "a change of servers' entries")
+    assert unmeasured_row.value is None and unmeasured_row.budget_ratio == 0
+    assert rows.row_cells(unmeasured_row, capacity)[1:5] == [
         rows.NOT_MEASURED,
         "6 s",
         rows.NOT_MEASURED,
         rows.NOT_MEASURED,
     ]
     restarted = next(
-        day
-        for day in scenarios.build_scenarios(known, TARGET, ASSUMPTIONS)
-        if day.name.startswith("all control")
+        scenario
+        for scenario in scenarios.build_scenarios(capacity, TARGET, ASSUMPTIONS)
+        if scenario.name.startswith("all control")
     )
     assert rows.NOT_MEASURED in restarted.applied_after_source
-    ordinary = scenarios.scenario_cells(scenarios.build_scenarios(known, TARGET, ASSUMPTIONS)[0], known)
+    ordinary = scenarios.scenario_cells(scenarios.build_scenarios(capacity, TARGET, ASSUMPTIONS)[0], capacity)
     assert rows.NOT_MEASURED in ordinary[0][6]
-    assert rows.NOT_MEASURED in page.render_page((DOCS / "CAPACITY.md").read_text(), known)
+    assert rows.NOT_MEASURED in page.render_page((DOCS / "CAPACITY.md").read_text(), capacity)
 
 
-def test_what_twice_an_assumption_changes() -> None:
-    known = with_flat_series(call_cpu_ms=0.5)
-    found = sensitivity.changed_rows(known, TARGET, ASSUMPTIONS, "calls_per_sidecar_s")
-    assert found and "with the largest service: 7.5 to 15 of 100 % of a core" in found[0][2]
+def test_rows_changed_by_a_doubled_assumption() -> None:
+    capacity = with_flat_series(call_cpu_ms=0.5)
+    calls_rows = sensitivity.changed_rows(capacity, TARGET, ASSUMPTIONS, "calls_per_sidecar_s")
+    assert calls_rows and "with the largest service: 7.5 to 15 of 100 % of a core" in calls_rows[0][2]
     for name in sensitivity.ASSUMPTION_TEXTS:
         assert hasattr(ASSUMPTIONS, name)
-        told = sensitivity.changed_rows(known, TARGET, ASSUMPTIONS, name)
-        assert told == sorted(told, reverse=True)
+        changed_rows = sensitivity.changed_rows(capacity, TARGET, ASSUMPTIONS, name)
+        assert changed_rows == sorted(changed_rows, reverse=True)
 
 
 INVALID_DATA: list[tuple[tuple[Any, ...], Any, str]] = [
@@ -267,21 +278,21 @@
 ]
 
 
-@pytest.mark.parametrize("path, value, says", INVALID_DATA)
-def test_what_is_missing_or_odd_is_an_error(path: tuple[Any, ...], value: Any, says: str) -> None:
+@pytest.mark.parametrize("path, value, message", INVALID_DATA)
+def test_missing_or_invalid_values_are_errors(path: tuple[Any, ...], value: Any, message: str) -> None:
     changed = copy.deepcopy(DATA)
-    inside = changed
+    container = changed
     for key in path[:-1]:
-        inside = inside[key]
+        container = container[key]
     if value is None:
-        del inside[path[-1]]
+        del container[path[-1]]
     else:
-        inside[path[-1]] = value
-    with pytest.raises(CapacityError, match=says):
+        container[path[-1]] = value
+    with pytest.raises(CapacityError, match=message):
         decode(changed)
 
 
-def test_a_series_that_a_row_needs_and_the_file_lacks_is_named() -> None:
+def test_error_names_a_missing_series_that_a_row_needs() -> None:
     changed = copy.deepcopy(DATA)
     del changed["series"]["told_us"]
     with pytest.raises(CapacityError, match="series.told_us is missing"):
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: what their files may say, runs that are cut short, figures and reports."""
+"""Experiments: validation of their files, interrupted runs, statistics and reports."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 }
 
 
-def test_wrong_files_are_refused_with_file_line_and_key(tmp_path: Path) -> None:
+def test_invalid_files_are_rejected_with_file_line_and_key(tmp_path: Path) -> None:
     lines = []
     for name, text in INVALID_FILES.items():
         path = tmp_path / "x.toml"
@@ -70,14 +70,14 @@
     compare("experiments-wrong", lines)
 
 
-def test_all_that_are_shipped_can_be_read_and_cover_every_trouble() -> None:
+def test_shipped_experiments_load_and_cover_every_fault_kind() -> None:
     from pumicepath.lab.troubles import KINDS
 
-    made = [files.load_experiment(path) for path in sorted(SHIPPED_FOLDER.glob("*.toml"))]
-    met = {trouble.kind for read in made for trouble in read.plan.troubles}
-    assert len(made) >= 12 and met == set(KINDS)
-    assert any(read.plan.sidecars.count >= 1000 for read in made)
-    assert any(read.plan.fleet.servers >= 300 for read in made)
+    experiments = [files.load_experiment(path) for path in sorted(SHIPPED_FOLDER.glob("*.toml"))]
+    kinds = {fault.kind for experiment in experiments for fault in experiment.plan.troubles}
+    assert len(experiments) >= 12 and kinds == set(KINDS)
+    assert any(experiment.plan.sidecars.count >= 1000 for experiment in experiments)
+    assert any(experiment.plan.fleet.servers >= 300 for experiment in experiments)
 
 
 def test_run_report_compare_end_to_end(tmp_path: Path) -> None:
@@ -98,7 +98,7 @@
     compare("experiments-run", outputs[0] + both.stdout.splitlines())
 
 
-def test_interrupted_run_leaves_no_process_and_a_report_of_what_had_ended(tmp_path: Path) -> None:
+def test_interrupted_run_leaves_no_process_and_a_report_of_finished_runs(tmp_path: Path) -> None:
     path = tmp_path / "long.toml"
     path.write_text(SMALL.replace("seeds = 3", "seeds = 500"))
     results = tmp_path / "out" / runner.RESULTS_FILE
@@ -121,8 +121,8 @@
         start_new_session=True,
         preexec_fn=interruptible,
     ) as process:
-        give_up = time.monotonic() + 60
-        while time.monotonic() < give_up and (not results.exists() or results.read_bytes().count(b"\n") < 4):
+        deadline = time.monotonic() + 60
+        while time.monotonic() < deadline and (not results.exists() or results.read_bytes().count(b"\n") < 4):
             if process.poll() is not None:
                 break
         os.killpg(process.pid, signal.SIGINT)
@@ -131,20 +131,22 @@
     head, runs = runner.read_results(tmp_path / "out")
     assert 3 <= len(runs) < head["runs"]
     assert "Unfinished" in (tmp_path / "out" / "report.html").read_text() and "report:" in out
-    with pytest.raises(ProcessLookupError):  # nobody is left of its group
+    with pytest.raises(ProcessLookupError):  # no process of its group is left
         os.killpg(process.pid, 0)
 
 
-def test_intervals_hold_their_values_and_say_when_there_is_no_difference() -> None:
+def test_intervals_and_whether_they_show_a_difference() -> None:
     same = statistics.paired_difference({1: 0.5, 2: 0.7, 3: 0.6}, {1: 0.6, 2: 0.6, 3: 0.6})
     less = statistics.paired_difference({1: 0.5, 2: 0.51, 4: 0.0}, {1: 0.6, 2: 0.6, 3: 0.6})
     one = statistics.paired_difference({1: 0.5}, {1: 0.6})
-    held = statistics.latency_histogram(range(1, 100_001))
-    shares = statistics.latency_percentiles(statistics.merge_histograms([held.encode().decode()] * 2))
+    histogram = statistics.latency_histogram(range(1, 100_001))
+    percentiles = statistics.latency_percentiles(
+        statistics.merge_histograms([histogram.encode().decode()] * 2)
+    )
     compare(
         "experiments-figures",
         [
             *(f"{each}: {comparison.describe_difference(each)}" for each in (same, less, one)),
-            *(f"{name} {value:.3f} ms" for name, value in shares.items()),
+            *(f"{name} {value:.3f} ms" for name, value in percentiles.items()),
         ],
     )
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow sidecars: their plan, the judge of what they hold, and small runs with real processes."""
+"""Hollow sidecars: their plan, the checker of their views, and small runs with real processes."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 # -- the plan
 
 
-def test_sizes_are_a_long_tail_and_one_seed_makes_one_plan() -> None:
-    ask = RunOptions(20_000, 1_900, regions=10, zones=34)
-    plan, again = Plan(ask), Plan(ask)
+def test_service_sizes_are_long_tailed_and_plans_reproducible() -> None:
+    options = RunOptions(20_000, 1_900, regions=10, zones=34)
+    plan, again = Plan(options), Plan(options)
     assert (
         sum(plan.service_sizes) == 20_000
         and min(plan.service_sizes) >= 1
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    "given, option",
+    "arguments, option",
     [
         (["--sidecars", "0"], "--sidecars"),
         (["--services", "13"], "--services"),
@@ -94,15 +94,15 @@
         ),
     ],
 )
-def test_what_cannot_be_run_is_refused_by_the_option_before_anything_starts(
-    given: list[str], option: str, tmp_path: Path
+def test_invalid_options_are_rejected_by_name_before_anything_starts(
+    arguments: list[str], option: str, tmp_path: Path
 ) -> None:
-    ended = CliRunner().invoke(main, [*SMALL, *given, "--report", str(tmp_path / "run")])
-    assert ended.exit_code == 2 and f"{option}:" in ended.output and ended.output.count("\n") == 1
+    result = CliRunner().invoke(main, [*SMALL, *arguments, "--report", str(tmp_path / "run")])
+    assert result.exit_code == 2 and f"{option}:" in result.output and result.output.count("\n") == 1
     assert not (tmp_path / "run").exists()
 
 
-def test_memory_is_reckoned_from_what_is_held_and_too_much_is_refused() -> None:
+def test_memory_is_estimated_from_held_servers_and_limited() -> None:
     small, large = (
         resource_estimate.estimate_resources(Plan(RunOptions(count, 95)), 4) for count in (500, 1_000)
     )
@@ -117,32 +117,32 @@
     )
 
 
-def test_of_some_regions_all_sidecars_are_played_and_of_the_others_none() -> None:
-    ask = RunOptions(1_000, 95, regions=4, zones=8, form="relayed")
-    whole, some = Plan(ask), Plan(replace(ask, played=1))
-    assert whole.played_sidecars() == list(range(1_000)) and some.called_services == whole.called_services
-    assert some.played_sidecars() == [number for number in range(1_000) if whole.region_of(number) == 0]
-    assert 200 < len(some.played_sidecars()) < 300
-    needed, less = (
+def test_played_regions_start_all_their_sidecars_and_others_none() -> None:
+    options = RunOptions(1_000, 95, regions=4, zones=8, form="relayed")
+    whole, partial = Plan(options), Plan(replace(options, played=1))
+    assert whole.played_sidecars() == list(range(1_000)) and partial.called_services == whole.called_services
+    assert partial.played_sidecars() == [number for number in range(1_000) if whole.region_of(number) == 0]
+    assert 200 < len(partial.played_sidecars()) < 300
+    whole_estimate, partial_estimate = (
         resource_estimate.estimate_resources(whole, 4),
-        resource_estimate.estimate_resources(some, 4),
+        resource_estimate.estimate_resources(partial, 4),
     )
     assert (
-        less.held_servers == sum(map(whole.held_servers, some.played_sidecars()))
-        and less.processes == needed.processes - 6
+        partial_estimate.held_servers == sum(map(whole.held_servers, partial.played_sidecars()))
+        and partial_estimate.processes == whole_estimate.processes - 6
     )
 
 
-def test_bad_faults_do_not_fit_in_a_short_run() -> None:
+def test_faults_longer_than_the_run_are_rejected() -> None:
     with pytest.raises(RunOptionsError, match="--for"):
         check_options(RunOptions(12, 3, seconds=5.0, fault_s=3.0, faults=("release", "zone-lost")))
 
 
-# -- the judge
+# -- the view checker and the evaluation
 
 
 class StubSidecar:
-    """A balancer as a hollow sidecar has one, told of lists by the test."""
+    """A balancer like that of a hollow sidecar; the test applies its lists."""
 
     def __init__(self, plan: Plan, number: int = 0) -> None:
         self.plan, self.number, self.updated_at = plan, number, 0
@@ -166,7 +166,7 @@
 
 
 class CheckerScenario:
-    """One sidecar that calls the one service of three servers, and its witness."""
+    """One sidecar that calls the only service, which has three servers, and its view checker."""
 
     def __init__(self) -> None:
         self.plan = Plan(RunOptions(3, 1))
@@ -198,73 +198,83 @@
         return verdict
 
 
-def test_time_in_force_is_from_when_the_origin_had_it_until_the_balancer_goes_by_it() -> None:
-    scene = CheckerScenario()
-    drain, share = scene.change(1 * S, 0, 1, LEAVING), scene.change(2 * S, 1, 1, ACTIVE)
-    scene.checker.tick(2 * S)
-    scene.deliver(3 * S, drain)
-    scene.deliver(4 * S, share)
-    gone = scene.change(5 * S, 0, 2, LEFT)
-    scene.deliver(5 * S + 1, gone)  # before the witness has read of it
-    back = scene.change(6 * S, 0, 3, ACTIVE, 7)
-    scene.checker.tick(6 * S)
-    assert scene.checker.pending_count() == 1
-    scene.deliver(7 * S, back)
-    found = scene.evaluate(8 * S)
-    assert sorted(found.delays_us) == [1, S, 2 * S, 2 * S] and not found.violations and not found.late
-
-
-def test_sidecar_that_ignores_a_drain_is_caught_and_not_before_6_s() -> None:
-    scene = CheckerScenario()
-    scene.change(0, 0, 1, LEAVING)
-    assert not scene.evaluate(6 * S).late
-    found = scene.evaluate(7 * S)
+def test_delay_counts_from_the_origins_change_until_the_balancer_applies_it() -> None:
+    scenario = CheckerScenario()
+    drain, share = scenario.change(1 * S, 0, 1, LEAVING), scenario.change(2 * S, 1, 1, ACTIVE)
+    scenario.checker.tick(2 * S)
+    scenario.deliver(3 * S, drain)
+    scenario.deliver(4 * S, share)
+    gone = scenario.change(5 * S, 0, 2, LEFT)
+    scenario.deliver(5 * S + 1, gone)  # before the checker has read the change
+    back = scenario.change(6 * S, 0, 3, ACTIVE, 7)
+    scenario.checker.tick(6 * S)
+    assert scenario.checker.pending_count() == 1
+    scenario.deliver(7 * S, back)
+    evaluation = scenario.evaluate(8 * S)
     assert (
-        found.late == {(0, 1)} and found.violations["used_too_late"] == 1 and found.recovery_s(S, S) is None
+        sorted(evaluation.delays_us) == [1, S, 2 * S, 2 * S]
+        and not evaluation.violations
+        and not evaluation.late
     )
 
 
-def test_late_word_of_a_drain_is_caught_though_it_comes_in_the_end() -> None:
-    scene = CheckerScenario()
-    drain = scene.change(0, 0, 1, LEAVING)
-    scene.checker.tick(S)
-    scene.deliver(8 * S, drain)
-    found = scene.evaluate(9 * S)
-    assert found.late and found.violations == {"used_too_late": 1} and found.recovery_s(3 * S, 3 * S) == 5.0
+def test_ignored_drain_is_a_violation_only_after_6_s() -> None:
+    scenario = CheckerScenario()
+    scenario.change(0, 0, 1, LEAVING)
+    assert not scenario.evaluate(6 * S).late
+    evaluation = scenario.evaluate(7 * S)
+    assert (
+        evaluation.late == {(0, 1)}
+        and evaluation.violations["used_too_late"] == 1
+        and evaluation.recovery_s(S, S) is None
+    )
+
+
+def test_drain_applied_late_is_a_violation() -> None:
+    scenario = CheckerScenario()
+    drain = scenario.change(0, 0, 1, LEAVING)
+    scenario.checker.tick(S)
+    scenario.deliver(8 * S, drain)
+    evaluation = scenario.evaluate(9 * S)
+    assert (
+        evaluation.late
+        and evaluation.violations == {"used_too_late": 1}
+        and evaluation.recovery_s(3 * S, 3 * S) == 5.0
+    )
 
 
-def test_server_that_goes_back_to_an_older_state_is_caught() -> None:
-    scene = CheckerScenario()
-    drain = scene.change(0, 0, 1, LEAVING)
-    scene.checker.tick(0)
-    scene.deliver(1, drain)
-    scene.deliver(2, Change(0, 0, 0, ACTIVE, 0))
-    found = scene.evaluate(3)
-    assert found.violations == {"back": 1, "old_at_end": 1}
+def test_return_to_an_older_state_is_a_violation() -> None:
+    scenario = CheckerScenario()
+    drain = scenario.change(0, 0, 1, LEAVING)
+    scenario.checker.tick(0)
+    scenario.deliver(1, drain)
+    scenario.deliver(2, Change(0, 0, 0, ACTIVE, 0))
+    evaluation = scenario.evaluate(3)
+    assert evaluation.violations == {"back": 1, "old_at_end": 1}
 
 
-def test_entry_that_goes_missing_is_caught_and_one_that_has_left_is_not() -> None:
-    scene = CheckerScenario()
-    share = scene.change(0, 0, 1, ACTIVE)
-    scene.checker.tick(0)
-    scene.deliver(1, share)
-    left = scene.change(2, 1, 1, LEFT)
-    scene.deliver(3, left, Change(0, 0, 2, LEFT, 0))
-    assert scene.evaluate(4).violations == {"lost": 1, "missing_at_end": 1}
+def test_lost_entry_is_a_violation_unless_the_server_has_left() -> None:
+    scenario = CheckerScenario()
+    share = scenario.change(0, 0, 1, ACTIVE)
+    scenario.checker.tick(0)
+    scenario.deliver(1, share)
+    left = scenario.change(2, 1, 1, LEFT)
+    scenario.deliver(3, left, Change(0, 0, 2, LEFT, 0))
+    assert scenario.evaluate(4).violations == {"lost": 1, "missing_at_end": 1}
 
 
-def test_what_no_origin_told_in_a_window_counts_from_its_end() -> None:
+def test_delay_counts_from_the_end_of_an_outage_window() -> None:
     cut = OutageWindow(1 * S, 9 * S, origin_region=0, sidecar_region=0, other_regions=True)
     assert cut.affects(0, 1) and not cut.affects(0, 0) and not cut.affects(1, 0)
-    assert reachable_delay(0, 12 * S, [cut]) == (9 * S, 3 * S)  # out of reach within its 6 s
+    assert reachable_delay(0, 12 * S, [cut]) == (9 * S, 3 * S)  # unreachable within its 6 s
     assert reachable_delay(2 * S, 9 * S + 5, [cut]) == (9 * S, 5)
-    assert reachable_delay(0, S // 2, [cut]) == (0, S // 2)  # in force before
+    assert reachable_delay(0, S // 2, [cut]) == (0, S // 2)  # applied before the outage
     assert reachable_delay(-6 * S, 12 * S, [cut]) == (-6 * S, 18 * S)  # its 6 s were over before
     assert reachable_delay(10 * S, 12 * S, [cut]) == (10 * S, 2 * S)
     assert reachable_delay(0, 30 * S, [OutageWindow(10 * S, 20 * S), cut]) == (20 * S, 10 * S)
 
 
-def test_ledger_is_read_on_in_whole_lines(tmp_path: Path) -> None:
+def test_ledger_reader_returns_new_complete_lines(tmp_path: Path) -> None:
     path, changes = tmp_path / "truth", [Change(at, at, 1, ACTIVE, 0) for at in range(3)]
     tail = LedgerReader(path)
     assert tail.read() == []
@@ -282,8 +292,8 @@
 # -- runs
 
 
-def test_small_direct_run_with_the_origin_killed_has_all_in_force(tmp_path: Path) -> None:
-    ended = CliRunner().invoke(
+def test_direct_run_applies_all_changes_after_the_origin_is_killed(tmp_path: Path) -> None:
+    invoked = CliRunner().invoke(
         main,
         [
             *SMALL,
@@ -299,19 +309,19 @@
             str(tmp_path),
         ],
     )
-    assert ended.exit_code == 0, ended.output
-    found = json.loads(ended.output)
-    assert found["sidecars"] == 12 and found["changes"] > 0 and found["observed"] > found["changes"]
-    assert found["violations"] == {} and found["not_in_force"] == 0 and found["recovered_s"] is not None
-    assert found["control"]["machines"] == 1 and found["bytes_s_each"]["mean"] > 0
-    assert found["held_each"] == 12.0
+    assert invoked.exit_code == 0, invoked.output
+    result = json.loads(invoked.output)
+    assert result["sidecars"] == 12 and result["changes"] > 0 and result["observed"] > result["changes"]
+    assert result["violations"] == {} and result["not_in_force"] == 0 and result["recovered_s"] is not None
+    assert result["control"]["machines"] == 1 and result["bytes_s_each"]["mean"] > 0
+    assert result["held_each"] == 12.0
 
 
 @pytest.mark.parametrize("fault", ["control-killed", "region-cut"])
-def test_small_relayed_run_has_all_in_force_whatever_happens_to_a_relay_or_a_region(
+def test_relayed_run_applies_all_changes_despite_a_killed_relay_or_partition(
     fault: str, tmp_path: Path
 ) -> None:
-    ended = CliRunner().invoke(
+    invoked = CliRunner().invoke(
         main,
         [
             *SMALL,
@@ -329,15 +339,15 @@
             str(tmp_path),
         ],
     )
-    assert ended.exit_code == 0, ended.output
-    found = json.loads(ended.output)
-    assert found["control"]["machines"] == 4 and found["observed"] > 0 and found["recovered_s"] is not None
-    assert found["violations"] == {} and found["not_in_force"] == 0
-    assert 0 < found["held_each"] <= 12.0
+    assert invoked.exit_code == 0, invoked.output
+    result = json.loads(invoked.output)
+    assert result["control"]["machines"] == 4 and result["observed"] > 0 and result["recovered_s"] is not None
+    assert result["violations"] == {} and result["not_in_force"] == 0
+    assert 0 < result["held_each"] <= 12.0
 
 
-def test_one_region_of_two_is_played_beside_both_origins_with_relays_told_their_pace(tmp_path: Path) -> None:
-    ended = CliRunner().invoke(
+def test_one_of_two_regions_runs_with_both_origins_and_a_relay_rate_limit(tmp_path: Path) -> None:
+    invoked = CliRunner().invoke(
         main,
         [
             *SMALL,
@@ -359,26 +369,30 @@
             str(tmp_path),
         ],
     )
-    assert ended.exit_code == 0, ended.output
-    found = json.loads(ended.output)
-    assert found["sidecars"] == 12 and found["played"] == 6 and found["control"]["machines"] == 2
-    assert found["origins"]["processes"] == 2 and found["observed"] > 0 and found["recovered_s"] is not None
-    assert found["violations"] == {} and found["not_in_force"] == 0
+    assert invoked.exit_code == 0, invoked.output
+    result = json.loads(invoked.output)
+    assert result["sidecars"] == 12 and result["played"] == 6 and result["control"]["machines"] == 2
+    assert (
+        result["origins"]["processes"] == 2 and result["observed"] > 0 and result["recovered_s"] is not None
+    )
+    assert result["violations"] == {} and result["not_in_force"] == 0
     files = sorted(tmp_path.glob("relay-*.json"))
     assert [json.loads(file.read_text())["wholeBytesPerS"] for file in files] == [16_000_000] * 2
 
 
 @pytest.mark.parametrize(
-    "planted, kind",
+    "bug, kind",
     [("ignores-drain", "old_at_end"), ("goes-back", "back"), ("origin-loses", "missing_at_end")],
 )
-def test_faults_planted_in_processes_are_found(planted: str, kind: str, tmp_path: Path) -> None:
-    ask = RunOptions(20, 2, changes_per_s=30, seconds=1, planted=(planted,))
-    found = HollowRun(Plan(check_options(ask)), tmp_path, 2, lambda line: None, settle_timeout_s=0.5).play()
-    assert found["violations"].get(kind), found
+def test_injected_bugs_are_found(bug: str, kind: str, tmp_path: Path) -> None:
+    options = RunOptions(20, 2, changes_per_s=30, seconds=1, planted=(bug,))
+    result = HollowRun(
+        Plan(check_options(options)), tmp_path, 2, lambda line: None, settle_timeout_s=0.5
+    ).play()
+    assert result["violations"].get(kind), result
 
 
-def test_all_that_a_run_started_ends_with_it(tmp_path: Path) -> None:
+def test_interrupted_run_ends_all_its_processes(tmp_path: Path) -> None:
     run = subprocess.Popen(
         [sys.executable, "-m", "pumicepath", *SMALL, "--for", "60", "--report", str(tmp_path)],
         stdout=subprocess.PIPE,
@@ -402,17 +416,17 @@
         return False
 
 
-# -- a folder is one run's own
+# -- lock of a run's folder
 
 
-def test_folder_that_another_run_uses_is_refused_by_name(tmp_path: Path) -> None:
+def test_locked_folder_is_rejected_by_name(tmp_path: Path) -> None:
     with (
         locked_folder(tmp_path),
         pytest.raises(FolderLockedError, match=f"{tmp_path}.*process {os.getpid()}"),
         locked_folder(tmp_path),
     ):
         pass
-    with locked_folder(tmp_path):  # free again
+    with locked_folder(tmp_path):  # released
         assert (tmp_path / LOCK_FILE).read_text() == f"{os.getpid()}\n"
 
 
@@ -443,7 +457,7 @@
     ended = CliRunner().invoke(main, [*command, "--report", str(tmp_path)])
     assert ended.exit_code == 2 and f"{tmp_path}: another run (process {holder.pid})" in ended.output
     assert [file.name for file in tmp_path.iterdir()] == [LOCK_FILE]
-    holder.kill()  # however it ends, the folder is free
+    holder.kill()  # the kernel releases the lock however the process ends
     holder.wait()
     with locked_folder(tmp_path):
         pass
