--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -193,9 +193,9 @@
     def evaluate(self, at: int, *windows: OutageWindow) -> Evaluation:
         self.checker.tick(at)
         self.checker.check_final_views()
-        verdict = Evaluation(self.plan, self.all_changes, windows, 0)
-        verdict.add_findings({**self.checker.findings(), "at": at})
-        return verdict
+        evaluation = Evaluation(self.plan, self.all_changes, windows, 0)
+        evaluation.add_findings({**self.checker.findings(), "at": at})
+        return evaluation
 
 
 def test_delay_counts_from_the_origins_change_until_the_balancer_applies_it() -> None:
