--- a/benchmarks/ranking.py
+++ b/benchmarks/ranking.py
@@ -30,7 +30,7 @@
 def decisions(revision: str) -> Any:
     """The balancer of a revision, as a module beside ours."""
     text = subprocess.run(
-        ["git", "show", f"{revision}:pumicepath/logic.py"],
+        ["git", "show", f"{revision}:pumicepath/balancer.py"],
         cwd=ROOT,
         check=True,
         capture_output=True,
--- a/pumicepath/commands/lab.py
+++ b/pumicepath/commands/lab.py
@@ -15,15 +15,15 @@
 if TYPE_CHECKING:
     from ..lab.experiments.files import LoadedExperiment
 
-MISSING = "needs what `pip install -e '.[lab]'` installs: {}"
-FILE = click.argument("file", type=click.Path(path_type=Path))
+MISSING_PACKAGE = "needs what `pip install -e '.[lab]'` installs: {}"
+FILE_ARGUMENT = click.argument("file", type=click.Path(path_type=Path))
 
 
-def read(file: Path, seeds: int = 0, host: str = "") -> LoadedExperiment:
+def read_experiment(file: Path, seeds: int = 0, host: str = "") -> LoadedExperiment:
     try:
         from ..lab.experiments import files
     except ImportError as trouble:
-        fail(MISSING.format(trouble))
+        fail(MISSING_PACKAGE.format(trouble))
     try:
         return files.load_experiment(file, seeds, host)
     except files.ExperimentError as trouble:
@@ -36,7 +36,7 @@
 
 
 @lab.command()
-@FILE
+@FILE_ARGUMENT
 @click.option(
     "--report",
     "folder",
@@ -72,7 +72,7 @@
     as_json: bool,
 ) -> None:
     """Play an experiment, and write its report.  Ends with 1 if a rule was broken by our decisions."""
-    made = read(file, seeds or 0, host)
+    made = read_experiment(file, seeds or 0, host)
     if host != "loopback" and (seed is not None or as_json):
         fail("--seed and --json go with --on loopback")
     from ..lab.experiments.folder_lock import FolderLockedError, locked_folder
@@ -86,12 +86,12 @@
         except OSError as trouble:
             fail(f"{where}: {trouble.strerror}")
         if host == "loopback":
-            really(made, where, made.experiment.first_seed if seed is None else seed, as_json)
+            play_loopback(made, where, made.experiment.first_seed if seed is None else seed, as_json)
         else:
-            virtually(made, where, workers)
+            play_virtual(made, where, workers)
 
 
-def virtually(made: LoadedExperiment, where: Path, workers: int) -> None:
+def play_virtual(made: LoadedExperiment, where: Path, workers: int) -> None:
     """Play all runs in virtual time, and write the report."""
     from rich.console import Console
     from rich.progress import Progress
@@ -120,7 +120,7 @@
         fail("a rule was broken", 1)
 
 
-def really(made: LoadedExperiment, folder: Path, seed: int, as_json: bool) -> None:
+def play_loopback(made: LoadedExperiment, folder: Path, seed: int, as_json: bool) -> None:
     """Play with real processes; the history and the page about it go into the folder."""
     import orjson
 
@@ -163,7 +163,7 @@
         from ..lab.experiments import fleet_report
         from ..lab.faults.history import BadHistory
     except ImportError as trouble:
-        fail(MISSING.format(trouble))
+        fail(MISSING_PACKAGE.format(trouble))
     try:
         found = fleet_report.check_history(history)
     except BadHistory as trouble:
@@ -175,21 +175,21 @@
 
 @lab.command("list")
 @click.argument("folder", type=click.Path(path_type=Path), default=Path("experiments"))
-def listed(folder: Path) -> None:
+def list_experiments(folder: Path) -> None:
     """Name the experiments in a folder, by default experiments/."""
     found = sorted(folder.glob("*.toml"))
     if not found:
         fail(f"{folder}: no experiments there")
     for file in found:
-        made = read(file)
+        made = read_experiment(file)
         click.echo(f"{file.stem:<22} {len(made.runs):4d} runs  {made.experiment.title}")
 
 
 @lab.command()
-@FILE
+@FILE_ARGUMENT
 def show(file: Path) -> None:
     """Check an experiment, and say what it would run."""
-    made = read(file)
+    made = read_experiment(file)
     plan, own = made.plan, made.experiment
     click.echo(f"{own.title}\n{own.why}".rstrip())
     click.echo(
@@ -212,7 +212,7 @@
     try:
         from ..lab.experiments import comparison, runner
     except ImportError as trouble:
-        fail(MISSING.format(trouble))
+        fail(MISSING_PACKAGE.format(trouble))
     both = []
     for path in (one, other):
         try:
--- a/pumicepath/commands/scale.py
+++ b/pumicepath/commands/scale.py
@@ -129,7 +129,7 @@
         needed = resource_estimate.estimate_resources(plan, hosts)
         progress(needed.summary())
         resource_estimate.check_limits(needed)
-        before = signal.signal(signal.SIGTERM, interrupted)
+        before = signal.signal(signal.SIGTERM, on_sigterm)
         try:
             with locked_folder(where):
                 result = HollowRun(plan, where.resolve(), hosts, progress).play()
@@ -148,6 +148,6 @@
         raise SystemExit(1)
 
 
-def interrupted(number: int, frame: object) -> NoReturn:
+def on_sigterm(number: int, frame: object) -> NoReturn:
     """SIGTERM ends a run as ctrl-C does, with all that it started."""
     raise KeyboardInterrupt
--- a/pumicepath/lab/faults/recording.py
+++ b/pumicepath/lab/faults/recording.py
@@ -9,8 +9,8 @@
 from types import SimpleNamespace
 from typing import Any
 
-from ...interface import Tariff
-from ...settings import decode
+from ...interface import RequestClass
+from ...settings import decode_settings
 from ..model.judge import Judge
 from ..model.listing import Registry
 from ..model.servers import Job, Server
@@ -23,7 +23,7 @@
     def __init__(
         self,
         timeline: Timeline,
-        tariffs: tuple[Tariff, ...],
+        tariffs: tuple[RequestClass, ...],
         registry: Registry,
         grace: int,
         slack: int,
@@ -108,7 +108,7 @@
     """The judge as it stood at the end of a history, by what clients and servers saw in it."""
     head = lines[0]
     plan = Plan(**head["plan"])
-    tariffs = decode(told(plan, 0, 0)).tariffs
+    tariffs = decode_settings(told(plan, 0, 0)).request_classes
     timeline, registry = Virtual(), Told()
     judge = Judge(timeline, tariffs, registry, micros(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
     for line in lines:
--- a/pumicepath/lab/hollow/host.py
+++ b/pumicepath/lab/hollow/host.py
@@ -21,8 +21,8 @@
 import orjson
 
 from ... import compiled
-from ...discovery.roster import Update
-from ...interface import Phase
+from ...discovery.server_list import ServerListUpdate
+from ...interface import ServerState
 from . import ground_truth, processes
 from .plan import Plan, RunOptions
 from .sidecar import HollowSidecar
@@ -194,9 +194,11 @@
                 next_tick = max(next_tick + TICK_US, ground_truth.now_us())
 
 
-def ignore_drain(update: Update) -> Update:
+def ignore_drain(update: ServerListUpdate) -> ServerListUpdate:
     """Drop the entries of draining servers from an update: an injected bug that the checker must find."""
-    kept_indexes = [index for index, entry in enumerate(update.entries) if entry.phase != Phase.DRAINING]
+    kept_indexes = [
+        index for index, entry in enumerate(update.entries) if entry.state != ServerState.DRAINING
+    ]
     return update._replace(
         entries=[update.entries[index] for index in kept_indexes],
         addresses=[update.addresses[index] for index in kept_indexes],
@@ -209,7 +211,7 @@
     def __init__(self) -> None:
         self.previous_entries: dict[int, Any] = {}
 
-    def __call__(self, update: Update) -> Update:
+    def __call__(self, update: ServerListUpdate) -> ServerListUpdate:
         if update.whole:
             self.previous_entries = {
                 entry.server: (entry, address) for entry, address in zip(update.entries, update.addresses)
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -14,13 +14,13 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from ...discovery.roster import Address, BadList, Roster, Update
+from ...balancer import Balancer, SeededRandom
+from ...discovery.server_list import Address, BadList, ServerList, ServerListUpdate
 from ...discovery.watch import Overtaxed, Watch
-from ...distribution.homes import Homes
-from ...http1.messages import Malformed
-from ...interface import Listing, Phase, Wakeable
-from ...logic import Balancer, Chance
-from ...settings import decode
+from ...distribution.relay_selector import RelaySelector
+from ...http1.messages import MalformedMessageError
+from ...interface import ListKind, ServerState, TimerHandler
+from ...settings import decode_settings
 from ...sidecar import clock
 from ...sidecar.watching import CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S, RETRY_INTERVAL_S
 from .plan import Plan
@@ -63,21 +63,21 @@
 
     def send(self, submission: int, server: int, timeout: int) -> None: ...
 
-    def defer(self, submission: int, retry_in: int) -> None: ...
+    def reject(self, submission: int, retry_in: int) -> None: ...
 
-    def forfeit(self, submission: int) -> None: ...
+    def fail(self, submission: int) -> None: ...
 
     def cancel(self, submission: int, hop: int) -> None: ...
 
     def probe(self, server: int) -> None: ...
 
-    def tell(self, peer: int, data: bytes) -> None: ...
+    def send_to_peer(self, peer: int, data: bytes) -> None: ...
 
-    def free_links(self, server: int) -> None: ...
+    def close_idle_connections(self, server: int) -> None: ...
 
-    def follow(self) -> None: ...
+    def request_server_list(self) -> None: ...
 
-    def wake(self, at: int, whom: Wakeable) -> None: ...
+    def set_timer(self, at: int, whom: TimerHandler) -> None: ...
 
     def log(self, text: str) -> None: ...
 
@@ -140,18 +140,20 @@
         """`upstreams` are the addresses of its region's relays, or that of the origin."""
         self.number, self.name, self.loop = number, f"n{number}", loop
         settings = sidecar_settings(plan, number)
-        self.server_list = Roster(settings["dcs"], clock.since_unix_ms)
-        self.balancer = Balancer(decode(settings), number + 1, MUTE)
-        self.rng = Chance(random.Random(f"sidecar {plan.options.seed} {number}").getrandbits(63))
+        self.server_list = ServerList(settings["dcs"], clock.from_unix_ms)
+        self.balancer = Balancer(decode_settings(settings), number + 1, MUTE)
+        self.rng = SeededRandom(random.Random(f"sidecar {plan.options.seed} {number}").getrandbits(63))
         self.addresses: dict[int, Address] = {}
         self.sock: socket.socket | None = None
         self.state = WAITING
         self.due_at = 0  # see `on_timer`
-        self.relay_selector: Homes | None = None
+        self.relay_selector: RelaySelector | None = None
         self.previous_sock: socket.socket | None = None  # to the relay that is left once another is connected
         if plan.options.form == "relayed":
-            self.relay_selector = Homes(self.name, upstreams, Chance(self.rng.bits()).share)
-        self.address = self.relay_selector.at if self.relay_selector else upstreams[0]
+            self.relay_selector = RelaySelector(
+                self.name, upstreams, SeededRandom(self.rng.next_bits()).next_float
+            )
+        self.address = self.relay_selector.current if self.relay_selector else upstreams[0]
         self.response_started = False
         self.connect_timeout_s = CONNECT_TIMEOUT_S
         self.failures = 0  # in a row
@@ -159,7 +161,7 @@
         self.bytes = 0  # both directions, without TCP/IP headers
         self.updated_at = 0
         self.has_list = False
-        self.injected_bug: Callable[[Update], Update] | None = None
+        self.injected_bug: Callable[[ServerListUpdate], ServerListUpdate] | None = None
         self.watch = self.make_watch(plan)
 
     def make_watch(self, plan: Plan) -> Watch:
@@ -170,16 +172,16 @@
             if self.relay_selector
             else None
         )
-        return Watch(self.server_list, self.address, -1, wait_us, self.rng.share, services)
+        return Watch(self.server_list, self.address, -1, wait_us, self.rng.next_float, services)
 
     # -- the socket
 
     def connect(self, now: int) -> None:
         """Connect from one of many local addresses: a single one has too few ports for all sidecars."""
         if self.relay_selector is not None:
-            self.address = self.relay_selector.at
+            self.address = self.relay_selector.current
             if self.state != SWITCHING and self.watch.host != self.address:
-                self.watch.move(self.address)
+                self.watch.switch_to(self.address)
         host, _, port = self.address.rpartition(":")
         self.sock = sock = socket.socket(socket.AF_INET)
         sock.setblocking(False)
@@ -221,7 +223,7 @@
                 self.on_connected(now)
             else:
                 self.read_response(now)
-        except (OSError, Malformed, BadList) as error:
+        except (OSError, MalformedMessageError, BadList) as error:
             self.on_failure(now, error)
 
     def on_connected(self, now: int) -> None:
@@ -235,8 +237,8 @@
         if self.previous_sock is not None:
             self.previous_sock.close()
             self.previous_sock = None
-            self.watch.move(self.address)
-        self.watch.restart()
+            self.watch.switch_to(self.address)
+        self.watch.reset_connection()
         self.state = REQUESTING
         self.loop.register(self, False)
         self.send_request(now)
@@ -244,12 +246,12 @@
     def send_request(self, now: int) -> None:
         """Send the watch's next request.  Raises OSError."""
         assert self.sock is not None
-        request = self.watch.request()
+        request = self.watch.next_request()
         if self.sock.send(request) < len(request):
             raise OSError(errno.ENOBUFS, "the request exceeds the free send buffer")
         self.bytes += len(request)
         self.response_started = False
-        self.set_timer(now + int(1e6 * self.watch.until_silent()))
+        self.set_timer(now + int(1e6 * self.watch.answer_timeout_s()))
 
     def read_response(self, now: int) -> None:
         """Read the response; once complete, apply it and continue with the next request."""
@@ -257,27 +259,27 @@
         parser = self.watch.parser
         while True:
             try:
-                count = self.sock.recv_into(parser.ring.room())
+                count = self.sock.recv_into(parser.ring.writable())
             except BlockingIOError:
                 return
-            parser.ring.wrote(count)
+            parser.ring.commit(count)
             self.bytes += count
             if not self.response_started:
                 self.response_started = True
                 self.set_timer(max(self.due_at, now + int(1e6 * RESPONSE_TIMEOUT_S)))
             if not count:
-                parser.end()
+                parser.end_input()
             response = parser.next()
             if response is not None:
                 break
             if not count:
                 raise ConnectionResetError("discovery ended the connection")
-        self.apply_update(now, self.watch.update(response))
-        if not response.keeps():
+        self.apply_update(now, self.watch.handle_response(response))
+        if not response.keeps_alive():
             self.close()
             self.connect(now)
-        elif self.relay_selector is not None and self.relay_selector.answered(
-            clock.since_monotonic(now), *self.watch.standing()
+        elif self.relay_selector is not None and self.relay_selector.call_answered(
+            clock.from_monotonic(now), *self.watch.region_counts()
         ):
             self.switch_relay(now)
         else:
@@ -292,19 +294,19 @@
 
     def keep_relay(self, now: int) -> bool:
         """Stay with the previous relay after connecting to another failed; False if there is none."""
-        if self.relay_selector is None or self.previous_sock is None or self.relay_selector.before is None:
+        if self.relay_selector is None or self.previous_sock is None or self.relay_selector.previous is None:
             return False
-        self.relay_selector.failed(clock.since_monotonic(now))
+        self.relay_selector.call_failed(clock.from_monotonic(now))
         if self.sock is not None:
             self.loop.unregister(self)
             self.sock.close()
         self.sock, self.previous_sock = self.previous_sock, None
-        self.address, self.state = self.relay_selector.at, REQUESTING
-        self.watch.doubted = True
+        self.address, self.state = self.relay_selector.current, REQUESTING
+        self.watch.ask_immediately = True
         self.loop.register(self, False)
         return True
 
-    def apply_update(self, now: int, update: Update) -> None:
+    def apply_update(self, now: int, update: ServerListUpdate) -> None:
         """Update the balancer, and report an update that may have changed the view."""
         if self.injected_bug is not None:
             update = self.injected_bug(update)
@@ -315,12 +317,14 @@
             if update.whole:
                 self.addresses.clear()
             for entry, address in zip(update.entries, update.addresses):
-                if entry.phase == Phase.GONE:
+                if entry.state == ServerState.GONE:
                     self.addresses.pop(entry.server, None)
                 else:
                     self.addresses[entry.server] = address
-            self.balancer.listed(
-                clock.since_monotonic(now), Listing.FULL if update.whole else Listing.CHANGES, update.entries
+            self.balancer.update_servers(
+                clock.from_monotonic(now),
+                ListKind.FULL if update.whole else ListKind.CHANGES,
+                update.entries,
             )
             self.updated_at = now
             self.loop.list_updated(self, update.whole)
@@ -334,11 +338,11 @@
             except OSError:
                 pass
         self.close()
-        self.watch.doubted = True
+        self.watch.ask_immediately = True
         self.failures += 1
         self.failed_calls += 1
         if self.relay_selector is not None:
-            self.set_timer(now + self.relay_selector.failed(clock.since_monotonic(now)))
+            self.set_timer(now + self.relay_selector.call_failed(clock.from_monotonic(now)))
         elif self.failures == 1 and not isinstance(error, Overtaxed):
             self.connect(now)
         else:
--- a/pumicepath/lab/hollow/view_checker.py
+++ b/pumicepath/lab/hollow/view_checker.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple, Protocol
 
-from ...discovery.roster import stable
-from ...interface import Phase
-from ...logic import Balancer
+from ...balancer import Balancer
+from ...discovery.server_list import stable_id
+from ...interface import ServerState
 from .ground_truth import ACTIVE, LEFT, Change, now_us
 from .plan import STATES_PER_SHARE_UNIT, Plan
 
-PHASES = {"active": Phase.READY, "leaving": Phase.DRAINING}
+PHASES = {"active": ServerState.READY, "leaving": ServerState.DRAINING}
 MAX_CHECKS_PER_UPDATE = 64  # if a sidecar has more servers, only full lists and ticks check them
 MAX_CHECKS_PER_TICK = 2000  # servers of all sidecars, round-robin
 MAX_VIOLATION_TEXTS = 20  # violations that are reported one by one; others are only counted
@@ -39,18 +39,20 @@
     """A balancer's view of a server: the server's state, and whether the balancer would send to it."""
 
     state: int
-    phase: Phase
+    phase: ServerState
     selectable: bool
 
 
 def server_view(balancer: Balancer, server: int) -> ServerView | None:
     """The balancer's view of a server, None if it does not list the server."""
-    slot = balancer.index.get(server, -1)
-    if slot < 0 or balancer.phase[slot] == Phase.GONE:
+    slot = balancer.index_by_id.get(server, -1)
+    if slot < 0 or balancer.listed_states[slot] == ServerState.GONE:
         return None
-    state = round((balancer.scale[slot] - 1.0) * STATES_PER_SHARE_UNIT)
+    state = round((balancer.weights[slot] - 1.0) * STATES_PER_SHARE_UNIT)
     return ServerView(
-        state, balancer.phase[slot], balancer.phase[slot] == Phase.READY and slot in balancer.ready
+        state,
+        balancer.listed_states[slot],
+        balancer.listed_states[slot] == ServerState.READY and slot in balancer.ready,
     )
 
 
@@ -74,7 +76,7 @@
         self, plan: Plan, sidecars: Sequence[CheckedSidecar], read_changes: Callable[[], Iterable[Change]]
     ) -> None:
         self.plan, self.sidecars, self.read_changes = plan, sidecars, read_changes
-        self.server_ids = [stable(plan.server_name(server)) for server in range(plan.options.sidecars)]
+        self.server_ids = [stable_id(plan.server_name(server)) for server in range(plan.options.sidecars)]
         self.callers: dict[int, list[CheckedSidecar]] = {}
         for sidecar in sidecars:
             for service in plan.called_services[sidecar.number]:
--- a/pumicepath/lab/loopback/apart.py
+++ b/pumicepath/lab/loopback/apart.py
@@ -149,7 +149,7 @@
     crowd.timeline.began = crowd.loop.time()
     crowd.keep(crowd.timeline.tick())
     crowd.clients(sidecar, sidecar).begin()  # type: ignore[arg-type]
-    patience = max(tariff.patience for tariff in crowd.tariffs) / 1e6
+    patience = max(tariff.deadline for tariff in crowd.tariffs) / 1e6
     await asyncio.sleep(plan.lasts_s + patience + 0.3)
     for task in list(crowd.tasks):
         task.cancel()
--- a/pumicepath/lab/loopback/discovery.py
+++ b/pumicepath/lab/loopback/discovery.py
@@ -10,10 +10,10 @@
 import orjson
 
 from ...http1 import writing
-from ...interface import Entry, Listing, Phase
+from ...interface import ListKind, ServerEntry, ServerState
 from .ground import Ground
 
-HEALTH = {Phase.READY: "active", Phase.DRAINING: "leaving", Phase.GONE: "left"}
+HEALTH = {ServerState.READY: "active", ServerState.DRAINING: "leaving", ServerState.GONE: "left"}
 WATCH = re.compile(rb"[?&]since=(\d+)&timeout_ms=(\d+)")
 
 
@@ -24,7 +24,7 @@
         self.world = world
         self.number = number
         self.version = 0
-        self.answers: list[tuple[bool, list[Entry]]] = []  # whole or changes, not yet fetched
+        self.answers: list[tuple[bool, list[ServerEntry]]] = []  # whole or changes, not yet fetched
         self.failed = False
         self.some = asyncio.Event()
         self.base_ms = time.time() * 1000 - world.timeline.now / 1000
@@ -36,12 +36,12 @@
         host, port = self.listener.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
-    def listed(self, kind: Listing, entries: list[Entry]) -> None:
-        if kind == Listing.CACHED:
+    def listed(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+        if kind == ListKind.CACHED:
             return  # stands in the configuration
-        if kind == Listing.FAILED:
+        if kind == ListKind.FAILED:
             self.failed = True
-        elif kind == Listing.FULL:
+        elif kind == ListKind.FULL:
             self.answers = [(True, entries)]
         else:
             self.answers.append((False, entries))
@@ -89,12 +89,12 @@
             self.some.clear()
         return self.answer(whole, entries)
 
-    def answer(self, whole: bool, entries: list[Entry]) -> bytes:
+    def answer(self, whole: bool, entries: list[ServerEntry]) -> bytes:
         self.version += 1
         body = orjson.dumps(self.listing(whole, entries))
         return writing.response(200, [("Content-Type", "application/json")], body, True)
 
-    def listing(self, whole: bool, entries: list[Entry]) -> dict[str, Any]:
+    def listing(self, whole: bool, entries: list[ServerEntry]) -> dict[str, Any]:
         return {
             "seq": self.version,
             "whole": whole,
@@ -105,9 +105,9 @@
                     "site": f"hall-{entry.zone}",
                     "class": "m",
                     "block": entry.cell,
-                    "health": HEALTH[entry.phase],
-                    "share": entry.scale,
-                    "born_ms": int(self.base_ms + entry.came_up / 1000) if entry.came_up else 0,
+                    "health": HEALTH[entry.state],
+                    "share": entry.weight,
+                    "born_ms": int(self.base_ms + entry.started_at / 1000) if entry.started_at else 0,
                 }
                 for entry in entries
             ],
--- a/pumicepath/lab/loopback/ends.py
+++ b/pumicepath/lab/loopback/ends.py
@@ -8,7 +8,7 @@
 import asyncio
 from typing import Any
 
-from ...http1.messages import Malformed, Request, Response
+from ...http1.messages import MalformedMessageError, Request, Response
 from ...http1.parsing import RequestParser, ResponseParser
 
 
@@ -18,7 +18,7 @@
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
-    def malformed(self, trouble: Malformed) -> None:
+    def malformed(self, trouble: MalformedMessageError) -> None:
         self.transport.abort()
 
 
@@ -31,7 +31,7 @@
             self.parser.feed(data)
             while (request := self.parser.next()) is not None:
                 self.came(request)
-        except Malformed as trouble:
+        except MalformedMessageError as trouble:
             self.malformed(trouble)
 
     def came(self, request: Request) -> None:
@@ -46,7 +46,7 @@
         try:
             self.parser.feed(data)
             response = self.parser.next()
-        except Malformed as trouble:
+        except MalformedMessageError as trouble:
             self.malformed(trouble)
             return
         if response is not None:
--- a/pumicepath/lab/loopback/ground.py
+++ b/pumicepath/lab/loopback/ground.py
@@ -6,7 +6,7 @@
 from collections.abc import Coroutine, Sequence
 from typing import Any, Protocol
 
-from ...interface import Tariff
+from ...interface import RequestClass
 from ..faults.history import History
 from ..model.judge import Judge
 from ..model.links import Links
@@ -27,7 +27,7 @@
     timeline: Live
     history: History
     links: Links | None
-    tariffs: tuple[Tariff, ...]
+    tariffs: tuple[RequestClass, ...]
     processes: list[asyncio.subprocess.Process]
 
     def keep(self, work: Coroutine[Any, Any, Any]) -> None:
--- a/pumicepath/lab/loopback/scripted.py
+++ b/pumicepath/lab/loopback/scripted.py
@@ -36,7 +36,7 @@
             return None
         parser.feed(data)
         if not data:
-            parser.end()
+            parser.end_input()
             return parser.next()
     return message
 
@@ -226,7 +226,7 @@
             "client: nothing"
             if response is None
             else f"client: {response.status} {response.body.decode().strip()}"
-            f"{'' if response.keeps() else ', closed'}"
+            f"{'' if response.keeps_alive() else ', closed'}"
         )
         return response
 
--- a/pumicepath/lab/loopback/servers.py
+++ b/pumicepath/lab/loopback/servers.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from ...http1 import writing
-from ...http1.messages import Malformed, Request
+from ...http1.messages import MalformedMessageError, Request
 from ...interface import Outcome
-from ...sidecar.servers import NEVER_RAN
+from ...sidecar.servers import NEVER_RAN_HEADER
 from ..model.servers import Job, Server
 from .ends import ServerEnd
 from .ground import Ground
@@ -19,7 +19,7 @@
 ANSWERS = {
     Outcome.OK: writing.response(200, [], BODY, True),
     Outcome.ERROR: writing.response(500, [], b"failed", True),
-    Outcome.FULL: writing.response(503, [(NEVER_RAN, "1")], b"full", True),
+    Outcome.FULL: writing.response(503, [(NEVER_RAN_HEADER, "1")], b"full", True),
 }
 FILLED = 2  # connections that fill the queue of a listener with no backlog
 AT_ONCE = struct.pack("ii", 1, 0)
@@ -146,7 +146,7 @@
         elif not self.job.gone:
             self.server.cancelled(self.job)
 
-    def malformed(self, trouble: Malformed) -> None:
+    def malformed(self, trouble: MalformedMessageError) -> None:
         self.world.note(f"server got {trouble}")
         self.reset()
 
--- a/pumicepath/lab/loopback/wires.py
+++ b/pumicepath/lab/loopback/wires.py
@@ -11,8 +11,8 @@
 from typing import Any, Protocol
 
 from ...http1 import writing
-from ...http1.messages import Malformed, Response
-from ...interface import Tariff
+from ...http1.messages import MalformedMessageError, Response
+from ...interface import RequestClass
 from ..model.clients import Ask
 from ..model.judge import Judge
 from ..spec import Plan
@@ -29,7 +29,7 @@
     judge: Judge
     loop: asyncio.AbstractEventLoop
     timeline: Live
-    tariffs: tuple[Tariff, ...]
+    tariffs: tuple[RequestClass, ...]
 
     def keep(self, work: Coroutine[Any, Any, Any]) -> None: ...
 
@@ -130,14 +130,14 @@
             )
         )
 
-    def malformed(self, trouble: Malformed) -> None:
+    def malformed(self, trouble: MalformedMessageError) -> None:
         self.among.around.note(f"client got {trouble}")
         self.transport.abort()
 
     def answered(self, response: Response) -> None:
         ask, self.ask = self.ask, None
         self.used = True
-        if response.keeps():
+        if response.keeps_alive():
             self.among.idle.append(self)
         else:
             self.transport.close()
--- a/pumicepath/lab/loopback/world.py
+++ b/pumicepath/lab/loopback/world.py
@@ -173,7 +173,7 @@
             self.clients(sidecar, sidecar).begin()
         for number, trouble in enumerate(self.plan.troubles):
             KINDS[trouble.kind](self, trouble, number).plan()
-        patience = max(tariff.patience for tariff in self.tariffs)
+        patience = max(tariff.deadline for tariff in self.tariffs)
         second = SECOND
         while second <= self.lasts + patience + SECOND:
             await asyncio.sleep(max(0.0, (second - self.timeline.now) / 1e6))
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -14,7 +14,7 @@
 
 from pumicepath.command import main
 from pumicepath.lab.experiments import comparison, files, runner, statistics
-from tests.helpers import compare, interruptible
+from tests.helpers import check_trace, restore_sigint
 
 SHIPPED_FOLDER = Path(__file__).parent.parent / "experiments"
 SMALL = """title = "Small"
@@ -67,7 +67,7 @@
             path.write_text(text)
         ended = CliRunner().invoke(main, ["lab", "show", str(path)])
         lines.append(f"{name}: {ended.exit_code} {ended.output.strip().replace(str(tmp_path), '')}")
-    compare("experiments-wrong", lines)
+    check_trace("experiments-wrong", lines)
 
 
 def test_shipped_experiments_load_and_cover_every_fault_kind() -> None:
@@ -95,7 +95,7 @@
     page = (tmp_path / "one" / "report.html").read_text()
     assert page.count("data:image/png;base64,") == 4 and "http" not in page.replace("http-equiv", "")
     assert len(list((tmp_path / "one").glob("*.png"))) == 4
-    compare("experiments-run", outputs[0] + both.stdout.splitlines())
+    check_trace("experiments-run", outputs[0] + both.stdout.splitlines())
 
 
 def test_interrupted_run_leaves_no_process_and_a_report_of_finished_runs(tmp_path: Path) -> None:
@@ -119,7 +119,7 @@
         stderr=subprocess.PIPE,
         text=True,
         start_new_session=True,
-        preexec_fn=interruptible,
+        preexec_fn=restore_sigint,
     ) as process:
         deadline = time.monotonic() + 60
         while time.monotonic() < deadline and (not results.exists() or results.read_bytes().count(b"\n") < 4):
@@ -143,7 +143,7 @@
     percentiles = statistics.latency_percentiles(
         statistics.merge_histograms([histogram.encode().decode()] * 2)
     )
-    compare(
+    check_trace(
         "experiments-figures",
         [
             *(f"{each}: {comparison.describe_difference(each)}" for each in (same, less, one)),
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -22,7 +22,7 @@
 from pumicepath.lab.spec import Plan, Sidecars, Trouble
 from pumicepath.lab.virtual.run import VirtualWorld
 
-from .helpers import compare
+from .helpers import check_trace
 
 HEAD = {
     "at": 0,
@@ -134,7 +134,7 @@
         found = checks.violations(in_order(name))
         lines.append(f"{name}:")
         lines += [f"    {check}: {each}" for check, breaches in found.items() for each in breaches]
-    compare("faults-planted", lines)
+    check_trace("faults-planted", lines)
     assert set(checks.PROPERTIES) == {"four_rules", "one_holder", "fencing", "budgets"}
 
 
@@ -228,7 +228,7 @@
     cut.timeline.run(1)  # type: ignore[attr-defined]
     lines.append(f"cut one way: {len(met)} of 3")
     undo()
-    compare("faults-links", lines)
+    check_trace("faults-links", lines)
 
 
 def test_a_bent_clock_runs_at_its_rate_and_steps_only_on_the_wall(tmp_path: Path) -> None:
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -13,9 +13,10 @@
 import pytest
 from click.testing import CliRunner
 
+from pumicepath.balancer import Balancer
 from pumicepath.command import main
-from pumicepath.discovery.roster import stable
-from pumicepath.interface import Entry, Listing, Phase
+from pumicepath.discovery.server_list import stable_id
+from pumicepath.interface import ListKind, ServerEntry, ServerState
 from pumicepath.lab.experiments.folder_lock import LOCK_FILE, FolderLockedError, locked_folder
 from pumicepath.lab.hollow import resource_estimate
 from pumicepath.lab.hollow.evaluation import Evaluation, OutageWindow, reachable_delay
@@ -24,15 +25,14 @@
 from pumicepath.lab.hollow.run import HollowRun
 from pumicepath.lab.hollow.sidecar import MUTE, sidecar_settings
 from pumicepath.lab.hollow.view_checker import ViewChecker
-from pumicepath.logic import Balancer
-from pumicepath.settings import decode
+from pumicepath.settings import decode_settings
 
-from .helpers import interruptible
-from .rig import until
+from .helpers import restore_sigint
+from .rig import wait_until
 
 SMALL = ["lab", "scale", "--sidecars", "12", "--services", "3", "--regions", "2", "--zones", "2", "--json"]
 S = 1_000_000
-PHASES = {ACTIVE: Phase.READY, LEAVING: Phase.DRAINING, LEFT: Phase.GONE}
+PHASES = {ACTIVE: ServerState.READY, LEAVING: ServerState.DRAINING, LEFT: ServerState.GONE}
 
 
 # -- the plan
@@ -146,12 +146,12 @@
 
     def __init__(self, plan: Plan, number: int = 0) -> None:
         self.plan, self.number, self.updated_at = plan, number, 0
-        self.balancer = Balancer(decode(sidecar_settings(plan, number)), 1, MUTE)
+        self.balancer = Balancer(decode_settings(sidecar_settings(plan, number)), 1, MUTE)
 
     def apply_list(self, at: int, whole: bool, *changes: Change) -> None:
         entries = [
-            Entry(
-                stable(self.plan.server_name(one.server)),
+            ServerEntry(
+                stable_id(self.plan.server_name(one.server)),
                 0,
                 0,
                 PHASES[one.health],
@@ -161,7 +161,7 @@
             )
             for one in changes
         ]
-        self.balancer.listed(at, Listing.FULL if whole else Listing.CHANGES, entries)
+        self.balancer.update_servers(at, ListKind.FULL if whole else ListKind.CHANGES, entries)
         self.updated_at = at
 
 
@@ -398,15 +398,15 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
-        preexec_fn=interruptible,
+        preexec_fn=restore_sigint,
     )
     children = Path(f"/proc/{run.pid}/task/{run.pid}/children")
-    until(lambda: list(tmp_path.glob("host-*.err")) and len(children.read_text().split()) >= 2)
+    wait_until(lambda: list(tmp_path.glob("host-*.err")) and len(children.read_text().split()) >= 2)
     started = [int(pid) for pid in children.read_text().split()]
     run.send_signal(signal.SIGINT)
     out, err = run.communicate(timeout=60)
     assert run.returncode == 130 and out == "" and "interrupted" in err
-    until(lambda: not any(alive(pid) for pid in started))
+    wait_until(lambda: not any(alive(pid) for pid in started))
 
 
 def alive(pid: int) -> bool:
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -14,13 +14,13 @@
 import pytest
 
 from pumicepath.http1 import writing
-from pumicepath.interface import Listing, Phase
+from pumicepath.interface import ListKind, ServerState
 from pumicepath.lab.loopback.discovery import Desk
 from pumicepath.lab.loopback.world import LiveWorld, Void
 from pumicepath.lab.model.clients import Ask
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
-from .helpers import compare, interruptible
+from .helpers import check_trace, restore_sigint
 
 ALONE = Plan(
     lasts_s=2,
@@ -115,14 +115,14 @@
         await note("hall cut off")
         world.network.cut.clear()
         await note("hall back")
-        world.registry.drained(server.number, Phase.GONE)
+        world.registry.drained(server.number, ServerState.GONE)
         server.kill()
         world.begin(0, cold=True)
         lines.append(f"same address under a new id: {world.address_of(world.places[0]) == where}")
         await note("a new server there")
 
     within(ALONE, tmp_path, work)
-    compare("loopback-server", lines)
+    check_trace("loopback-server", lines)
 
 
 def test_watch_tells_whole_lists_changes_and_failures(tmp_path: Path) -> None:
@@ -162,7 +162,7 @@
         desk.close()
 
     within(ALONE, tmp_path, work)
-    compare("loopback-watch", lines)
+    check_trace("loopback-watch", lines)
 
 
 def test_port_taken_and_a_fault_of_the_stand_ins_make_a_run_void(tmp_path: Path) -> None:
@@ -200,7 +200,7 @@
         clients.succeeded(one, one.turn)  # counts as a second answer: the client had gone
         assert world.judge.broken["answered_twice"] == 1 and world.tally.left[0] == 1
         world.registry.join(0, sidecar.desk)
-        sidecar.desk.listed(Listing.FAILED, [])
+        sidecar.desk.listed(ListKind.FAILED, [])
         assert sidecar.desk.failed
 
     within(ALONE, tmp_path, work)
@@ -241,7 +241,7 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         start_new_session=True,
-        preexec_fn=interruptible,
+        preexec_fn=restore_sigint,
     ) as process:
         assert process.stdout is not None
         process.stdout.readline()  # the first second has been played
@@ -274,4 +274,4 @@
 
     lines: list[str] = []
     within(ALONE, tmp_path, work)
-    compare("loopback-view", lines)
+    check_trace("loopback-view", lines)
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -21,14 +21,14 @@
 
 import pytest
 
+from pumicepath.balancer import Balancer
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.interface import Entry, Listing, Outcome
+from pumicepath.interface import ListKind, Outcome, ServerEntry
 from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.logic import Balancer
 
-from .helpers import SECOND, entry, settings
-from .rig import status, until
-from .test_standing_terms import MODES, Always
+from .helpers import SECOND, make_entry, make_settings
+from .rig import read_status, wait_until
+from .test_standing_terms import MODES, AlwaysServing
 
 # -- 3: a cold server falls under the sum of what all sidecars send it
 
@@ -69,20 +69,20 @@
         parts = [10.0 if uneven and one % 10 == 0 else 1.0 for one in range(fleet)]
         self.rates = [load * RATE * SERVERS * part / sum(parts) / SECOND for part in parts]
         self.hits: dict[int, list[int]] = {server: [] for server in self.servers[:cold]}
-        self.given = settings(fleet=fleet, cold_for=8 * SECOND, **changed)
+        self.given = make_settings(fleet=fleet, cold_for=8 * SECOND, **changed)
         self.sidecars = [self.begun(0, me) for me in range(fleet)]
 
-    def entries(self, now: int, known: bool = True) -> list[Entry]:
+    def entries(self, now: int, known: bool = True) -> list[ServerEntry]:
         started = STARTED * SECOND if now >= STARTED * SECOND else 0
         return [
-            entry(server, came_up=started if at < self.cold else 0)
+            make_entry(server, started_at=started if at < self.cold else 0)
             for at, server in enumerate(self.servers)
             if at >= self.cold or started
         ]
 
     def begun(self, now: int, me: int) -> Balancer:
         sidecar = Balancer(replace(self.given, me=me), self.chance.getrandbits(32), Sent())
-        sidecar.listed(now, Listing.CACHED, self.entries(now))
+        sidecar.update_servers(now, ListKind.CACHED, self.entries(now))
         return sidecar
 
     def run(self) -> None:
@@ -105,18 +105,18 @@
             if not told and now >= STARTED * SECOND:
                 told = True
                 for sidecar in self.sidecars:
-                    sidecar.listed(now, Listing.CHANGES, self.entries(now)[: self.cold])
+                    sidecar.update_servers(now, ListKind.CHANGES, self.entries(now)[: self.cold])
             if isinstance(what, range):  # a part of the fleet at once
                 for me in what:
                     self.sidecars[me] = self.begun(now, me)
             elif isinstance(what, int):
                 put(now + self.chance.expovariate(self.rates[what]) + 1, what)
-                one = self.sidecars[what].take(
+                one = self.sidecars[what].submit(
                     now, number, 0, 1 + self.chance.randrange(500), False, now + 2 * SECOND
                 )
                 if one.hops:
                     put(now + self.chance.expovariate(1 / 50_000) + 5000, one)
-                    if (server := one.balancer.outlet.last) in self.hits:  # type: ignore[attr-defined]
+                    if (server := one.balancer.callbacks.last) in self.hits:  # type: ignore[attr-defined]
                         self.hits[server].append(now)
             else:
                 what.ended(now, 0, Outcome.OK, now - what.hops[0].at, True)
@@ -127,9 +127,9 @@
         given = self.given
         for hits in self.hits.values():
             for last, now in enumerate(hits):
-                warmth = given.cold_from + (1 - given.cold_from) * (now / SECOND - STARTED) / 8
-                budget = given.fall_multiple * warmth * RATE * given.fall_window / SECOND
-                sent = sum(then > now - given.fall_window for then in hits[: last + 1])
+                warmth = given.cold_fraction + (1 - given.cold_fraction) * (now / SECOND - STARTED) / 8
+                budget = given.overload_multiple * warmth * RATE * given.overload_window / SECOND
+                sent = sum(then > now - given.overload_window for then in hits[: last + 1])
                 worst = max(worst, (sent / (budget + 2 * math.sqrt(budget) + 2), sent, budget))
         return worst
 
@@ -194,7 +194,7 @@
     try:
         with socket.create_connection(around.where) as sock:
             around.send("read", sock=sock)
-            return status(sock)
+            return read_status(sock)
     except TimeoutError:
         raise
     except OSError:
@@ -214,7 +214,7 @@
     mode: str, told: int, real: int, tmp_path: Path
 ) -> None:
     around = Deployment(tmp_path, 1)
-    around.servers[0].script = Always()  # type: ignore[assignment]
+    around.servers[0].script = AlwaysServing()  # type: ignore[assignment]
     around.told["settings"]["membershipMode"] = mode
     around.told["limits"]["sockets"] = told
     around.config.write_text(json.dumps(around.told))
@@ -239,7 +239,7 @@
         descriptors = Path(f"/proc/{process.pid}/fd")
         # All that there are, or as many clients as the limits let it have.
         clients = (min(told, real) - 48) * 13 // 20
-        until(lambda: len(list(descriptors.iterdir())) >= min(real - 2, clients + 20))
+        wait_until(lambda: len(list(descriptors.iterdir())) >= min(real - 2, clients + 20))
         began, used = time.monotonic(), core_time(process)
         answers = []
         while time.monotonic() < began + 1.0:
@@ -257,9 +257,9 @@
         back = time.monotonic() - returned
         answers.append(ask(around))
         idle.over = True
-        until(lambda: ask(around) == 200)
+        wait_until(lambda: ask(around) == 200)
         around.lists.put(answer(200, json.dumps(around.listing(4, False, "leaving"))))
-        until(lambda: ask(around) == 503)  # what the watch tells is in force
+        wait_until(lambda: ask(around) == 503)  # what the watch tells is in force
         assert process.poll() is None
         process.terminate()
         assert process.wait(20) == 0
@@ -300,7 +300,7 @@
     try:
         with socket.create_connection(where, 1) as sock:
             sock.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-            return status(sock) == 200
+            return read_status(sock) == 200
     except OSError:
         return False
 
@@ -364,14 +364,14 @@
         sidecars.append(one)
         wheres.append(where)
     for server in ground.servers:
-        server.script = Always()  # type: ignore[assignment]
+        server.script = AlwaysServing()  # type: ignore[assignment]
     try:
         alone = ready(sidecars[:1], wheres[:1], 60.0)[0]
         ready(sidecars[1:], wheres[1:], 60.0)
         clients = [threading.Thread(target=load, args=(where, over, answers)) for where in wheres * 2]
         for client in clients:
             client.start()
-        until(lambda: answers[200] > 100)
+        wait_until(lambda: answers[200] > 100)
         for one in sidecars:
             one.process.kill()
         for one in sidecars:
@@ -382,7 +382,7 @@
         times = ready(sidecars, wheres, 4 * allowed)
         print(f"alone {alone:.2f} s; {[round(one, 2) for one in times]} of {allowed:.1f}; {answers}")
         assert len(times) >= 9 and times[8] <= allowed, times
-        until(lambda: answers[200] > served + 100)  # and they serve
+        wait_until(lambda: answers[200] > served + 100)  # and they serve
     finally:
         over.set()
         for one in sidecars:
