--- a/pumicepath/commands/lab.py
+++ b/pumicepath/commands/lab.py
@@ -13,21 +13,21 @@
 from .errors import fail
 
 if TYPE_CHECKING:
-    from ..lab.experiments.files import Read
+    from ..lab.experiments.files import LoadedExperiment
 
 MISSING_PACKAGE = "needs what `pip install -e '.[lab]'` installs: {}"
 FILE_ARGUMENT = click.argument("file", type=click.Path(path_type=Path))
 
 
-def read_experiment(file: Path, seeds: int = 0, host: str = "") -> Read:
+def read_experiment(file: Path, seeds: int = 0, host: str = "") -> LoadedExperiment:
     """Read an experiment file; ends the command if it is invalid or packages of the lab are missing."""
     try:
         from ..lab.experiments import files
     except ImportError as error:
         fail(MISSING_PACKAGE.format(error))
     try:
-        return files.read(file, seeds, host)
-    except files.BadExperiment as error:
+        return files.load_experiment(file, seeds, host)
+    except files.ExperimentError as error:
         fail(error)
 
 
@@ -76,13 +76,13 @@
     loaded = read_experiment(file, seeds or 0, host)
     if host != "loopback" and (seed is not None or as_json):
         fail("--seed and --json go with --on loopback")
-    from ..lab.experiments.folders import Taken, owned
+    from ..lab.experiments.folder_lock import FolderLockedError, locked_folder
 
     where = folder or Path("found") / loaded.name
     with ExitStack() as until_done:
         try:
-            until_done.enter_context(owned(where))
-        except Taken as error:
+            until_done.enter_context(locked_folder(where))
+        except FolderLockedError as error:
             fail(error)
         except OSError as error:
             fail(f"{where}: {error.strerror}")
@@ -92,43 +92,43 @@
             play_virtual(loaded, where, workers)
 
 
-def play_virtual(loaded: Read, where: Path, workers: int) -> None:
+def play_virtual(loaded: LoadedExperiment, where: Path, workers: int) -> None:
     """Execute all runs in virtual time and write the report."""
     from rich.console import Console
     from rich.progress import Progress
 
-    from ..lab.experiments import comparing, report, running
+    from ..lab.experiments import comparison, report, runner
     from ..lab.virtual.run import OURS
 
     console = Console(stderr=True)
     with Progress(console=console, disable=not console.is_terminal) as progress:
         task = progress.add_task(loaded.name, total=len(loaded.runs))
         try:
-            complete = running.run(
+            complete = runner.run_experiment(
                 loaded, where, workers, lambda count, _: progress.update(task, completed=count)
             )
         except OSError as error:
             fail(f"{where}: {error.strerror}")
-    head, runs = running.results(where)
+    head, runs = runner.read_results(where)
     if not runs:
         fail("interrupted before the first run had ended", 130)
-    rows = comparing.rows(head, runs)
-    click.echo("\n".join(comparing.table(head, rows)))
-    click.echo(f"report: {report.write(where, head, runs)}")
+    rows = comparison.summarize_arms(head, runs)
+    click.echo("\n".join(comparison.terminal_table(head, rows)))
+    click.echo(f"report: {report.write_report(where, head, runs)}")
     if not complete:
         fail(f"interrupted after {len(runs)} of {head['runs']} runs; the report holds these", 130)
     if any(run["policy"] == OURS and any(run["rules"].values()) for run in runs):
         fail("a rule was broken", 1)
 
 
-def play_loopback(loaded: Read, folder: Path, seed: int, as_json: bool) -> None:
+def play_loopback(loaded: LoadedExperiment, folder: Path, seed: int, as_json: bool) -> None:
     """Execute the plan with real processes; the history and the report go into the folder."""
     import orjson
 
-    from ..lab.experiments import fleet
+    from ..lab.experiments import fleet_report
     from ..lab.loopback import demo, world
 
-    history = folder / fleet.HISTORY
+    history = folder / fleet_report.HISTORY_FILE
     try:
         result = world.play(
             loaded.plan, seed, None if as_json else lambda each: click.echo(demo.line(each)), history
@@ -139,13 +139,15 @@
         fail(f"loopback: {error.strerror or error}")
     except KeyboardInterrupt:
         fail(f"interrupted; no process is left, and {history} holds what was seen", 130)
-    checked = fleet.judged(history)
-    page = fleet.write(folder, loaded.experiment.title, checked)
+    checked = fleet_report.check_history(history)
+    page = fleet_report.write_report(folder, loaded.experiment.title, checked)
     if as_json:
-        click.echo(orjson.dumps({**demo.totals(result), **checked.figures()}).decode())
+        click.echo(orjson.dumps({**demo.totals(result), **checked.metrics()}).decode())
     else:
         click.echo(
-            "\n".join([*demo.verdict(result), *checked.lines(), f"history: {history}", f"report: {page}"])
+            "\n".join(
+                [*demo.verdict(result), *checked.summary_lines(), f"history: {history}", f"report: {page}"]
+            )
         )
     if checked.violations:
         raise SystemExit(1)
@@ -159,15 +161,15 @@
     try:
         import orjson
 
-        from ..lab.experiments import fleet
+        from ..lab.experiments import fleet_report
         from ..lab.faults.history import BadHistory
     except ImportError as error:
         fail(MISSING_PACKAGE.format(error))
     try:
-        checked = fleet.judged(history)
+        checked = fleet_report.check_history(history)
     except BadHistory as error:
         fail(error)
-    click.echo(orjson.dumps(checked.figures()).decode() if as_json else "\n".join(checked.lines()))
+    click.echo(orjson.dumps(checked.metrics()).decode() if as_json else "\n".join(checked.summary_lines()))
     if checked.violations:
         raise SystemExit(1)
 
@@ -209,16 +211,16 @@
 def compare(one: Path, other: Path) -> None:
     """Compare the second report with the first, in pairs of runs with the same seed."""
     try:
-        from ..lab.experiments import comparing, running
+        from ..lab.experiments import comparison, runner
     except ImportError as error:
         fail(MISSING_PACKAGE.format(error))
     both = []
     for path in (one, other):
         try:
-            both.append(running.results(path))
+            both.append(runner.read_results(path))
         except (OSError, ValueError, KeyError) as error:
             fail(f"{path}: {getattr(error, 'strerror', None) or error}")
-    click.echo("\n".join(comparing.compared(both[0], both[1])))
+    click.echo("\n".join(comparison.compare_reports(both[0], both[1])))
 
 
 lab.add_command(scale.scale)
--- a/pumicepath/lab/capacity/page.py
+++ b/pumicepath/lab/capacity/page.py
@@ -1,7 +1,7 @@
-"""The page's tables, written between its markers; all else in it is by hand.
+"""Renders the generated tables of the capacity page between their markers; the other text is left as it is.
 
-`written(text, capacity)` gives the page with its tables as the figures have them; ValueError for a marker
-that is missing, twice, or of no table.
+`render_page(text, capacity)` returns the page with current tables.  It raises ValueError for a marker that is
+missing, occurs twice or names no table.
 """
 
 from __future__ import annotations
@@ -10,29 +10,47 @@
 from collections.abc import Callable
 from functools import partial
 
-from . import days, roles
-from .doubled import assumptions
-from .ranking import ranked
-from .rows import cells, short, table
-from .slopes import Capacity
-from .target import ASSUMED, TARGET
-
-MARKED = re.compile(r"<!-- begin ([a-z-]+) -->\n(.*?)<!-- end \1 -->\n", re.S)
-HEAD = ["at the target", "figure", "budget", "over budget", "how known", "formula [slopes]", "mechanism"]
-
-
-def ranking(capacity: Capacity) -> str:
-    lines = [[row.role, *cells(row, capacity)] for row in ranked(capacity, TARGET, ASSUMED)]
-    return table(["role", *HEAD], lines)
-
-
-def role(name: str, capacity: Capacity) -> str:
-    return table(HEAD, [cells(row, capacity) for row in roles.ROLES[name](capacity, TARGET, ASSUMED)])
+from . import roles, scenarios
+from .measurements import Capacity
+from .ranking import ranked_rows
+from .rows import format_number, markdown_table, row_cells
+from .sensitivity import assumptions_table
+from .target import ASSUMPTIONS, TARGET
+
+MARKED_TABLE = re.compile(r"<!-- begin ([a-z-]+) -->\n(.*?)<!-- end \1 -->\n", re.S)
+ROW_HEADINGS = [
+    "at the target",
+    "figure",
+    "budget",
+    "over budget",
+    "how known",
+    "formula [slopes]",
+    "mechanism",
+]
+
+
+def ranking_table(capacity: Capacity) -> str:
+    """Format the ranking of the direct form's rows."""
+    lines = [[row.role, *row_cells(row, capacity)] for row in ranked_rows(capacity, TARGET, ASSUMPTIONS)]
+    return markdown_table(["role", *ROW_HEADINGS], lines)
+
+
+def role_table(name: str, capacity: Capacity) -> str:
+    """Format the rows of one role, named as in ROLE_ROWS."""
+    return markdown_table(
+        ROW_HEADINGS,
+        [row_cells(row, capacity) for row in roles.ROLE_ROWS[name](capacity, TARGET, ASSUMPTIONS)],
+    )
 
 
-def of_days(capacity: Capacity) -> str:
-    lines = [line for day in days.days(capacity, TARGET, ASSUMED) for line in days.cells(day, capacity)]
-    return table(
+def scenarios_table(capacity: Capacity) -> str:
+    """Format the scenarios, one line for each of their peaks."""
+    lines = [
+        line
+        for scenario in scenarios.build_scenarios(capacity, TARGET, ASSUMPTIONS)
+        for line in scenarios.scenario_cells(scenario, capacity)
+    ]
+    return markdown_table(
         [
             "day",
             "peak",
@@ -47,24 +65,27 @@
     )
 
 
-def slopes(capacity: Capacity) -> str:
+def series_table(capacity: Capacity) -> str:
+    """Format the measured series with their linear fits."""
     lines = []
-    for one in capacity.series.values():
-        line, middles = one.line, one.middles
+    for series in capacity.series.values():
+        fit, medians = series.fit, series.medians
         lines.append(
             [
-                f"`{one.name}`",
-                f"{one.what}, {one.unit}, by {one.by}",
-                ", ".join(f"{size:,g}: {short(value)}" for size, value in middles),
-                f"{short(line.base)} + {short(line.slope)} n" if line.linear else "not linear",
-                f"{100 * line.residual:.0f}%",
-                f"{100 * one.spread:.0f}%",
-                str(len(one.points[0][1])),
-                one.form,
-                f"{one.run['date']}, {one.run['commit']}, load {one.run['load']:g}",
+                f"`{series.name}`",
+                f"{series.description}, {series.unit}, by {series.size_name}",
+                ", ".join(f"{size:,g}: {format_number(value)}" for size, value in medians),
+                f"{format_number(fit.intercept)} + {format_number(fit.slope)} n"
+                if fit.is_linear
+                else "not linear",
+                f"{100 * fit.residual:.0f}%",
+                f"{100 * series.relative_spread:.0f}%",
+                str(len(series.points[0][1])),
+                series.form,
+                f"{series.run['date']}, {series.run['commit']}, load {series.run['load']:g}",
             ]
         )
-    return table(
+    return markdown_table(
         [
             "slope",
             "what, unit, by what",
@@ -80,32 +101,36 @@
     )
 
 
-def machine(capacity: Capacity) -> str:
-    told = capacity.machine
+def machine_text(capacity: Capacity) -> str:
+    """Describe the machine on which the series were measured."""
+    machine = capacity.machine
     return (
-        f"{told['processor']}, {told['cores']} cores, {told['memory_gb']:g} GB, {told['system']}; Python "
-        f"{told['python']}, numpy {told['numpy']}, orjson {told['orjson']}."
+        f"{machine['processor']}, {machine['cores']} cores, {machine['memory_gb']:g} GB, "
+        f"{machine['system']}; Python {machine['python']}, "
+        f"numpy {machine['numpy']}, orjson {machine['orjson']}."
     )
 
 
 TABLES: dict[str, Callable[[Capacity], str]] = {
-    "ranking": ranking,
-    "slopes": slopes,
-    "machine": machine,
-    "days": of_days,
-    "assumptions": lambda capacity: assumptions(capacity, TARGET, ASSUMED),
-    **{name: partial(role, name) for name in roles.ROLES},
+    "ranking": ranking_table,
+    "slopes": series_table,
+    "machine": machine_text,
+    "days": scenarios_table,
+    "assumptions": lambda capacity: assumptions_table(capacity, TARGET, ASSUMPTIONS),
+    **{name: partial(role_table, name) for name in roles.ROLE_ROWS},
 }
 
 
-def written(text: str, capacity: Capacity) -> str:
-    found = [each[1] for each in MARKED.finditer(text)]
+def render_page(text: str, capacity: Capacity) -> str:
+    """Return the page with all tables rendered again.  Raises ValueError for a wrong set of markers."""
+    markers = [match[1] for match in MARKED_TABLE.finditer(text)]
     for name in TABLES:
-        if found.count(name) != 1:
-            raise ValueError(f"the page has {found.count(name)} tables {name}")
+        if markers.count(name) != 1:
+            raise ValueError(f"the page has {markers.count(name)} tables {name}")
     for name in re.findall(r"<!-- begin (.*?) -->", text):
         if name not in TABLES:
             raise ValueError(f"the page has a table {name} that nothing writes")
-    return MARKED.sub(
-        lambda each: f"<!-- begin {each[1]} -->\n{TABLES[each[1]](capacity)}\n<!-- end {each[1]} -->\n", text
+    return MARKED_TABLE.sub(
+        lambda match: f"<!-- begin {match[1]} -->\n{TABLES[match[1]](capacity)}\n<!-- end {match[1]} -->\n",
+        text,
     )
--- a/pumicepath/lab/capacity/rows.py
+++ b/pumicepath/lab/capacity/rows.py
@@ -1,25 +1,25 @@
-"""One line of a table: a figure at the target against its budget, with formula, slopes and mechanism."""
+"""A table row: an estimate at the target compared with its budget, with its formula, series and mechanism."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from .slopes import FAR, Capacity, Figure
+from .measurements import FAR_EXTRAPOLATION_RATIO, Capacity, Estimate
 
 MISSING = "*missing*"
-UNMEASURED = "*not measured*"
+NOT_MEASURED = "*not measured*"
 
 
 @dataclass(frozen=True)
 class Row:
-    """`budget` is None where the target sets none; `series` are the slopes that the formula uses.
+    """One estimate of a role; `series` names the measured series that the formula uses.
 
-    `value` is None where those were not measured.
+    `value` is None if one of them was not measured; `budget` is None if the target sets none.
     """
 
     role: str
-    what: str
-    value: Figure | None
+    quantity: str
+    value: Estimate | None
     unit: str
     budget: float | None
     formula: str
@@ -27,13 +27,13 @@
     mechanism: str
 
     @property
-    def factor(self) -> float:
-        """Over its budget; 0 where there is none."""
+    def budget_ratio(self) -> float:
+        """The value over its budget; 0 without a budget or a value."""
         return self.value.value / self.budget if self.budget and self.value is not None else 0.0
 
 
-def short(value: float) -> str:
-    """Three digits that count, with thousands apart."""
+def format_number(value: float) -> str:
+    """Format with three significant digits and thousands separators."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -42,46 +42,53 @@
     return f"{float(f'{value:.3g}'):g}"
 
 
-def known(figure: Figure, series: tuple[str, ...] = ()) -> str:
-    """How it is known, and from how far."""
-    told = "reckoned from slopes" if figure.kind == "reckoned" and series else figure.kind
-    if figure.beyond <= 1:
-        return told
-    return f"{told}, extrapolated x {short(figure.beyond)}".replace("extrapolated, ", "", 1) + (
-        f" (**more than {FAR:g} times the largest measured size**)" if figure.beyond > FAR else ""
+def provenance(estimate: Estimate, series: tuple[str, ...] = ()) -> str:
+    """Say how the estimate is known, and how far beyond the measured sizes it lies."""
+    kind = "reckoned from slopes" if estimate.kind == "reckoned" and series else estimate.kind
+    if estimate.size_ratio <= 1:
+        return kind
+    return f"{kind}, extrapolated x {format_number(estimate.size_ratio)}".replace("extrapolated, ", "", 1) + (
+        f" (**more than {FAR_EXTRAPOLATION_RATIO:g} times the largest measured size**)"
+        if estimate.size_ratio > FAR_EXTRAPOLATION_RATIO
+        else ""
     )
 
 
-def forms(row: Row, capacity: Capacity) -> str:
-    found = sorted({capacity[name].form for name in row.series} - {"neither"})
-    return " and ".join(found)
+def build_forms(row: Row, capacity: Capacity) -> str:
+    """Name the forms of the program (compiled, interpreted) in which the row's series were measured."""
+    forms = sorted({capacity[name].form for name in row.series} - {"neither"})
+    return " and ".join(forms)
 
 
-def against(row: Row) -> str:
-    """The factor over the budget, in bold where it is missed."""
+def budget_text(row: Row) -> str:
+    """The ratio to the budget, in bold where the budget is exceeded."""
     if not row.budget:
         return "no budget"
     if row.value is None:
-        return UNMEASURED
-    return f"**{short(row.factor)}**" if row.factor > 1 else short(row.factor)
+        return NOT_MEASURED
+    return (
+        f"**{format_number(row.budget_ratio)}**" if row.budget_ratio > 1 else format_number(row.budget_ratio)
+    )
 
 
-def cells(row: Row, capacity: Capacity) -> list[str]:
+def row_cells(row: Row, capacity: Capacity) -> list[str]:
+    """Format the row's cells, without its role."""
     if row.value is None:
-        figure = how = UNMEASURED
+        value = source = NOT_MEASURED
     else:
-        figure, form = f"{short(row.value.value)} {row.unit}".strip(), forms(row, capacity)
-        how = known(row.value, row.series) + (f", {form}" if form else "")
+        value, form = f"{format_number(row.value.value)} {row.unit}".strip(), build_forms(row, capacity)
+        source = provenance(row.value, row.series) + (f", {form}" if form else "")
     return [
-        row.what,
-        figure,
-        f"{short(row.budget)} {row.unit}" if row.budget else "none",
-        against(row),
-        how,
+        row.quantity,
+        value,
+        f"{format_number(row.budget)} {row.unit}" if row.budget else "none",
+        budget_text(row),
+        source,
         row.formula + (f" [{', '.join(row.series)}]" if row.series else ""),
         row.mechanism,
     ]
 
 
-def table(head: list[str], lines: list[list[str]]) -> str:
+def markdown_table(head: list[str], lines: list[list[str]]) -> str:
+    """Format a Markdown table."""
     return "\n".join("| " + " | ".join(line) + " |" for line in [head, ["---"] * len(head), *lines])
--- a/pumicepath/lab/experiments/report.py
+++ b/pumicepath/lab/experiments/report.py
@@ -1,4 +1,4 @@
-"""One page that needs nothing else: figures, pictures, rules; the pictures also lie beside it as PNG."""
+"""The HTML report of an experiment: one self-contained page; its charts are also written as PNG files."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 import jinja2
 
-from . import pictures
-from .comparing import Row, rows, verdict
+from . import charts
+from .comparison import ArmSummary, describe_difference, summarize_arms
 
-PAGE = """<!doctype html>
+PAGE_TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ head.title }}</title><style>
 body { font: 15px/1.45 system-ui, sans-serif; max-width: 60em; margin: 2em auto; padding: 0 1em; color: #222 }
 table { border-collapse: collapse; margin: 1em 0 } td, th { padding: .25em .7em; text-align: left;
@@ -30,10 +30,13 @@
 <th>against {{ head.arms[0] }}</th><th>p50</th><th>p99</th><th>p99.9 ms</th><th>rules</th></tr>
 {% for row in rows %}<tr><td>{{ row.point }}</td><td>{{ row.arm }}</td>
 <td class="n">{{ row.service }}</td>
-<td class="n">{% if row.against %}{{ row.against }}, {{ verdict(row.against) }}{% endif %}</td>
+<td class="n">{% if row.baseline_difference %}{{ row.baseline_difference }}, {{
+describe_difference(row.baseline_difference) }}{% endif %}</td>
 {% for part in ("p50", "p99", "p99.9") %}<td class="n">{{ "%.1f"|format(row.latency[part]) }}</td>
-{% endfor %}<td>{% if row.broken %}{% for rule, count in row.broken.items() %}<span class="bad">{{ rule }}
-{{ count }}</span> <span class="small">{{ row.first[rule] }}</span><br>{% endfor %}{% else %}kept{% endif %}
+{% endfor %}<td>{% if row.violations %}{% for rule, count in
+row.violations.items() %}<span class="bad">{{ rule }}
+{{ count }}</span> <span class="small">{{ row.first_violations[rule] }}</span><br>{% endfor %}{% else
+%}kept{% endif %}
 </td></tr>
 {% endfor %}</table>
 {% for title, data in pictures %}<h2>{{ title }}</h2>
@@ -46,39 +49,39 @@
 """
 
 
-def drawn(
-    head: dict[str, Any], runs: Sequence[dict[str, Any]], made: Sequence[Row], folder: Path
+def draw_charts(
+    head: dict[str, Any], runs: Sequence[dict[str, Any]], summaries: Sequence[ArmSummary], folder: Path
 ) -> list[tuple[str, Path]]:
-    """Pictures of the first point, and of its first arm's first run; losses of all."""
-    point = made[0].point
-    shown = [run for run in runs if run["point"] == point]
-    at = f" at {point}" if point else ""
+    """Draw the charts of the first point (that by server: of its first run), and the losses of all points."""
+    point = summaries[0].point
+    point_runs = [run for run in runs if run["point"] == point]
+    suffix = f" at {point}" if point else ""
     return [
         (
-            f"Service over time{at}, troubles marked",
-            pictures.over_time(shown, head["arms"], folder / "time.png"),
+            f"Service over time{suffix}, faults marked",
+            charts.plot_service(point_runs, head["arms"], folder / "time.png"),
         ),
-        (f"By server{at}", pictures.by_server(shown[0], folder / "servers.png")),
-        (f"Latency{at}", pictures.latency(shown, head["arms"], folder / "latency.png")),
-        ("Not served in time, by cause", pictures.losses(made, folder / "losses.png")),
+        (f"By server{suffix}", charts.plot_servers(point_runs[0], folder / "servers.png")),
+        (f"Latency{suffix}", charts.plot_latency(point_runs, head["arms"], folder / "latency.png")),
+        ("Not served in time, by cause", charts.plot_losses(summaries, folder / "losses.png")),
     ]
 
 
-def write(folder: Path, head: dict[str, Any], runs: Sequence[dict[str, Any]]) -> Path:
-    """`folder`/report.html; it says so if runs are missing.  ValueError if there are none at all."""
-    made = rows(head, runs)
-    if not made:
+def write_report(folder: Path, head: dict[str, Any], runs: Sequence[dict[str, Any]]) -> Path:
+    """Write `folder`/report.html, which says so if runs are missing.  Raises ValueError if there are none."""
+    summaries = summarize_arms(head, runs)
+    if not summaries:
         raise ValueError("no run has ended")
     inlined = [
         (title, base64.b64encode(path.read_bytes()).decode())
-        for title, path in drawn(head, runs, made, folder)
+        for title, path in draw_charts(head, runs, summaries, folder)
     ]
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
-    page = environment.from_string(PAGE).render(
+    page = environment.from_string(PAGE_TEMPLATE).render(
         head=head,
         runs=runs,
-        rows=made,
-        verdict=verdict,
+        rows=summaries,
+        describe_difference=describe_difference,
         pictures=inlined,
         marks=runs[0]["marks"],
         whole=len(runs) == head["runs"],
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -1,9 +1,8 @@
-"""One hollow sidecar: the real watch, list and balancer behind one socket of a loop.
+"""A hollow sidecar: the real watch, server list and balancer, driven by one socket of a shared loop.
 
-It does on the loop what `sidecar/watching.py` does on its thread, with the same bounds: how long a dial may
-take, when a call counts as silent, after which failures it asks again at once, and with relays which of them
-it follows (`distribution/relay_selector.py`).  Times are whole
-microseconds of the machine's monotonic clock, one for all processes of a run.
+It does on the loop what `sidecar/watching.py` does on its own thread, with the same connect, response and
+silence timeouts and the same retries, and follows a relay chosen by `distribution/homes.py`.  Times are whole
+microseconds of the machine's monotonic clock, which all processes of a run share.
 """
 
 from __future__ import annotations
@@ -26,8 +25,10 @@
 from ...sidecar.watching import CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S, RETRY_INTERVAL_S
 from .plan import Plan
 
-IP_BIND_ADDRESS_NO_PORT = 24  # linux/in.h: the port is chosen at connect, so that each pair can use all
-RESTING, DIALLING, CALLING, CHANGING = range(4)
+IP_BIND_ADDRESS_NO_PORT = (
+    24  # linux/in.h: choose the port at connect, so that each address pair has all ports
+)
+WAITING, CONNECTING, REQUESTING, SWITCHING = range(4)
 SETTINGS: dict[str, Any] = {
     "membershipMode": "pushed",
     "rules": {"askEveryS": 10.0, "coldFrom": 0.5, "coldS": 10.0},
@@ -46,19 +47,19 @@
 
 
 class Loop(Protocol):
-    """What a hollow sidecar needs of the process that it is in."""
+    """What a hollow sidecar needs of the process that hosts it."""
 
-    def expect(self, sidecar: Hollow, writable: bool) -> None: ...
+    def register(self, sidecar: HollowSidecar, writable: bool) -> None: ...
 
-    def expect_nothing(self, sidecar: Hollow) -> None: ...
+    def unregister(self, sidecar: HollowSidecar) -> None: ...
 
-    def wake(self, at: int, sidecar: Hollow) -> None: ...
+    def set_timer(self, at: int, sidecar: HollowSidecar) -> None: ...
 
-    def updated(self, sidecar: Hollow, whole: bool) -> None: ...
+    def list_updated(self, sidecar: HollowSidecar, whole: bool) -> None: ...
 
 
 class Mute:
-    """In the place of a host: nothing is sent, so the balancer has nothing to say."""
+    """Callbacks that do nothing: a hollow sidecar has no clients, so its balancer sends nothing."""
 
     def send(self, submission: int, server: int, timeout: int) -> None: ...
 
@@ -84,160 +85,176 @@
 MUTE = Mute()
 
 
-def told(plan: Plan, number: int) -> dict[str, Any]:
-    """The settings that sidecar `number` is told, as a real one would find them in its file."""
-    zones = [plan.zone_name(zone) for zone in range(plan.ask.zones)]
+def sidecar_settings(plan: Plan, number: int) -> dict[str, Any]:
+    """The settings of sidecar `number`, as a real sidecar reads them from its file."""
+    zones = [plan.zone_name(zone) for zone in range(plan.options.zones)]
     return {
         **SETTINGS,
         "dcs": zones,
         "me": number,
-        "fleetSize": plan.ask.sidecars,
+        "fleetSize": plan.options.sidecars,
         "zone": plan.zone_of[number],
     }
 
 
-def come(sock: socket.socket, writable: bool) -> bool:
-    """Whether a socket can be used without waiting."""
+def is_ready(sock: socket.socket, writable: bool) -> bool:
+    """Whether a socket can be written or read without blocking."""
     poll = select.poll()
     poll.register(sock, select.POLLOUT if writable else select.POLLIN)
     return bool(poll.poll(0))
 
 
-class Hollow:
+class HollowSidecar:
+    """A state machine that connects, requests and reads lists, and applies them to a balancer.
+
+    States: WAITING for a timer, CONNECTING, REQUESTING (a watch request is pending), and SWITCHING, in which
+    it connects to another relay while the connection to the previous one is kept.
+    """
+
     __slots__ = (
         "number",
         "name",
         "loop",
-        "roster",
+        "server_list",
         "balancer",
         "watch",
-        "chance",
+        "rng",
         "addresses",
         "sock",
-        "step",
-        "due",
-        "where",
-        "begun",
-        "dial",
+        "state",
+        "due_at",
+        "address",
+        "response_started",
+        "connect_timeout_s",
         "failures",
         "bytes",
         "updated_at",
-        "listed",
-        "plant",
-        "homes",
-        "before",
+        "has_list",
+        "injected_bug",
+        "relay_selector",
+        "previous_sock",
         "failed_calls",
     )
 
-    def __init__(self, plan: Plan, number: int, places: Sequence[str], loop: Loop) -> None:
-        """`places` are its relays, or the one discovery."""
+    def __init__(self, plan: Plan, number: int, upstreams: Sequence[str], loop: Loop) -> None:
+        """`upstreams` are the addresses of its region's relays, or that of the origin."""
         self.number, self.name, self.loop = number, f"n{number}", loop
-        info = told(plan, number)
-        self.roster = ServerList(info["dcs"], clock.from_unix_ms)
-        self.balancer = Balancer(decode_settings(info), number + 1, MUTE)
-        self.chance = SeededRandom(random.Random(f"sidecar {plan.ask.seed} {number}").getrandbits(63))
+        settings = sidecar_settings(plan, number)
+        self.server_list = ServerList(settings["dcs"], clock.from_unix_ms)
+        self.balancer = Balancer(decode_settings(settings), number + 1, MUTE)
+        self.rng = SeededRandom(random.Random(f"sidecar {plan.options.seed} {number}").getrandbits(63))
         self.addresses: dict[int, Address] = {}
         self.sock: socket.socket | None = None
-        self.step = RESTING
-        self.due = 0  # what happens next if nothing comes: see `woke`
-        self.homes: RelaySelector | None = None
-        self.before: socket.socket | None = None  # to the relay that is left once another is dialled
-        if plan.ask.form == "relayed":
-            self.homes = RelaySelector(self.name, places, SeededRandom(self.chance.next_bits()).next_float)
-        self.where = self.homes.current if self.homes else places[0]
-        self.begun = False
-        self.dial = CONNECT_TIMEOUT_S
+        self.state = WAITING
+        self.due_at = 0  # see `on_timer`
+        self.relay_selector: RelaySelector | None = None
+        self.previous_sock: socket.socket | None = None  # to the relay that is left once another is connected
+        if plan.options.form == "relayed":
+            self.relay_selector = RelaySelector(
+                self.name, upstreams, SeededRandom(self.rng.next_bits()).next_float
+            )
+        self.address = self.relay_selector.current if self.relay_selector else upstreams[0]
+        self.response_started = False
+        self.connect_timeout_s = CONNECT_TIMEOUT_S
         self.failures = 0  # in a row
         self.failed_calls = 0  # in all
-        self.bytes = 0  # both ways, payload alone
+        self.bytes = 0  # both directions, without TCP/IP headers
         self.updated_at = 0
-        self.listed = False  # whether it has had a list
-        self.plant: Callable[[ServerListUpdate], ServerListUpdate] | None = None
-        self.watch = self.watching(plan)
+        self.has_list = False
+        self.injected_bug: Callable[[ServerListUpdate], ServerListUpdate] | None = None
+        self.watch = self.make_watch(plan)
 
-    def watching(self, plan: Plan) -> Watch:
+    def make_watch(self, plan: Plan) -> Watch:
+        """Make the watch; with relays it names the services that the sidecar calls."""
         wait_us = int(2e6 * SETTINGS["rules"]["askEveryS"])
-        services = [plan.service_name(service) for service in plan.calls[self.number]] if self.homes else None
-        return Watch(self.roster, self.where, -1, wait_us, self.chance.next_float, services)
+        services = (
+            [plan.service_name(service) for service in plan.called_services[self.number]]
+            if self.relay_selector
+            else None
+        )
+        return Watch(self.server_list, self.address, -1, wait_us, self.rng.next_float, services)
 
     # -- the socket
 
-    def begin(self, now: int) -> None:
-        """Dial, from one of many addresses, as no single one has ports for all."""
-        if self.homes is not None:
-            self.where = self.homes.current
-            if self.step != CHANGING and self.watch.host != self.where:
-                self.watch.switch_to(self.where)
-        host, _, port = self.where.rpartition(":")
+    def connect(self, now: int) -> None:
+        """Connect from one of many local addresses: a single one has too few ports for all sidecars."""
+        if self.relay_selector is not None:
+            self.address = self.relay_selector.current
+            if self.state != SWITCHING and self.watch.host != self.address:
+                self.watch.switch_to(self.address)
+        host, _, port = self.address.rpartition(":")
         self.sock = sock = socket.socket(socket.AF_INET)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
         sock.bind((f"127.{16 + (self.number >> 12 & 31)}.{self.number >> 4 & 255}.1", 0))
-        found = sock.connect_ex((host, int(port)))
-        if found not in (0, errno.EINPROGRESS):
-            self.failed(now, OSError(found, "dial"))
+        result = sock.connect_ex((host, int(port)))
+        if result not in (0, errno.EINPROGRESS):
+            self.on_failure(now, OSError(result, "connect"))
             return
-        self.loop.expect(self, True)
-        if self.step == CHANGING:
-            self.alarm(now + int(1e6 * CONNECT_TIMEOUT_S))
+        self.loop.register(self, True)
+        if self.state == SWITCHING:
+            self.set_timer(now + int(1e6 * CONNECT_TIMEOUT_S))
             return
-        self.step = DIALLING
-        self.alarm(now + int(1e6 * self.dial))
-        self.dial = min(MAX_CONNECT_TIMEOUT_S, 2 * self.dial)
-
-    def alarm(self, at: int) -> None:
-        self.due = at
-        self.loop.wake(at, self)
-
-    def woke(self, now: int) -> None:
-        """Nothing has come until `due`: time to dial, or too long for a dial or an answer."""
-        if self.step == RESTING:
-            self.begin(now)
+        self.state = CONNECTING
+        self.set_timer(now + int(1e6 * self.connect_timeout_s))
+        self.connect_timeout_s = min(MAX_CONNECT_TIMEOUT_S, 2 * self.connect_timeout_s)
+
+    def set_timer(self, at: int) -> None:
+        """Have `on_timer` called at `at`; replaces an earlier timer."""
+        self.due_at = at
+        self.loop.set_timer(at, self)
+
+    def on_timer(self, now: int) -> None:
+        """Handle `due_at`: connect after waiting, or time out a connect or a request."""
+        if self.state == WAITING:
+            self.connect(now)
             return
-        due = self.due
-        if self.sock is not None and come(self.sock, self.step != CALLING):
-            # Guards a sidecar against being judged by how late the loop is that it shares: it has come in
-            # time, and waits to be read.
-            self.ready(now)
-        if self.due == due:
-            self.failed(now, TimeoutError("silent"))
-
-    def ready(self, now: int) -> None:
-        """The socket can be used."""
+        due_before = self.due_at
+        if self.sock is not None and is_ready(self.sock, self.state != REQUESTING):
+            # The socket became ready in time, but the shared loop is late: that is not a timeout.
+            self.on_socket_ready(now)
+        if self.due_at == due_before:
+            self.on_failure(now, TimeoutError("silent"))
+
+    def on_socket_ready(self, now: int) -> None:
+        """Continue with a socket that is writable or readable."""
         try:
-            if self.step in (DIALLING, CHANGING):
-                self.dialled(now)
+            if self.state in (CONNECTING, SWITCHING):
+                self.on_connected(now)
             else:
-                self.read(now)
-        except (OSError, MalformedMessageError, BadList) as trouble:
-            self.failed(now, trouble)
+                self.read_response(now)
+        except (OSError, MalformedMessageError, BadList) as error:
+            self.on_failure(now, error)
 
-    def dialled(self, now: int) -> None:
+    def on_connected(self, now: int) -> None:
+        """Send the first request of a new connection.  Raises OSError if connecting failed."""
         assert self.sock is not None
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
-            raise OSError(error, "dial")
-        self.dial = CONNECT_TIMEOUT_S
+            raise OSError(error, "connect")
+        self.connect_timeout_s = CONNECT_TIMEOUT_S
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self.before is not None:
-            self.before.close()
-            self.before = None
-            self.watch.switch_to(self.where)
+        if self.previous_sock is not None:
+            self.previous_sock.close()
+            self.previous_sock = None
+            self.watch.switch_to(self.address)
         self.watch.reset_connection()
-        self.step = CALLING
-        self.loop.expect(self, False)
-        self.call(now)
+        self.state = REQUESTING
+        self.loop.register(self, False)
+        self.send_request(now)
 
-    def call(self, now: int) -> None:
+    def send_request(self, now: int) -> None:
+        """Send the watch's next request.  Raises OSError."""
         assert self.sock is not None
         request = self.watch.next_request()
         if self.sock.send(request) < len(request):
-            raise OSError(errno.ENOBUFS, "no room for a request")
+            raise OSError(errno.ENOBUFS, "the request exceeds the free send buffer")
         self.bytes += len(request)
-        self.begun = False
-        self.alarm(now + int(1e6 * self.watch.answer_timeout_s()))
+        self.response_started = False
+        self.set_timer(now + int(1e6 * self.watch.answer_timeout_s()))
 
-    def read(self, now: int) -> None:
+    def read_response(self, now: int) -> None:
+        """Read the response; once complete, apply it and continue with the next request."""
         assert self.sock is not None
         parser = self.watch.parser
         while True:
@@ -247,9 +264,9 @@
                 return
             parser.ring.commit(count)
             self.bytes += count
-            if not self.begun:
-                self.begun = True
-                self.alarm(max(self.due, now + int(1e6 * RESPONSE_TIMEOUT_S)))
+            if not self.response_started:
+                self.response_started = True
+                self.set_timer(max(self.due_at, now + int(1e6 * RESPONSE_TIMEOUT_S)))
             if not count:
                 parser.end_input()
             response = parser.next()
@@ -257,65 +274,66 @@
                 break
             if not count:
                 raise ConnectionResetError("discovery ended the connection")
-        self.take(now, self.watch.handle_response(response))
+        self.apply_update(now, self.watch.handle_response(response))
         if not response.keeps_alive():
             self.close()
-            self.begin(now)
-        elif self.homes is not None and self.homes.call_answered(
+            self.connect(now)
+        elif self.relay_selector is not None and self.relay_selector.call_answered(
             clock.from_monotonic(now), *self.watch.region_counts()
         ):
-            self.change(now)
+            self.switch_relay(now)
         else:
-            self.call(now)
-
-    def change(self, now: int) -> None:
-        """Leave one relay that answers for another, once that can be dialled."""
-        self.loop.expect_nothing(self)
-        self.before, self.sock = self.sock, None
-        self.step = CHANGING
-        self.begin(now)
-
-    def stay(self, now: int) -> bool:
-        """Go on at the relay that answers, where another was tried beside it in vain."""
-        if self.homes is None or self.before is None or self.homes.previous is None:
+            self.send_request(now)
+
+    def switch_relay(self, now: int) -> None:
+        """Move to another relay; the connection to this one is kept until the other is connected."""
+        self.loop.unregister(self)
+        self.previous_sock, self.sock = self.sock, None
+        self.state = SWITCHING
+        self.connect(now)
+
+    def keep_relay(self, now: int) -> bool:
+        """Stay with the previous relay after connecting to another failed; False if there is none."""
+        if self.relay_selector is None or self.previous_sock is None or self.relay_selector.previous is None:
             return False
-        self.homes.call_failed(clock.from_monotonic(now))
+        self.relay_selector.call_failed(clock.from_monotonic(now))
         if self.sock is not None:
-            self.loop.expect_nothing(self)
+            self.loop.unregister(self)
             self.sock.close()
-        self.sock, self.before = self.before, None
-        self.where, self.step = self.homes.current, CALLING
+        self.sock, self.previous_sock = self.previous_sock, None
+        self.address, self.state = self.relay_selector.current, REQUESTING
         self.watch.ask_immediately = True
-        self.loop.expect(self, False)
+        self.loop.register(self, False)
         return True
 
-    def take(self, now: int, update: ServerListUpdate) -> None:
-        if self.plant is not None:
-            update = self.plant(update)
-        first = not self.listed or self.failures > 0
+    def apply_update(self, now: int, update: ServerListUpdate) -> None:
+        """Update the balancer, and report an update that may have changed the view."""
+        if self.injected_bug is not None:
+            update = self.injected_bug(update)
+        first = not self.has_list or self.failures > 0
         self.failures = 0
-        self.listed = True
+        self.has_list = True
         if first or update.whole or update.entries:
             if update.whole:
                 self.addresses.clear()
-            for entry, where in zip(update.entries, update.addresses):
+            for entry, address in zip(update.entries, update.addresses):
                 if entry.state == ServerState.GONE:
                     self.addresses.pop(entry.server, None)
                 else:
-                    self.addresses[entry.server] = where
+                    self.addresses[entry.server] = address
             self.balancer.update_servers(
                 clock.from_monotonic(now),
                 ListKind.FULL if update.whole else ListKind.CHANGES,
                 update.entries,
             )
             self.updated_at = now
-            self.loop.updated(self, update.whole)
+            self.loop.list_updated(self, update.whole)
 
-    def failed(self, now: int, trouble: Exception) -> None:
-        """Ask again: at once after a first failure, else after a step; with relays, at the next of them."""
-        if self.step == CHANGING and self.stay(now):
+    def on_failure(self, now: int, error: Exception) -> None:
+        """Retry: at once after a first failure, else after an interval; with relays, at the next relay."""
+        if self.state == SWITCHING and self.keep_relay(now):
             try:
-                self.call(now)
+                self.send_request(now)
                 return
             except OSError:
                 pass
@@ -323,19 +341,20 @@
         self.watch.ask_immediately = True
         self.failures += 1
         self.failed_calls += 1
-        if self.homes is not None:
-            self.alarm(now + self.homes.call_failed(clock.from_monotonic(now)))
-        elif self.failures == 1 and not isinstance(trouble, Overtaxed):
-            self.begin(now)
+        if self.relay_selector is not None:
+            self.set_timer(now + self.relay_selector.call_failed(clock.from_monotonic(now)))
+        elif self.failures == 1 and not isinstance(error, Overtaxed):
+            self.connect(now)
         else:
-            self.alarm(now + int(1e6 * RETRY_INTERVAL_S))
+            self.set_timer(now + int(1e6 * RETRY_INTERVAL_S))
 
     def close(self) -> None:
-        self.step = RESTING
-        if self.before is not None:
-            self.before.close()
-            self.before = None
+        """Close all connections."""
+        self.state = WAITING
+        if self.previous_sock is not None:
+            self.previous_sock.close()
+            self.previous_sock = None
         if self.sock is not None:
-            self.loop.expect_nothing(self)
+            self.loop.unregister(self)
             self.sock.close()
             self.sock = None
