--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.lab.loopback.world import Void, play  # noqa: E402
+from pumicepath.lab.loopback.world import InvalidRunError, play  # noqa: E402
 from pumicepath.lab.model.result import Result, summary  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Trouble  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
@@ -67,7 +67,7 @@
             virtual = VirtualWorld(plan(troubles), seed).run()
             try:
                 live = play(plan(troubles), seed)
-            except Void as trouble:
+            except InvalidRunError as trouble:
                 print(f"{name:<20} seed {seed}: void, {trouble}")
                 continue
             apart = max(apart, abs(virtual.service - live.service))
--- a/benchmarks/calling.py
+++ b/benchmarks/calling.py
@@ -30,9 +30,9 @@
 from trees import ROOT
 
 from pumicepath.interface import Outcome
-from pumicepath.lab.loopback.process import Sidecar
-from pumicepath.lab.loopback.servers import ANSWERS
-from pumicepath.lab.loopback.wires import asked
+from pumicepath.lab.loopback.process import SidecarProcess
+from pumicepath.lab.loopback.servers import RESPONSES
+from pumicepath.lab.loopback.client_connections import encode_request
 
 RATE = 150.0  # calls a second
 KEYS = 1500
@@ -48,7 +48,7 @@
     selector = selectors.EpollSelector()
     selector.register(listener, selectors.EVENT_READ)
     pipe.send(listener.getsockname())
-    answer = ANSWERS[Outcome.OK]
+    answer = RESPONSES[Outcome.OK]
     while True:
         for key, _ in selector.select():
             sock = key.fileobj
@@ -133,7 +133,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.selector.register(sock, selectors.EVENT_READ)
         self.number += 1
-        data = asked(
+        data = encode_request(
             "read",
             True,
             f"{self.number:x}-1",
@@ -185,7 +185,7 @@
     origin = Origin(servers, dial)
     with tempfile.TemporaryDirectory() as folder:
         told = {**configuration(servers, origin.where), "known": whole(servers, 1, dial)}
-        sidecar = Sidecar(told, Path(folder), ROOT, os.sched_getaffinity(0))
+        sidecar = SidecarProcess(told, Path(folder), ROOT, os.sched_getaffinity(0))
         try:
             while (where := sidecar.address()) is None:
                 time.sleep(0.02)
@@ -196,9 +196,9 @@
             for _ in range(round(seconds / SLICE_S)):
                 without.run(SLICE_S)
                 passed.run(SLICE_S)
-                before = sum(sidecar.cpu())
+                before = sum(sidecar.cpu_seconds())
                 through.run(SLICE_S)
-                spent += sum(sidecar.cpu()) - before
+                spent += sum(sidecar.cpu_seconds()) - before
             count = len(through.times) + through.failed
             # One that was refused, or never answered, took all the time that it had.
             through.times += [PATIENCE_S] * through.failed
@@ -216,7 +216,7 @@
                 "calling_mb": sidecar.memory_mb(),
             }
         finally:
-            sidecar.end()
+            sidecar.kill()
             origin.end()
             for each in (stand, plain):
                 each.terminate()
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -25,9 +25,9 @@
 
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.loopback.apart import serving  # noqa: E402
-from pumicepath.lab.loopback.process import Sidecar  # noqa: E402
-from pumicepath.lab.loopback.wires import asked  # noqa: E402
+from pumicepath.lab.loopback.separate_processes import run_servers  # noqa: E402
+from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
+from pumicepath.lab.loopback.client_connections import encode_request  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Tariff  # noqa: E402
 
 
@@ -51,8 +51,8 @@
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
-        async with serving(plan(servers), 7, Path(folder)) as stand:
-            pipe.send(stand.told)
+        async with run_servers(plan(servers), 7, Path(folder)) as stand:
+            pipe.send(stand.configuration)
             await asyncio.Event().wait()
 
     asyncio.run(run())
@@ -73,7 +73,7 @@
         once = self.number % 4 == 0
         key = hash(self.number * 2654435761) % 2000 + 1
         self.transport.write(
-            asked("once" if once else "read", not once, f"{self.number:x}-1", key, 2000, False, 200)
+            encode_request("once" if once else "read", not once, f"{self.number:x}-1", key, 2000, False, 200)
         )
 
     def data_received(self, data: bytes) -> None:
@@ -113,7 +113,7 @@
         fleet = context.Process(target=serve, args=(there, cores[1], 4, folder), daemon=True)
         fleet.start()
         told = here.recv()
-        sidecar = Sidecar(told, Path(folder), root, {cores[0]})
+        sidecar = SidecarProcess(told, Path(folder), root, {cores[0]})
         try:
             while (where := sidecar.address()) is None:
                 time.sleep(0.02)
@@ -127,14 +127,14 @@
                 return ours.recv()
 
             time.sleep(1.5)
-            before, (own, system), turns = served(), sidecar.cpu(), switches(sidecar.process.pid)
+            before, (own, system), turns = served(), sidecar.cpu_seconds(), switches(sidecar.process.pid)
             calls = ""
             if trace:
                 command = f"timeout -s INT {seconds} strace -c -f -p {sidecar.process.pid}"
                 calls = subprocess.run(command.split(), capture_output=True, text=True).stderr
             else:
                 time.sleep(seconds)
-            after, (own_then, system_then) = served(), sidecar.cpu()
+            after, (own_then, system_then) = served(), sidecar.cpu_seconds()
             count = after.get(200, 0) - before.get(200, 0)
             result = {
                 "submissions": count,
@@ -145,7 +145,7 @@
                 "switches": (switches(sidecar.process.pid) - turns) / count,
                 "per_s": count / seconds,
                 "memory_mb": sidecar.memory_mb(),
-                "threads": sidecar.threads(),
+                "threads": sidecar.thread_count(),
             }
             if trace:
                 lines = re.findall(r"^ *[\d.]+ +[\d.]+ +\d+ +(\d+) +(?:\d+ +)?(\w+)$", calls, re.M)
@@ -155,7 +155,7 @@
             clients.terminate()
             return result
         finally:
-            sidecar.end()
+            sidecar.kill()
             fleet.terminate()
 
 
--- a/benchmarks/hearing.py
+++ b/benchmarks/hearing.py
@@ -20,7 +20,7 @@
 from pumicepath.discovery.roster import Roster
 from pumicepath.discovery.watch import Watch
 from pumicepath.interface import Listing, Outcome
-from pumicepath.lab.loopback.process import Sidecar
+from pumicepath.lab.loopback.process import SidecarProcess
 from pumicepath.lab.spec import told as settings_of
 from pumicepath.logic import Balancer
 from pumicepath.settings import decode
@@ -123,11 +123,11 @@
 def rested(servers: int, changes_per_s: Sequence[float], seconds: float) -> list[dict[str, float]]:
     """A real `serve` for each rate of changes, side by side: MB at rest, then CPU ms and bytes a second."""
     origins = [Origin(servers) for _ in changes_per_s]
-    sidecars: list[Sidecar] = []
+    sidecars: list[SidecarProcess] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
             sidecars = [
-                Sidecar(
+                SidecarProcess(
                     configuration(servers, origin.where),
                     Path(folder) / str(at),
                     ROOT,
@@ -144,10 +144,10 @@
                 if rate:
                     origin.changes(10**9, 1 / rate)
             time.sleep(1.0)
-            before = [(sum(each.cpu()), origin.figures()) for each, origin in zip(sidecars, origins)]
+            before = [(sum(each.cpu_seconds()), origin.figures()) for each, origin in zip(sidecars, origins)]
             began = time.monotonic()
             time.sleep(seconds)
-            after = [(sum(each.cpu()), origin.figures()) for each, origin in zip(sidecars, origins)]
+            after = [(sum(each.cpu_seconds()), origin.figures()) for each, origin in zip(sidecars, origins)]
             lasted = time.monotonic() - began
             return [
                 {
@@ -160,6 +160,6 @@
             ]
         finally:
             for each in sidecars:
-                each.end()
+                each.kill()
             for origin in origins:
                 origin.end()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -30,8 +30,8 @@
 
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.loopback.apart import Met, clients, serving  # noqa: E402
-from pumicepath.lab.loopback.process import Sidecar  # noqa: E402
+from pumicepath.lab.loopback.separate_processes import ClientResults, run_clients, run_servers  # noqa: E402
+from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Tariff  # noqa: E402
 
 CONTEXT = multiprocessing.get_context("spawn")
@@ -85,23 +85,23 @@
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
-        async with serving(Play([(0.0, 1.0)], 3600).plan(), 7, Path(folder)) as stand:
-            pipe.send(stand.told)
+        async with run_servers(Play([(0.0, 1.0)], 3600).plan(), 7, Path(folder)) as stand:
+            pipe.send(stand.configuration)
             while True:
                 await asyncio.sleep(0.01)
                 if pipe.poll():
                     told = pipe.recv()
                     if isinstance(told, set):
-                        pipe.send(sum(stand.ran()[ask] > 1 for ask in told))
+                        pipe.send(sum(stand.run_counts()[ask] > 1 for ask in told))
                     else:
-                        stand.slowed(told)
+                        stand.set_speed(told)
 
     asyncio.run(run())
 
 
 def load(plan: Plan, seed: int, where: tuple[str, int], number: int, most: int, core: int, pipe) -> None:
     os.sched_setaffinity(0, {core})
-    pipe.send(clients(plan, seed, where, number, most))
+    pipe.send(run_clients(plan, seed, where, number, most))
 
 
 def spin(core: int) -> None:
@@ -118,7 +118,7 @@
         self.pipe, theirs = CONTEXT.Pipe()
         self.fleet = CONTEXT.Process(target=serve, args=(theirs, cores[1], str(folder)), daemon=True)
         self.fleet.start()
-        self.sidecar = Sidecar(self.pipe.recv(), folder, root, {cores[0]})
+        self.sidecar = SidecarProcess(self.pipe.recv(), folder, root, {cores[0]})
         self.neighbours = [self.neighbour()]
         while (where := self.sidecar.address()) is None:
             time.sleep(0.02)
@@ -132,7 +132,7 @@
         process.start()
         return process
 
-    def play(self, play: Play, acts: list[tuple[float, Callable[[], None]]] = ()) -> Met:
+    def play(self, play: Play, acts: list[tuple[float, Callable[[], None]]] = ()) -> ClientResults:
         """Run the plan in as many processes as there are cores for clients, with acts at their times."""
         parts = self.cores[2:]
         pipes = []
@@ -156,8 +156,8 @@
             if self.sidecar.process.poll() is None:
                 for name, value in (
                     ("memory_mb", self.sidecar.memory_mb()),
-                    ("descriptors", self.sidecar.descriptors()),
-                    ("threads", self.sidecar.threads()),
+                    ("descriptors", self.sidecar.descriptor_count()),
+                    ("threads", self.sidecar.thread_count()),
                 ):
                     self.most[name] = max(self.most.get(name, 0), value)
         met = pipes[0].recv()
@@ -179,7 +179,7 @@
         return self.pipe.recv()
 
     def end(self) -> None:
-        self.sidecar.end()
+        self.sidecar.kill()
         for process in (self.fleet, *self.neighbours):
             process.terminate()
 
@@ -244,14 +244,14 @@
                         found.setdefault(name, {}).setdefault(times, []).append(good / capacity)
                         print(
                             f"{name} run {run} load {times:4.1f} x {capacity:5.0f}/s: good {good:6.0f}/s "
-                            f"({good / capacity:.2f}), p99 {quantile(met.times, 0.99):4.0f} ms, "
+                            f"({good / capacity:.2f}), p99 {quantile(met.latencies_us, 0.99):4.0f} ms, "
                             f"deferred {sum(columns['deferred'])}, "
-                            f"refusal p50 {quantile(met.deferrals, 0.5):.1f} ms, "
+                            f"refusal p50 {quantile(met.rejection_times_us, 0.5):.1f} ms, "
                             f"unanswered {sum(columns['lost'])}, "
                             f"forfeited {sum(columns['forfeited'])}, "
                             f"no connection {sum(columns['refused'])}, "
                             f"doubled {one.doubled()}, {one.used()}"
-                            f"{', VOID: clients were late' if met.behind_ms > LATE_MS else ''}",
+                            f"{', VOID: clients were late' if met.tick_delay_ms > LATE_MS else ''}",
                             flush=True,
                         )
     for name, loads_of in found.items():
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -22,8 +22,8 @@
 from pumicepath.http1 import writing  # noqa: E402
 from pumicepath.http1.parsing import MOST_BODY, RequestParser, ResponseParser  # noqa: E402
 from pumicepath.interface import Entry, Listing, Outcome, Phase  # noqa: E402
-from pumicepath.lab.loopback.servers import ANSWERS  # noqa: E402
-from pumicepath.lab.loopback.wires import asked as request_of  # noqa: E402
+from pumicepath.lab.loopback.servers import RESPONSES  # noqa: E402
+from pumicepath.lab.loopback.client_connections import encode_request as request_of  # noqa: E402
 from pumicepath.lab.spec import Load, Plan, Sidecars, Tariff  # noqa: E402
 from pumicepath.lab.spec import told as settings_of
 from pumicepath.logic import Balancer  # noqa: E402
@@ -32,7 +32,7 @@
 from pumicepath.sidecar.submissions import asked  # noqa: E402
 
 REQUEST = request_of("read", True, "12d687-1", 77, 2000, False, 0)
-ANSWER = ANSWERS[Outcome.OK]
+ANSWER = RESPONSES[Outcome.OK]
 PLAN = Plan(
     sidecars=Sidecars(count=1),
     load=Load(tariffs=(Tariff(name="read"), Tariff(name="once", effect="at_most_once", gain=3.0))),
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -162,20 +162,22 @@
 
 async def really(count: int, folder: Path) -> dict[str, float]:
     """Real processes, no load: start, rest, a mass restart; seconds, and figures a sidecar a second."""
-    from pumicepath.lab.loopback.world import LiveWorld
+    from pumicepath.lab.loopback.world import LoopbackWorld
     from pumicepath.lab.model.views import wrong
     from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
     plan = Plan(
         lasts_s=3600, fleet=Fleet(servers=2), load=Load(rate=1), sidecars=Sidecars(count=count, peers=True)
     )
-    world = LiveWorld(plan, 1, folder)
+    world = LoopbackWorld(plan, 1, folder)
     names = [one.name for one in world.sidecars]
 
     async def until_right() -> float:
         began = time.monotonic()
         while True:
-            told = await asyncio.gather(*(one.asked("/peers", 10.0) for one in world.sidecars if one.up))
+            told = await asyncio.gather(
+                *(one.query_admin("/peers", 10.0) for one in world.sidecars if one.up)
+            )
             views = {
                 view["name"]: [(one["name"], one["state"]) for one in view["peers"]]
                 for view in told
@@ -195,7 +197,7 @@
 
     try:
         assert world.links is not None
-        await world.relays.open(count)
+        await world.datagram_proxies.open(count)
         began = time.monotonic()
         for one in world.sidecars:
             one.start()
@@ -231,7 +233,7 @@
         found["restart"] = time.monotonic() - began
         return found
     finally:
-        await world.end()
+        await world.close()
 
 
 def with_processes(count: int, runs: int) -> None:
@@ -247,7 +249,7 @@
 
 def starts(other: Path, runs: int) -> None:
     """Until it listens, memory then, and CPU a second at rest: this tree and the other, in turns."""
-    from pumicepath.lab.loopback.process import Sidecar
+    from pumicepath.lab.loopback.process import SidecarProcess
 
     here = Path(__file__).parent.parent
     config: dict[str, Any] = {
@@ -276,18 +278,20 @@
         ):
             with tempfile.TemporaryDirectory() as folder:
                 began = time.monotonic()
-                sidecar = Sidecar(given, Path(folder), root, {0, 1})
+                sidecar = SidecarProcess(given, Path(folder), root, {0, 1})
                 try:
                     while sidecar.address() is None:
                         time.sleep(0.001)
                     up = time.monotonic() - began
                     time.sleep(1)
-                    memory, before = sidecar.memory_mb(), sum(sidecar.cpu())
+                    memory, before = sidecar.memory_mb(), sum(sidecar.cpu_seconds())
                     time.sleep(5)
                     if run:  # the first warms the files
-                        told.setdefault(name, []).append((up, memory, 200 * (sum(sidecar.cpu()) - before)))
+                        told.setdefault(name, []).append(
+                            (up, memory, 200 * (sum(sidecar.cpu_seconds()) - before))
+                        )
                 finally:
-                    sidecar.end()
+                    sidecar.kill()
     for name, values in told.items():
         up, memory, cpu = (sorted(column) for column in zip(*values))
         print(
--- a/benchmarks/relaying.py
+++ b/benchmarks/relaying.py
@@ -21,7 +21,7 @@
 from telling import Followers, Origin
 from trees import ROOT
 
-from pumicepath.lab.loopback.process import Sidecar
+from pumicepath.lab.loopback.process import SidecarProcess
 
 SERVERS, SERVICES, CALLED = 20_000, 1_900, 8
 WAIT_MS = 2250  # a sidecar's at a relay: 3 s, half to all
@@ -148,7 +148,7 @@
     """
     origins = [Origin(size) for size in sizes]
     relays: list[Relay] = []
-    sidecars: list[Sidecar] = []
+    sidecars: list[SidecarProcess] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
             for size, origin in zip(sizes, origins):
@@ -163,16 +163,18 @@
                     "relays": [f"{host}:{port}"],
                     "services": chosen(1).split(","),
                 }
-                sidecars.append(Sidecar(told, Path(folder) / f"s{size}", ROOT, os.sched_getaffinity(0)))
+                sidecars.append(
+                    SidecarProcess(told, Path(folder) / f"s{size}", ROOT, os.sched_getaffinity(0))
+                )
             for each in sidecars:
                 while each.address() is None:
                     time.sleep(0.02)
             time.sleep(3.0)
-            before, began = [sum(each.cpu()) for each in sidecars], time.monotonic()
+            before, began = [sum(each.cpu_seconds()) for each in sidecars], time.monotonic()
             time.sleep(seconds)
             lasted = time.monotonic() - began
             return {
-                size: (each.memory_mb(), (sum(each.cpu()) - spent) / lasted * 1000)
+                size: (each.memory_mb(), (sum(each.cpu_seconds()) - spent) / lasted * 1000)
                 for size, each, spent in zip(sizes, sidecars, before)
             }
         finally:
--- a/pumicepath/commands/lab.py
+++ b/pumicepath/commands/lab.py
@@ -128,9 +128,9 @@
     history = folder / fleet.HISTORY
     try:
         result = world.play(
-            made.plan, seed, None if as_json else lambda each: click.echo(demo.line(each)), history
+            made.plan, seed, None if as_json else lambda each: click.echo(demo.render_line(each)), history
         )
-    except world.Void as trouble:
+    except world.InvalidRunError as trouble:
         fail(f"void: {trouble}", 3)
     except OSError as trouble:
         fail(f"loopback: {trouble.strerror or trouble}")
@@ -142,7 +142,7 @@
         click.echo(orjson.dumps({**demo.totals(result), **found.figures()}).decode())
     else:
         click.echo(
-            "\n".join([*demo.verdict(result), *found.lines(), f"history: {history}", f"report: {page}"])
+            "\n".join([*demo.summary_lines(result), *found.lines(), f"history: {history}", f"report: {page}"])
         )
     if found.violations:
         raise SystemExit(1)
@@ -157,12 +157,12 @@
         import orjson
 
         from ..lab.experiments import fleet
-        from ..lab.faults.history import BadHistory
+        from ..lab.verification.history import HistoryError
     except ImportError as trouble:
         fail(MISSING.format(trouble))
     try:
         found = fleet.judged(history)
-    except BadHistory as trouble:
+    except HistoryError as trouble:
         fail(trouble)
     click.echo(orjson.dumps(found.figures()).decode() if as_json else "\n".join(found.lines()))
     if found.violations:
--- a/pumicepath/lab/experiments/fleet.py
+++ b/pumicepath/lab/experiments/fleet.py
@@ -14,9 +14,9 @@
 
 import jinja2
 
-from ..faults import history, times
-from ..faults.checks import PROPERTIES, violations
-from ..faults.history import Line
+from ..verification import history, recovery
+from ..verification.checks import PROPERTIES, violations
+from ..verification.history import Line
 from . import pictures
 
 HISTORY = "history.jsonl"
@@ -91,10 +91,10 @@
     return Judged(
         lines,
         violations(lines),
-        dict(times.faults(lines)),
-        times.views_right(lines),
-        times.full_service(lines),
-        times.hand_overs(lines),
+        dict(recovery.fault_counts(lines)),
+        recovery.view_recovery_s(lines),
+        recovery.service_recovery_s(lines),
+        recovery.handover_count(lines),
     )
 
 
--- a/pumicepath/lab/loopback/wires.py
+++ b/pumicepath/lab/loopback/client_connections.py
@@ -16,40 +16,44 @@
 from ..model.clients import Ask
 from ..model.judge import Judge
 from ..spec import Plan
-from .clock import Live
-from .ends import ClientEnd
+from .clock import EventLoopTimeline
+from .protocols import HttpClientProtocol
 
-KEPT_TIMES = 100_000
+MAX_REJECTION_TIMES = 100_000
 
 
-class Around(Protocol):
+class ClientHost(Protocol):
     """What the connections need of the world that they are in."""
 
     plan: Plan
     judge: Judge
     loop: asyncio.AbstractEventLoop
-    timeline: Live
+    timeline: EventLoopTimeline
     tariffs: tuple[Tariff, ...]
 
-    def keep(self, work: Coroutine[Any, Any, Any]) -> None: ...
+    def start_task(self, work: Coroutine[Any, Any, Any]) -> None: ...
 
     def note(self, text: str) -> None: ...
 
 
-class Wires:
+class ClientConnections:
     """A sidecar's address, and the connections to it: at most so many, any number if that is 0."""
 
-    def __init__(self, around: Around, most: int = 0) -> None:
-        self.around = around
-        self.most = most
+    def __init__(self, host: ClientHost, max_connections: int = 0) -> None:
+        self.host = host
+        self.max_connections = max_connections
         self.up = False
-        self.starts = 0
+        self.start_count = 0
         self.ending = False  # asked to end, and not begun again
-        self.where = ("127.0.0.1", 0)
-        self.open = 0
-        self.idle: list[Wire] = []
-        self.wires: dict[int, Wire] = {}  # by the number of the submission on it
-        self.deferrals: deque[int] = deque(maxlen=KEPT_TIMES)  # microseconds from a try to its deferral
+        self.address = ("127.0.0.1", 0)
+        self.open_count = 0
+        self.idle: list[ClientConnection] = []
+        self.connection_by_submission: dict[
+            int, ClientConnection
+        ] = {}  # by the number of the submission on it
+        self.rejection_times_us: deque[int] = deque(
+            maxlen=MAX_REJECTION_TIMES
+        )  # microseconds from a try to its deferral
 
     def take(self, ask: Ask) -> bool:
         if not self.up:
@@ -59,18 +63,18 @@
             if not wire.transport.is_closing():
                 wire.send(ask)
                 return True
-        if self.most and self.open >= self.most:
+        if self.max_connections and self.open_count >= self.max_connections:
             return False
-        self.open += 1
-        self.around.keep(self.dial(ask))
+        self.open_count += 1
+        self.host.start_task(self.connect(ask))
         return True
 
-    async def dial(self, ask: Ask) -> None:
+    async def connect(self, ask: Ask) -> None:
         turn = ask.turn
         try:
-            wire = (await self.around.loop.create_connection(lambda: Wire(self), *self.where))[1]
+            wire = (await self.host.loop.create_connection(lambda: ClientConnection(self), *self.address))[1]
         except OSError:
-            self.open -= 1
+            self.open_count -= 1
             if turn == ask.turn:
                 ask.clients.unreached(ask)
             return
@@ -80,46 +84,56 @@
             wire.send(ask)
 
     def left(self, ask: Ask) -> None:
-        wire = self.wires.pop(ask.number, None)
+        wire = self.connection_by_submission.pop(ask.number, None)
         if wire is not None:
             wire.ask = None
             wire.transport.abort()
 
 
-def asked(tariff: str, safe: bool, trace: str, key: int, left_ms: int, again: bool, body: int) -> bytes:
+def encode_request(
+    request_class: str,
+    idempotent: bool,
+    trace_id: str,
+    key: int,
+    expires_in_ms: int,
+    is_retry: bool,
+    body_bytes: int,
+) -> bytes:
     """A client's request; `body` bytes go with what may not be repeated at will."""
     headers = [
         ("Host", "api"),
-        ("X-Trace-Id", trace),
-        ("X-Qos", tariff),
-        ("X-Expires-In-Ms", str(left_ms)),
+        ("X-Trace-Id", trace_id),
+        ("X-Qos", request_class),
+        ("X-Expires-In-Ms", str(expires_in_ms)),
         ("X-Object", f"{key:x}"),
     ]
-    if again:
+    if is_retry:
         headers.append(("X-Second-Try", "1"))
-    return writing.request("GET" if safe else "POST", "/lab", headers, b"" if safe else b"b" * body)
+    return writing.request(
+        "GET" if idempotent else "POST", "/lab", headers, b"" if idempotent else b"b" * body_bytes
+    )
 
 
-class Wire(ClientEnd):
+class ClientConnection(HttpClientProtocol):
     """One connection of a client, a submission at a time."""
 
-    def __init__(self, wires: Wires) -> None:
+    def __init__(self, pool: ClientConnections) -> None:
         super().__init__()
-        self.among = wires
-        self.starts = wires.starts
+        self.pool = pool
+        self.start_count = pool.start_count
         self.ask: Ask | None = None
-        self.turn = self.sent = 0
+        self.turn = self.sent_at = 0
         self.used = False
 
     def send(self, ask: Ask) -> None:
-        around = self.among.around
-        self.ask, self.turn, self.sent = ask, ask.turn, around.timeline.now
-        self.among.wires[ask.number] = self
+        around = self.pool.host
+        self.ask, self.turn, self.sent_at = ask, ask.turn, around.timeline.now
+        self.pool.connection_by_submission[ask.number] = self
         tariff = around.plan.load.tariffs[ask.tariff]
-        left = max(1, (ask.until - self.sent) // 1000)
+        left = max(1, (ask.until - self.sent_at) // 1000)
         around.judge.tried(ask.number, ask.tariff, ask.until)
         self.transport.write(
-            asked(
+            encode_request(
                 tariff.name,
                 tariff.effect == "idempotent",
                 f"{ask.number:x}-{ask.tries}",
@@ -130,45 +144,45 @@
             )
         )
 
-    def malformed(self, trouble: Malformed) -> None:
-        self.among.around.note(f"client got {trouble}")
+    def malformed_message(self, trouble: Malformed) -> None:
+        self.pool.host.note(f"client got {trouble}")
         self.transport.abort()
 
-    def answered(self, response: Response) -> None:
+    def response_received(self, response: Response) -> None:
         ask, self.ask = self.ask, None
         self.used = True
         if response.keeps():
-            self.among.idle.append(self)
+            self.pool.idle.append(self)
         else:
             self.transport.close()
         if ask is None:
-            self.among.around.note("an answer that nobody asked for")
+            self.pool.host.note("an answer that nobody asked for")
             return
-        self.among.wires.pop(ask.number, None)
+        self.pool.connection_by_submission.pop(ask.number, None)
         if response.status == 200:
             ask.clients.succeeded(ask, self.turn)
         elif response.status == 503:
-            self.among.deferrals.append(self.among.around.timeline.now - self.sent)
+            self.pool.rejection_times_us.append(self.pool.host.timeline.now - self.sent_at)
             advice = float(response.header("retry-after") or 0.0)
             ask.clients.deferred(ask, self.turn, round(advice * 1e6))
         else:
             ask.clients.forfeited(ask, self.turn)
 
     def connection_lost(self, trouble: Exception | None) -> None:
-        among = self.among
-        among.open -= 1
+        among = self.pool
+        among.open_count -= 1
         if self in among.idle:
             among.idle.remove(self)
         ask, self.ask = self.ask, None
         if ask is None:
             return
-        among.wires.pop(ask.number, None)
-        if not among.up or among.starts != self.starts or among.ending and not self.used:
+        among.connection_by_submission.pop(ask.number, None)
+        if not among.up or among.start_count != self.start_count or among.ending and not self.used:
             # With its process, or, as that ended, before it was accepted.
-            ask.clients.cut(ask, among.around.tariffs[ask.tariff].effect != 0)
+            ask.clients.cut(ask, among.host.tariffs[ask.tariff].effect != 0)
         elif self.used and not ask.over:
             # It crossed the end of a connection that had stood idle: once more, on a new one, under the same
             # id, so that a sidecar that had taken it would refuse it.
-            among.around.judge.gone(ask.number)
-            among.open += 1
-            among.around.keep(among.dial(ask))
+            among.host.judge.gone(ask.number)
+            among.open_count += 1
+            among.host.start_task(among.connect(ask))
--- a/tests/following_rig.py
+++ b/tests/following_rig.py
@@ -12,7 +12,7 @@
 
 from pumicepath.distribution.homes import Homes
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 
 
 class Relay:
@@ -47,7 +47,7 @@
         sock.settimeout(None)
         parser = RequestParser()
         try:
-            while (request := next_of(sock, parser)) is not None:
+            while (request := read_message(sock, parser)) is not None:
                 with self.change:
                     self.asked.append((time.monotonic(), request.target))
                     data = self.answer(request.target)
@@ -67,10 +67,10 @@
         if self.state == "silent":
             return b""
         if self.state == "busy":
-            return answer(503)
+            return http_response(503)
         whole = not self.first <= since <= self.seq
         lines = list(self.lines.values()) if whole else [one for seq, one in self.news if seq > since]
-        return answer(
+        return http_response(
             200, json.dumps({"seq": self.seq, "whole": whole, "hosts": lines, "regions": self.regions})
         )
 
@@ -100,16 +100,16 @@
         return f"since={self.seq}&" in (self.asked[-1][1] if self.asked else "")
 
 
-class Answering(Peer):
+class Answering(ScriptedServer):
     """A server that answers whatever comes."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
         sock.settimeout(None)
         with sock, contextlib.suppress(OSError):
-            while next_of(sock, parser) is not None:
-                self.lines.append(f"{self.name}: asked")
-                sock.sendall(answer(200, "fine"))
+            while read_message(sock, parser) is not None:
+                self.transcript.append(f"{self.name}: asked")
+                sock.sendall(http_response(200, "fine"))
 
 
 class Around(Deployment):
@@ -119,34 +119,34 @@
         self, folder: Path, count: int, waits: float = 0.6, servers: int = 2, **changed: Any
     ) -> None:
         super().__init__(folder, 0, **changed)
-        self.servers = [Answering(f"s-{at}", self.script, self.lines) for at in range(servers)]
-        self.told["known"] = self.listing(1, True, "active")
+        self.servers = [Answering(f"s-{at}", self.script, self.transcript) for at in range(servers)]
+        self.configuration["known"] = self.list_document(1, True, "active")
         relays = {relay.address: relay for relay in (Relay(1000 * (at + 1)) for at in range(count))}
         order = Homes("n0", list(relays), lambda: 0.5).order
         self.relays = [relays[at] for at in order]
-        self.told["relays"] = list(relays)
+        self.configuration["relays"] = list(relays)
         if waits:
-            self.told["settings"]["rules"]["askEveryS"] = waits / 2
+            self.configuration["settings"]["rules"]["askEveryS"] = waits / 2
         self.write()
 
     def write(self, **changed: Any) -> None:
-        self.told.update(changed)
-        self.config.write_text(json.dumps(self.told))
+        self.configuration.update(changed)
+        self.config_path.write_text(json.dumps(self.configuration))
 
     def lines_now(self, *healths: str) -> list[dict]:
         return [
             {**line, "health": health}
-            for line, health in zip(self.listing(1, True, "active")["hosts"], healths)
+            for line, health in zip(self.list_document(1, True, "active")["hosts"], healths)
         ]
 
     def used(self, requests: int) -> set[str]:
         """Which servers are sent anything until so many requests are served, however slow the machine is."""
-        del self.lines[:]
+        del self.transcript[:]
         end = time.monotonic() + 20
         while requests:
             assert time.monotonic() < end
-            with socket.create_connection(self.where) as sock:
+            with socket.create_connection(self.address) as sock:
                 self.send("read", sock=sock)
-                response = self.hear(sock, ResponseParser())
+                response = self.receive(sock, ResponseParser())
             requests -= response is not None and response.status == 200
-        return {line.partition(":")[0] for line in self.lines if line.startswith("s-")}
+        return {line.partition(":")[0] for line in self.transcript if line.startswith("s-")}
--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -20,7 +20,7 @@
 
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.lab.loopback.scripted import next_of
+from pumicepath.lab.loopback.scripted import read_message
 
 LONG_S = 20
 
@@ -123,7 +123,7 @@
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
         try:
-            while (request := next_of(sock, parser)) is not None:
+            while (request := read_message(sock, parser)) is not None:
                 body = self.answer(request.target)
                 sock.sendall(writing.response(200, [], body, True))
         except OSError:
@@ -220,7 +220,7 @@
     def stats(self) -> dict[str, int]:
         with socket.create_connection(self.admin, LONG_S) as sock:
             sock.sendall(writing.request("GET", "/stats", [("Host", "a")]))
-            body = next_of(sock, ResponseParser(1 << 20)).body.decode()
+            body = read_message(sock, ResponseParser(1 << 20)).body.decode()
         return {
             name.removeprefix("edge_gw.relay."): int(value)
             for name, _, value in (text.partition("=") for text in body.splitlines())
@@ -250,7 +250,7 @@
         self.sock.sendall(writing.request("GET", self.target(wait_ms), [("Host", "relay")]))
 
     def hear(self) -> dict[str, Any] | None:
-        response = next_of(self.sock, self.parser)
+        response = read_message(self.sock, self.parser)
         if response is None or response.status != 200:
             return None
         told: dict[str, Any] = orjson.loads(response.body)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -16,7 +16,7 @@
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
 from pumicepath.interface import Listing
-from pumicepath.lab.loopback.scripted import Deployment, Peer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, read_message
 from pumicepath.sidecar import config
 from pumicepath.sidecar.client import Client
 from pumicepath.sidecar.clients import Clients
@@ -37,14 +37,14 @@
 
     def __init__(self, folder: Path, servers: int = 1, **settings: Any) -> None:
         self.around = Deployment(folder, servers)
-        told = self.around.told
+        told = self.around.configuration
         for key, value in settings.items():
             told["settings"][key] = value
         self.config = config.decode_config(told)
         self.dispatcher = Dispatcher(self.config, Quiet(), lambda: None)  # type: ignore[arg-type]
         self.clients = Clients(self.dispatcher)
         self.clients.listener.settimeout(20)
-        update = Roster(["a"], lambda born: 0).read(self.around.listing(1, True, "active"))
+        update = Roster(["a"], lambda born: 0).read(self.around.list_document(1, True, "active"))
         self.dispatcher.listed(Listing.FULL, update)
         start(self.dispatcher.run_timers)
 
@@ -94,7 +94,7 @@
 
 
 def status(sock: socket.socket) -> int:
-    response = next_of(sock, ResponseParser())
+    response = read_message(sock, ResponseParser())
     return response.status if response is not None else 0
 
 
@@ -108,8 +108,8 @@
     for sock in full:
         sock.setblocking(False)
         sock.connect_ex(late.getsockname())
-    peer = Peer.__new__(Peer)
+    peer = ScriptedServer.__new__(ScriptedServer)
     peer.name, peer.address = "late", f"127.0.0.1:{late.getsockname()[1]}"
     around.servers = [peer]
-    around.told["known"] = around.listing(1, True, "active")
+    around.configuration["known"] = around.list_document(1, True, "active")
     return late, full
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 from pumicepath.http1.messages import Request
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.interface import Listing, Outcome
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 from pumicepath.sidecar import arrival, clock
 from pumicepath.sidecar.exchange import Exchange
 from pumicepath.sidecar.servers import Link, start
@@ -55,19 +55,19 @@
             until(lambda: clock.now() - client.since > 10_000)
             go.release()
             if not leaves:
-                rig.around.script.put(answer(200, "served", ENDS))
+                rig.around.script.put(http_response(200, "served", ENDS))
                 assert status(far) == 200
                 far.close()
             until(lambda: client not in rig.clients.open)
 
     dialled("stays", False)
     dialled("leaves", True)
-    assert rig.around.lines == ["s-0: GET /stays stays"]
+    assert rig.around.transcript == ["s-0: GET /stays stays"]
     until(lambda: not rig.dispatcher.exchanges)
     # The connection that was dialled for nobody serves the next.
     far, client = rig.connect()
     far.sendall(rig.asked("next"))
-    rig.around.script.put(answer(200, "served"))
+    rig.around.script.put(http_response(200, "served"))
     start(client.run)
     assert status(far) == 200 and rig.dispatcher.pool.open == 1
 
@@ -75,20 +75,20 @@
 def test_a_request_whose_client_left_before_a_late_dial_is_not_sent_by_the_program(tmp_path: Path) -> None:
     around = Deployment(tmp_path, 0)
     late, full = full_queue(around)
-    around.told["settings"]["policyLimits"]["dialTimeoutS"] = 15.0
-    around.told["settings"]["tariffs"][1]["patienceS"] = 20.0
-    around.told["admin_addr"] = "127.0.0.1:0"
-    around.config.write_text(json.dumps(around.told))
+    around.configuration["settings"]["policyLimits"]["dialTimeoutS"] = 15.0
+    around.configuration["settings"]["tariffs"][1]["patienceS"] = 20.0
+    around.configuration["admin_addr"] = "127.0.0.1:0"
+    around.config_path.write_text(json.dumps(around.configuration))
     with around.running():
         around.send("once", 20_000)
-        until(lambda: any(value for name, value in around.figures().items() if "current" in name))
-        around.client.close()
+        until(lambda: any(value for name, value in around.metrics().items() if "current" in name))
+        around.client_socket.close()
         ours = [sock.getsockname() for sock in full]
         late.settimeout(20)
         while (came := late.accept())[1] in ours:
             pass
         # The next request is the first that is written anywhere, on that connection or on one of its own.
-        around.client = socket.create_connection(around.where)
+        around.client_socket = socket.create_connection(around.address)
         around.send("once", 20_000)
         open_ones = [came[0]]
         data = b""
@@ -119,7 +119,7 @@
         rig = Rig(tmp_path, 2, tariffs=[tariff])
         far, client = rig.connect()
         rig.around.script.put("reset")
-        rig.around.script.put(answer(200, "served", ENDS))
+        rig.around.script.put(http_response(200, "served", ENDS))
         with held(monkeypatch, Link, "connect", before=False) as (came, go):
             far.sendall(rig.asked("twice", expires=60_000))
             start(client.run)
@@ -133,7 +133,7 @@
             go.release()
             lines.append(
                 f"{group}, window {'over' if over else 'open'}: {status(far)} after "
-                f"{len(rig.around.lines)} sends"
+                f"{len(rig.around.transcript)} sends"
             )
 
     for group in ("all", "zone"):
@@ -161,20 +161,20 @@
             assert came.acquire(timeout=20)
         (exchange,) = rig.dispatcher.exchanges.values()
         chosen = next(peer for peer in servers if stable(peer.name) == exchange.hops[-1].server)
-        before = [line for line in rig.around.lines if line.startswith(chosen.name)]
+        before = [line for line in rig.around.transcript if line.startswith(chosen.name)]
         if what == "by hand":
             assert rig.dispatcher.by_hand(chosen.name, True)
         else:
-            told = rig.around.listing(2, what == "not there", "active")
+            told = rig.around.list_document(2, what == "not there", "active")
             told["hosts"] = [host for host in told["hosts"] if (host["host"] == chosen.name) != told["whole"]]
             for host in told["hosts"] if not told["whole"] else ():
                 host.update({"born_ms": 5} if what == "started anew" else {"health": what})
             update = Roster(["a"], lambda born: born).read(told)
             rig.dispatcher.listed(Listing.FULL if told["whole"] else Listing.CHANGES, update)
-        rig.around.script.put((answer(200, "elsewhere"), "end"))
+        rig.around.script.put((http_response(200, "elsewhere"), "end"))
         go.release(100)
         assert status(far) in (200, 503)
-        assert [line for line in rig.around.lines if line.startswith(chosen.name)] == before
+        assert [line for line in rig.around.transcript if line.startswith(chosen.name)] == before
 
 
 def test_nothing_is_written_once_the_deadline_has_passed_or_another_has_answered(tmp_path: Path) -> None:
@@ -199,7 +199,7 @@
 ) -> None:
     rig = Rig(tmp_path, policyLimits={"mostHops": 1, "connIdleS": 30.0, "dialTimeoutS": 15.0})
     late, full = full_queue(rig.around)
-    update = Roster(["a"], lambda born: 0).read(rig.around.listing(2, True, "active"))
+    update = Roster(["a"], lambda born: 0).read(rig.around.list_document(2, True, "active"))
     rig.dispatcher.listed(Listing.FULL, update)
     # As on a platform where a dial that another thread shuts goes on.
     monkeypatch.setattr(Link, "shut", lambda link: None)
@@ -236,7 +236,7 @@
         assert isinstance(link, Link) and link.origin is not None
         link.connect(link.origin.where, hop)
         parser = ResponseParser()
-        parser.feed(answer(200, "in hand"))
+        parser.feed(http_response(200, "in hand"))
         response = parser.next()
         steps = {
             "deadline": lambda: rig.dispatcher.decide(exchange.woke),
@@ -259,34 +259,37 @@
 def test_an_answer_that_is_cut_or_reset_is_none_and_full_counts_only_when_whole(tmp_path: Path) -> None:
     unframed = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nsome of it"
     steps = {
-        "full, whole, then a reset": [(answer(503, "", NEVER), "reset"), answer(200, "elsewhere")],
-        "full, cut by a reset": [(answer(503, "long", NEVER)[:-2], "reset")],
-        "full, cut by an end": [(answer(503, "long", NEVER)[:-2], "end")],
+        "full, whole, then a reset": [
+            (http_response(503, "", NEVER), "reset"),
+            http_response(200, "elsewhere"),
+        ],
+        "full, cut by a reset": [(http_response(503, "long", NEVER)[:-2], "reset")],
+        "full, cut by an end": [(http_response(503, "long", NEVER)[:-2], "end")],
         "no length, ended": [(unframed, "end")],
         "no length, reset": [(unframed, "reset")],
-        "whole, then a reset": [(answer(200, "whole"), "reset")],
+        "whole, then a reset": [(http_response(200, "whole"), "reset")],
         "two answers at once, then a request": [
-            answer(200, "first") + answer(200, "second"),
-            answer(200, "its own"),
+            http_response(200, "first") + http_response(200, "second"),
+            http_response(200, "its own"),
         ],
     }
     with Deployment(tmp_path, 2).running() as around:
         for name, script in steps.items():
-            around.lines.append(f"-- {name}")
-            around.ask("once", *script)
+            around.transcript.append(f"-- {name}")
+            around.submit("once", *script)
             if name.startswith("two"):
-                around.ask("once")
+                around.submit("once")
     # Which of the two servers it is does not matter here.
-    compare("crossed-answers", [line.replace("s-1", "s-0") for line in around.lines])
+    compare("crossed-answers", [line.replace("s-1", "s-0") for line in around.transcript])
 
 
 def test_a_client_that_half_closes_still_has_the_answer_of_an_attempt_under_way(tmp_path: Path) -> None:
     with Deployment(tmp_path, 1).running() as around:
         around.send("once")
-        assert around.servers[0].met.acquire(timeout=20)
-        around.client.shutdown(socket.SHUT_WR)
-        around.script.put(answer(200, "all the same"))
-        assert status(around.client) == 200
+        assert around.servers[0].received_requests.acquire(timeout=20)
+        around.client_socket.shutdown(socket.SHUT_WR)
+        around.script.put(http_response(200, "all the same"))
+        assert status(around.client_socket) == 200
 
 
 def test_a_window_that_a_reload_makes_shorter_holds_for_what_is_read_from_then_on(
@@ -311,7 +314,7 @@
     def repeated(name: str, adopts: bool) -> int:
         far, client = rig.connect()
         rig.around.script.put("reset")
-        rig.around.script.put(answer(200, "served", ENDS))
+        rig.around.script.put(http_response(200, "served", ENDS))
         with held(monkeypatch, Link, "connect", before=False) as (came, go):
             far.sendall(rig.asked(name, expires=60_000))
             start(client.run)
@@ -321,8 +324,8 @@
             go.release(100)
             return status(far)
 
-    assert repeated("before", True) == 200 and len(rig.around.lines) == 2
-    assert repeated("after", False) == 503 and len(rig.around.lines) == 3
+    assert repeated("before", True) == 200 and len(rig.around.transcript) == 2
+    assert repeated("after", False) == 503 and len(rig.around.transcript) == 3
 
 
 # -- idle closes
@@ -332,17 +335,17 @@
     """A listener in the place of all servers, a client, and the server's end of a connection that rests."""
     server = socket.create_server(("127.0.0.1", 0))
     server.settimeout(20)
-    peer = Peer.__new__(Peer)
+    peer = ScriptedServer.__new__(ScriptedServer)
     peer.name, peer.address = "s-0", f"127.0.0.1:{server.getsockname()[1]}"
     rig.around.servers = [peer]
-    update = Roster(["a"], lambda born: 0).read(rig.around.listing(2, True, "active"))
+    update = Roster(["a"], lambda born: 0).read(rig.around.list_document(2, True, "active"))
     rig.dispatcher.listed(Listing.FULL, update)
     far, client = rig.connect()
     start(client.run)
     far.sendall(rig.asked("first"))
     near = server.accept()[0]
     assert b"first" in near.recv(65536)
-    near.sendall(answer(200, "first"))
+    near.sendall(http_response(200, "first"))
     assert status(far) == 200
     return server, far, near
 
@@ -353,13 +356,13 @@
     server, far, near = resting(rig)
     far.sendall(rig.asked("second"))
     assert b"second" in near.recv(65536)
-    near.sendall(answer(200, "first") + answer(200, "second"))
+    near.sendall(http_response(200, "first") + http_response(200, "second"))
     assert status(far) == 200
     far.sendall(rig.asked("third"))
     again = server.accept()[0]
     assert b"third" in again.recv(65536)
-    again.sendall(answer(200, "third"))
-    response = next_of(far, ResponseParser())
+    again.sendall(http_response(200, "third"))
+    response = read_message(far, ResponseParser())
     assert response is not None and response.body == b"third"
 
 
@@ -378,7 +381,7 @@
         if trouble == "reset":
             near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         if trouble.startswith("an answer"):
-            near.sendall(answer(200, "nobody's"))
+            near.sendall(http_response(200, "nobody's"))
         else:
             near.close()
         until(lambda: not link.quiet())
@@ -386,8 +389,8 @@
         server.settimeout(20)
         again = server.accept()[0]
         assert b"second" in again.recv(65536)
-        again.sendall(answer(200, "second"))
-        response = next_of(far, ResponseParser())
+        again.sendall(http_response(200, "second"))
+        response = read_message(far, ResponseParser())
     assert response is not None and response.body == b"second"
 
 
@@ -420,7 +423,7 @@
     far, client = rig.connect()
     start(client.run)
     far.sendall(rig.asked("one"))
-    assert rig.around.servers[0].met.acquire(timeout=20)
+    assert rig.around.servers[0].received_requests.acquire(timeout=20)
     (exchange,) = rig.dispatcher.exchanges.values()
     link = exchange.hops[0].link
     assert isinstance(link, Link) and link.sock is not None
@@ -430,26 +433,26 @@
     assert watcher.connect().getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-class Answering(Peer):
+class Answering(ScriptedServer):
     """Answers whatever comes."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
         with sock, contextlib.suppress(OSError):
-            while next_of(sock, parser) is not None:
-                sock.sendall(answer(200, "served"))
+            while read_message(sock, parser) is not None:
+                sock.sendall(http_response(200, "served"))
 
 
 def test_clients_that_send_much_at_once_and_go_starve_no_honest_one(tmp_path: Path) -> None:
     around = Deployment(tmp_path, 0, limits={"memory_mb": 192, "sockets": 120})
     around.servers = [Answering("s-0", queue.SimpleQueue(), [])]
-    around.told["known"] = around.listing(1, True, "active")
-    around.config.write_text(json.dumps(around.told))
+    around.configuration["known"] = around.list_document(1, True, "active")
+    around.config_path.write_text(json.dumps(around.configuration))
 
     def flood(number: int) -> None:
         for turn in range(40):
             headers = [("Host", "api"), ("X-Qos", "read"), ("X-Trace-Id", f"flood-{number}-{turn}")]
-            with contextlib.suppress(OSError), socket.create_connection(around.where) as sock:
+            with contextlib.suppress(OSError), socket.create_connection(around.address) as sock:
                 sock.sendall(writing.request("GET", "/", headers) * 3 + b"GET / HTTP/9\r\n\r\nand so on")
 
     with around.running():
@@ -460,9 +463,12 @@
 
         def ask() -> int:
             around.send("read")
-            response = next_of(around.client, around.parser)
+            response = read_message(around.client_socket, around.client_parser)
             if response is None or not response.keeps():  # ended between two requests, as any may be
-                around.client, around.parser = socket.create_connection(around.where), ResponseParser()
+                around.client_socket, around.client_parser = (
+                    socket.create_connection(around.address),
+                    ResponseParser(),
+                )
             return response.status if response is not None else 0
 
         while any(thread.is_alive() for thread in floods) or len(statuses) < 20:
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -11,7 +11,7 @@
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.intake.queue import PLACES, Verdict
 from pumicepath.interface import Listing
-from pumicepath.lab.loopback.scripted import Deployment, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, http_response, read_message
 from pumicepath.sidecar import arrival, clock, config
 from pumicepath.sidecar.client import BUSY, FRESH, IDLE, LAST, Client
 from pumicepath.sidecar.dispatch import Dispatcher, Later
@@ -36,7 +36,7 @@
     """All connections of the application, with a dispatcher that has no servers."""
 
     def __init__(self, folder: Path) -> None:
-        self.config = config.decode_config(Deployment(folder, 0).told)
+        self.config = config.decode_config(Deployment(folder, 0).configuration)
         self.dispatcher = Dispatcher(self.config, Log("n0"), None)
         self.fresh: dict = {}
         self.refused: Counter[str] = Counter()
@@ -57,7 +57,7 @@
         assert client.expire(state) and client.state == LAST
         thread = threading.Thread(target=client.run)
         thread.start()
-        response = next_of(far, ResponseParser())
+        response = read_message(far, ResponseParser())
         lines.append(
             f"{name}: {response.status if response else 'closed'}"
             f"{', closed' if response and not response.keeps() else ''}"
@@ -83,7 +83,7 @@
 
 
 def test_places_are_handed_on_and_those_turned_away_are_told(tmp_path: Path) -> None:
-    entrance = Entrance(config.decode_config(Deployment(tmp_path, 0).told))
+    entrance = Entrance(config.decode_config(Deployment(tmp_path, 0).configuration))
     now = clock.now()
     assert all(entrance.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(PLACES))
     told: deque = deque()
@@ -198,15 +198,15 @@
     heads = []
     for allowed in (True, False):
         around = Deployment(tmp_path, 0)
-        around.told["settings"]["policyLimits"]["retryAfter"] = allowed
+        around.configuration["settings"]["policyLimits"]["retryAfter"] = allowed
         owner = Owner(tmp_path)
-        owner.dispatcher = Dispatcher(config.decode_config(around.told), Log("n0"), None)
+        owner.dispatcher = Dispatcher(config.decode_config(around.configuration), Log("n0"), None)
         owner.dispatcher.entrance.intake.came = lambda *_: Verdict.AWAY
         near, far = pair()
         client, parser = Client(near, owner, clock.now()), RequestParser()
         parser.feed(b"GET /api HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\n\r\n")
         assert client.turned_away(parser, clock.now()) and parser.idle()
-        response = next_of(far, ResponseParser())
+        response = read_message(far, ResponseParser())
         heads.append((response.status, bool(response.header("Retry-After")), response.keeps()))
     assert heads == [(503, True, True), (503, False, True)]
 
@@ -220,22 +220,22 @@
 def test_what_piled_up_while_no_thread_ran_is_answered_once_each_in_the_whole_sidecar(tmp_path: Path) -> None:
     around = Deployment(tmp_path, 3)
     with around.running():
-        clients = [socket.create_connection(around.where) for _ in range(40)]
+        clients = [socket.create_connection(around.address) for _ in range(40)]
         for sock in clients:
-            around.script.put(answer(200, "first"))
+            around.script.put(http_response(200, "first"))
             around.send("once", sock=sock, body="lot")
-            around.hear(sock, ResponseParser())
+            around.receive(sock, ResponseParser())
         around.process.send_signal(signal.SIGSTOP)
         for sock in clients:
-            around.script.put(answer(200, "second"))
+            around.script.put(http_response(200, "second"))
             around.send("once", sock=sock, body="lot")
         around.process.send_signal(signal.SIGCONT)
         for sock in clients:
-            around.hear(sock, ResponseParser())
+            around.receive(sock, ResponseParser())
         around.process.send_signal(signal.SIGTERM)
-        stopped = around.event("stopped")
-    ends = Counter(line.split(" ", 1)[1] for line in around.lines if line.startswith("client"))
-    runs = Counter(line.split()[3] for line in around.lines if not line.startswith("client"))
+        stopped = around.next_event("stopped")
+    ends = Counter(line.split(" ", 1)[1] for line in around.transcript if line.startswith("client"))
+    runs = Counter(line.split()[3] for line in around.transcript if not line.startswith("client"))
     # More at once than there are places: every one had its turn, none ran twice, and nothing is left.
     assert ends == {"200 first": 40, "200 second": 40} and set(runs.values()) == {1} and len(runs) == 80
     assert (stopped["clients"], stopped["taken"], stopped["broken"]) == (0, 80, {})
--- a/tests/test_dropped.py
+++ b/tests/test_dropped.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pumicepath.interface import Listing, Outcome, Phase
-from pumicepath.lab.loopback.scripted import Deployment, answer
+from pumicepath.lab.loopback.scripted import Deployment, http_response
 from pumicepath.logic import HELD_LONGEST
 
 from .helpers import SECOND, Bench, check, compare, entry, settings
@@ -68,15 +68,19 @@
 
 def test_a_sidecar_sends_on_to_what_the_list_dropped(tmp_path: Path) -> None:
     around = Deployment(tmp_path, 1)
-    around.told["settings"]["rules"]["drainBindsAlone"] = True
-    around.config.write_text(json.dumps(around.told))
-    whole = around.listing(2, True, "active")
-    around.lists.put(answer(200, json.dumps({**whole, "hosts": []})))
-    around.discovery.script = around.lists
+    around.configuration["settings"]["rules"]["drainBindsAlone"] = True
+    around.config_path.write_text(json.dumps(around.configuration))
+    whole = around.list_document(2, True, "active")
+    around.discovery_script.put(http_response(200, json.dumps({**whole, "hosts": []})))
+    around.discovery.script = around.discovery_script
     with around.running():
-        assert around.discovery.met.acquire(timeout=5) and around.discovery.met.acquire(timeout=5)
-        around.ask("read", answer(200, "though the list is empty"))  # the second call: it has been read
-        around.lists.put(answer(200, json.dumps(around.listing(3, False, "leaving"))))
-        assert around.discovery.met.acquire(timeout=5)
-        around.ask("read")
-    compare("dropped_then_draining", around.lines)
+        assert around.discovery.received_requests.acquire(
+            timeout=5
+        ) and around.discovery.received_requests.acquire(timeout=5)
+        around.submit(
+            "read", http_response(200, "though the list is empty")
+        )  # the second call: it has been read
+        around.discovery_script.put(http_response(200, json.dumps(around.list_document(3, False, "leaving"))))
+        assert around.discovery.received_requests.acquire(timeout=5)
+        around.submit("read")
+    compare("dropped_then_draining", around.transcript)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,10 +13,10 @@
 
 from pumicepath.command import main
 from pumicepath.lab.experiments import files, fleet
-from pumicepath.lab.faults import checks, history, times
-from pumicepath.lab.faults.clocks import VARIABLE, Page
-from pumicepath.lab.faults.disks import Disk
-from pumicepath.lab.faults.history import BadHistory, History
+from pumicepath.lab.verification import checks, history, recovery
+from pumicepath.lab.verification.clocks import PAGE_PATH_VARIABLE, ControlPage
+from pumicepath.lab.verification.disks import StateFolder
+from pumicepath.lab.verification.history import HistoryError, History
 from pumicepath.lab.model.links import Links, Noise
 from pumicepath.lab.model.timeline import SECOND, Virtual
 from pumicepath.lab.spec import Plan, Sidecars, Trouble
@@ -156,9 +156,9 @@
             for at, share in enumerate(shares)
         ),
     ]
-    assert times.views_right(met) == 1.3 and times.full_service(met) == 1.8
-    assert times.views_right(met[:-10]) is None and times.full_service(met[:-3]) is None
-    assert times.faults(met) == {"sidecars-killed": 1}
+    assert recovery.view_recovery_s(met) == 1.3 and recovery.service_recovery_s(met) == 1.8
+    assert recovery.view_recovery_s(met[:-10]) is None and recovery.service_recovery_s(met[:-3]) is None
+    assert recovery.fault_counts(met) == {"sidecars-killed": 1}
 
 
 @pytest.mark.parametrize(
@@ -176,7 +176,7 @@
     path = tmp_path / "history.jsonl"
     if data is not None:
         path.write_bytes(data)
-    with pytest.raises(BadHistory, match=why):
+    with pytest.raises(HistoryError, match=why):
         history.read(path)
     ended = CliRunner().invoke(main, ["lab", "judge", str(path)])
     assert ended.exit_code == 2 and str(path) in ended.stderr
@@ -233,25 +233,25 @@
 
 def test_a_bent_clock_runs_at_its_rate_and_steps_only_on_the_wall(tmp_path: Path) -> None:
     now = [0]
-    page = Page(tmp_path / "clock")
-    page.real = lambda: now[0]
-    page.set(1.0)
+    page = ControlPage(tmp_path / "clock")
+    page.real_monotonic_ns = lambda: now[0]
+    page.set_clock(1.0)
     began, wall = page.monotonic_ns(), page.wall_ns(5_000_000_000)
-    page.set(1.01, 3_600_000_000_000)
+    page.set_clock(1.01, 3_600_000_000_000)
     assert page.monotonic_ns() == began and page.wall_ns(5_000_000_000) - wall == 3_600_000_000_000
     now[0] += 10_000_000_000
-    assert Page(tmp_path / "clock").slot() == page.slot(), "both processes see the same"
+    assert ControlPage(tmp_path / "clock").active_slot() == page.active_slot(), "both processes see the same"
     assert page.monotonic_ns() - began == 10_100_000_000
-    page.set(1.0)
+    page.set_clock(1.0)
     now[0] += 1_000_000_000
     assert page.monotonic_ns() - began == 11_100_000_000
 
 
 def test_the_starter_bends_what_a_process_reads(tmp_path: Path) -> None:
-    Page(tmp_path / "clock").set(1.0, -3_600_000_000_000)
+    ControlPage(tmp_path / "clock").set_clock(1.0, -3_600_000_000_000)
     code = (
         "import os, time; from pathlib import Path; true = time.time()\n"
-        "from pumicepath.lab.faults import clocks, starter\n"
+        "from pumicepath.lab.verification import clocks, starter\n"
         "starter.bend(clocks.Page(Path(os.environ[clocks.VARIABLE])))\n"
         "from pumicepath.sidecar import clock\n"
         "print(round(true - time.time()), clock.now() > 0)"
@@ -261,19 +261,19 @@
         text=True,
         capture_output=True,
         timeout=60,
-        env={"PATH": "/usr/bin", VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."},
+        env={"PATH": "/usr/bin", PAGE_PATH_VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."},
     )
     assert ended.stdout.split() == ["3600", "True"], ended.stderr
 
 
 def test_the_starter_makes_a_disk_read_only_and_slow(tmp_path: Path) -> None:
-    page = Page(tmp_path / "clock")
-    page.disk(True, 50)
+    page = ControlPage(tmp_path / "clock")
+    page.set_disk(True, 50)
     (tmp_path / "own").mkdir()
     (tmp_path / "own" / "kept").write_text("x")
     code = (
         "import os, sys, time; from pathlib import Path\n"
-        "from pumicepath.lab.faults import clocks, starter\n"
+        "from pumicepath.lab.verification import clocks, starter\n"
         "starter.burden(clocks.Page(Path(os.environ[clocks.VARIABLE])), sys.argv[1])\n"
         "own, began = Path(sys.argv[1]), time.monotonic()\n"
         "def tried(what):\n"
@@ -284,7 +284,7 @@
         "      os.O_CREAT)), tried(lambda: (own.parent / 'other').write_text('z')),\n"
         "      time.monotonic() - began > 0.2, sep='; ')"
     )
-    around = {"PATH": "/usr/bin", VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."}
+    around = {"PATH": "/usr/bin", PAGE_PATH_VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."}
     ended = subprocess.run(
         [sys.executable, "-c", code, str(tmp_path / "own")],
         text=True,
@@ -316,16 +316,16 @@
 
 
 def test_disks_tear_lose_keep_and_fill(tmp_path: Path) -> None:
-    disk, other = (Disk(tmp_path / name, tmp_path / f"copy-{name}") for name in ("a", "b"))
+    disk, other = (StateFolder(tmp_path / name, tmp_path / f"copy-{name}") for name in ("a", "b"))
     (disk.folder / "state").write_bytes(bytes(1000))
-    assert disk.keep() == 1
+    assert disk.save_copy() == 1
     cuts = set()
     for seed in range(40):
-        assert disk.tear(random.Random(seed)) == 1
+        assert disk.corrupt(random.Random(seed)) == 1
         cuts.add((len((disk.folder / "state").read_bytes()), any((disk.folder / "state").read_bytes())))
-        disk.put_back()
+        disk.restore_copy()
     assert len({size for size, _ in cuts}) > 10 and (1000, True) in cuts
-    assert disk.lose() == 1 and not disk.files() and other.take_from(disk.copies) == 1
+    assert disk.delete_all() == 1 and not disk.files() and other.replace_with(disk.copy_folder) == 1
     code = (
         "import sys; print('up', flush=True); sys.stdin.read(1)\n"
         "with open(sys.argv[1], 'wb') as file: file.write(b'x')"
@@ -338,7 +338,7 @@
     ) as process:
         assert process.stdout is not None
         process.stdout.readline()
-        disk.fill(process.pid, True)
+        disk.set_full(process.pid, True)
         _, trouble = process.communicate(b"\n", timeout=60)
     assert b"File too large" in trouble and process.returncode == 1
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
 
 from pumicepath.fleet.messages import ALIVE, LEFT, SUSPECTED, News, Ping, Record, packed
 from pumicepath.lab.loopback.scripted import Deployment
-from pumicepath.lab.loopback.world import LiveWorld
+from pumicepath.lab.loopback.world import LoopbackWorld
 from pumicepath.lab.model.links import Noise
 from pumicepath.lab.model.views import wrong
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
@@ -38,7 +38,7 @@
 class Stage:
     """The world with its sidecars up; `until` waits for what must come."""
 
-    def __init__(self, world: LiveWorld) -> None:
+    def __init__(self, world: LoopbackWorld) -> None:
         self.world = world
         self.sidecars = world.sidecars
 
@@ -46,7 +46,7 @@
         give_up = time.monotonic() + LONGEST_S
         while True:
             asked = [each for each in self.sidecars if each.up and not each.stopped]
-            told = await asyncio.gather(*(each.asked("/peers", 5.0) for each in asked))
+            told = await asyncio.gather(*(each.query_admin("/peers", 5.0) for each in asked))
             views = {
                 each.name: [(one["name"], one["state"]) for one in view["peers"]]
                 for each, view in zip(asked, told)
@@ -77,13 +77,15 @@
             await self.until(lambda _, each=each: each.up, f"{each.name} up")  # type: ignore[misc]
 
 
-def played(folder: Path, work: Callable[[Stage], Coroutine[Any, Any, None]], plan: Plan = PLAN) -> LiveWorld:
-    async def play() -> LiveWorld:
-        world = LiveWorld(plan, 1, folder)
+def played(
+    folder: Path, work: Callable[[Stage], Coroutine[Any, Any, None]], plan: Plan = PLAN
+) -> LoopbackWorld:
+    async def play() -> LoopbackWorld:
+        world = LoopbackWorld(plan, 1, folder)
         stage = Stage(world)
         try:
             assert world.links is not None
-            await world.relays.open(len(world.sidecars))
+            await world.datagram_proxies.open(len(world.sidecars))
             for sidecar in world.sidecars:
                 sidecar.start()
             await stage.started()
@@ -91,7 +93,7 @@
                 world.clients(sidecar, sidecar).begin()
             await work(stage)
         finally:
-            await world.end()
+            await world.close()
         return world
 
     return asyncio.run(play())
@@ -142,7 +144,7 @@
 
     async def work(stage: Stage) -> None:
         await stage.right("all have begun")
-        views = await asyncio.gather(*(each.asked("/peers", 5.0) for each in stage.sidecars))
+        views = await asyncio.gather(*(each.query_admin("/peers", 5.0) for each in stage.sidecars))
         lives = [
             Record(view["name"], int(view["born"], 16), view["address"], "a", 1 << 31, state)
             for view in views
@@ -161,10 +163,10 @@
                 lies = (News(mine, 1, lives), News(mine, 2, ghosts), Ping(mine, 3, step, 0, []))
                 for each in stage.sidecars:
                     for lie in lies:
-                        liar.sendto(packed(lie, 0), each.speaks_at)
-                    liar.sendto(bytes((2, *packed(lies[0], 0)[1:])), each.speaks_at)
-                    liar.sendto(packed(lies[0], 0)[:-7], each.speaks_at)
-                    liar.sendto(chance.randbytes(60_000), each.speaks_at)
+                        liar.sendto(packed(lie, 0), each.peer_socket)
+                    liar.sendto(bytes((2, *packed(lies[0], 0)[1:])), each.peer_socket)
+                    liar.sendto(packed(lies[0], 0)[:-7], each.peer_socket)
+                    liar.sendto(chance.randbytes(60_000), each.peer_socket)
                 await asyncio.sleep(0.01)
         names = {each.name for each in stage.sidecars}
 
@@ -176,7 +178,7 @@
             )
 
         await stage.until(all_there, "the liar has gone")
-        told = await stage.sidecars[0].asked("/peers", 5.0)
+        told = await stage.sidecars[0].query_admin("/peers", 5.0)
         assert told is not None
         assert told["figures"]["peers_noise"] > 0 and told["figures"]["peers_foreign"] > 0
 
@@ -186,7 +188,7 @@
 
 
 def printed(around: Deployment) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "pumicepath", "peers", "{}:{}".format(*around.operators)]
+    command = [sys.executable, "-m", "pumicepath", "peers", "{}:{}".format(*around.admin_address)]
     return subprocess.run(command, text=True, capture_output=True, timeout=60)
 
 
@@ -195,21 +197,21 @@
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
     with Deployment(tmp_path / "a", 1, admin_addr="127.0.0.1:0", peers=peers).running() as one:
-        told = json.loads(one.call("GET", "/peers").body)  # type: ignore[union-attr]
+        told = json.loads(one.call_admin("GET", "/peers").body)  # type: ignore[union-attr]
         other = Deployment(
             tmp_path / "b", 1, admin_addr="127.0.0.1:0", peers={**peers, "seeds": [told["address"]]}
         )
         with other.running():
-            said = one.event("peers_name_twice")
-            assert said["name"] == "n0" and one.figures()["edge_gw.peers_alive"] == 1
+            said = one.next_event("peers_name_twice")
+            assert said["name"] == "n0" and one.metrics()["edge_gw.peers_alive"] == 1
             ended = printed(one)
             assert ended.returncode == 0 and said["other"] in ended.stdout and "1 alive" in ended.stdout
 
 
 def test_without_peers_nothing_of_them_is_there(tmp_path: Path) -> None:
     with Deployment(tmp_path, 1, admin_addr="127.0.0.1:0").running() as around:
-        assert not [name for name in around.figures() if "peers" in name or "fleet" in name]
-        response = around.call("GET", "/peers")
+        assert not [name for name in around.metrics() if "peers" in name or "fleet" in name]
+        response = around.call_admin("GET", "/peers")
         assert response is not None and response.status == 404
         kernel = Path(f"/proc/{around.process.pid}")
         assert "msgspec" not in (kernel / "maps").read_text(), "not even imported"
@@ -227,7 +229,7 @@
 def test_peers_that_cant_be_end_the_start_with_a_name(tmp_path: Path, peers: dict, why: str) -> None:
     around = Deployment(tmp_path, 1, peers=peers)
     ended = subprocess.run(
-        [sys.executable, "-m", "pumicepath", "serve", "--config", str(around.config)],
+        [sys.executable, "-m", "pumicepath", "serve", "--config", str(around.config_path)],
         text=True,
         capture_output=True,
         timeout=60,
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -21,7 +21,7 @@
 from pumicepath.discovery.watch import Watch
 from pumicepath.distribution import homes as deciding
 from pumicepath.distribution.homes import Homes
-from pumicepath.lab.loopback.scripted import Deployment, answer
+from pumicepath.lab.loopback.scripted import Deployment, http_response
 from pumicepath.sidecar import config, running
 from pumicepath.sidecar.watching import Watcher
 
@@ -48,15 +48,15 @@
         assert time.monotonic() - began < 15
         assert around.used(30) == {"s-1"}
         # The line on the first relay comes before or after the one on the start.
-        failed, changed = around.event("watch_failed"), around.event("relay_changed")
+        failed, changed = around.next_event("watch_failed"), around.next_event("relay_changed")
         assert failed["relay"] == first.address and "TimeoutError" in changed["why"]
         assert (changed["from"], changed["to"]) == (first.address, second.address)
-        stale = around.event("region_stale")
+        stale = around.next_event("region_stale")
         assert (stale["region"], stale["seq"], stale["relay"]) == ("eu", 6, second.address)
         # What is newer than the drain is believed of it as of any other.
         second.tell("eu", 7, True, around.lines_now("active")[0])
         until(lambda: second.taken() and "s-0" in around.used(10))
-        assert around.event("region_back")["region"] == "eu"
+        assert around.next_event("region_back")["region"] == "eu"
 
 
 def test_silent_and_killed_relays_are_left_for_the_next_and_the_list_goes_on(tmp_path: Path) -> None:
@@ -76,7 +76,9 @@
         until(third.taken)
         assert around.used(10) == {"s-1"}
         assert all("services=*" in target for relay in around.relays for _, target in relay.asked)
-        assert not around.discovery.met.acquire(blocking=False), "discovery is not called at all"
+        assert not around.discovery.received_requests.acquire(blocking=False), (
+            "discovery is not called at all"
+        )
 
 
 def test_relays_that_turn_calls_away_are_called_less_and_less_often(tmp_path: Path) -> None:
@@ -113,11 +115,11 @@
         def reload(event: str, **changed: Any) -> dict:
             around.write(**changed)
             around.process.send_signal(signal.SIGHUP)
-            return around.event(event)
+            return around.next_event(event)
 
         assert "relays[0]: 'here'" in reload("reload_failed", relays=["here"])["text"]
         assert "services[0]" in reload("reload_failed", relays=[first.address], services=["a b"])["text"]
-        del around.told["services"]
+        del around.configuration["services"]
         assert "services is missing" in reload("reload_failed")["text"]
         calls = len(first.asked)
         until(lambda: len(first.asked) > calls + 1)
@@ -132,8 +134,8 @@
         assert around.used(10) == {"s-0"}
         calls = len(first.asked)
         reload("reloaded", relays=None, services=None)
-        assert around.discovery.met.acquire(timeout=20) and len(first.asked) == calls
-        assert around.discovery.lines == ["discovery: GET /discovery/hosts"], "versions are others"
+        assert around.discovery.received_requests.acquire(timeout=20) and len(first.asked) == calls
+        assert around.discovery.transcript == ["discovery: GET /discovery/hosts"], "versions are others"
 
 
 def replaceable(folder: Path, count: int) -> Around:
@@ -152,10 +154,10 @@
     with around.running():
         until(first.taken)
         first.turn("busy")
-        after = around.begun()
+        after = around.start_process()
         try:
-            around.event("started", process=after)
-            around.event("succeeding", process=after)
+            around.next_event("started", process=after)
+            around.next_event("succeeding", process=after)
             around.process.kill()
             around.process.wait()
             calls = len(second.asked)
@@ -175,11 +177,11 @@
     with around.running():
         until(relay.taken)
         around.write(relays=None)
-        after = around.begun()
+        after = around.start_process()
         try:
-            around.event("started", process=after)
-            assert around.discovery.met.acquire(timeout=20)
-            assert around.discovery.lines == ["discovery: GET /discovery/hosts"], "versions are others"
+            around.next_event("started", process=after)
+            assert around.discovery.received_requests.acquire(timeout=20)
+            assert around.discovery.transcript == ["discovery: GET /discovery/hosts"], "versions are others"
         finally:
             after.kill()
             after.wait()
@@ -190,14 +192,14 @@
     asked: list[str] = []
     listener = socket.create_server(("127.0.0.1", 0))
     where = f"127.0.0.1:{listener.getsockname()[1]}"
-    around.told["discovery"] = where
-    around.config.write_text(json.dumps(around.told))
+    around.configuration["discovery"] = where
+    around.config_path.write_text(json.dumps(around.configuration))
 
     def serve() -> None:
         sock = listener.accept()[0]
         for number in range(8, 11):
             asked.append(sock.recv(65536).decode())
-            sock.sendall(answer(200, json.dumps(around.listing(number, False, "active"))))
+            sock.sendall(http_response(200, json.dumps(around.list_document(number, False, "active"))))
         asked.append(sock.recv(65536).decode())
         done.set()
 
@@ -217,7 +219,7 @@
         "import sys; from pumicepath.command import main; main.get_command(None, 'serve');"
         "from pumicepath.sidecar import config, running;"
         "from pumicepath.discovery.watch import Watch;"
-        f"c = config.read({str(around.config)!r}); Watch(None, '', 1, 1);"
+        f"c = config.read({str(around.config_path)!r}); Watch(None, '', 1, 1);"
         "assert running.create_relay_selector(c) is None;"
         "print([name for name in sys.modules if 'distribution' in name or 'relay' in name"
         " or name == 'pumicepath.sidecar.following'"
@@ -231,7 +233,7 @@
     drawn = set()
     for at in range(8):
         around = Deployment(tmp_path, 0, name=f"n{at}", relays=["127.0.0.1:1"])
-        homes = running.create_relay_selector(config.read(str(around.config)))
+        homes = running.create_relay_selector(config.read(str(around.config_path)))
         assert homes is not None
         drawn.add(homes.failed(0))
     assert len(drawn) == 8
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pumicepath.interface import Effect, Entry, Group, Listing, Outcome, Phase, Tariff
-from pumicepath.lab.loopback.scripted import Deployment, answer
+from pumicepath.lab.loopback.scripted import Deployment, http_response
 from pumicepath.settings import decode
 
 from .helpers import ONCE, READ, SECOND, Bench, check, compare, entry, marked, settings
@@ -120,10 +120,10 @@
 def test_a_sidecar_serves_a_bound_tariff_where_its_file_says(tmp_path: Path) -> None:
     """Kinds come in the list's own order; a file read again may name others."""
     around = Deployment(tmp_path, 3)
-    told = around.told["settings"]
+    told = around.configuration["settings"]
     told["kinds"] = ["m3", "m1"]
     told["tariffs"][0]["kindsAllowed"] = ["m1"]
-    plain = around.listing
+    plain = around.list_document
 
     def listing(seq: int, whole: bool, health: str) -> dict:
         lines = plain(seq, whole, health)
@@ -131,20 +131,20 @@
             line["class"] = f"m{2 - at}"
         return lines
 
-    around.listing = listing  # type: ignore[method-assign]
-    around.told["known"] = listing(1, True, "active")
-    around.config.write_text(json.dumps(around.told))
+    around.list_document = listing  # type: ignore[method-assign]
+    around.configuration["known"] = listing(1, True, "active")
+    around.config_path.write_text(json.dumps(around.configuration))
     with around.running():
         for _ in range(3):
-            around.ask("read", answer(200, "by m1"))
+            around.submit("read", http_response(200, "by m1"))
         told["tariffs"][0]["kindsAllowed"] = ["m0"]
         told["kinds"] = ["m0", "m1"]
-        around.lines.append(f"-- {load(around, around.told)}")
+        around.transcript.append(f"-- {load(around, around.configuration)}")
         for _ in range(3):
-            around.ask("read", answer(200, "by m0"))
+            around.submit("read", http_response(200, "by m0"))
         told["kinds"], told["tariffs"][0]["kindsAllowed"] = ["m1", "none such"], ["none such"]
-        around.lines.append(f"-- {load(around, around.told)}")
-        around.ask("read")
+        around.transcript.append(f"-- {load(around, around.configuration)}")
+        around.submit("read")
         told["tariffs"][0]["kindsAllowed"] = ["m2"]
-        around.lines.append(f"-- bad: {load(around, around.told)}")
-    compare("placed", around.lines)
+        around.transcript.append(f"-- bad: {load(around, around.configuration)}")
+    compare("placed", around.transcript)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -23,7 +23,7 @@
 from pumicepath.distribution.origins import ANSWER, LIVE
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.lab.loopback.scripted import next_of
+from pumicepath.lab.loopback.scripted import read_message
 from pumicepath.relay import config, loop
 from pumicepath.relay.upstreams import PART
 
@@ -187,16 +187,16 @@
     ):
         with socket.create_connection(relay.where) as sock:
             sock.sendall(writing.request("GET", target, [("Host", "r")]))
-            assert next_of(sock, ResponseParser()).status == status, target
+            assert read_message(sock, ResponseParser()).status == status, target
     with socket.create_connection(relay.where) as sock:
         sock.sendall(b"NONSENSE\r\n\r\n")
-        assert next_of(sock, ResponseParser()).status == 400
+        assert read_message(sock, ResponseParser()).status == 400
     with socket.create_connection(relay.where) as sock:
         parser = ResponseParser()
         target = f"/discovery/hosts?since={follower.seq}"
         sock.sendall(writing.request("GET", target + "&timeout_ms=300", [("Host", "r")]))
         sock.sendall(writing.request("GET", target, [("Host", "r")]) * 235)
-        assert [next_of(sock, parser).status for _ in range(236)] == [200] * 236
+        assert [read_message(sock, parser).status for _ in range(236)] == [200] * 236
     assert relay.stats()["faults"] == 0
     assert relay.process.poll() is None
 
@@ -588,7 +588,7 @@
     other.sendall(writing.request("GET", "/discovery/hosts", [("Host", "r")]))
     left = next(iter(relay.followers.values()))
     until(lambda: relay.guarded(left, selectors.EVENT_READ, 0) or relay.counts["calls"])
-    assert next_of(other, ResponseParser()).status == 503
+    assert read_message(other, ResponseParser()).status == 503
     upstream = relay.upstreams[0]
     monkeypatch.setattr(upstream, "ready", fault)
     relay.guarded(upstream, 0, 0)
--- a/tests/test_relayed_sidecars.py
+++ b/tests/test_relayed_sidecars.py
@@ -24,7 +24,7 @@
 
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.lab.loopback.scripted import next_of
+from pumicepath.lab.loopback.scripted import read_message
 
 from .relay_rig import Origin, Relay, line, until
 
@@ -52,7 +52,7 @@
         sock.settimeout(None)
         parser = RequestParser()
         with suppress(OSError):
-            while (request := next_of(sock, parser)) is not None:
+            while (request := read_message(sock, parser)) is not None:
                 self.met.append((time.monotonic(), request.header("X-Trace-Id").partition("-")[0]))
                 sock.sendall(writing.response(200, [], b"served", True))
 
@@ -158,7 +158,7 @@
             ]
             try:
                 sock.sendall(writing.request("GET", "/", headers))
-                response = next_of(sock, parser)
+                response = read_message(sock, parser)
             except OSError as trouble:
                 response = None
                 self.bad.append(f"{name}-{number}: {trouble}")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,7 +13,7 @@
 
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.lab.loopback.scripted import Deployment, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, http_response, read_message
 from pumicepath.sidecar import arrival, clients, clock, running
 from pumicepath.sidecar.client import IDLE, LAST, PARTIAL
 from pumicepath.sidecar.clients import Clients
@@ -29,7 +29,7 @@
     rig = Rig(tmp_path)
     client_sock, client = rig.connect()
     request = rig.asked("halves")
-    rig.around.script.put(answer(200, "served"))
+    rig.around.script.put(http_response(200, "served"))
     client.state = IDLE
     with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
         client_sock.sendall(request[:20])
@@ -41,11 +41,11 @@
             assert reached.acquire(timeout=20)
         client_sock.sendall(request[20:])
         proceed.release(100)
-        response = next_of(client_sock, ResponseParser())
+        response = read_message(client_sock, ResponseParser())
     assert response is not None and response.body == b"served" and not response.keeps()
     client_sock.close()
     until(lambda: client not in rig.clients.open)
-    assert rig.around.lines == ["s-0: GET /halves halves"]
+    assert rig.around.transcript == ["s-0: GET /halves halves"]
 
 
 def test_late_requests_are_answered_before_the_process_ends(tmp_path: Path) -> None:
@@ -67,7 +67,7 @@
     client_sock.sendall(rig.asked("later", expires=60_000))
     start(client.run)
     assert status(client_sock) == 503
-    assert len(rig.around.lines) <= 1
+    assert len(rig.around.transcript) <= 1
 
 
 def test_a_request_that_waits_for_admission_at_sigterm_is_answered(
@@ -75,7 +75,7 @@
 ) -> None:
     rig = Rig(tmp_path)
     client_sock, client = rig.connect()
-    rig.around.script.put(answer(200, "served"))
+    rig.around.script.put(http_response(200, "served"))
     with held(monkeypatch, Entrance, "enter") as (reached, proceed):
         client_sock.sendall(rig.asked("waits"))
         start(client.run)
@@ -86,7 +86,7 @@
         rig.clients.close_idle()
         assert client in rig.clients.open, "shutdown waits for it"
         proceed.release()
-        response = next_of(client_sock, ResponseParser())
+        response = read_message(client_sock, ResponseParser())
     assert response is not None and response.body == b"served" and not response.keeps()
     client_sock.close()
     until(lambda: not rig.clients.open)
@@ -97,7 +97,7 @@
 ) -> None:
     rig = Rig(tmp_path)
     client_sock, client = rig.connect()
-    rig.around.script.put(answer(200, "served"))
+    rig.around.script.put(http_response(200, "served"))
     client.state = IDLE
     with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
         client_sock.sendall(rig.asked("last"))
@@ -128,7 +128,7 @@
         assert reached.acquire(timeout=20)
         assert not crosses or client.expire(IDLE) and client.state == LAST
         proceed.release(100)
-        assert rig.around.servers[0].met.acquire(timeout=20)
+        assert rig.around.servers[0].received_requests.acquire(timeout=20)
         client_sock.shutdown(socket.SHUT_WR)  # the client may still read
         until(client.gone)
         rig.around.script.put("reset")
@@ -156,7 +156,7 @@
         )
         assert client.expire(IDLE) and client.state == LAST
         rig.around.script.put("reset")
-        rig.around.script.put(answer(200, "served"))
+        rig.around.script.put(http_response(200, "served"))
         proceed.release(100)
         assert status(client_sock) == 200
     client_sock.close()
@@ -171,7 +171,7 @@
     client_sock, client = rig.connect()
     headers = [("Host", "api"), ("X-Qos", "once"), ("X-Trace-Id", "long")]
     request = writing.request("POST", "/long", headers, b"x" * 200_000)
-    rig.around.script.put(answer(200, "served"))
+    rig.around.script.put(http_response(200, "served"))
     client.state = IDLE
     with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
         client_sock.sendall(request[:300])
@@ -183,8 +183,8 @@
         # More of the body has arrived than is buffered: it is sent on while the rest is still missing.
         until(lambda: client.upload is not None and client.upload.begun)
         client_sock.sendall(request[100_000:])
-        response = next_of(client_sock, ResponseParser())
-    assert response is not None and response.body == b"served" and len(rig.around.lines) == 1
+        response = read_message(client_sock, ResponseParser())
+    assert response is not None and response.body == b"served" and len(rig.around.transcript) == 1
     client_sock.close()
 
 
@@ -231,7 +231,7 @@
     rig = Rig(tmp_path)
     waiting = [socket.create_connection(rig.clients.listener.getsockname()) for _ in range(5)]
     for number, sock in enumerate(waiting):
-        rig.around.script.put(answer(200, "served"))
+        rig.around.script.put(http_response(200, "served"))
         sock.sendall(rig.asked(f"t{number}"))
     rig.clients.stop()
     rig.clients.most = 3  # capacity for three: the others are accepted as these end
@@ -259,42 +259,42 @@
     tmp_path: Path,
 ) -> None:
     with Deployment(tmp_path, 1).running() as deployment:
-        halves, taken = socket.create_connection(deployment.where), deployment.client
+        halves, taken = socket.create_connection(deployment.address), deployment.client_socket
         request = writing.request("GET", "/half", [("Host", "a"), ("X-Qos", "once"), ("X-Trace-Id", "half")])
         halves.sendall(request[:30])
         deployment.send("once")
-        assert deployment.servers[0].met.acquire(timeout=20)
+        assert deployment.servers[0].received_requests.acquire(timeout=20)
         deployment.process.send_signal(signal.SIGTERM)
-        deployment.event("draining")
+        deployment.next_event("draining")
         deployment.process.send_signal(signal.SIGHUP)
         deployment.process.send_signal(signal.SIGTERM)
         halves.sendall(request[30:])
-        assert deployment.servers[0].met.acquire(timeout=20)
-        data = answer(200, "in two pieces")
+        assert deployment.servers[0].received_requests.acquire(timeout=20)
+        data = http_response(200, "in two pieces")
         deployment.script.put((data, "end"))
         deployment.script.put((data, "end"))
         assert [status(sock) for sock in (taken, halves)] == [200, 200]
         for sock in (taken, halves):
             assert sock.recv(1) == b""
             sock.close()
-        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
+        assert deployment.next_event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
 
 
 def test_at_sigterm_a_request_that_waits_for_a_connection_is_answered_by_its_deadline(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 0)
     late, full = full_queue(deployment)
-    deployment.told["settings"]["policyLimits"]["dialTimeoutS"] = 60.0
-    deployment.told["admin_addr"] = "127.0.0.1:0"
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.configuration["settings"]["policyLimits"]["dialTimeoutS"] = 60.0
+    deployment.configuration["admin_addr"] = "127.0.0.1:0"
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
     with deployment.running():
         deployment.send("once", 2500)
-        until(lambda: any(value for name, value in deployment.figures().items() if "current" in name))
+        until(lambda: any(value for name, value in deployment.metrics().items() if "current" in name))
         deployment.process.send_signal(signal.SIGTERM)
-        deployment.event("draining")
-        assert status(deployment.client) in (502, 503)
-        assert deployment.client.recv(1) == b""
-        deployment.client.close()
-        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
+        deployment.next_event("draining")
+        assert status(deployment.client_socket) in (502, 503)
+        assert deployment.client_socket.recv(1) == b""
+        deployment.client_socket.close()
+        assert deployment.next_event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
     late.close()
     assert len(full) == 2
 
@@ -303,9 +303,9 @@
     with Deployment(tmp_path, 1).running() as deployment:
         deployment.script.put((b"HTTP/1.1 20", "wait"))
         deployment.send("once", 1500)
-        assert deployment.servers[0].met.acquire(timeout=20)
+        assert deployment.servers[0].received_requests.acquire(timeout=20)
         deployment.process.send_signal(signal.SIGTERM)
-        deployment.event("draining")
-        assert status(deployment.client) == 502
-        deployment.client.close()
-        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
+        deployment.next_event("draining")
+        assert status(deployment.client_socket) == 502
+        deployment.client_socket.close()
+        assert deployment.next_event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -15,7 +15,7 @@
 from pumicepath.http1.messages import Malformed
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.interface import Effect, Outcome, Tariff
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 from pumicepath.logic import Submission
 from pumicepath.sidecar import upload
 
@@ -29,14 +29,14 @@
     return b"".join(b"%x;note=1\r\n%b\r\n" % (len(part), part) for part in parts) + ending
 
 
-def among(folder: Path, *peers: Peer) -> Deployment:
+def among(folder: Path, *peers: ScriptedServer) -> Deployment:
     """A sidecar among servers of the test's own; what they note stands in its lines."""
     around = Deployment(folder, 0)
     around.servers = list(peers)
-    around.told["known"] = around.listing(1, True, "active")
-    around.config.write_text(json.dumps(around.told))
+    around.configuration["known"] = around.list_document(1, True, "active")
+    around.config_path.write_text(json.dumps(around.configuration))
     for peer in peers:
-        peer.lines = around.lines
+        peer.transcript = around.transcript
     return around
 
 
@@ -66,7 +66,7 @@
 def test_long_answers_go_through_as_they_come_in_all_forms(tmp_path: Path) -> None:
     head = b"HTTP/1.1 200 OK\r\n"
     steps = {
-        "with a length": [answer(200, "x" * 3_000_000)],
+        "with a length": [http_response(200, "x" * 3_000_000)],
         "in chunks, with extensions and trailers": [
             b"HTTP/1.1 100 Continue\r\n\r\n"
             + head
@@ -74,7 +74,7 @@
             + chunked(LONG, 70_001, b"0\r\nX-Sum: 1\r\n\r\n")
         ],
         "until the connection ends": [(head + b"Connection: close\r\n\r\n" + LONG, "end")],
-        "broken off": [(answer(200, "x" * 3_000_000)[:-9], "end")],
+        "broken off": [(http_response(200, "x" * 3_000_000)[:-9], "end")],
         "of an error": [(b"HTTP/1.1 500 No\r\nContent-Length: 3000000\r\n\r\n" + LONG[:3_000_000], "end")],
         "of more than any may have": [(head + b"Content-Length: 99999999\r\n\r\nabc", "wait")],
     }
@@ -82,37 +82,39 @@
         for name, script in steps.items():
             for step in script:
                 around.script.put(step)
-            with socket.create_connection(around.where) as sock:
+            with socket.create_connection(around.address) as sock:
                 around.send("once", method="GET", sock=sock)
-                around.lines.append(f"-- {name}: {read_all(sock, ResponseParser(9_000_000))}")
+                around.transcript.append(f"-- {name}: {read_all(sock, ResponseParser(9_000_000))}")
         around.script.put((head + b"Connection: close\r\n\r\n" + LONG, "end"))
-        with socket.create_connection(around.where) as sock:
+        with socket.create_connection(around.address) as sock:
             sock.sendall(b"GET /api HTTP/1.0\r\nX-Trace-Id: old\r\nX-Qos: once\r\n\r\n")
-            around.lines.append(f"-- to HTTP/1.0: {read_all(sock, ResponseParser(9_000_000))}")
-    compare("long_answers", [line for line in around.lines if line.startswith("--")])
+            around.transcript.append(f"-- to HTTP/1.0: {read_all(sock, ResponseParser(9_000_000))}")
+    compare("long_answers", [line for line in around.transcript if line.startswith("--")])
 
 
 def test_what_the_server_still_gives_is_not_cut_when_patience_ends(tmp_path: Path) -> None:
     going = threading.Event()
 
-    class Halting(Peer):
+    class Halting(ScriptedServer):
         def serve(self, sock: socket.socket) -> None:
             with sock:
                 sock.recv(9999)
-                data, first = answer(200, "x" * 3_000_000), not self.lines
-                self.lines.append("met")
-                self.met.release()
+                data, first = http_response(200, "x" * 3_000_000), not self.transcript
+                self.transcript.append("met")
+                self.received_requests.release()
                 if first:
                     sock.sendall(data[:2_000_000])
                 going.wait(10)
                 sock.sendall(data[2_000_000:])
 
     around = among(tmp_path, Halting("h", queue.SimpleQueue(), []))
-    with around.running(), socket.create_connection(around.where) as sock:
-        around.send("read", expires=400, method="GET", sock=sock)
+    with around.running(), socket.create_connection(around.address) as sock:
+        around.send("read", expires_in_ms=400, method="GET", sock=sock)
         assert sock.recv(99).startswith(b"HTTP/1.1 200")
-        around.send("read", expires=500, method="GET")  # as long as this takes, the other's patience is over
-        around.hear()
+        around.send(
+            "read", expires_in_ms=500, method="GET"
+        )  # as long as this takes, the other's patience is over
+        around.receive()
         going.set()
         count = 0
         while count < 2_999_000 and (got := len(sock.recv(65536))):
@@ -120,16 +122,16 @@
         assert count >= 2_999_000
 
 
-class Reading(Peer):
+class Reading(ScriptedServer):
     """Reads bodies slowly, and answers with what it got."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser(9_000_000)
         with sock:
-            while (request := next_of(sock, parser)) is not None:
-                self.lines.append(f"{request.header('X-Trace-Id')}: {digest(request.body)}")
-                self.met.release()
-                sock.sendall(answer(200, digest(request.body)))
+            while (request := read_message(sock, parser)) is not None:
+                self.transcript.append(f"{request.header('X-Trace-Id')}: {digest(request.body)}")
+                self.received_requests.release()
+                sock.sendall(http_response(200, digest(request.body)))
 
 
 def test_long_bodies_go_through_in_all_forms_and_the_connection_is_kept(tmp_path: Path) -> None:
@@ -139,12 +141,12 @@
     def send(name: str, *more: tuple[str, str], body: bytes, length: int) -> None:
         named = [*headers, ("X-Trace-Id", name), *more]
         head = writing.request("POST", "http://api/up?x", named, b"", length)
-        around.client.sendall(head)
+        around.client_socket.sendall(head)
         if more:
-            assert around.client.recv(99).startswith(b"HTTP/1.1 100")
+            assert around.client_socket.recv(99).startswith(b"HTTP/1.1 100")
         for at in range(0, len(body), 300_000):
-            around.client.sendall(body[at : at + 300_000])
-        around.hear()
+            around.client_socket.sendall(body[at : at + 300_000])
+        around.receive()
 
     with around.running():
         send("length", body=LONG, length=len(LONG))
@@ -152,16 +154,18 @@
         send("awaited", ("Expect", "100-continue"), body=LONG, length=len(LONG))
         send("short", body=b"lot", length=3)
         begun = writing.request("POST", "/up", [*headers, ("X-Trace-Id", "cut")], b"", len(LONG))
-        with socket.create_connection(around.where) as sock:
+        with socket.create_connection(around.address) as sock:
             sock.sendall(begun + LONG[:900_000])
-        around.client.sendall(begun.replace(b"cut", b"odd").replace(b"X-Qos: once", b"X-Qos: gold") + LONG)
-        around.hear()
+        around.client_socket.sendall(
+            begun.replace(b"cut", b"odd").replace(b"X-Qos: once", b"X-Qos: gold") + LONG
+        )
+        around.receive()
         send("after", body=b"", length=writing.WHOLE)
-    compare("long_bodies", around.lines)
+    compare("long_bodies", around.transcript)
 
 
 def test_a_server_that_breaks_off_in_a_body_never_ran_it_and_its_client_is_told(tmp_path: Path) -> None:
-    class Breaking(Peer):
+    class Breaking(ScriptedServer):
         def serve(self, sock: socket.socket) -> None:
             sock.recv(100_000)
             sock.close()
@@ -170,9 +174,9 @@
     with around.running():
         headers = [("Host", "a"), ("X-Qos", "once"), ("X-Trace-Id", "1")]
         head = writing.request("POST", "/up", headers, b"", len(LONG))
-        around.client.sendall(head + LONG)
-        assert around.hear().header("Retry-After")
-    compare("broken_body", around.lines)
+        around.client_socket.sendall(head + LONG)
+        assert around.receive().header("Retry-After")
+    compare("broken_body", around.transcript)
 
 
 def test_more_at_once_than_memory_holds_with_slow_readers(tmp_path: Path) -> None:
@@ -180,7 +184,7 @@
     got: list[str] = []
 
     def client(name: str) -> None:
-        with socket.create_connection(around.where) as sock:
+        with socket.create_connection(around.address) as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             sock.sendall(
                 writing.request(
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -23,7 +23,7 @@
 
 from pumicepath.http1.parsing import ResponseParser
 from pumicepath.interface import Entry, Listing, Outcome
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 from pumicepath.logic import Balancer
 
 from .helpers import SECOND, entry, settings
@@ -192,7 +192,7 @@
 def ask(around: Deployment) -> int:
     """The status of an answer on a connection of its own; 0 for a clean close, or no connection at all."""
     try:
-        with socket.create_connection(around.where) as sock:
+        with socket.create_connection(around.address) as sock:
             around.send("read", sock=sock)
             return status(sock)
     except TimeoutError:
@@ -215,27 +215,27 @@
 ) -> None:
     around = Deployment(tmp_path, 1)
     around.servers[0].script = Always()  # type: ignore[assignment]
-    around.told["settings"]["membershipMode"] = mode
-    around.told["limits"]["sockets"] = told
-    around.config.write_text(json.dumps(around.told))
-    around.lists.put(answer(200, json.dumps(around.listing(2, True, "active"))))
-    begun = around.begun
+    around.configuration["settings"]["membershipMode"] = mode
+    around.configuration["limits"]["sockets"] = told
+    around.config_path.write_text(json.dumps(around.configuration))
+    around.discovery_script.put(http_response(200, json.dumps(around.list_document(2, True, "active"))))
+    begun = around.start_process
 
     def limited() -> subprocess.Popen:
         process = begun()
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (real, real))
         return process
 
-    around.begun = limited  # type: ignore[method-assign]
+    around.start_process = limited  # type: ignore[method-assign]
     with around.running():
         process = around.process
         log = around.logs[process]
         for _ in range(2):
-            assert around.discovery.met.acquire(timeout=20)  # the second is the watch
+            assert around.discovery.received_requests.acquire(timeout=20)  # the second is the watch
         around.discovery.listener.shutdown(socket.SHUT_RDWR)
         around.discovery.listener.close()
-        around.lists.put("reset")
-        idle = Held(around.where, 100)
+        around.discovery_script.put("reset")
+        idle = Held(around.address, 100)
         descriptors = Path(f"/proc/{process.pid}/fd")
         # All that there are, or as many clients as the limits let it have.
         clients = (min(told, real) - 48) * 13 // 20
@@ -245,31 +245,31 @@
         while time.monotonic() < began + 1.0:
             answers.append(ask(around))
         spent = (core_time(process) - used) / (time.monotonic() - began)
-        assert "accept_failed" not in {event["event"] for event in log.seen}, "no descriptor is left"
+        assert "accept_failed" not in {event["event"] for event in log.all_events}, "no descriptor is left"
         # Discovery comes back, at the same place, and has a change.
         host, _, port = around.discovery.address.partition(":")
         around.discovery.listener = socket.create_server((host, int(port)))
         returned = time.monotonic()
-        around.lists.put(answer(200, json.dumps(around.listing(3, False, "active"))))
+        around.discovery_script.put(http_response(200, json.dumps(around.list_document(3, False, "active"))))
         threading.Thread(target=around.discovery.accept, daemon=True).start()
         for _ in range(2):
-            assert around.discovery.met.acquire(timeout=20), "the watch is not opened again"
+            assert around.discovery.received_requests.acquire(timeout=20), "the watch is not opened again"
         back = time.monotonic() - returned
         answers.append(ask(around))
         idle.over = True
         until(lambda: ask(around) == 200)
-        around.lists.put(answer(200, json.dumps(around.listing(4, False, "leaving"))))
+        around.discovery_script.put(http_response(200, json.dumps(around.list_document(4, False, "leaving"))))
         until(lambda: ask(around) == 503)  # what the watch tells is in force
         assert process.poll() is None
         process.terminate()
         assert process.wait(20) == 0
-        log.reader.join(20)
-    seen = Counter(event["event"] for event in log.seen)
+        log.reader_thread.join(20)
+    seen = Counter(event["event"] for event in log.all_events)
     print(f"{Counter(answers)}, watch back after {back:.2f} s, {spent:.2f} of a core, {seen}")
     assert set(answers) <= {0, 200, 503}
     assert spent < 0.8, "a busy loop"
     assert not {"fault", "accept_failed"} & seen.keys(), "what is kept back for the watch is there"
-    assert next(event for event in log.seen if event["event"] == "stopped")["broken"] == {}
+    assert next(event for event in log.all_events if event["event"] == "stopped")["broken"] == {}
 
 
 # -- 5: nine in ten restarted processes are ready within 10 s
@@ -278,12 +278,12 @@
 CALL_S = 0.1  # that discovery takes for each call, one after the other
 
 
-class InTurn(Peer):
+class InTurn(ScriptedServer):
     """A discovery that works through calls in turn, and tells nothing while a watch waits."""
 
     def __init__(self, listing: dict) -> None:
         self.turn = threading.Lock()
-        self.whole = answer(200, json.dumps(listing))
+        self.whole = http_response(200, json.dumps(listing))
         self.connection = threading.local()  # each is served by a thread of its own
         super().__init__("discovery", self, [])  # type: ignore[arg-type]
 
@@ -317,7 +317,7 @@
                     b"GET /a HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\nX-Expires-In-Ms: 2000\r\n"
                     b"X-Trace-Id: %d-%d\r\n\r\n" % (threading.get_ident(), number)
                 )
-                response = next_of(sock, parser)
+                response = read_message(sock, parser)
                 if response is None:
                     break
                 answers[response.status] += 1
@@ -329,7 +329,7 @@
     """Start all of them at once; after how many seconds each is ready, in order."""
     began = time.monotonic()
     for one in sidecars:
-        one.process = one.begun()
+        one.process = one.start_process()
     times: list[float] = []
 
     def wait(where: tuple[str, int]) -> None:
@@ -349,7 +349,7 @@
 
 def test_nine_of_ten_processes_that_are_restarted_at_once_are_ready_in_time(tmp_path: Path) -> None:
     ground = Deployment(tmp_path, 3)
-    discovery = InTurn(ground.listing(2, True, "active"))
+    discovery = InTurn(ground.list_document(2, True, "active"))
     sidecars, wheres, over, answers = [], [], threading.Event(), Counter()  # type: ignore[var-annotated]
     for number in range(10):
         folder = tmp_path / str(number)
@@ -358,9 +358,11 @@
         # A port of this address's own, for the process and the one after it.
         with socket.create_server((f"127.0.44.{number + 1}", 0)) as sock:
             where = sock.getsockname()
-        one.told.update(listen=f"{where[0]}:{where[1]}", discovery=discovery.address, name=f"n{number}")
-        one.told["settings"].update(me=number, fleetSize=10, membershipMode=MODES[number % 2])
-        one.config.write_text(json.dumps(one.told))
+        one.configuration.update(
+            listen=f"{where[0]}:{where[1]}", discovery=discovery.address, name=f"n{number}"
+        )
+        one.configuration["settings"].update(me=number, fleetSize=10, membershipMode=MODES[number % 2])
+        one.config_path.write_text(json.dumps(one.configuration))
         sidecars.append(one)
         wheres.append(where)
     for server in ground.servers:
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response
 from pumicepath.logic import Chance
 from pumicepath.sidecar import clock
 from pumicepath.sidecar.entrance import Entrance
@@ -30,7 +30,7 @@
     """A script without end: each request is served."""
 
     def get(self) -> bytes:
-        return answer(200, "served")
+        return http_response(200, "served")
 
 
 class Times(list):
@@ -61,11 +61,11 @@
 
 # What discovery does with the first calls; with the last of them it has the change, and could be reached.
 TROUBLES: dict[str, list] = {
-    "fails": [answer(503)],
+    "fails": [http_response(503)],
     "is reset": ["reset"] * 2,
-    "is cut": [(answer(200, "{}")[:-1], "end")] * 2,
+    "is cut": [(http_response(200, "{}")[:-1], "end")] * 2,
     "is silent": ["wait"] * 2,
-    "stops in an answer": [(answer(200, "{}")[:-1], "wait")] * 2,
+    "stops in an answer": [(http_response(200, "{}")[:-1], "wait")] * 2,
     "is refused": [],
 }
 # The longest pause that a sidecar can draw.
@@ -77,57 +77,60 @@
 
     def __init__(self, folder: Path, mode: str, trouble: str) -> None:
         self.around = around = Deployment(folder, 1)
-        self.times = around.servers[0].lines = Times()
+        self.times = around.servers[0].transcript = Times()
         around.servers[0].script = Always()  # type: ignore[assignment]
-        around.told["settings"]["membershipMode"] = mode
-        around.told["seed"] = f"{SEED:x}"
+        around.configuration["settings"]["membershipMode"] = mode
+        around.configuration["seed"] = f"{SEED:x}"
         self.trouble = trouble
         self.listener = socket.socket()
         if trouble == "is refused":
             self.listener.bind(("127.0.0.1", 0))  # nobody listens yet
-            around.told["discovery"] = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        around.config.write_text(json.dumps(around.told))
+            around.configuration["discovery"] = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        around.config_path.write_text(json.dumps(around.configuration))
         self.started = threading.Event()
         self.before, self.late, self.after = 0, -1.0, 0
         self.ended = False
 
     def drains(self) -> None:
         """Have discovery go through its trouble, and tell of the drain from the call after it on."""
-        around, change = self.around, answer(200, json.dumps(self.around.listing(2, False, "leaving")))
+        around, change = (
+            self.around,
+            http_response(200, json.dumps(self.around.list_document(2, False, "leaving"))),
+        )
         for step in TROUBLES[self.trouble]:
-            around.lists.put(step)
+            around.discovery_script.put(step)
         for _ in TROUBLES[self.trouble]:
-            assert around.discovery.met.acquire(timeout=20)
+            assert around.discovery.received_requests.acquire(timeout=20)
         if self.trouble == "is refused":
-            peer = Peer.__new__(Peer)
-            peer.name, peer.script, peer.lines = "discovery", around.lists, []
-            peer.met, peer.closed = threading.Semaphore(0), threading.Semaphore(0)
+            peer = ScriptedServer.__new__(ScriptedServer)
+            peer.name, peer.script, peer.transcript = "discovery", around.discovery_script, []
+            peer.received_requests, peer.closed_connections = threading.Semaphore(0), threading.Semaphore(0)
             peer.listener = self.listener
             assert self.started.wait(20)  # by when the sidecar has been refused, most likely twice
             self.listener.listen()
             threading.Thread(target=peer.accept, daemon=True).start()
         self.since = time.monotonic()
-        around.lists.put(change)
+        around.discovery_script.put(change)
 
     def run(self, stalls: Stalls) -> None:
         troubled = threading.Thread(target=self.drains)
         troubled.start()
         with self.around.running():
             self.started.set()
-            if self.around.told["settings"]["membershipMode"] == "on_request":
-                response = self.around.ask("read")
+            if self.around.configuration["settings"]["membershipMode"] == "on_request":
+                response = self.around.submit("read")
                 self.before = response.status if response else 0
             troubled.join()
             stalled = stalls.sum
             while time.monotonic() < self.since + TOLD_S + 1.5:
-                response = self.around.ask("read")
+                response = self.around.submit("read")
                 if response is None or response.status != 200:
                     break
                 time.sleep(0.02)
             self.late = max(self.times, default=0.0) - self.since - (stalls.sum - stalled)
             served = len(self.times)
             for _ in range(5):
-                self.around.ask("read")
+                self.around.submit("read")
             self.after = len(self.times) - served
         self.ended = True
 
@@ -210,7 +213,7 @@
             assert status(self.far) == 200
             self.far.close()
         until(lambda: self.client not in self.rig.clients.open and not self.rig.dispatcher.exchanges)
-        return [line.split(" ", 1)[1] for line in self.rig.around.lines]
+        return [line.split(" ", 1)[1] for line in self.rig.around.transcript]
 
 
 @pytest.mark.parametrize("way", ["", *WAYS])
@@ -221,13 +224,15 @@
     rig = Rig(tmp_path, 2)
     far, client = rig.connect()
     one = Left(rig, far, client)
-    first = answer(503, "", NEVER) if trouble == "full" else "reset" if trouble == "late dial" else trouble
+    first = (
+        http_response(503, "", NEVER) if trouble == "full" else "reset" if trouble == "late dial" else trouble
+    )
     with held(monkeypatch, Link, "connect", before=False) as (came, go):
         far.sendall(rig.asked("hangs", "read"))
         start(client.run)
         assert came.acquire(timeout=20)
         go.release()
-        until(lambda: rig.around.lines)  # the first attempt hangs
+        until(lambda: rig.around.transcript)  # the first attempt hangs
         if trouble == "late dial":
             rig.around.script.put(first)
             assert came.acquire(timeout=20)  # the further one has been dialled for, and is not written yet
@@ -237,7 +242,7 @@
             rig.around.script.put(first)
         go.release(10)
         if not way:
-            rig.around.script.put(answer(200, "served"))
+            rig.around.script.put(http_response(200, "served"))
         assert one.over(way) == ["GET /hangs hangs"] * (1 if way else 2)
 
 
@@ -255,9 +260,9 @@
         far.sendall(rig.asked(name, "read"))
     if where.startswith("behind"):
         start(client.run)
-        until(lambda: rig.around.lines)
+        until(lambda: rig.around.transcript)
         one.leaves(way)
-        rig.around.script.put(answer(200, "served"))
+        rig.around.script.put(http_response(200, "served"))
         if not way:
             assert status(far) == 200
     elif where.startswith("before"):
@@ -275,7 +280,7 @@
             one.leaves(way)
             go.release(10)
     if not way:
-        rig.around.script.put(answer(200, "served"))
+        rig.around.script.put(http_response(200, "served"))
     sent = one.over(way)
     assert ("GET /second second" in sent) == (not way), sent
 
@@ -283,22 +288,22 @@
 @pytest.mark.parametrize("way", ["", "closes", "resets", "closes behind a whole one"])
 def test_the_program_begins_no_further_attempt_for_a_client_that_left(way: str, tmp_path: Path) -> None:
     around = Deployment(tmp_path, 2)
-    around.told["admin_addr"] = "127.0.0.1:0"
-    around.config.write_text(json.dumps(around.told))
+    around.configuration["admin_addr"] = "127.0.0.1:0"
+    around.config_path.write_text(json.dumps(around.configuration))
 
     def under_way() -> bool:
-        return any(value for name, value in around.figures().items() if "current" in name)
+        return any(value for name, value in around.metrics().items() if "current" in name)
 
     with around.running():
         around.send("read", 20_000)
-        until(lambda: around.lines)
+        until(lambda: around.transcript)
         if way:
-            WAYS[way](around.client)
+            WAYS[way](around.client_socket)
             gone = time.monotonic()
             until(lambda: time.monotonic() - gone > 0.1)
         around.script.put("reset")
         if not way:
-            around.script.put(answer(200, "served"))
-            assert status(around.client) == 200
+            around.script.put(http_response(200, "served"))
+            assert status(around.client_socket) == 200
         until(lambda: not under_way())
-        assert len(around.lines) == (1 if way else 2)
+        assert len(around.transcript) == (1 if way else 2)
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -30,7 +30,7 @@
 )
 from pumicepath.fleet.trials import HIGHEST, KEPT, OWN_EYES, Trials, audience
 from pumicepath.interface import Outcome
-from pumicepath.lab.faults.checks import one_holder
+from pumicepath.lab.verification.checks import one_holder
 from pumicepath.lab.loopback.scripted import Deployment
 from pumicepath.lab.model.servers import Job, Server
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble
@@ -321,7 +321,7 @@
         sidecar = self.stage.sidecars[number]
         while not self.over:
             asked = self.now()
-            view = await sidecar.asked("/peers", LONGEST_S) if sidecar.up else None
+            view = await sidecar.query_admin("/peers", LONGEST_S) if sidecar.up else None
             for held in view.get("holds", []) if view is not None else []:
                 duty, fence, born = held["duty"], int(held["number"], 16), view["born"]  # type: ignore[index]
                 self.lines.append(
@@ -429,14 +429,14 @@
             cut_off.add(holder.number)
             began = time.monotonic()
             await stage.until(
-                lambda _: not any(each.refused & sick for each in stage.sidecars if each is not holder),
+                lambda _: not any(each.open_breakers & sick for each in stage.sidecars if each is not holder),
                 "in use by all others",
             )
             assert time.monotonic() - began < OWN_EYES / SECOND, "not only once nobody is heeded any more"
-            assert holder.refused & sick, "its own eyes see them fail"
+            assert holder.open_breakers & sick, "its own eyes see them fail"
             cut_off.add(-1)
             cut_off.discard(holder.number)
-            await stage.until(lambda _: not holder.refused & sick, "the way is back")
+            await stage.until(lambda _: not holder.open_breakers & sick, "the way is back")
         assert not holding.broken(), holding.broken()[:3]
 
     played(tmp_path, work, PLAN)
@@ -476,15 +476,15 @@
     around = Deployment(tmp_path, 1, admin_addr="127.0.0.1:0", peers=peers)
 
     def load(**changed: object) -> dict[str, Any]:
-        around.config.write_text(json.dumps({**around.told, "peers": {**peers, **changed}}))
+        around.config_path.write_text(json.dumps({**around.configuration, "peers": {**peers, **changed}}))
         around.process.send_signal(signal.SIGHUP)
-        waiting = around.event("reloaded")["needs_restart"]
-        view = around.call("GET", "/peers")
+        waiting = around.next_event("reloaded")["needs_restart"]
+        view = around.call_admin("GET", "/peers")
         assert view is not None
         return {"waiting": waiting, **json.loads(view.body)}
 
     with around.running():
-        mine = json.loads(around.call("GET", "/peers").body)["address"]  # type: ignore[union-attr]
+        mine = json.loads(around.call_admin("GET", "/peers").body)["address"]  # type: ignore[union-attr]
         told = load(voters=[mine], leaseS=1, longestS=40, trials=True)
         assert told["waiting"] == [] and told["fit"] and told["holds"] == told["granted"] == []
         assert 30 < told["silent_s"] < 41, "one that becomes a voter knows nothing of what was granted"
@@ -494,10 +494,12 @@
         assert "granted" not in told and told["holds"] == []
         assert "holds" not in load()
         assert load(everyS=0.3)["waiting"] == ["peers"]
-        around.config.write_text(json.dumps({**around.told, "peers": {**peers, "voters": ["nobody"]}}))
+        around.config_path.write_text(
+            json.dumps({**around.configuration, "peers": {**peers, "voters": ["nobody"]}})
+        )
         around.process.send_signal(signal.SIGHUP)
-        assert "peers.voters[0]" in around.event("reload_failed")["text"]
-        refused = around.call("PUT", "/peers/duties/trial%20a%20s-0/resign")
+        assert "peers.voters[0]" in around.next_event("reload_failed")["text"]
+        refused = around.call_admin("PUT", "/peers/duties/trial%20a%20s-0/resign")
         assert refused is not None and refused.status == 404
 
 
