--- a/benchmarks/calling.py
+++ b/benchmarks/calling.py
@@ -30,9 +30,9 @@
 from trees import ROOT
 
 from pumicepath.interface import Outcome
+from pumicepath.lab.loopback.client_connections import encode_request
 from pumicepath.lab.loopback.process import SidecarProcess
 from pumicepath.lab.loopback.servers import RESPONSES
-from pumicepath.lab.loopback.client_connections import encode_request
 
 RATE = 150.0  # calls a second
 KEYS = 1500
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -25,9 +25,9 @@
 
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.loopback.separate_processes import run_servers  # noqa: E402
-from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
 from pumicepath.lab.loopback.client_connections import encode_request  # noqa: E402
+from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
+from pumicepath.lab.loopback.separate_processes import run_servers  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Tariff  # noqa: E402
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -30,8 +30,8 @@
 
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.loopback.separate_processes import ClientResults, run_clients, run_servers  # noqa: E402
 from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
+from pumicepath.lab.loopback.separate_processes import ClientResults, run_clients, run_servers  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Tariff  # noqa: E402
 
 CONTEXT = multiprocessing.get_context("spawn")
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -22,8 +22,8 @@
 from pumicepath.http1 import writing  # noqa: E402
 from pumicepath.http1.parsing import MOST_BODY, RequestParser, ResponseParser  # noqa: E402
 from pumicepath.interface import Entry, Listing, Outcome, Phase  # noqa: E402
-from pumicepath.lab.loopback.servers import RESPONSES  # noqa: E402
 from pumicepath.lab.loopback.client_connections import encode_request as request_of  # noqa: E402
+from pumicepath.lab.loopback.servers import RESPONSES  # noqa: E402
 from pumicepath.lab.spec import Load, Plan, Sidecars, Tariff  # noqa: E402
 from pumicepath.lab.spec import told as settings_of
 from pumicepath.logic import Balancer  # noqa: E402
--- a/benchmarks/relaying.py
+++ b/benchmarks/relaying.py
@@ -178,5 +178,7 @@
                 for size, each, spent in zip(sizes, sidecars, before)
             }
         finally:
-            for one in [*sidecars, *relays, *origins]:
+            for sidecar in sidecars:
+                sidecar.kill()
+            for one in [*relays, *origins]:
                 one.end()
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -22,10 +22,10 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from pumicepath.lab.experiments.figures import difference  # noqa: E402
-from pumicepath.lab.verification.history import read  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.result import Result  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble  # noqa: E402
+from pumicepath.lab.verification.history import read  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
 BEGINS, LASTS, ENDS = 15, 45, 100
--- a/pumicepath/lab/loopback/host.py
+++ b/pumicepath/lab/loopback/host.py
@@ -7,12 +7,12 @@
 from typing import Any, Protocol
 
 from ...interface import Tariff
-from ..verification.history import History
 from ..model.judge import Judge
 from ..model.links import Links
 from ..model.listing import Registry
 from ..model.network import Network
 from ..spec import Plan
+from ..verification.history import History
 from .clock import EventLoopTimeline
 
 
--- a/pumicepath/lab/loopback/separate_processes.py
+++ b/pumicepath/lab/loopback/separate_processes.py
@@ -18,8 +18,8 @@
 from ..model.servers import Job, Server
 from ..model.world import World
 from ..spec import Plan
-from .clock import EventLoopTimeline
 from .client_connections import ClientConnections
+from .clock import EventLoopTimeline
 from .world import SLACK_US, LoopbackWorld
 
 TALLY_COLUMNS = ("offered", "good", "late", "deferred", "forfeited", "left", "lost", "refused")
@@ -144,9 +144,9 @@
     def __init__(self, crowd: ClientWorld, number: int, where: tuple[str, int], most: int) -> None:
         super().__init__(crowd, most)
         self.number = number
-        self.where = where
+        self.address = where
         self.up = True
-        self.starts = 1
+        self.start_count = 1
 
 
 async def play_clients(
--- a/pumicepath/lab/loopback/servers.py
+++ b/pumicepath/lab/loopback/servers.py
@@ -12,8 +12,8 @@
 from ...interface import Outcome
 from ...sidecar.servers import NEVER_RAN
 from ..model.servers import Job, Server
-from .protocols import HttpServerProtocol
 from .host import LoopbackHost
+from .protocols import HttpServerProtocol
 
 BODY = b"s" * 200
 RESPONSES = {
--- a/pumicepath/lab/loopback/sidecars.py
+++ b/pumicepath/lab/loopback/sidecars.py
@@ -16,15 +16,15 @@
 import orjson
 
 from ...http1 import writing
-from ..verification.clocks import PAGE_PATH_VARIABLE, ControlPage
-from ..verification.disks import StateFolder
 from ..model.listing import TWIN
 from ..model.world import Instance
 from ..spec import told
 from ..troubles import KINDS
+from ..verification.clocks import PAGE_PATH_VARIABLE, ControlPage
+from ..verification.disks import StateFolder
+from .client_connections import ClientConnections
 from .discovery import DiscoveryServer
 from .host import LoopbackHost
-from .client_connections import ClientConnections
 
 ROOT = Path(__file__).resolve().parents[3]
 READY_TIMEOUT_S = 30.0
@@ -106,7 +106,7 @@
         await self.start_process()
 
     async def start_process(self) -> None:
-        self.starts += 1
+        self.start_count += 1
         self.ending = False
         world = self.world
         if not self.discovery.address:
@@ -135,7 +135,7 @@
             environment[PAGE_PATH_VARIABLE] = str(self.folder / f"clock-{self.number}")
         path.write_bytes(orjson.dumps(config))
         world.registry.join(self.discovery.number, self.discovery)
-        world.history.write("rig", "started", sidecar=self.number, starts=self.starts)
+        world.history.write("rig", "started", sidecar=self.number, starts=self.start_count)
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-O",
@@ -155,7 +155,7 @@
             "name": f"sidecar-{self.number}",
             "listen": self.listen,
             "discovery": self.discovery.address,
-            "seed": f"{world.seed * 1_000_003 + self.number * 97 + self.starts:x}",
+            "seed": f"{world.seed * 1_000_003 + self.number * 97 + self.start_count:x}",
             "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024},
             "known": self.discovery.list_document(True, world.registry.whole()),
             "settings": told(world.plan, self.number, self.hall),
@@ -171,7 +171,7 @@
                 self.admin_address = parse_address(event["operators"])
                 self.peer_socket = parse_address(event.get("peers", ""))
                 self.listen = event["listen"]
-                self.where = parse_address(self.listen)
+                self.address = parse_address(self.listen)
                 self.world.set_peer_socket(self.number, self.peer_socket)
                 self.up = True
                 self.open_breakers.clear()
--- a/pumicepath/lab/loopback/world.py
+++ b/pumicepath/lab/loopback/world.py
@@ -11,8 +11,6 @@
 from pathlib import Path
 from typing import Any
 
-from ..verification.history import VERSION, History
-from ..verification.recording import RecordingRuleChecker
 from ..model.judge import Judge
 from ..model.links import Links
 from ..model.result import Result, result
@@ -20,9 +18,11 @@
 from ..model.world import World
 from ..spec import Plan
 from ..troubles import KINDS
+from ..verification.history import VERSION, History
+from ..verification.recording import RecordingRuleChecker
 from .clock import EventLoopTimeline
 from .datagram_proxies import DatagramProxies
-from .servers import ServerListener, LoopbackServer
+from .servers import LoopbackServer, ServerListener
 from .sidecars import READY_TIMEOUT_S, LoopbackSidecar
 
 SLACK_US = 60_000  # microseconds that the loop and the kernel may take between an act and its sight
@@ -96,7 +96,7 @@
         return sidecar % self.plan.fleet.halls
 
     def server_address(self, server: int) -> str:
-        door = self.servers[server].door  # type: ignore[attr-defined]
+        door = self.servers[server].listener  # type: ignore[attr-defined]
         return str(door.address)
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
--- a/pumicepath/lab/verification/starter.py
+++ b/pumicepath/lab/verification/starter.py
@@ -20,7 +20,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from .clocks import READ_ONLY_OFFSET, SLOW_OFFSET, PAGE_PATH_VARIABLE, ControlPage
+from .clocks import PAGE_PATH_VARIABLE, READ_ONLY_OFFSET, SLOW_OFFSET, ControlPage
 
 
 def install_clock(page: ControlPage) -> SimpleNamespace:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,9 +11,9 @@
 from pumicepath.fleet.leases import Answer, Fence, Verdict, Voter, held_for, named, silent_for
 from pumicepath.fleet.messages import OF_BATCH
 from pumicepath.fleet.settings import Voting
-from pumicepath.lab.verification.checks import fencing, one_holder
 from pumicepath.lab.model.links import Links
 from pumicepath.lab.model.timeline import Virtual
+from pumicepath.lab.verification.checks import fencing, one_holder
 from pumicepath.lab.virtual.holders import DRIFT, Found, Planted, schedule
 from pumicepath.lab.virtual.peers import Peering, address
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,13 +13,13 @@
 
 from pumicepath.command import main
 from pumicepath.lab.experiments import files, fleet
-from pumicepath.lab.verification import checks, history, recovery
-from pumicepath.lab.verification.clocks import PAGE_PATH_VARIABLE, ControlPage
-from pumicepath.lab.verification.disks import StateFolder
-from pumicepath.lab.verification.history import HistoryError, History
 from pumicepath.lab.model.links import Links, Noise
 from pumicepath.lab.model.timeline import SECOND, Virtual
 from pumicepath.lab.spec import Plan, Sidecars, Trouble
+from pumicepath.lab.verification import checks, history, recovery
+from pumicepath.lab.verification.clocks import PAGE_PATH_VARIABLE, ControlPage
+from pumicepath.lab.verification.disks import StateFolder
+from pumicepath.lab.verification.history import History, HistoryError
 from pumicepath.lab.virtual.run import VirtualWorld
 
 from .helpers import compare
@@ -252,7 +252,7 @@
     code = (
         "import os, time; from pathlib import Path; true = time.time()\n"
         "from pumicepath.lab.verification import clocks, starter\n"
-        "starter.bend(clocks.Page(Path(os.environ[clocks.VARIABLE])))\n"
+        "starter.install_clock(clocks.ControlPage(Path(os.environ[clocks.PAGE_PATH_VARIABLE])))\n"
         "from pumicepath.sidecar import clock\n"
         "print(round(true - time.time()), clock.now() > 0)"
     )
@@ -274,7 +274,8 @@
     code = (
         "import os, sys, time; from pathlib import Path\n"
         "from pumicepath.lab.verification import clocks, starter\n"
-        "starter.burden(clocks.Page(Path(os.environ[clocks.VARIABLE])), sys.argv[1])\n"
+        "page = clocks.ControlPage(Path(os.environ[clocks.PAGE_PATH_VARIABLE]))\n"
+        "starter.install_disk_faults(page, sys.argv[1])\n"
         "own, began = Path(sys.argv[1]), time.monotonic()\n"
         "def tried(what):\n"
         "    try: return what() and 'done'\n"
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -16,7 +16,7 @@
 from pumicepath.http1 import writing
 from pumicepath.interface import Listing, Phase
 from pumicepath.lab.loopback.discovery import DiscoveryServer
-from pumicepath.lab.loopback.world import LoopbackWorld, InvalidRunError
+from pumicepath.lab.loopback.world import InvalidRunError, LoopbackWorld
 from pumicepath.lab.model.clients import Ask
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
--- a/tests/test_scripted.py
+++ b/tests/test_scripted.py
@@ -45,7 +45,7 @@
 def test_an_event_that_does_not_come_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
     log = logged(120)
     log.next_event(("last",))
-    monkeypatch.setattr(scripted, "EVENT_S", 0.05)
+    monkeypatch.setattr(scripted, "EVENT_TIMEOUT_S", 0.05)
     with pytest.raises(AssertionError, match="no event alone within 0.05 s"):
         log.next_event(("alone",))
     log.process.kill()
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -30,10 +30,10 @@
 )
 from pumicepath.fleet.trials import HIGHEST, KEPT, OWN_EYES, Trials, audience
 from pumicepath.interface import Outcome
-from pumicepath.lab.verification.checks import one_holder
 from pumicepath.lab.loopback.scripted import Deployment
 from pumicepath.lab.model.servers import Job, Server
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble
+from pumicepath.lab.verification.checks import one_holder
 from pumicepath.lab.virtual.run import VirtualWorld
 from pumicepath.lab.virtual.sidecar import Sidecar
 
@@ -387,8 +387,8 @@
         one.start()
         await stage.started()
         fence, one = current(duties[0])
-        assert not await one.resigned("no duty of its")
-        while not await one.resigned(duties[0]):  # it may have given it up by itself just now
+        assert not await one.resign_duty("no duty of its")
+        while not await one.resign_duty(duties[0]):  # it may have given it up by itself just now
             await holding.holder(duties[0], fence)
             fence, one = current(duties[0])
         await holding.holder(duties[0], fence)
