--- a/pumicepath/lab/verification/__init__.py
+++ b/pumicepath/lab/verification/__init__.py
@@ -1,1 +1,1 @@
-"""What makes faults of real processes, and what is known of them: clocks, disks, the history, its checks."""
+"""Faults of real processes (clocks, disks), the recorded history of a run, and its checks."""
--- a/pumicepath/lab/verification/checks/__init__.py
+++ b/pumicepath/lab/verification/checks/__init__.py
@@ -1,4 +1,9 @@
-"""What must hold in a history, a property a file: `PROPERTY` is a sentence, `check` names breaches of it."""
+"""Checks of a recorded history, one property per module.
+
+Each module defines `PROPERTY`, a sentence that states the property, and `check`, which returns a
+description of every violation.  Modules are discovered by file name; that name is the key in `PROPERTIES`
+and `CHECKS` and in stored results.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +16,12 @@
 Check = Callable[[Sequence[Line]], list[str]]
 PROPERTIES: dict[str, str] = {}
 CHECKS: dict[str, Check] = {}
-for _found in sorted(module.name for module in pkgutil.iter_modules(__path__)):
-    _module = importlib.import_module(f"{__name__}.{_found}")
-    PROPERTIES[_found] = _module.PROPERTY
-    CHECKS[_found] = _module.check
+for _name in sorted(module.name for module in pkgutil.iter_modules(__path__)):
+    _module = importlib.import_module(f"{__name__}.{_name}")
+    PROPERTIES[_name] = _module.PROPERTY
+    CHECKS[_name] = _module.check
 
 
 def violations(lines: Sequence[Line]) -> dict[str, list[str]]:
-    """By check, each breach in a line; checks that found none are left out."""
+    """Runs every check and returns the violations by check name, without the checks that found none."""
     return {name: found for name, check in CHECKS.items() if (found := check(lines))}
--- a/pumicepath/lab/verification/checks/four_rules.py
+++ b/pumicepath/lab/verification/checks/four_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, by the model's judge on what clients and servers saw."""
+"""Checks the four rules: the model's rule checker, run again on what clients and servers recorded."""
 
 from __future__ import annotations
 
@@ -8,12 +8,15 @@
 from ..recording import replay
 
 PROPERTY = (
-    "Each submission gets one final answer in time and nothing goes out afterwards; no effect comes "
-    "twice; no hop goes to a server past the grace after the sidecar was told; no cold server is "
-    "pushed over."
+    "Each submission gets one final answer before its deadline, and no hop is sent afterwards; no effect "
+    "happens twice; no hop goes to a draining server once the grace period after the sidecar's "
+    "notification is over; no cold server is overloaded by sidecars that know that it is cold."
 )
 
 
 def check(lines: Sequence[Line]) -> list[str]:
-    judge = replay(lines)
-    return [f"{rule}: {count}, first {judge.first[rule]}" for rule, count in judge.broken.items() if count]
+    """Returns, per violated rule, the number of violations and the first of them."""
+    checker = replay(lines)
+    return [
+        f"{rule}: {count}, first {checker.first[rule]}" for rule, count in checker.broken.items() if count
+    ]
--- a/pumicepath/lab/verification/checks/one_holder.py
+++ b/pumicepath/lab/verification/checks/one_holder.py
@@ -1,4 +1,4 @@
-"""Mutual exclusion of duties, as those saw it that were acted on."""
+"""Checks the mutual exclusion of duties, as the targets of the duties recorded it."""
 
 from __future__ import annotations
 
@@ -7,38 +7,42 @@
 from ..history import Line
 
 PROPERTY = (
-    "Between the first and the last act that was accepted of a holder in one term, no other holder's "
-    "act for the same duty is accepted; a number belongs to one holder."
+    "Between the first and the last accepted act of a holder in one term, no act of another holder is "
+    "accepted for the same duty; a fencing number belongs to one holder."
 )
 
 
 def check(lines: Sequence[Line]) -> list[str]:
-    """Lines `acted` have duty, holder, fence and whether it was accepted.
+    """Returns each pair of terms of one duty that overlap or share a fencing number.
 
-    Where a holder was asked whether it might act, and said so, they have `asked`, too: it was so at some
-    moment from then until `at`.  Such a term is sure from its first answer to its last question, if ever.
+    Lines `acted` have duty, holder, fence and whether the act was accepted.  A line from a poll, in which
+    the holder said that it might act, also has `asked`: the statement held at some moment from `asked` to
+    `at`.  The term of a polled holder is therefore certain only from its first reply to its last poll, if
+    at all.
     """
     terms: dict[str, dict[tuple[int, str], list[int]]] = {}
     for line in lines:
         if line["what"] == "acted" and line["accepted"]:
-            until = int(line["asked"] if "asked" in line else line["at"])
-            span = terms.setdefault(line["duty"], {}).setdefault(
-                (line["fence"], line["holder"]), [line["at"], until]
+            ends_at = int(line["asked"] if "asked" in line else line["at"])
+            period = terms.setdefault(line["duty"], {}).setdefault(
+                (line["fence"], line["holder"]), [line["at"], ends_at]
             )
-            span[1] = max(span[1], until)
-    found = []
-    for duty, spans in sorted(terms.items()):
+            period[1] = max(period[1], ends_at)
+    violations = []
+    for duty, holder_terms in sorted(terms.items()):
         ordered = sorted(
-            (since, end, fence, holder) for (fence, holder), (since, end) in spans.items() if since <= end
+            (start, end, fence, holder)
+            for (fence, holder), (start, end) in holder_terms.items()
+            if start <= end
         )
         if not ordered:
             continue
         latest = ordered[0]
-        for each in ordered[1:]:
-            if each[3] != latest[3] and (each[0] <= latest[1] or each[2] == latest[2]):
-                found.append(
+        for term in ordered[1:]:
+            if term[3] != latest[3] and (term[0] <= latest[1] or term[2] == latest[2]):
+                violations.append(
                     f"{duty}: {latest[3]} (number {latest[2]}) until {latest[1] / 1e6:.3f} s, and "
-                    f"{each[3]} (number {each[2]}) from {each[0] / 1e6:.3f} s"
+                    f"{term[3]} (number {term[2]}) from {term[0] / 1e6:.3f} s"
                 )
-            latest = max(latest, each, key=lambda one: one[1])
-    return found
+            latest = max(latest, term, key=lambda candidate: candidate[1])
+    return violations
--- a/pumicepath/lab/verification/recording.py
+++ b/pumicepath/lab/verification/recording.py
@@ -1,6 +1,7 @@
-"""The model's judge, writing down all that it is told: `Recorded` in place of `Judge`.
+"""The model's rule checker with a recorded history.
 
-`replayed` judges a history again, without the run: the same code on what was seen then.
+`RecordingRuleChecker` writes every event that it is given to the history before it checks it; `replay`
+feeds a history to the same checks again, without the run.
 """
 
 from __future__ import annotations
@@ -20,6 +21,8 @@
 
 
 class RecordingRuleChecker(Judge):
+    """A rule checker that records each event of clients, servers and processes in a history."""
+
     def __init__(
         self,
         timeline: Timeline,
@@ -95,7 +98,7 @@
 
 
 class ReplayedRegistry:
-    """A registry that knows what was written beside each hop."""
+    """Stands in for the registry in a replay: it answers with what the history says of the current hop."""
 
     def __init__(self) -> None:
         self.known_since: int | None = None
@@ -105,43 +108,46 @@
 
 
 def replay(lines: Sequence[Line]) -> Judge:
-    """The judge as it stood at the end of a history, by what clients and servers saw in it."""
+    """Returns the rule checker in its state after all events of a history."""
     head = lines[0]
     plan = Plan(**head["plan"])
-    tariffs = decode(told(plan, 0, 0)).tariffs
+    request_classes = decode(told(plan, 0, 0)).tariffs
     timeline, registry = Virtual(), ReplayedRegistry()
-    judge = Judge(timeline, tariffs, registry, micros(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
+    checker = Judge(timeline, request_classes, registry, micros(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
     for line in lines:
         timeline.run(line["at"])
-        replay_line(judge, registry, line)
-    return judge
+        replay_line(checker, registry, line)
+    return checker
 
 
-def replay_line(judge: Judge, registry: ReplayedRegistry, line: Line) -> None:
+def replay_line(checker: Judge, registry: ReplayedRegistry, line: Line) -> None:
+    """Feeds one line of a history to a rule checker; lines of other kinds are ignored."""
     what: Any = line["what"]
     if what == "tried":
-        judge.tried(line["ask"], line["tariff"], line["until"])
+        checker.tried(line["ask"], line["tariff"], line["until"])
     elif what == "answered":
-        judge.answered(line["ask"], line["end"])
+        checker.answered(line["ask"], line["end"])
     elif what == "gone":
-        judge.gone(line["ask"], line["why"])
+        checker.gone(line["ask"], line["why"])
     elif what == "patience_over":
-        judge.patience_over(line["ask"])
+        checker.patience_over(line["ask"])
     elif what == "closed":
-        judge.closed(line["ask"])
+        checker.closed(line["ask"])
     elif what == "sent":
         registry.known_since = line["told"]
-        judge.sent(line["sidecar"], line["server"], line["ask"])
+        checker.sent(line["sidecar"], line["server"], line["ask"])
     elif what == "returned":
-        judge.returned(line["ask"])
+        checker.returned(line["ask"])
     elif what == "ran":
-        at: Any = SimpleNamespace(number=line["server"], hall=line["hall"], cell=line["cell"])
-        work: Any = SimpleNamespace(ask=line["ask"])
-        judge.ran(line["at"], work, at)
+        server: Any = SimpleNamespace(number=line["server"], hall=line["hall"], cell=line["cell"])
+        job: Any = SimpleNamespace(ask=line["ask"])
+        checker.ran(line["at"], job, server)
     elif what == "pushed_over":
-        fallen: Any = SimpleNamespace(number=line["server"], arrivals=[(0, line["work"])])
-        judge.pushed_over(
-            line["at"], fallen, {each: 0 for each in range(1, line["sidecars"])} | {0: line["knowing"]}
+        cold_server: Any = SimpleNamespace(number=line["server"], arrivals=[(0, line["work"])])
+        checker.pushed_over(
+            line["at"],
+            cold_server,
+            {sender: 0 for sender in range(1, line["sidecars"])} | {0: line["knowing"]},
         )
     elif what in ("stopped", "going_on"):
-        judge.stop(line["sidecar"], what == "stopped")
+        checker.stop(line["sidecar"], what == "stopped")
--- a/pumicepath/lab/verification/starter.py
+++ b/pumicepath/lab/verification/starter.py
@@ -1,9 +1,11 @@
-"""Starts a sidecar with another clock and disk: `python -m pumicepath.lab.verification.starter`, as `serve`.
-
-Both stand in `$PUMICEPATH_LAB_CLOCK` (see `clocks`).  Put in place before anything of the product is
-imported, so that the product needs no hook.  Waits of the system go by the true clock: only what a process
-reads is bent, as by a quartz that is off.  The kernel's stamps on what arrives stay true, and so does what
-they are compared with.
+"""Starts a sidecar with a faulty clock and disk.
+
+`python -m pumicepath.lab.verification.starter` does what `pumicepath serve` does.
+Clock and disk are set through the file that `$PUMICEPATH_LAB_CLOCK` names (see `clocks`).  The functions of
+the standard library are replaced before any module of the sidecar is imported, so the sidecar needs no
+hook.  System waits still use the true clock: only the time that the process reads is changed, as by an
+inaccurate oscillator.  The kernel's timestamps on received data stay true, and so does the clock that they
+are compared with.
 """
 
 from __future__ import annotations
@@ -24,50 +26,51 @@
 
 
 def install_clock(page: ControlPage) -> SimpleNamespace:
-    """Give this process the page's clock; what was there before comes back."""
-    before = SimpleNamespace(
+    """Replaces the clock functions of this process by those of the page; returns the original ones."""
+    original = SimpleNamespace(
         time_ns=time.time_ns, time=time.time, monotonic_ns=time.monotonic_ns, monotonic=time.monotonic
     )
     time.monotonic_ns = page.monotonic_ns
     time.monotonic = lambda: page.monotonic_ns() / 1e9
-    time.time_ns = lambda: page.wall_ns(before.time_ns())
+    time.time_ns = lambda: page.wall_ns(original.time_ns())
     time.time = lambda: time.time_ns() / 1e9
-    return before
+    return original
 
 
 def install_disk_faults(page: ControlPage, folder: str) -> None:
-    """Give this process the page's disk: what it opens, renames or syncs there may fail or be slow."""
+    """Makes the operations of this process on files in `folder` fail or be slow as the page says."""
 
-    def through(call: Callable[..., Any], changes: Callable[..., bool]) -> Callable[..., Any]:
-        def burdened(*given: Any, **named: Any) -> Any:
-            path = given[0] if given else ""
+    def wrap(call: Callable[..., Any], modifies: Callable[..., bool]) -> Callable[..., Any]:
+        def wrapped(*args: Any, **kwargs: Any) -> Any:
+            path = args[0] if args else ""
             if isinstance(path, int) or str(path).startswith(folder):
                 time.sleep(page.memory[SLOW_OFFSET] / 100)
-                if page.memory[READ_ONLY_OFFSET] and changes(*given, **named):
+                if page.memory[READ_ONLY_OFFSET] and modifies(*args, **kwargs):
                     raise OSError(errno.EROFS, os.strerror(errno.EROFS), str(path))
-            return call(*given, **named)
+            return call(*args, **kwargs)
 
-        return burdened
+        return wrapped
 
-    def writes(path: Any, mode: Any = "r", *_: Any, **named: Any) -> bool:
+    def opens_for_writing(path: Any, mode: Any = "r", *_: Any, **kwargs: Any) -> bool:
         if isinstance(mode, int):
             return bool(mode & (os.O_WRONLY | os.O_RDWR | os.O_CREAT))
-        return any(letter in str(named.get("mode", mode)) for letter in "wax+")
+        return any(letter in str(kwargs.get("mode", mode)) for letter in "wax+")
 
     for name in ("replace", "rename", "unlink", "remove", "mkdir", "truncate", "fsync", "fdatasync"):
-        setattr(os, name, through(getattr(os, name), lambda path, *_, **__: not isinstance(path, int)))
-    os.open = through(os.open, writes)
-    io.open = through(io.open, writes)
+        setattr(os, name, wrap(getattr(os, name), lambda path, *_, **__: not isinstance(path, int)))
+    os.open = wrap(os.open, opens_for_writing)
+    io.open = wrap(io.open, opens_for_writing)
     builtins.open = io.open
 
 
 def main() -> None:
+    """Installs clock and disk, then runs `pumicepath serve`."""
     page = ControlPage(Path(os.environ[PAGE_PATH_VARIABLE]))
-    true = install_clock(page)
+    true_clock = install_clock(page)
     install_disk_faults(page, os.environ.get("TMPDIR") or "\0")
     from ...sidecar import arrival
 
-    setattr(arrival, "time", true)  # noqa: B010
+    setattr(arrival, "time", true_clock)  # noqa: B010
     sys.argv = ["pumicepath", "serve"]
     runpy.run_module("pumicepath", run_name="__main__")
 
