--- a/pumicepath/lab/loopback/client_connections.py
+++ b/pumicepath/lab/loopback/client_connections.py
@@ -1,6 +1,6 @@
-"""Connections of clients to a sidecar, each with one submission at a time: what the model's clients meet.
+"""HTTP connections of the model's clients to a real sidecar, each with one submission at a time.
 
-`Wires.take` is given a submission; its end goes to the submission's clients.  `asked` is the request itself.
+`ClientConnections.take` sends a submission; its outcome is reported to the clients that it belongs to.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class ClientHost(Protocol):
-    """What the connections need of the world that they are in."""
+    """The part of a world that the connections use."""
 
     plan: Plan
     judge: Judge
@@ -31,37 +31,37 @@
     timeline: EventLoopTimeline
     tariffs: tuple[Tariff, ...]
 
-    def start_task(self, work: Coroutine[Any, Any, Any]) -> None: ...
+    def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
+        """Runs a coroutine as a task that ends with the world at the latest."""
 
-    def note(self, text: str) -> None: ...
+    def note(self, text: str) -> None:
+        """Adds a line to the log of the run."""
 
 
 class ClientConnections:
-    """A sidecar's address, and the connections to it: at most so many, any number if that is 0."""
+    """A sidecar's address and the connections to it, at most `max_connections`; 0 means no limit."""
 
     def __init__(self, host: ClientHost, max_connections: int = 0) -> None:
         self.host = host
         self.max_connections = max_connections
         self.up = False
         self.start_count = 0
-        self.ending = False  # asked to end, and not begun again
+        self.ending = False  # asked to end, and not started again since
         self.address = ("127.0.0.1", 0)
         self.open_count = 0
         self.idle: list[ClientConnection] = []
-        self.connection_by_submission: dict[
-            int, ClientConnection
-        ] = {}  # by the number of the submission on it
-        self.rejection_times_us: deque[int] = deque(
-            maxlen=MAX_REJECTION_TIMES
-        )  # microseconds from a try to its deferral
+        self.connection_by_submission: dict[int, ClientConnection] = {}
+        # From sending a submission to its rejection.
+        self.rejection_times_us: deque[int] = deque(maxlen=MAX_REJECTION_TIMES)
 
     def take(self, ask: Ask) -> bool:
+        """Sends a submission; returns False if the sidecar is down or the connection limit is reached."""
         if not self.up:
             return False
         while self.idle:
-            wire = self.idle.pop()
-            if not wire.transport.is_closing():
-                wire.send(ask)
+            connection = self.idle.pop()
+            if not connection.transport.is_closing():
+                connection.send(ask)
                 return True
         if self.max_connections and self.open_count >= self.max_connections:
             return False
@@ -69,25 +69,29 @@
         self.host.start_task(self.connect(ask))
         return True
 
-    async def connect(self, ask: Ask) -> None:
-        turn = ask.turn
+    async def connect(self, submission: Ask) -> None:
+        """Opens a connection and sends the submission on it, if its client still waits for this try."""
+        turn = submission.turn
         try:
-            wire = (await self.host.loop.create_connection(lambda: ClientConnection(self), *self.address))[1]
+            connection = (
+                await self.host.loop.create_connection(lambda: ClientConnection(self), *self.address)
+            )[1]
         except OSError:
             self.open_count -= 1
-            if turn == ask.turn:
-                ask.clients.unreached(ask)
+            if turn == submission.turn:
+                submission.clients.unreached(submission)
             return
-        if ask.over or turn != ask.turn:
-            self.idle.append(wire)
+        if submission.over or turn != submission.turn:
+            self.idle.append(connection)
         else:
-            wire.send(ask)
+            connection.send(submission)
 
     def left(self, ask: Ask) -> None:
-        wire = self.connection_by_submission.pop(ask.number, None)
-        if wire is not None:
-            wire.ask = None
-            wire.transport.abort()
+        """Aborts the connection of a submission whose client has left."""
+        connection = self.connection_by_submission.pop(ask.number, None)
+        if connection is not None:
+            connection.submission = None
+            connection.transport.abort()
 
 
 def encode_request(
@@ -99,7 +103,7 @@
     is_retry: bool,
     body_bytes: int,
 ) -> bytes:
-    """A client's request; `body` bytes go with what may not be repeated at will."""
+    """Returns a client's request in bytes; only a non-idempotent one has a body."""
     headers = [
         ("Host", "api"),
         ("X-Trace-Id", trace_id),
@@ -115,74 +119,75 @@
 
 
 class ClientConnection(HttpClientProtocol):
-    """One connection of a client, a submission at a time."""
+    """One connection of a client, with one submission at a time."""
 
     def __init__(self, pool: ClientConnections) -> None:
         super().__init__()
         self.pool = pool
         self.start_count = pool.start_count
-        self.ask: Ask | None = None
+        self.submission: Ask | None = None
         self.turn = self.sent_at = 0
         self.used = False
 
-    def send(self, ask: Ask) -> None:
-        around = self.pool.host
-        self.ask, self.turn, self.sent_at = ask, ask.turn, around.timeline.now
-        self.pool.connection_by_submission[ask.number] = self
-        tariff = around.plan.load.tariffs[ask.tariff]
-        left = max(1, (ask.until - self.sent_at) // 1000)
-        around.judge.tried(ask.number, ask.tariff, ask.until)
+    def send(self, submission: Ask) -> None:
+        """Sends the request of a submission."""
+        host = self.pool.host
+        self.submission, self.turn, self.sent_at = submission, submission.turn, host.timeline.now
+        self.pool.connection_by_submission[submission.number] = self
+        request_class = host.plan.load.tariffs[submission.tariff]
+        left_ms = max(1, (submission.until - self.sent_at) // 1000)
+        host.judge.tried(submission.number, submission.tariff, submission.until)
         self.transport.write(
             encode_request(
-                tariff.name,
-                tariff.effect == "idempotent",
-                f"{ask.number:x}-{ask.tries}",
-                ask.key,
-                left,
-                ask.tries > 1,
-                around.plan.load.body,
+                request_class.name,
+                request_class.effect == "idempotent",
+                f"{submission.number:x}-{submission.tries}",
+                submission.key,
+                left_ms,
+                submission.tries > 1,
+                host.plan.load.body,
             )
         )
 
-    def malformed_message(self, trouble: Malformed) -> None:
-        self.pool.host.note(f"client got {trouble}")
+    def malformed_message(self, error: Malformed) -> None:
+        self.pool.host.note(f"client received {error}")
         self.transport.abort()
 
     def response_received(self, response: Response) -> None:
-        ask, self.ask = self.ask, None
+        submission, self.submission = self.submission, None
         self.used = True
         if response.keeps():
             self.pool.idle.append(self)
         else:
             self.transport.close()
-        if ask is None:
-            self.pool.host.note("an answer that nobody asked for")
+        if submission is None:
+            self.pool.host.note("a response without a request")
             return
-        self.pool.connection_by_submission.pop(ask.number, None)
+        self.pool.connection_by_submission.pop(submission.number, None)
         if response.status == 200:
-            ask.clients.succeeded(ask, self.turn)
+            submission.clients.succeeded(submission, self.turn)
         elif response.status == 503:
             self.pool.rejection_times_us.append(self.pool.host.timeline.now - self.sent_at)
-            advice = float(response.header("retry-after") or 0.0)
-            ask.clients.deferred(ask, self.turn, round(advice * 1e6))
+            retry_after_s = float(response.header("retry-after") or 0.0)
+            submission.clients.deferred(submission, self.turn, round(retry_after_s * 1e6))
         else:
-            ask.clients.forfeited(ask, self.turn)
-
-    def connection_lost(self, trouble: Exception | None) -> None:
-        among = self.pool
-        among.open_count -= 1
-        if self in among.idle:
-            among.idle.remove(self)
-        ask, self.ask = self.ask, None
-        if ask is None:
+            submission.clients.forfeited(submission, self.turn)
+
+    def connection_lost(self, error: Exception | None) -> None:
+        pool = self.pool
+        pool.open_count -= 1
+        if self in pool.idle:
+            pool.idle.remove(self)
+        submission, self.submission = self.submission, None
+        if submission is None:
             return
-        among.connection_by_submission.pop(ask.number, None)
-        if not among.up or among.start_count != self.start_count or among.ending and not self.used:
-            # With its process, or, as that ended, before it was accepted.
-            ask.clients.cut(ask, among.host.tariffs[ask.tariff].effect != 0)
-        elif self.used and not ask.over:
-            # It crossed the end of a connection that had stood idle: once more, on a new one, under the same
-            # id, so that a sidecar that had taken it would refuse it.
-            among.host.judge.gone(ask.number)
-            among.open_count += 1
-            among.host.start_task(among.connect(ask))
+        pool.connection_by_submission.pop(submission.number, None)
+        if not pool.up or pool.start_count != self.start_count or pool.ending and not self.used:
+            # The sidecar process has ended, or ended before it accepted the connection.
+            submission.clients.cut(submission, pool.host.tariffs[submission.tariff].effect != 0)
+        elif self.used and not submission.over:
+            # The request crossed the sidecar's close of an idle connection.  It is sent again on a new
+            # connection under the same id, so that a sidecar that had admitted it would refuse it.
+            pool.host.judge.gone(submission.number)
+            pool.open_count += 1
+            pool.host.start_task(pool.connect(submission))
--- a/pumicepath/lab/loopback/host.py
+++ b/pumicepath/lab/loopback/host.py
@@ -1,4 +1,4 @@
-"""What servers, lists, sidecars and relays need of the world that they stand in; they know no more of it."""
+"""The part of a world that its servers, discovery servers, sidecars and datagram proxies use."""
 
 from __future__ import annotations
 
@@ -17,6 +17,8 @@
 
 
 class LoopbackHost(Protocol):
+    """What the parts of a loopback world may use of it."""
+
     plan: Plan
     seed: int
     is_closed: bool
@@ -31,24 +33,28 @@
     processes: list[asyncio.subprocess.Process]
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Have it run, and ended with the world."""
+        """Runs a coroutine as a task that ends with the world at the latest."""
 
-    def note(self, text: str) -> None: ...
+    def note(self, text: str) -> None:
+        """Adds a line to the log of the run."""
 
-    def zone_of(self, sidecar: int) -> int: ...
+    def zone_of(self, sidecar: int) -> int:
+        """Returns the zone of a sidecar."""
 
-    def server_address(self, server: int) -> str: ...
+    def server_address(self, server: int) -> str:
+        """Returns host and port of a server."""
 
-    def work(self, ask: int) -> int: ...
+    def work(self, ask: int) -> int:
+        """Returns the core-microseconds that a submission needs."""
 
     def seed_addresses(self, sidecar: int) -> Sequence[str]:
-        """The addresses that it is told as seeds."""
+        """Returns the peer addresses that a sidecar is configured with as seeds."""
 
     def voter_addresses(self) -> Sequence[str]:
-        """The addresses of those that vote."""
+        """Returns the peer addresses of the sidecars that vote."""
 
     def set_peer_socket(self, sidecar: int, address: tuple[str, int]) -> None:
-        """A process of it has begun, whose own socket for peers is there."""
+        """Sets the address of the UDP socket of a sidecar's new process."""
 
     def peer_address(self, sidecar: int) -> str:
-        """The address at which other sidecars reach it."""
+        """Returns the address at which other sidecars reach a sidecar."""
--- a/pumicepath/lab/loopback/protocols.py
+++ b/pumicepath/lab/loopback/protocols.py
@@ -1,6 +1,7 @@
-"""The two ends of a stand-in's connection: bytes to whole messages, by the product's own parsers.
+"""HTTP protocols of the simulated servers and clients, with the parsers of the sidecar.
 
-A server's end overrides `came`, a client's `answered`; what is no HTTP goes to `malformed`.
+A server overrides `request_received`, a client `response_received`; data that is not HTTP is passed to
+`malformed_message`, which aborts the connection unless overridden.
 """
 
 from __future__ import annotations
@@ -13,16 +14,20 @@
 
 
 class HttpProtocol(asyncio.Protocol):
+    """The common part of server and client connections."""
+
     transport: asyncio.Transport
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
-    def malformed_message(self, trouble: Malformed) -> None:
+    def malformed_message(self, error: Malformed) -> None:
         self.transport.abort()
 
 
 class HttpServerProtocol(HttpProtocol):
+    """Server side of a connection; calls `request_received` with each complete request."""
+
     def __init__(self) -> None:
         self.parser = RequestParser()
 
@@ -31,14 +36,16 @@
             self.parser.feed(data)
             while (request := self.parser.next()) is not None:
                 self.request_received(request)
-        except Malformed as trouble:
-            self.malformed_message(trouble)
+        except Malformed as error:
+            self.malformed_message(error)
 
     def request_received(self, request: Request) -> None:
         raise NotImplementedError
 
 
 class HttpClientProtocol(HttpProtocol):
+    """Client side of a connection; calls `response_received` with each complete response."""
+
     def __init__(self) -> None:
         self.parser = ResponseParser()
 
@@ -46,8 +53,8 @@
         try:
             self.parser.feed(data)
             response = self.parser.next()
-        except Malformed as trouble:
-            self.malformed_message(trouble)
+        except Malformed as error:
+            self.malformed_message(error)
             return
         if response is not None:
             self.response_received(response)
--- a/pumicepath/lab/loopback/servers.py
+++ b/pumicepath/lab/loopback/servers.py
@@ -1,4 +1,4 @@
-"""The model's servers behind real sockets: they refuse, reset, go silent and stall as their model does."""
+"""The model's servers behind real sockets: they refuse, reset, go silent and stall as the model does."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
     Outcome.ERROR: writing.response(500, [], b"failed", True),
     Outcome.FULL: writing.response(503, [(NEVER_RAN, "1")], b"full", True),
 }
-BACKLOG_FILLERS = 2  # connections that fill the queue of a listener with no backlog
-LINGER_RESET = struct.pack("ii", 1, 0)
+BACKLOG_FILLERS = 2  # connections that fill the accept queue of a listener with backlog 0
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0: close sends a reset
 
 
 class ServerListener:
-    """One address for good, whoever listens behind it: open, shut (refuses), or silent (drops)."""
+    """A fixed address whose server may change; it accepts, refuses or drops connections."""
 
     def __init__(self, world: LoopbackHost) -> None:
         self.world = world
@@ -42,16 +42,18 @@
         return f"127.0.0.1:{self.port}"
 
     def bind(self) -> None:
+        """Binds a new socket to the port.  Raises OSError if another program has taken it meanwhile."""
         self.sock = socket.socket()
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             self.sock.bind(("127.0.0.1", self.port))
-        except OSError as trouble:
+        except OSError as error:
             self.sock.close()
-            raise OSError(trouble.errno, f"port {self.port} was taken by another program") from trouble
+            raise OSError(error.errno, f"port {self.port} was taken by another program") from error
         self.sock.setblocking(False)
 
     def close(self) -> None:
+        """Closes the socket; open connections are left alone."""
         self.world.loop.remove_reader(self.sock.fileno())
         for filler in self.fillers:
             filler.close()
@@ -59,18 +61,19 @@
         self.sock.close()
 
     def refuse_connections(self) -> None:
-        """Connections are refused: the port is held, and nobody listens."""
+        """Refuses connections: the port stays bound, and nothing listens on it."""
         self.close()
         self.bind()
 
     def open(self, server: LoopbackServer) -> None:
+        """Accepts connections for a server."""
         self.refuse_connections()
         self.server = server
         self.sock.listen(1024)
         self.world.loop.add_reader(self.sock.fileno(), self.accept)
 
     def drop_connections(self) -> None:
-        """The kernel drops what would connect: nobody accepts, and the queue is full."""
+        """Makes the kernel drop connection attempts: nothing accepts, and the accept queue is full."""
         self.refuse_connections()
         self.sock.listen(0)
         for _ in range(BACKLOG_FILLERS):
@@ -93,12 +96,12 @@
 
 
 class LoopbackServer(Server):
-    """A server of the model with connections; `door` is given once it has a place."""
+    """A server of the model with real connections; its listener is set when it is given an address."""
 
     listener: ServerListener | None = None
 
-    def __init__(self, *given: Any, **named: Any) -> None:
-        super().__init__(*given, **named)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         self.connections: set[ServerConnection] = set()
 
     def kill(self) -> None:
@@ -120,7 +123,7 @@
 
 
 class ServerConnection(HttpServerProtocol):
-    """One connection to a server: a request at a time, answered when the model says so."""
+    """One connection to a server, with one request at a time, answered when the model decides."""
 
     def __init__(self, world: LoopbackHost, server: LoopbackServer | None) -> None:
         super().__init__()
@@ -136,20 +139,20 @@
         else:
             self.server.connections.add(self)
 
-    def connection_lost(self, trouble: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         if self.server is None:
             return
         self.server.connections.discard(self)
-        ask, self.submission = self.submission, -1
-        if ask < 0:
+        submission, self.submission = self.submission, -1
+        if submission < 0:
             return
-        if self.job is None:  # on its way, or lost where nothing answers
-            self.world.judge.returned(ask)
+        if self.job is None:  # still on the way, or lost at a silent server
+            self.world.judge.returned(submission)
         elif not self.job.gone:
             self.server.cancelled(self.job)
 
-    def malformed_message(self, trouble: Malformed) -> None:
-        self.world.note(f"server got {trouble}")
+    def malformed_message(self, error: Malformed) -> None:
+        self.world.note(f"server received {error}")
         self.reset()
 
     def request_received(self, request: Request) -> None:
@@ -158,16 +161,16 @@
             return
         self.submission = int(request.header("x-trace-id").partition("-")[0], 16)
         sidecar = self.submission >> 32
-        hall = world.zone_of(sidecar)
+        zone = world.zone_of(sidecar)
         world.judge.sent(sidecar, server.number, self.submission)
         world.network.carry(
-            hall, server.hall, self.hop_arrived, self.submission, sidecar, request.header("x-object")
+            zone, server.hall, self.hop_arrived, self.submission, sidecar, request.header("x-object")
         )
 
     def hop_arrived(self, submission: int, sidecar: int, key: str) -> None:
         world, server = self.world, self.server
         if self.submission != submission or server is None:
-            return  # given up on the way
+            return  # the sidecar gave it up on the way
 
         def reply(outcome: Outcome) -> None:
             world.judge.returned(submission)
@@ -194,11 +197,12 @@
         if outcome not in RESPONSES:
             self.reset()
         elif outcome == Outcome.OK and self.server is not None and self.server.stalls():
-            self.transport.write(RESPONSES[outcome][: -len(BODY) // 2])  # and no more
+            self.transport.write(RESPONSES[outcome][: -len(BODY) // 2])  # the rest never follows
         else:
             self.transport.write(RESPONSES[outcome])
 
     def reset(self) -> None:
+        """Ends the connection with a TCP reset."""
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
             with suppress(OSError):
--- a/pumicepath/lab/loopback/sidecars.py
+++ b/pumicepath/lab/loopback/sidecars.py
@@ -1,4 +1,4 @@
-"""Real sidecars as processes of a loopback world, and the connections of their clients."""
+"""Real sidecars as processes of a loopback world, and the faults of these processes."""
 
 from __future__ import annotations
 
@@ -34,35 +34,36 @@
 
 
 def parse_address(address: str) -> tuple[str, int]:
+    """Returns host and port; port 0 for an address without one."""
     host, _, port = address.rpartition(":")
     return host, int(port or 0)
 
 
 class LoopbackSidecar(ClientConnections, Instance):
-    """`pumicepath serve` beside its clients; killed and started again at the same address."""
+    """A `pumicepath serve` process, restarted at the same address, and the connections of its clients."""
 
-    def __init__(self, world: LoopbackHost, number: int, hall: int, folder: Path) -> None:
+    def __init__(self, world: LoopbackHost, number: int, zone: int, folder: Path) -> None:
         super().__init__(world)
         self.world = world
         self.number = number
-        self.hall = hall
+        self.hall = zone
         self.folder = folder
         self.listen = "127.0.0.1:0"
         self.process: asyncio.subprocess.Process | None = None
         self.discovery = DiscoveryServer(world, number)
         self.ready = asyncio.Event()
-        self.open_breakers: set[str] = set()  # servers whose breakers are open here, by its own log
+        self.open_breakers: set[str] = set()  # ids of servers, as read from its log
         self.name = f"sidecar-{number}"
         self.stopped = False
-        self.stopped_processes: list[asyncio.subprocess.Process | None] = []  # its processes that are stopped
+        self.stopped_processes: list[asyncio.subprocess.Process | None] = []  # by SIGSTOP
         self.admin_address = ("", 0)
-        self.peer_socket = ("", 0)  # its own socket for peers
+        self.peer_socket = ("", 0)  # the UDP socket that its process listens on
         self.state_folder = StateFolder(folder / f"state-{number}", folder / f"copy-{number}")
-        bent = any(KINDS[one.kind].bends for one in world.plan.troubles if one.kind in KINDS)
-        self.control_page = ControlPage(folder / f"clock-{number}") if bent else None
+        has_page = any(KINDS[fault.kind].bends for fault in world.plan.troubles if fault.kind in KINDS)
+        self.control_page = ControlPage(folder / f"clock-{number}") if has_page else None
         self.busy_process: asyncio.subprocess.Process | None = None
 
-    # -- its process
+    # -- process
 
     def start(self, state: str = "old") -> None:
         if state == "none":
@@ -76,8 +77,8 @@
         self.world.start_task(self.replace_process())
 
     async def replace_process(self) -> None:
-        """Start a process beside the one that serves, and ask that to end once the new one serves."""
-        old, old_desk = self.process, self.discovery
+        """Starts a second process for a hot restart, and ends the old one once the new one serves."""
+        old, old_discovery = self.process, self.discovery
         if old is None or old.returncode is not None:
             return
         self.discovery = DiscoveryServer(self.world, self.number + TWIN)
@@ -86,9 +87,9 @@
         try:
             await asyncio.wait_for(self.ready.wait(), READY_TIMEOUT_S)
             while await self.query_admin("/peers") is None:
-                await asyncio.sleep(0.01)  # its operators' address says yes once it has taken over
+                await asyncio.sleep(0.01)  # its admin server answers once it has taken over
         except TimeoutError:
-            self.world.note(f"sidecar {self.number}: the new process did not come up")
+            self.world.note(f"sidecar {self.number}: the new process did not start in time")
             return
         self.world.history.write("rig", "asked_to_end", sidecar=self.number)
         with suppress(ProcessLookupError):
@@ -97,15 +98,17 @@
         if not self.world.is_closed:
             self.world.registry.succeed(self.number)
             self.discovery.number = self.number
-            old_desk.close()
+            old_discovery.close()
 
     async def restart_process(self) -> None:
+        """Starts the process, and kills the previous one first if it still runs."""
         if self.process is not None and self.process.returncode is None:
-            self.kill()  # it was asked to end, and has not yet
+            self.kill()  # it was asked to end and is still running
             await self.process.wait()
         await self.start_process()
 
     async def start_process(self) -> None:
+        """Writes the configuration and starts a process with it."""
         self.start_count += 1
         self.ending = False
         world = self.world
@@ -148,7 +151,7 @@
         world.start_task(self.read_log(self.process))
 
     def configuration(self) -> dict[str, Any]:
-        """What its file says, but for peers; its list must be open."""
+        """Returns the configuration without peers; its discovery server must be open."""
         world = self.world
         self.discovery.version += 1
         return {
@@ -162,7 +165,7 @@
         }
 
     async def read_log(self, process: asyncio.subprocess.Process) -> None:
-        """Its log, line by line; it is up once it says where it listens."""
+        """Follows the log of a process until it ends; the sidecar is up once the log has its address."""
         assert process.stdout is not None
         async for line in process.stdout:
             event = orjson.loads(line)
@@ -178,17 +181,17 @@
                 self.ready.set()
             elif event["event"] == "mode":
                 text = event["text"]
-                if found := BREAKER_OPENED.search(text):
-                    self.open_breakers.add(found[1])
-                elif found := BREAKER_CLOSED.search(text):
-                    self.open_breakers.discard(found[1])
+                if match := BREAKER_OPENED.search(text):
+                    self.open_breakers.add(match[1])
+                elif match := BREAKER_CLOSED.search(text):
+                    self.open_breakers.discard(match[1])
                 self.world.note(f"sidecar {self.number}: {text}")
             elif event["event"] in ("fault", "broken"):
                 self.world.note(f"sidecar {self.number}: {line.decode().strip()}")
-        ended = await process.wait()
-        self.world.history.write("rig", "ended", sidecar=self.number, code=ended)
+        exit_code = await process.wait()
+        self.world.history.write("rig", "ended", sidecar=self.number, code=exit_code)
         if self.process is process and not self.world.is_closed:
-            self.world.note(f"sidecar {self.number} ended with {ended}")
+            self.world.note(f"sidecar {self.number} ended with exit code {exit_code}")
             self.up = False
             self.world.registry.leave(self.number)
 
@@ -200,13 +203,13 @@
         while self.stopped_processes:
             self.signal_process(self.stopped_processes.pop(), signal.SIGKILL)
 
-    def send_signal(self, what: signal.Signals) -> None:
-        self.signal_process(self.process, what)
+    def send_signal(self, number: signal.Signals) -> None:
+        self.signal_process(self.process, number)
 
-    def signal_process(self, process: asyncio.subprocess.Process | None, what: signal.Signals) -> None:
+    def signal_process(self, process: asyncio.subprocess.Process | None, number: signal.Signals) -> None:
         if process is not None and process.returncode is None:
             with suppress(ProcessLookupError):
-                process.send_signal(what)
+                process.send_signal(number)
 
     def stop(self) -> None:
         self.stopped = True
@@ -215,7 +218,7 @@
         self.send_signal(signal.SIGSTOP)
 
     def go_on(self) -> None:
-        """Whichever process was stopped, though it may have been replaced since."""
+        """Continues every process that was stopped, even one that has been replaced since."""
         if self.stopped:
             self.stopped = False
             while self.stopped_processes:
@@ -231,7 +234,7 @@
         self.world.start_task(self.set_core_busy(on))
 
     async def set_core_busy(self, on: bool) -> None:
-        """Hold the sidecar and a process that never rests to one core; or let both go."""
+        """Pins the sidecar and a busy loop to one core, or ends the busy loop and the pinning."""
         assert self.process is not None
         cores = sorted(os.sched_getaffinity(0))
         with suppress(ProcessLookupError, FileNotFoundError):
@@ -267,21 +270,23 @@
         return {"lost": disk.delete_all, "kept": disk.save_copy, "old": disk.restore_copy}[what]()
 
     async def query_admin(self, path: str, timeout_s: float = 1.0) -> dict[str, Any] | None:
-        """What the sidecar says of itself at its operators' address; None if it does not, in time."""
+        """Returns a JSON document of the sidecar's admin server, None if there is none within `timeout_s`."""
         data = await self.call_admin("GET", path, timeout_s)
         try:
-            told: dict[str, Any] = orjson.loads(data.partition(b"\r\n\r\n")[2])
-            return told
+            document: dict[str, Any] = orjson.loads(data.partition(b"\r\n\r\n")[2])
+            return document
         except ValueError:
             return None
 
     async def resign_duty(self, duty: str, timeout_s: float = 5.0) -> bool:
-        """Take a duty away from it; whether it held it."""
+        """Makes the sidecar resign a duty; returns whether it held the duty."""
         data = await self.call_admin("PUT", f"/peers/duties/{quote(duty, safe='')}/resign", timeout_s)
         return data.startswith(b"HTTP/1.1 200")
 
     async def call_admin(self, method: str, path: str, timeout_s: float) -> bytes:
-        async def ask() -> bytes:
+        """Returns the response of the admin server in bytes, none if it can't be reached in time."""
+
+        async def exchange() -> bytes:
             reader, writer = await asyncio.open_connection(*self.admin_address)
             try:
                 writer.write(writing.request(method, path, [("Host", "operators")]))
@@ -290,6 +295,6 @@
                 writer.close()
 
         try:
-            return await asyncio.wait_for(ask(), timeout_s)
+            return await asyncio.wait_for(exchange(), timeout_s)
         except (TimeoutError, OSError):
             return b""
--- a/pumicepath/lab/loopback/world.py
+++ b/pumicepath/lab/loopback/world.py
@@ -1,4 +1,4 @@
-"""The model behind real sockets: one event loop for servers, list and clients; sidecars are processes."""
+"""The model behind real sockets: servers, discovery and clients in one event loop, sidecars as processes."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 from .servers import LoopbackServer, ServerListener
 from .sidecars import READY_TIMEOUT_S, LoopbackSidecar
 
-SLACK_US = 60_000  # microseconds that the loop and the kernel may take between an act and its sight
-MAX_TICK_DELAY_MS = 25.0  # ticks later than this mean that the stand-ins, not the sidecars, were too slow
+SLACK_US = 60_000  # that the event loop and the kernel may take between an event and its observation
+MAX_TICK_DELAY_MS = 25.0  # beyond this the simulated parts, not the sidecars, were too slow
 MAX_LOG_LINES = 2000
-VIEW_POLL_INTERVAL_S = 0.5  # between two looks at what sidecars see of each other,
-MIN_DUTY_POLL_INTERVAL_S = 0.1  # and at what each of them holds, where there are few of them,
-MAX_DUTY_POLLS_PER_S = 100.0  # a second, of all: the rig must not be what is slow
+VIEW_POLL_INTERVAL_S = 0.5  # between polls of what sidecars see of each other
+MIN_DUTY_POLL_INTERVAL_S = 0.1  # between polls of the duties of one sidecar; longer in a large fleet
+MAX_DUTY_POLLS_PER_S = 100.0  # of all sidecars together: the harness must not slow the run
 SEED_COUNT = VOTER_COUNT = 3
 
 
 class InvalidRunError(Exception):
-    """The run says nothing; the text says why."""
+    """The run has no valid result; the text names the reason."""
 
 
 class LoopbackWorld(World):
-    """Ports and descriptors: one listener a server and a list for each sidecar; all of it on 127.0.0.1."""
+    """A world on 127.0.0.1, with one listener per server and one discovery server per sidecar."""
 
     timeline: EventLoopTimeline
 
@@ -61,7 +61,7 @@
         self.listeners: dict[int, ServerListener] = {}
         self.log: deque[str] = deque(maxlen=MAX_LOG_LINES)
         self.is_closed = False
-        self.internal_errors: list[str] = []  # of the stand-ins themselves
+        self.internal_errors: list[str] = []  # exceptions in callbacks of the simulated parts
         self.loop.set_exception_handler(self.record_internal_error)
         self.at_servers: list[list[int]] = []
         self.breakers: list[list[float]] = []
@@ -96,8 +96,8 @@
         return sidecar % self.plan.fleet.halls
 
     def server_address(self, server: int) -> str:
-        door = self.servers[server].listener  # type: ignore[attr-defined]
-        return str(door.address)
+        listener = self.servers[server].listener  # type: ignore[attr-defined]
+        return str(listener.address)
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
         task = self.loop.create_task(work)
@@ -106,16 +106,16 @@
 
     def seed_addresses(self, sidecar: int) -> list[str]:
         return [
-            self.peer_address(each)
-            for each in range(min(SEED_COUNT, self.plan.sidecars.count))
-            if each != sidecar
+            self.peer_address(peer)
+            for peer in range(min(SEED_COUNT, self.plan.sidecars.count))
+            if peer != sidecar
         ]
 
     def voter_addresses(self) -> list[str]:
-        """The first sidecars vote, where there are duties."""
+        """Returns the peer addresses of the first sidecars, which vote where there are duties."""
         return [
-            self.peer_address(each)
-            for each in range(VOTER_COUNT if self.plan.sidecars.count >= VOTER_COUNT else 1)
+            self.peer_address(voter)
+            for voter in range(VOTER_COUNT if self.plan.sidecars.count >= VOTER_COUNT else 1)
         ]
 
     def peer_address(self, sidecar: int) -> str:
@@ -125,16 +125,16 @@
         if self.links is not None:
             self.datagram_proxies.set_sidecar_socket(sidecar, address)
 
-    def record_datagram(self, one: int, other: int, size: int, copies: int, why: str) -> None:
-        """What the relays saw of each datagram, once the run counts."""
+    def record_datagram(self, sender: int, recipient: int, size: int, copies: int, drop_reason: str) -> None:
+        """Records a datagram between sidecars in the history, once the run has begun."""
         if self.playing:
             self.history.write(
                 "links",
                 "datagram",
-                sender=one,
-                to=other,
+                sender=sender,
+                to=recipient,
                 bytes=size,
-                **({"copies": copies} if copies else {"dropped": why}),
+                **({"copies": copies} if copies else {"dropped": drop_reason}),
             )
 
     def mark(self, text: str, lasts: int = 0) -> None:
@@ -146,13 +146,13 @@
     def note(self, text: str) -> None:
         self.log.append(f"{self.timeline.now / SECOND:8.3f}  {text}")
 
-    def record_internal_error(self, loop: asyncio.AbstractEventLoop, told: dict[str, Any]) -> None:
-        """Something of our own broke in a callback: the run says nothing."""
-        trouble = told.get("exception")
-        self.internal_errors.append(f"{told.get('message', '')}: {type(trouble).__name__} {trouble}")
+    def record_internal_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Exception handler of the event loop: an exception in a callback makes the run invalid."""
+        error = context.get("exception")
+        self.internal_errors.append(f"{context.get('message', '')}: {type(error).__name__} {error}")
 
     async def run(self, on_second: Callable[[LoopbackWorld], None] | None = None) -> Result:
-        """Start the sidecars, play the plan, end everything.  Raises Void where that can't be done."""
+        """Starts the sidecars, plays the plan and closes the world.  Raises InvalidRunError if that fails."""
         try:
             if self.links is not None:
                 await self.datagram_proxies.open(len(self.sidecars))
@@ -163,14 +163,14 @@
                     await asyncio.wait_for(sidecar.ready.wait(), READY_TIMEOUT_S)
                 except TimeoutError:
                     raise InvalidRunError(
-                        f"sidecar {sidecar.number} did not come up: {' '.join(self.log)}"
+                        f"sidecar {sidecar.number} did not start in time: {' '.join(self.log)}"
                     ) from None
             return await self.play(on_second)
         finally:
             await self.close()
 
     async def play(self, on_second: Callable[[LoopbackWorld], None] | None) -> Result:
-        self.timeline.started_at = self.loop.time()  # from here on seconds count
+        self.timeline.started_at = self.loop.time()  # time 0 of the run
         self.playing = True
         self.history.write("rig", "begun")
         if self.links is not None:
@@ -181,11 +181,11 @@
         self.start_task(self.timeline.measure_ticks())
         for sidecar in self.sidecars:
             self.clients(sidecar, sidecar).begin()
-        for number, trouble in enumerate(self.plan.troubles):
-            KINDS[trouble.kind](self, trouble, number).plan()
-        patience = max(tariff.patience for tariff in self.tariffs)
+        for number, fault in enumerate(self.plan.troubles):
+            KINDS[fault.kind](self, fault, number).plan()
+        deadline = max(request_class.patience for request_class in self.tariffs)
         second = SECOND
-        while second <= self.lasts + patience + SECOND:
+        while second <= self.lasts + deadline + SECOND:
             await asyncio.sleep(max(0.0, (second - self.timeline.now) / 1e6))
             if self.internal_errors:
                 raise InvalidRunError(self.internal_errors[0])
@@ -197,17 +197,20 @@
         return self.result()
 
     async def poll_views(self) -> None:
-        """What each sidecar sees of the others, again and again; those that are stopped are not asked."""
-        while not self.is_closed:  # wait_for may swallow that this task is cancelled
-            asked = [sidecar for sidecar in self.sidecars if sidecar.up and not sidecar.stopped]
-            told = await asyncio.gather(*(sidecar.query_admin("/peers") for sidecar in asked))
+        """Polls what each sidecar sees of the others and records it; stopped sidecars are not polled."""
+        while not self.is_closed:  # wait_for may swallow the cancellation of this task
+            polled = [sidecar for sidecar in self.sidecars if sidecar.up and not sidecar.stopped]
+            answers = await asyncio.gather(*(sidecar.query_admin("/peers") for sidecar in polled))
             self.views = {
-                sidecar.name: [(one["name"], one["state"]) for one in view["peers"]]
-                for sidecar, view in zip(asked, told)
+                sidecar.name: [(peer["name"], peer["state"]) for peer in view["peers"]]
+                for sidecar, view in zip(polled, answers)
                 if view is not None
             }
             self.history.write(
-                "rig", "views", sees=self.views, running=[one.name for one in self.sidecars if one.up]
+                "rig",
+                "views",
+                sees=self.views,
+                running=[sidecar.name for sidecar in self.sidecars if sidecar.up],
             )
             links = self.links
             assert links is not None
@@ -217,24 +220,27 @@
                 messages=links.sent.total(),
                 bytes=links.bytes.total(),
                 dropped=links.dropped,
-                by={one.name: [links.sent[one.number], links.bytes[one.number]] for one in self.sidecars},
+                by={
+                    sidecar.name: [links.sent[sidecar.number], links.bytes[sidecar.number]]
+                    for sidecar in self.sidecars
+                },
             )
             await asyncio.sleep(VIEW_POLL_INTERVAL_S)
 
     async def poll_duties(self, sidecar: LoopbackSidecar) -> None:
-        """What one sidecar says that it holds, again and again: it might act on each under that number."""
-        while not self.is_closed:  # wait_for may swallow that this task is cancelled
-            asked = self.timeline.now
+        """Polls the duties that a sidecar holds; records each as an act under its fencing number."""
+        while not self.is_closed:  # wait_for may swallow the cancellation of this task
+            asked_at = self.timeline.now
             view = await sidecar.query_admin("/peers") if sidecar.up else None
-            for held in view.get("holds", []) if view is not None else []:
+            for duty in view.get("holds", []) if view is not None else []:
                 self.history.write(
                     "rig",
                     "acted",
-                    duty=held["duty"],
+                    duty=duty["duty"],
                     holder=view["born"] if view else "",
-                    fence=int(held["number"], 16),
+                    fence=int(duty["number"], 16),
                     accepted=True,
-                    asked=asked,
+                    asked=asked_at,
                 )
             await asyncio.sleep(max(MIN_DUTY_POLL_INTERVAL_S, len(self.sidecars) / MAX_DUTY_POLLS_PER_S))
 
@@ -255,15 +261,15 @@
         )
 
     def check_tick_delay(self) -> None:
-        """Raises Void if what was measured is the stand-ins' own slowness."""
-        behind = self.timeline.p99_tick_delay_ms()
-        if behind > MAX_TICK_DELAY_MS:
+        """Raises InvalidRunError if the simulated parts were so slow that the run measured their delay."""
+        delay_ms = self.timeline.p99_tick_delay_ms()
+        if delay_ms > MAX_TICK_DELAY_MS:
             raise InvalidRunError(
-                f"the stand-ins were {behind:.0f} ms behind: too much load for this machine"
+                f"the simulated parts were {delay_ms:.0f} ms behind: too much load for this machine"
             )
 
     async def close(self) -> None:
-        """No process, listener or task stays behind."""
+        """Ends all processes, tasks and listeners."""
         self.is_closed = True
         for process in self.processes:
             if process.returncode is None:
@@ -277,8 +283,8 @@
         for sidecar in self.sidecars:
             if sidecar.discovery.address:
                 sidecar.discovery.close()
-        for door in self.listeners.values():
-            door.close()
+        for listener in self.listeners.values():
+            listener.close()
         if self.links is not None:
             self.datagram_proxies.close()
         self.history.close()
@@ -290,13 +296,16 @@
     on_second: Callable[[LoopbackWorld], None] | None = None,
     history: Path | None = None,
 ) -> Result:
-    """Play a plan on loopback, its history into a file.  Raises Void, and OSError without ports or files."""
+    """Plays a plan on loopback, with its history in a file; calls `on_second` each second.
 
-    async def playing() -> Result:
+    Raises InvalidRunError, and OSError if ports or files can't be had.
+    """
+
+    async def play_in_folder() -> Result:
         with tempfile.TemporaryDirectory(prefix="pumicepath-lab-") as folder:
             world = LoopbackWorld(plan, seed, Path(folder), history)
-            found = await world.run(on_second)
+            run_result = await world.run(on_second)
             world.check_tick_delay()
-            return found
+            return run_result
 
-    return asyncio.run(playing())
+    return asyncio.run(play_in_folder())
