--- a/pumicepath/lab/loopback/datagram_proxies.py
+++ b/pumicepath/lab/loopback/datagram_proxies.py
@@ -1,7 +1,8 @@
-"""What stands between sidecars on loopback: an address for each, behind which are the model's links.
+"""UDP proxies between sidecars on loopback, one address per sidecar, with the model's links behind them.
 
-A sidecar is told these addresses and no others; what leaves one sidecar reaches the next from the first one's
-address here.  `bind` says where a sidecar's own socket is, which its log tells at each start.
+Sidecars are configured with these addresses only: a datagram of one sidecar reaches another from the first
+one's proxy address.  `set_sidecar_socket` sets where a sidecar's own socket is, as its log says at each
+start.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
-    """One sidecar's address; what comes is from another sidecar, known by its own socket."""
+    """The proxy address of one sidecar; a sender is identified by the address of its own socket."""
 
     def __init__(self, proxies: DatagramProxies, number: int) -> None:
         self.proxies = proxies
@@ -30,42 +31,51 @@
 
 
 class DatagramProxies:
+    """The proxies of all sidecars, which carry datagrams over the model's links."""
+
     def __init__(self, links: Links) -> None:
         self.links = links
         self.proxies: list[DatagramProxy] = []
         self.addresses: list[str] = []
-        self.sidecar_sockets: dict[int, Address] = {}  # where each sidecar listens itself,
-        self.sidecar_by_socket: dict[Address, int] = {}  # and whose socket that is
-        self.unmatched_count = 0  # from sockets of nobody: processes that have just been killed
+        self.sidecar_sockets: dict[int, Address] = {}  # by sidecar
+        self.sidecar_by_socket: dict[Address, int] = {}
+        self.unmatched_count = (
+            0  # datagrams from unknown sockets, i.e. of processes that have just been killed
+        )
 
     async def open(self, count: int) -> None:
+        """Opens a proxy for each of `count` sidecars."""
         loop = asyncio.get_running_loop()
         for number in range(count):
-            _, front = await loop.create_datagram_endpoint(
+            _, proxy = await loop.create_datagram_endpoint(
                 lambda number=number: DatagramProxy(self, number),  # type: ignore[misc]
                 ("127.0.0.1", 0),
             )
-            self.proxies.append(front)
-            host, port = front.transport.get_extra_info("sockname")[:2]
+            self.proxies.append(proxy)
+            host, port = proxy.transport.get_extra_info("sockname")[:2]
             self.addresses.append(f"{host}:{port}")
 
     def set_sidecar_socket(self, number: int, address: Address) -> None:
+        """Sets the socket of a sidecar in place of that of its previous process."""
         self.sidecar_by_socket.pop(self.sidecar_sockets.get(number, ("", 0)), None)
         self.sidecar_sockets[number] = address
         self.sidecar_by_socket[address] = number
 
-    def forward(self, source: Address, to: int, data: bytes) -> None:
-        from_ = self.sidecar_by_socket.get(source)
-        if from_ is None:
+    def forward(self, source: Address, recipient: int, data: bytes) -> None:
+        """Carries a datagram from a socket over the link to a sidecar."""
+        sender = self.sidecar_by_socket.get(source)
+        if sender is None:
             self.unmatched_count += 1
             return
-        self.links.carry(from_, to, data, lambda data: self.deliver(from_, to, data))
+        self.links.carry(sender, recipient, data, lambda data: self.deliver(sender, recipient, data))
 
-    def deliver(self, from_: int, to: int, data: bytes) -> None:
-        place, front = self.sidecar_sockets.get(to), self.proxies[from_]
-        if place is not None and not front.transport.is_closing():
-            front.transport.sendto(data, place)
+    def deliver(self, sender: int, recipient: int, data: bytes) -> None:
+        """Sends a datagram to a sidecar from the sender's proxy address."""
+        address, proxy = self.sidecar_sockets.get(recipient), self.proxies[sender]
+        if address is not None and not proxy.transport.is_closing():
+            proxy.transport.sendto(data, address)
 
     def close(self) -> None:
-        for front in self.proxies:
-            front.transport.close()
+        """Closes all proxies."""
+        for proxy in self.proxies:
+            proxy.transport.close()
--- a/pumicepath/lab/loopback/demo.py
+++ b/pumicepath/lab/loopback/demo.py
@@ -1,4 +1,4 @@
-"""A fleet for newcomers: two halls, three sidecars, clients, and something going wrong every few seconds."""
+"""The demo: two zones, three sidecars and their clients, with a fault every few seconds."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from .world import LoopbackWorld
 
 ZONE_COUNT, SERVER_COUNT, SIDECAR_COUNT, SUBMISSIONS_PER_S = 2, 8, 3, 240.0
-MAX_SHOWN_LOG_LINES = 6  # lines of the sidecars' own log
+MAX_SHOWN_LOG_LINES = 6
 BAR_WIDTH = 30
-# What goes wrong in turn, and for how great a part of its turn.
+# Kind of fault, the fraction of the interval that it lasts, and further keys of the fault.
 FAULT_SCHEDULE: Sequence[tuple[str, float, dict[str, Any]]] = (
     ("die", 0.7, {"servers": (1,)}),
     ("fail-quickly", 0.7, {"servers": (5,)}),
@@ -35,14 +35,14 @@
 
 
 def build_plan(seconds: float) -> Plan:
-    """As many turns as fit, a short one at least; the rest of the time is calm."""
-    turn = min(FAULT_INTERVAL_S, seconds / 3)
-    troubles, at, number = [], turn / 2, 0
-    while at + turn <= seconds:
-        kind, part, more = FAULT_SCHEDULE[number % len(FAULT_SCHEDULE)]
-        troubles.append(Trouble(kind=kind, at_s=round(at, 3), for_s=round(part * turn, 3), **more))
-        at, number = at + turn, number + 1
-    tariffs = (
+    """Returns a plan with as many fault intervals as fit into the time; a short run has shorter intervals."""
+    interval = min(FAULT_INTERVAL_S, seconds / 3)
+    faults, at, number = [], interval / 2, 0
+    while at + interval <= seconds:
+        kind, fraction, more = FAULT_SCHEDULE[number % len(FAULT_SCHEDULE)]
+        faults.append(Trouble(kind=kind, at_s=round(at, 3), for_s=round(fraction * interval, 3), **more))
+        at, number = at + interval, number + 1
+    request_classes = (
         Tariff(name="read", share=0.7, agreed_ms=250, patience_ms=1000),
         Tariff(name="once", effect="at_most_once", share=0.2, gain=3.0, agreed_ms=250, patience_ms=1000),
         Tariff(
@@ -62,28 +62,33 @@
         warm_s=0,
         fleet=fleet,
         sidecars=Sidecars(count=SIDECAR_COUNT),
-        load=Load(rate=SUBMISSIONS_PER_S, tariffs=tariffs),
-        troubles=tuple(troubles),
+        load=Load(rate=SUBMISSIONS_PER_S, tariffs=request_classes),
+        troubles=tuple(faults),
     )
 
 
 def last_settled_second(world: LoopbackWorld) -> int:
-    """The last second of whose submissions nearly all have ended."""
+    """Returns the last second whose submissions have nearly all ended."""
     return min(max(0, world.timeline.now // SECOND - 2), world.lasts // SECOND - 1)
 
 
 def render_view(world: LoopbackWorld) -> Group:
-    """What a terminal shows once a second."""
+    """Returns what a terminal shows, updated once a second."""
     now, tally, at = world.timeline.now, world.tally, last_settled_second(world)
     offered, good = tally.offered[at], tally.good[at]
-    share = good / offered if offered else 0.0
+    fraction = good / offered if offered else 0.0
     head = Text(f"second {at:3d}   offered {offered:4d}   served in time {good:4d}  ")
     head.append(
-        "#" * round(share * BAR_WIDTH), "green" if share > 0.97 else "yellow" if share > 0.8 else "red"
+        "#" * round(fraction * BAR_WIDTH),
+        "green" if fraction > 0.97 else "yellow" if fraction > 0.8 else "red",
+    )
+    head.append(f" {fraction:.0%}")
+    active_faults = [
+        mark.text for mark in world.marks if mark.at <= now <= max(mark.until, mark.at + 1_500_000)
+    ]
+    fault_line = Text(
+        "going wrong: " + ("; ".join(active_faults) or "nothing"), "bold red" if active_faults else "green"
     )
-    head.append(f" {share:.0%}")
-    going = [mark.text for mark in world.marks if mark.at <= now <= max(mark.until, mark.at + 1_500_000)]
-    trouble = Text("going wrong: " + ("; ".join(going) or "nothing"), "bold red" if going else "green")
     table = Table("server", "hall", "hops", "refused by", box=None, pad_edge=False)
     for number in world.places:
         server = world.servers[number]
@@ -93,26 +98,28 @@
             f"s-{number}",
             str(server.hall),
             f"{server.at_it} {state}",
-            ", ".join(f"sidecar {one}" for one in refusing) or "-",
+            ", ".join(f"sidecar {sidecar}" for sidecar in refusing) or "-",
         )
     log = Text("\n".join(list(world.log)[-MAX_SHOWN_LOG_LINES:]), "dim")
-    return Group(head, trouble, table, log)
+    return Group(head, fault_line, table, log)
 
 
 def render_line(world: LoopbackWorld) -> str:
-    """The same in a line, where there is no terminal."""
+    """Returns the same as one line, for output that is no terminal."""
     at = last_settled_second(world)
-    from_, until = at * SECOND, (at + 1) * SECOND
-    going = [mark.text for mark in world.marks if mark.at < until and max(mark.until, mark.at + 1) > from_]
+    start, end = at * SECOND, (at + 1) * SECOND
+    active_faults = [
+        mark.text for mark in world.marks if mark.at < end and max(mark.until, mark.at + 1) > start
+    ]
     return f"{at:3d} s  offered {world.tally.offered[at]:4d}  in time {world.tally.good[at]:4d}  " + (
-        "; ".join(going) or "calm"
+        "; ".join(active_faults) or "calm"
     )
 
 
 def totals(result: Result) -> dict[str, Any]:
-    """The end in one object.  `lost` is what was taken and had no answer; times are in milliseconds."""
+    """Returns the result as one object; `lost` counts admitted submissions that had no answer."""
     finals, rules = result.finals, result.rules
-    times = [spent for each in result.times for spent in each]
+    times = [latency for latencies in result.times for latency in latencies]
     return {
         "taken": sum(finals.values()) + rules["unanswered"],
         "succeeded": finals["succeeded"],
@@ -133,19 +140,18 @@
 
 
 def summary_lines(result: Result) -> list[str]:
-    """For people."""
-    told = totals(result)
+    """Returns the result as lines of text."""
+    counts = totals(result)
     lines = [
-        f"{told['taken']} tries taken: {told['succeeded']} succeeded, {told['deferred']} deferred, "
-        f"{told['forfeited']} forfeited, {told['cut']} cut off with a sidecar that was killed; "
-        f"service {told['service']:.3f}",
-        f"from when each should have gone out: p50 {told['p50_ms']:.0f} ms, p99 {told['p99_ms']:.0f} ms",
+        f"{counts['taken']} tries admitted: {counts['succeeded']} succeeded, {counts['deferred']} rejected, "
+        f"{counts['forfeited']} failed, {counts['cut']} cut off because their sidecar was killed; "
+        f"service {counts['service']:.3f}",
+        f"latency from the due time: p50 {counts['p50_ms']:.0f} ms, p99 {counts['p99_ms']:.0f} ms",
     ]
-    if told["whole"]:
+    if counts["whole"]:
         return [
             *lines,
-            "the judge found nothing broken: none lost, none run twice, no late send, "
-            "no cold server pushed over",
+            "no rule was violated: none lost, none run twice, no late send, no cold server overloaded",
         ]
     return [
         *lines,
--- a/pumicepath/lab/loopback/discovery.py
+++ b/pumicepath/lab/loopback/discovery.py
@@ -1,4 +1,4 @@
-"""The server list behind real sockets, one for each sidecar, so that it is known whom it told what."""
+"""Discovery servers on real sockets, one per sidecar, so that it is known which sidecar was sent what."""
 
 from __future__ import annotations
 
@@ -18,13 +18,15 @@
 
 
 class DiscoveryServer:
-    """What one sidecar's watch meets; it is that sidecar's reader of the registry."""
+    """The discovery server of one sidecar, and that sidecar's reader of the registry."""
 
     def __init__(self, world: LoopbackHost, number: int) -> None:
         self.world = world
         self.number = number
         self.version = 0
-        self.pending_updates: list[tuple[bool, list[Entry]]] = []  # whole or changes, not yet fetched
+        self.pending_updates: list[
+            tuple[bool, list[Entry]]
+        ] = []  # (complete list or only changes, entries), not sent yet
         self.fails_next = False
         self.update_ready = asyncio.Event()
         self.start_unix_ms = time.time() * 1000 - world.timeline.now / 1000
@@ -32,13 +34,14 @@
         self.address = ""
 
     async def open(self) -> None:
+        """Opens the server on a free port."""
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         host, port = self.listener.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     def listed(self, kind: Listing, entries: list[Entry]) -> None:
         if kind == Listing.CACHED:
-            return  # stands in the configuration
+            return  # the configuration has this list
         if kind == Listing.FAILED:
             self.fails_next = True
         elif kind == Listing.FULL:
@@ -51,31 +54,31 @@
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                found = WATCH_QUERY.search(head)
-                wait = int(found[2]) / 1000 if found else 0.0
+                query = WATCH_QUERY.search(head)
+                wait_s = int(query[2]) / 1000 if query else 0.0
                 following = self.world.registry.followers.get(self.number)
                 if following is None:
                     break
                 self.fails_next = False
-                if not found or not following.follows:
+                if not query or not following.follows:
                     self.pending_updates.clear()
                     self.update_ready.clear()
                     self.world.registry.follow(self.number)
-                    wait = max(wait, 5.0)
-                writer.write(await self.next_response(wait))
+                    wait_s = max(wait_s, 5.0)
+                writer.write(await self.next_response(wait_s))
                 await writer.drain()
         except (
             asyncio.IncompleteReadError,
             asyncio.LimitOverrunError,
             ConnectionError,
             asyncio.CancelledError,
-        ):  # the last at the end of the world
+        ):  # CancelledError when the world is closed
             pass
         finally:
             writer.close()
 
     async def next_response(self, wait_s: float) -> bytes:
-        """The next answer: what there is, a failure, or nothing new when the wait is over."""
+        """Returns the next response: an update, an error 503, or an empty update once `wait_s` is over."""
         try:
             await asyncio.wait_for(self.update_ready.wait(), wait_s)
         except TimeoutError:
@@ -90,11 +93,13 @@
         return self.list_response(whole, entries)
 
     def list_response(self, whole: bool, entries: list[Entry]) -> bytes:
+        """Returns a response with a list or changes under the next version."""
         self.version += 1
         body = orjson.dumps(self.list_document(whole, entries))
         return writing.response(200, [("Content-Type", "application/json")], body, True)
 
     def list_document(self, whole: bool, entries: list[Entry]) -> dict[str, Any]:
+        """Returns a list or changes in discovery's JSON format."""
         return {
             "seq": self.version,
             "whole": whole,
@@ -114,4 +119,5 @@
         }
 
     def close(self) -> None:
+        """Closes the listener."""
         self.listener.close()
--- a/pumicepath/lab/loopback/process.py
+++ b/pumicepath/lab/loopback/process.py
@@ -1,4 +1,4 @@
-"""A real sidecar as a process of its own, held to a core, and what it uses."""
+"""A real sidecar as a process pinned to given cores, and its use of CPU, memory and descriptors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SidecarProcess:
-    """`pumicepath serve` from the tree at `root`, on the cores given; its log goes to `log`."""
+    """`pumicepath serve` from the source tree at `root`, on the given cores; its log goes to `log_path`."""
 
     def __init__(self, configuration: dict[str, Any], folder: Path, root: Path, cores: set[int]) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -31,32 +31,39 @@
             )
 
     def address(self) -> tuple[str, int] | None:
-        """Where it listens, once it does; raises RuntimeError if it has ended instead."""
+        """Returns the address that it listens on, None before it does.  Raises RuntimeError if it has
+        ended.
+        """
         for event in self.events("started"):
             host, _, port = event["listen"].rpartition(":")
             return host, int(port)
         if self.process.poll() is not None:
-            raise RuntimeError(f"the sidecar ended with {self.process.returncode}")
+            raise RuntimeError(f"the sidecar ended with exit code {self.process.returncode}")
         return None
 
     def events(self, name: str) -> list[dict[str, Any]]:
+        """Returns the events of one name in its log so far."""
         lines = self.log_path.read_bytes().split(b"\n")[:-1]
         return [event for event in map(json.loads, lines) if event["event"] == name]
 
     def cpu_seconds(self) -> tuple[float, float]:
-        """Seconds of CPU used so far, of its own and in the system."""
+        """Returns the CPU time used so far in seconds, in user mode and in the kernel."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return int(fields[11]) / CLOCK_TICKS_PER_S, int(fields[12]) / CLOCK_TICKS_PER_S
 
     def memory_mb(self) -> float:
+        """Returns the resident memory in megabytes."""
         return int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
     def descriptor_count(self) -> int:
+        """Returns the number of open file descriptors."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def thread_count(self) -> int:
+        """Returns the number of threads."""
         return len(os.listdir(f"/proc/{self.process.pid}/task"))
 
     def kill(self) -> None:
+        """Kills the process and waits for its end."""
         self.process.kill()
         self.process.wait()
--- a/pumicepath/lab/loopback/scripted.py
+++ b/pumicepath/lab/loopback/scripted.py
@@ -1,4 +1,4 @@
-"""Stand-ins that follow a script to the byte, and one real sidecar among them: what traces are made of."""
+"""Scripted servers and one real sidecar between them, for tests that compare a transcript with a trace."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
 from ...http1.messages import Response
 from ...http1.parsing import RequestParser, ResponseParser
 
-EVENT_TIMEOUT_S = 60.0  # that a sidecar may take to log what it must, however slow the machine is
+EVENT_TIMEOUT_S = 60.0  # until a sidecar has logged an expected event, on a slow machine, too
 
 
 def http_response(status: int, body: str = "", *headers: tuple[str, str]) -> bytes:
+    """Returns an HTTP response in bytes."""
     return writing.response(status, list(headers), body.encode(), True)
 
 
 def read_message(sock: socket.socket, parser: RequestParser | ResponseParser) -> Any:
-    """The next message, or None once the peer has ended or broken the connection."""
+    """Returns the next message, or None once the other side has closed or reset the connection."""
     while (message := parser.next()) is None:
         try:
             data = sock.recv(65536)
@@ -42,10 +43,10 @@
 
 
 class ScriptedServer:
-    """A stand-in on a port of its own: for each request the next thing of its script.
+    """A server on a port of its own that takes the next step of a script for each request.
 
-    Bytes are sent; `end`, `reset` and `wait` end the connection, reset it, or leave it silent until the
-    sidecar closes it; a pair is bytes and one of these.
+    A step is bytes to send, or a pair of bytes and an action, or an action: `end` closes the connection,
+    `reset` resets it, and `wait` leaves it silent until the sidecar closes it.
     """
 
     def __init__(self, name: str, script: queue.SimpleQueue, transcript: list[str]) -> None:
@@ -56,6 +57,7 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
+        """Accepts connections until the listener is closed, with a thread for each."""
         while True:
             try:
                 sock = self.listener.accept()[0]
@@ -64,42 +66,47 @@
             threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
 
     def serve(self, sock: socket.socket) -> None:
+        """Serves one connection."""
         parser = RequestParser()
         while (request := read_message(sock, parser)) is not None:
-            what = (request.method, request.target, request.header("X-Trace-Id"), request.body.decode())
-            self.transcript.append(f"{self.name}: {' '.join(what)}".rstrip())
+            parts = (request.method, request.target, request.header("X-Trace-Id"), request.body.decode())
+            self.transcript.append(f"{self.name}: {' '.join(parts)}".rstrip())
             self.received_requests.release()
             step = self.script.get()
             if not isinstance(step, tuple):
                 step = (step, "") if isinstance(step, bytes) else (b"", step)
-            data, then = step
+            data, action = step
             sock.sendall(data)
-            if then == "reset":
+            if action == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            if then in ("end", "reset"):
+            if action in ("end", "reset"):
                 break
         sock.close()
         self.closed_connections.release()
 
 
 class EventLog:
-    """The events of one process, read as they come: no full pipe holds it up, nor it a test."""
+    """The log events of one process, read in a thread: a full pipe never blocks the process.
+
+    A test that waits for an event that never comes fails after `EVENT_TIMEOUT_S` instead of hanging.
+    """
 
     def __init__(self, process: subprocess.Popen) -> None:
         self.process = process
-        self.all_events: list[dict[str, Any]] = []  # all of them so far, whoever asked for which
+        self.all_events: list[dict[str, Any]] = []  # so far, whether or not they have been waited for
         self.unread_events: queue.SimpleQueue[dict[str, Any] | None] = queue.SimpleQueue()
         self.reader_thread = threading.Thread(target=self.read, daemon=True)
         self.reader_thread.start()
 
     def read(self) -> None:
+        """Reads events until the process closes its output; None marks the end."""
         for line in self.process.stdout or ():
             self.all_events.append(json.loads(line))
             self.unread_events.put(self.all_events[-1])
         self.unread_events.put(None)
 
     def next_event(self, names: tuple[str, ...]) -> dict[str, Any]:
-        """The next event of one of these names; raises AssertionError if it does not come."""
+        """Returns the next event of one of these names.  Raises AssertionError if there is none in time."""
         end = time.monotonic() + EVENT_TIMEOUT_S
         while True:
             try:
@@ -114,15 +121,17 @@
 
 
 class Deployment:
-    """One sidecar as a process of its own, with the stand-ins around it and one connection of its client."""
+    """One sidecar process with scripted servers, scripted discovery and one client connection."""
 
     def __init__(self, folder: Path, servers: int, **overrides: object) -> None:
         self.transcript: list[str] = []
         self.script: queue.SimpleQueue = queue.SimpleQueue()
         self.discovery_script: queue.SimpleQueue = queue.SimpleQueue()
         self.discovery = ScriptedServer("discovery", self.discovery_script, [])
-        self.servers = [ScriptedServer(f"s-{at}", self.script, self.transcript) for at in range(servers)]
-        tariffs = [
+        self.servers = [
+            ScriptedServer(f"s-{number}", self.script, self.transcript) for number in range(servers)
+        ]
+        request_classes = [
             {"name": name, "effect": effect, "gain": 1.0, "agreedTimeS": 0.6, "patienceS": 2.5}
             for name, effect in (("read", "idempotent"), ("once", "at_most_once"))
         ]
@@ -148,7 +157,7 @@
                 "zone": 0,
                 "rules": {"askEveryS": 10.0, "coldFrom": 1.0, "coldS": 0.0},
                 "policyLimits": limits,
-                "tariffs": tariffs,
+                "tariffs": request_classes,
             },
             **overrides,
         }
@@ -159,13 +168,14 @@
         self.logs: dict[subprocess.Popen, EventLog] = {}
 
     def list_document(self, seq: int, whole: bool, health: str) -> dict:
+        """Returns a list of all servers, or a change of all, in discovery's JSON format."""
         return {
             "seq": seq,
             "whole": whole,
             "hosts": [
                 {
-                    "host": peer.name,
-                    "dial": peer.address,
+                    "host": server.name,
+                    "dial": server.address,
                     "site": "a",
                     "class": "m",
                     "block": 0,
@@ -173,12 +183,13 @@
                     "share": 1.0,
                     "born_ms": 0,
                 }
-                for peer in self.servers
+                for server in self.servers
             ],
         }
 
     @contextmanager
     def running(self) -> Iterator[Deployment]:
+        """Runs the sidecar and connects a client; kills the sidecar at the end."""
         self.process = self.start_process()
         try:
             started = self.next_event("started")
@@ -194,6 +205,7 @@
             self.process.wait()
 
     def start_process(self) -> subprocess.Popen:
+        """Starts a sidecar process with the current configuration file and reads its log."""
         command = [sys.executable, "-m", "pumicepath", "serve"]
         environment = {**os.environ, **self.environment, "GW_CONFIG": str(self.config_path)}
         process = subprocess.Popen(command, stdout=subprocess.PIPE, env=environment)
@@ -208,6 +220,7 @@
         body: str = "",
         sock: socket.socket | None = None,
     ) -> None:
+        """Sends the request of the next submission, on the client's connection unless `sock` is given."""
         self.last_submission += 1
         headers = [
             ("Host", "api"),
@@ -221,6 +234,7 @@
     def receive(
         self, sock: socket.socket | None = None, parser: ResponseParser | None = None
     ) -> Response | None:
+        """Reads a response and adds it to the transcript; None if the connection ended."""
         response: Response | None = read_message(sock or self.client_socket, parser or self.client_parser)
         self.transcript.append(
             "client: nothing"
@@ -233,24 +247,25 @@
     def submit(
         self, request_class: str, *steps: object, expires_in_ms: int = 2000, body: str = ""
     ) -> Response | None:
-        """One submission; the servers do these steps, whichever of them it meets."""
+        """Sends one submission and returns its response; the servers it reaches take these steps in order."""
         for step in steps:
             self.script.put(step)
         self.send(request_class, expires_in_ms, "POST" if body else "GET", body)
         return self.receive()
 
     def call_admin(self, method: str, path: str, address: tuple[str, int] | None = None) -> Response | None:
-        """One call of the operators."""
+        """Sends one request to the admin server."""
         with socket.create_connection(address or self.admin_address) as sock:
             sock.sendall(writing.request(method, path, [("Host", "operators")]))
             response: Response | None = read_message(sock, ResponseParser())
             return response
 
     def metrics(self) -> dict[str, int]:
+        """Returns the metrics of the admin server by name."""
         response = self.call_admin("GET", "/stats")
         lines = response.body.decode().split() if response is not None else []
         return {name: int(value) for name, _, value in (line.partition("=") for line in lines)}
 
     def next_event(self, *names: str, process: subprocess.Popen | None = None) -> dict[str, Any]:
-        """The next such event of the log."""
+        """Returns the next event of one of these names; see `EventLog.next_event`."""
         return self.logs[process or self.process].next_event(names)
--- a/pumicepath/lab/loopback/separate_processes.py
+++ b/pumicepath/lab/loopback/separate_processes.py
@@ -1,7 +1,7 @@
-"""One sidecar that another process runs, its servers in a process of their own and clients in others.
+"""A sidecar, its servers and its clients in separate processes, for benchmarks that give each a core.
 
-For benchmarks, which give each of them a core: `serving` stands the model's servers up and gives the
-sidecar's configuration; `clients` plays the plan's clients and gives what they met.
+`run_servers` runs the model's servers in the calling process and yields the configuration of the sidecar;
+`run_clients` plays the clients of a plan and returns their results.  The benchmark starts the sidecar.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
 
 class ExecutionCounter(Judge):
-    """Beside servers whose clients are elsewhere: how often each submission ran; the rest is judged there."""
+    """Counts how often each submission ran on the servers; the clients' process checks everything else."""
 
-    def __init__(self, *given: Any) -> None:
-        super().__init__(*given)
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
         self.run_counts = Counter[int]()
 
     def sent(self, sidecar: int, server: int, ask: int, answered: bool = False) -> None: ...
@@ -42,7 +42,7 @@
 
 
 class ServerSide:
-    """The servers and the list of one sidecar; `told` is its configuration."""
+    """The servers and the discovery server of one sidecar, with the sidecar's configuration."""
 
     def __init__(
         self, world: LoopbackWorld, execution_counter: ExecutionCounter, configuration: dict[str, Any]
@@ -52,46 +52,48 @@
         self.configuration = configuration
 
     def set_speed(self, factor: float) -> None:
+        """Makes all servers work at this fraction of their normal speed."""
         for server in self.world.servers.values():
             server.slowed(factor)
 
     def run_counts(self) -> Counter[int]:
-        """How often each submission ran, by the numbers that clients give them."""
+        """Returns how often each submission ran, by the numbers that clients give them."""
         return self.execution_counter.run_counts
 
 
 @asynccontextmanager
 async def run_servers(plan: Plan, seed: int, folder: Path) -> AsyncIterator[ServerSide]:
-    made: list[ExecutionCounter] = []
+    """Runs the servers of a plan for its only sidecar, which the caller starts."""
+    counters: list[ExecutionCounter] = []
 
-    def counting(*given: Any) -> ExecutionCounter:
-        made.append(ExecutionCounter(*given))
-        return made[0]
+    def make_counter(*args: Any) -> ExecutionCounter:
+        counters.append(ExecutionCounter(*args))
+        return counters[0]
 
-    world = LoopbackWorld(plan, seed, folder, make_rule_checker=counting)
+    world = LoopbackWorld(plan, seed, folder, make_rule_checker=make_counter)
     try:
         sidecar = world.sidecars[0]
         await sidecar.discovery.open()
-        told = sidecar.configuration()
+        configuration = sidecar.configuration()
         world.registry.join(sidecar.number, sidecar.discovery)
-        yield ServerSide(world, made[0], told)
+        yield ServerSide(world, counters[0], configuration)
     finally:
         await world.close()
 
 
 @dataclass
 class ClientResults:
-    """What clients met, by the seconds in which submissions should have gone out; times in microseconds."""
+    """Results of clients; each column has a count per second in which submissions were due."""
 
     columns: dict[str, list[int]]
     latencies_us: list[int]
     rejection_times_us: list[int]
-    tick_delay_ms: float  # by which one of a hundred ticks was late
-    non_idempotent: set[int] = field(default_factory=set)  # submissions that may not be repeated
+    tick_delay_ms: float  # 99th percentile of the event loop's delay
+    non_idempotent: set[int] = field(default_factory=set)  # numbers of non-idempotent submissions
     violations: dict[str, int] = field(default_factory=dict)
 
     def merge(self, other: ClientResults) -> None:
-        """Add what other clients met in the same seconds."""
+        """Adds the results of other clients in the same seconds."""
         for name, column in other.columns.items():
             self.columns[name] = [a + b for a, b in zip(self.columns[name], column)]
         self.latencies_us += other.latencies_us
@@ -102,10 +104,10 @@
 
 
 class ClientRuleChecker(Judge):
-    """Of the clients; what reached servers is not known here."""
+    """Checks what clients see and collects non-idempotent submissions; hops at servers are unknown here."""
 
-    def __init__(self, non_idempotent: set[int], *given: Any) -> None:
-        super().__init__(*given)
+    def __init__(self, non_idempotent: set[int], *args: Any) -> None:
+        super().__init__(*args)
         self.non_idempotent = non_idempotent
 
     def tried(self, ask: int, tariff: int, until: int) -> None:
@@ -115,6 +117,8 @@
 
 
 class ClientWorld(World):
+    """A world of which only the clients are used."""
+
     timeline: EventLoopTimeline
 
     def __init__(self, plan: Plan, seed: int) -> None:
@@ -126,7 +130,7 @@
             seed,
             EventLoopTimeline(self.loop),
             slack=SLACK_US,
-            judging=lambda *given: ClientRuleChecker(self.non_idempotent, *given),
+            judging=lambda *args: ClientRuleChecker(self.non_idempotent, *args),
         )
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -135,16 +139,18 @@
         task.add_done_callback(self.tasks.discard)
 
     def note(self, text: str) -> None:
-        """What is odd shows in the columns."""
+        """Ignores the line: unexpected events show in the columns."""
 
 
 class RemoteSidecar(ClientConnections):
-    """The one that is asked; `number` is that of this group of clients."""
+    """The connections to the sidecar under test; `number` is that of this group of clients."""
 
-    def __init__(self, crowd: ClientWorld, number: int, where: tuple[str, int], most: int) -> None:
-        super().__init__(crowd, most)
+    def __init__(
+        self, world: ClientWorld, number: int, address: tuple[str, int], max_connections: int
+    ) -> None:
+        super().__init__(world, max_connections)
         self.number = number
-        self.address = where
+        self.address = address
         self.up = True
         self.start_count = 1
 
@@ -152,29 +158,30 @@
 async def play_clients(
     plan: Plan, seed: int, address: tuple[str, int], number: int, max_connections: int
 ) -> ClientResults:
-    crowd = ClientWorld(plan, seed)
-    sidecar = RemoteSidecar(crowd, number, address, max_connections)
-    crowd.timeline.started_at = crowd.loop.time()
-    crowd.start_task(crowd.timeline.measure_ticks())
-    crowd.clients(sidecar, sidecar).begin()  # type: ignore[arg-type]
-    patience = max(tariff.patience for tariff in crowd.tariffs) / 1e6
-    await asyncio.sleep(plan.lasts_s + patience + 0.3)
-    for task in list(crowd.tasks):
+    """Plays one group of clients in the running event loop, until the last deadline is over."""
+    world = ClientWorld(plan, seed)
+    sidecar = RemoteSidecar(world, number, address, max_connections)
+    world.timeline.started_at = world.loop.time()
+    world.start_task(world.timeline.measure_ticks())
+    world.clients(sidecar, sidecar).begin()  # type: ignore[arg-type]
+    deadline_s = max(request_class.patience for request_class in world.tariffs) / 1e6
+    await asyncio.sleep(plan.lasts_s + deadline_s + 0.3)
+    for task in list(world.tasks):
         task.cancel()
-    await asyncio.gather(*crowd.tasks, return_exceptions=True)
-    tally = crowd.tally
+    await asyncio.gather(*world.tasks, return_exceptions=True)
+    tally = world.tally
     return ClientResults(
         {name: list(getattr(tally, name)) for name in TALLY_COLUMNS},
-        [spent for each in tally.times for spent in each],
+        [latency for latencies in tally.times for latency in latencies],
         list(sidecar.rejection_times_us),
-        crowd.timeline.p99_tick_delay_ms(),
-        crowd.non_idempotent,
-        dict(crowd.judge.broken),
+        world.timeline.p99_tick_delay_ms(),
+        world.non_idempotent,
+        dict(world.judge.broken),
     )
 
 
 def run_clients(
     plan: Plan, seed: int, address: tuple[str, int], number: int, max_connections: int
 ) -> ClientResults:
-    """Play one group of clients, on at most so many connections, in this process."""
+    """Plays one group of clients in this process, on at most `max_connections` connections."""
     return asyncio.run(play_clients(plan, seed, address, number, max_connections))
