--- a/pumicepath/lab/loopback/datagram_proxies.py
+++ b/pumicepath/lab/loopback/datagram_proxies.py
@@ -39,9 +39,8 @@
         self.addresses: list[str] = []
         self.sidecar_sockets: dict[int, Address] = {}  # by sidecar
         self.sidecar_by_socket: dict[Address, int] = {}
-        self.unmatched_count = (
-            0  # datagrams from unknown sockets, i.e. of processes that have just been killed
-        )
+        # Datagrams from unknown sockets, which are those of processes that have just been killed.
+        self.unmatched_count = 0
 
     async def open(self, count: int) -> None:
         """Opens a proxy for each of `count` sidecars."""
--- a/pumicepath/lab/loopback/discovery.py
+++ b/pumicepath/lab/loopback/discovery.py
@@ -24,9 +24,8 @@
         self.world = world
         self.number = number
         self.version = 0
-        self.pending_updates: list[
-            tuple[bool, list[Entry]]
-        ] = []  # (complete list or only changes, entries), not sent yet
+        # Not sent yet: whether it is the whole list (or only changes), and the entries.
+        self.pending_updates: list[tuple[bool, list[Entry]]] = []
         self.fails_next = False
         self.update_ready = asyncio.Event()
         self.start_unix_ms = time.time() * 1000 - world.timeline.now / 1000
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The proving ground: links, clocks and disks that fail, the history, and the checks."""
+"""Faults of links, clocks and disks, the recorded history of a run, and its checks."""
 
 from __future__ import annotations
 
@@ -35,32 +35,32 @@
 }
 
 
-def seen(at: float, who: str, what: str, **more: object) -> dict:
+def event(at: float, who: str, what: str, **more: object) -> dict:
     return {"at": round(at * SECOND), "who": who, "what": what, **more}
 
 
 def acted(at: float, holder: str, fence: int, who: str = "server-1", accepted: bool = True) -> dict:
-    return seen(at, who, "acted", duty="trial of s-1", holder=holder, fence=fence, accepted=accepted)
+    return event(at, who, "acted", duty="trial of s-1", holder=holder, fence=fence, accepted=accepted)
 
 
-def may(asked: float, at: float, holder: str, fence: int) -> dict:
-    """It said that it might act, at some moment between."""
+def claimed(asked: float, at: float, holder: str, fence: int) -> dict:
+    """The holder said that it might act, at some moment between `asked` and `at`."""
     return {**acted(at, holder, fence, "rig"), "asked": round(asked * 1e6)}
 
 
 def spent(at: float, amount: float, budget: str = "retries") -> dict:
-    return seen(at, "server-0", "spent", budget=budget, amount=amount)
+    return event(at, "server-0", "spent", budget=budget, amount=amount)
 
 
 ASK = 7
-TRIED = seen(1.0, "clients", "tried", ask=ASK, tariff=1, until=1_600_000)
-SENT = seen(1.1, "server-1", "sent", ask=ASK, sidecar=0, server=1, told=None)
-RAN = seen(1.2, "server-1", "ran", ask=ASK, server=1, hall=0, cell=0)
-ENDED = seen(1.3, "clients", "answered", ask=ASK, end="succeeded")
-PUSHED = seen(1, "server-1", "pushed_over", server=1, knowing=50, sidecars=2, work=100)
-RETRIES = seen(0, "rig", "budget", budget="retries", sum=10, window_us=SECOND)
-# What was seen, and the breaches that it is: each check's own planted faults, and what must pass it.
-PLANTED: dict[str, list[dict]] = {
+TRIED = event(1.0, "clients", "tried", ask=ASK, tariff=1, until=1_600_000)
+SENT = event(1.1, "server-1", "sent", ask=ASK, sidecar=0, server=1, told=None)
+RAN = event(1.2, "server-1", "ran", ask=ASK, server=1, hall=0, cell=0)
+ENDED = event(1.3, "clients", "answered", ask=ASK, end="succeeded")
+PUSHED = event(1, "server-1", "pushed_over", server=1, knowing=50, sidecars=2, work=100)
+RETRIES = event(0, "rig", "budget", budget="retries", sum=10, window_us=SECOND)
+# Histories with and without injected violations, by the name that stands in the recorded trace.
+HISTORIES: dict[str, list[dict]] = {
     "all is well": [
         TRIED,
         SENT,
@@ -72,26 +72,26 @@
         spent(4, 10),
         spent(5, 10),
     ],
-    "no answer": [TRIED, SENT, seen(1.7, "clients", "patience_over", ask=ASK)],
+    "no answer": [TRIED, SENT, event(1.7, "clients", "patience_over", ask=ASK)],
     "no answer of a sidecar that was stopped": [
         TRIED,
-        seen(1.05, "rig", "stopped", sidecar=0),
-        seen(1.7, "clients", "patience_over", ask=ASK),
+        event(1.05, "rig", "stopped", sidecar=0),
+        event(1.7, "clients", "patience_over", ask=ASK),
     ],
     "no answer of one that was stopped before": [
-        seen(0.1, "rig", "stopped", sidecar=0),
-        seen(0.5, "rig", "going_on", sidecar=0),
+        event(0.1, "rig", "stopped", sidecar=0),
+        event(0.5, "rig", "going_on", sidecar=0),
         TRIED,
-        seen(1.7, "clients", "patience_over", ask=ASK),
+        event(1.7, "clients", "patience_over", ask=ASK),
     ],
     "answered twice": [TRIED, ENDED, ENDED],
-    "answered late": [TRIED, seen(1.7, "clients", "answered", ask=ASK, end="forfeited")],
+    "answered late": [TRIED, event(1.7, "clients", "answered", ask=ASK, end="forfeited")],
     "sent after its answer": [
         TRIED,
         SENT,
         RAN,
         ENDED,
-        seen(2, "server-1", "sent", ask=ASK, sidecar=0, server=1, told=None),
+        event(2, "server-1", "sent", ask=ASK, sidecar=0, server=1, told=None),
     ],
     "ran twice": [TRIED, SENT, RAN, SENT, RAN, ENDED],
     "deferred, and may have run": [TRIED, SENT, RAN, {**ENDED, "end": "deferred"}],
@@ -105,16 +105,16 @@
         acted(3, "n0", 1, accepted=False),
     ],
     "two that say that they hold it, surely at one time": [
-        may(0.9, 1, "n0", 1),
-        may(1.4, 1.5, "n1", 2),
-        may(1.9, 2, "n1", 2),
-        may(1.8, 2.1, "n0", 1),
+        claimed(0.9, 1, "n0", 1),
+        claimed(1.4, 1.5, "n1", 2),
+        claimed(1.9, 2, "n1", 2),
+        claimed(1.8, 2.1, "n0", 1),
     ],
     "two that say so, one maybe after the other": [
-        may(0.9, 1, "n0", 1),
-        may(1.4, 1.5, "n1", 2),
-        may(1.9, 2, "n1", 2),
-        may(1.4, 2.1, "n0", 1),
+        claimed(0.9, 1, "n0", 1),
+        claimed(1.4, 1.5, "n1", 2),
+        claimed(1.9, 2, "n1", 2),
+        claimed(1.4, 2.1, "n0", 1),
     ],
     "one number, two holders": [acted(1, "n0", 1), acted(2, "n1", 1)],
     "two holders at two places": [acted(1, "n0", 1), acted(2, "n1", 2, "server-2"), acted(3, "n0", 1)],
@@ -125,26 +125,28 @@
 
 
 def in_order(name: str) -> list[dict]:
-    return sorted([HEAD, *PLANTED[name]], key=lambda line: line["at"])
+    return sorted([HEAD, *HISTORIES[name]], key=lambda line: line["at"])
 
 
-def test_checks_catch_planted_faults_and_nothing_else() -> None:
+def test_checks_find_injected_violations_and_nothing_else() -> None:
     lines = []
-    for name in PLANTED:
-        found = checks.violations(in_order(name))
+    for name in HISTORIES:
+        violations = checks.violations(in_order(name))
         lines.append(f"{name}:")
-        lines += [f"    {check}: {each}" for check, breaches in found.items() for each in breaches]
+        lines += [f"    {check}: {text}" for check, texts in violations.items() for text in texts]
     compare("faults-planted", lines)
     assert set(checks.PROPERTIES) == {"four_rules", "one_holder", "fencing", "budgets"}
 
 
-def test_times_until_views_are_right_and_service_is_full() -> None:
+def test_recovery_times_of_views_and_service() -> None:
     def views(at: float, state: str) -> dict:
-        return seen(at, "rig", "views", running=["a", "b"], sees={"a": [("b", state)], "b": [("a", "alive")]})
+        return event(
+            at, "rig", "views", running=["a", "b"], sees={"a": [("b", state)], "b": [("a", "alive")]}
+        )
 
-    shares = [1.0, 1.0, 0.4, 0.5, 0.98, 1.0, 0.995, 1.0, 0.2]
-    fault = seen(2.1, "rig", "fault", kind="sidecars-killed", text="", until=3_200_000)
-    met = [
+    fractions = [1.0, 1.0, 0.4, 0.5, 0.98, 1.0, 0.995, 1.0, 0.2]
+    fault = event(2.1, "rig", "fault", kind="sidecars-killed", text="", until=3_200_000)
+    lines = [
         HEAD,
         views(0.5, "alive"),
         fault,
@@ -152,17 +154,17 @@
         views(4.0, "dead"),
         views(4.5, "alive"),
         *(
-            seen(9, "clients", "second", second=at, wanted=10.0, earned=10 * share)
-            for at, share in enumerate(shares)
+            event(9, "clients", "second", second=at, wanted=10.0, earned=10 * fraction)
+            for at, fraction in enumerate(fractions)
         ),
     ]
-    assert recovery.view_recovery_s(met) == 1.3 and recovery.service_recovery_s(met) == 1.8
-    assert recovery.view_recovery_s(met[:-10]) is None and recovery.service_recovery_s(met[:-3]) is None
-    assert recovery.fault_counts(met) == {"sidecars-killed": 1}
+    assert recovery.view_recovery_s(lines) == 1.3 and recovery.service_recovery_s(lines) == 1.8
+    assert recovery.view_recovery_s(lines[:-10]) is None and recovery.service_recovery_s(lines[:-3]) is None
+    assert recovery.fault_counts(lines) == {"sidecars-killed": 1}
 
 
 @pytest.mark.parametrize(
-    "data, why",
+    "data, reason",
     (
         (None, "No such file"),
         (b"", ":1: no head"),
@@ -172,27 +174,29 @@
         (orjson.dumps({**HEAD, "at": 5}) + b"\n" + orjson.dumps(HEAD), ":2: earlier"),
     ),
 )
-def test_what_is_no_history_is_named(tmp_path: Path, data: bytes | None, why: str) -> None:
+def test_a_file_that_is_no_history_is_reported_with_its_line(
+    tmp_path: Path, data: bytes | None, reason: str
+) -> None:
     path = tmp_path / "history.jsonl"
     if data is not None:
         path.write_bytes(data)
-    with pytest.raises(HistoryError, match=why):
+    with pytest.raises(HistoryError, match=reason):
         history.read(path)
-    ended = CliRunner().invoke(main, ["lab", "judge", str(path)])
-    assert ended.exit_code == 2 and str(path) in ended.stderr
+    result = CliRunner().invoke(main, ["lab", "judge", str(path)])
+    assert result.exit_code == 2 and str(path) in result.stderr
 
 
-def test_judge_says_of_a_history_alone_what_was_broken(tmp_path: Path) -> None:
+def test_lab_judge_reports_the_violations_of_a_recorded_history(tmp_path: Path) -> None:
     path = tmp_path / "history.jsonl"
     path.write_bytes(b"\n".join(orjson.dumps(line) for line in in_order("ran twice")))
-    ended = CliRunner().invoke(main, ["lab", "judge", str(path), "--json"])
-    assert ended.exit_code == 1 and orjson.loads(ended.stdout)["violations"] == {"four_rules": 1}
+    result = CliRunner().invoke(main, ["lab", "judge", str(path), "--json"])
+    assert result.exit_code == 1 and orjson.loads(result.stdout)["violations"] == {"four_rules": 1}
     path.write_bytes(b"\n".join(orjson.dumps(line) for line in in_order("all is well")))
-    ended = CliRunner().invoke(main, ["lab", "judge", str(path)])
-    assert ended.exit_code == 0 and "kept" in ended.stdout
+    result = CliRunner().invoke(main, ["lab", "judge", str(path)])
+    assert result.exit_code == 0 and "kept" in result.stdout
 
 
-def test_links_lose_delay_double_spoil_and_squeeze() -> None:
+def test_links_lose_delay_duplicate_corrupt_and_limit_datagrams() -> None:
     lines = []
     for name, noise in (
         ("nothing", Noise()),
@@ -202,11 +206,13 @@
         ("delay", Noise(delay=20_000, spread=50_000)),
         ("rate", Noise(rate=2000)),
     ):
-        timeline, came = Virtual(), list[tuple[int, bytes]]()
+        timeline, arrived = Virtual(), list[tuple[int, bytes]]()
         links = Links(timeline, 1, 300)
 
-        def take(data: bytes, timeline: Virtual = timeline, came: list[tuple[int, bytes]] = came) -> None:
-            came.append((timeline.now, data))
+        def take(
+            data: bytes, timeline: Virtual = timeline, arrived: list[tuple[int, bytes]] = arrived
+        ) -> None:
+            arrived.append((timeline.now, data))
 
         undo = links.disturb([1], noise)
         for step in range(100):
@@ -214,24 +220,24 @@
             links.carry(step % 2, 2, b"%03d" % step + bytes(37), take)
         undo()
         timeline.run(10 * SECOND)
-        order = [data[:3] for _, data in came]
+        order = [data[:3] for _, data in arrived]
         lines.append(
-            f"{name:<8} {len(came)} came, {links.dropped} dropped, {len(set(order))} different, "
-            f"{sum(one > other for one, other in zip(order, order[1:]))} swapped, "
-            f"{sum(any(data[3:]) for _, data in came)} spoilt, "
-            f"the last at {came[-1][0] / 1e6:.3f} s"
+            f"{name:<8} {len(arrived)} came, {links.dropped} dropped, {len(set(order))} different, "
+            f"{sum(first > second for first, second in zip(order, order[1:]))} swapped, "
+            f"{sum(any(data[3:]) for _, data in arrived)} spoilt, "
+            f"the last at {arrived[-1][0] / 1e6:.3f} s"
         )
-    cut, met = Links(Virtual(), 1), []
-    undo = cut.cut([0], [1, 2], both=False)
-    for one, other in ((0, 1), (1, 0), (2, 1)):
-        cut.carry(one, other, b"x", met.append)
-    cut.timeline.run(1)  # type: ignore[attr-defined]
-    lines.append(f"cut one way: {len(met)} of 3")
+    links, delivered = Links(Virtual(), 1), []
+    undo = links.cut([0], [1, 2], both=False)
+    for sender, recipient in ((0, 1), (1, 0), (2, 1)):
+        links.carry(sender, recipient, b"x", delivered.append)
+    links.timeline.run(1)  # type: ignore[attr-defined]
+    lines.append(f"cut one way: {len(delivered)} of 3")
     undo()
     compare("faults-links", lines)
 
 
-def test_a_bent_clock_runs_at_its_rate_and_steps_only_on_the_wall(tmp_path: Path) -> None:
+def test_a_changed_clock_runs_at_its_rate_and_only_its_wall_clock_steps(tmp_path: Path) -> None:
     now = [0]
     page = ControlPage(tmp_path / "clock")
     page.real_monotonic_ns = lambda: now[0]
@@ -240,14 +246,16 @@
     page.set_clock(1.01, 3_600_000_000_000)
     assert page.monotonic_ns() == began and page.wall_ns(5_000_000_000) - wall == 3_600_000_000_000
     now[0] += 10_000_000_000
-    assert ControlPage(tmp_path / "clock").active_slot() == page.active_slot(), "both processes see the same"
+    assert ControlPage(tmp_path / "clock").active_slot() == page.active_slot(), (
+        "both processes see the same clock"
+    )
     assert page.monotonic_ns() - began == 10_100_000_000
     page.set_clock(1.0)
     now[0] += 1_000_000_000
     assert page.monotonic_ns() - began == 11_100_000_000
 
 
-def test_the_starter_bends_what_a_process_reads(tmp_path: Path) -> None:
+def test_the_starter_changes_the_clock_that_a_process_reads(tmp_path: Path) -> None:
     ControlPage(tmp_path / "clock").set_clock(1.0, -3_600_000_000_000)
     code = (
         "import os, time; from pathlib import Path; true = time.time()\n"
@@ -285,19 +293,19 @@
         "      os.O_CREAT)), tried(lambda: (own.parent / 'other').write_text('z')),\n"
         "      time.monotonic() - began > 0.2, sep='; ')"
     )
-    around = {"PATH": "/usr/bin", PAGE_PATH_VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."}
+    environment = {"PATH": "/usr/bin", PAGE_PATH_VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."}
     ended = subprocess.run(
         [sys.executable, "-c", code, str(tmp_path / "own")],
         text=True,
         capture_output=True,
         timeout=60,
-        env=around,
+        env=environment,
     )
     refused = "Read-only file system"
     assert ended.stdout.strip().split("; ") == ["done", *[refused] * 3, "done", "True"], ended
 
 
-def test_a_list_that_some_cant_reach_is_as_it_was_for_others() -> None:
+def test_discovery_that_one_sidecar_cannot_reach_still_serves_the_others() -> None:
     plan = Plan(
         lasts_s=8,
         sidecars=Sidecars(count=3),
@@ -308,24 +316,30 @@
     )
     world = VirtualWorld(plan, 1, "random")
     world.timeline.run(4 * SECOND)
-    told = [world.registry.followers[number].told.get(0) for number in range(3)]
-    assert told[0] and told[2] and told[1] is None and world.registry.off(1) and not world.registry.off(0)
-    deemed = world.registry.knows_since(1, 0)
-    assert deemed is not None and deemed > 4 * SECOND, "it is deemed told once it should have asked again"
+    notified = [world.registry.followers[number].told.get(0) for number in range(3)]
+    assert (
+        notified[0]
+        and notified[2]
+        and notified[1] is None
+        and world.registry.off(1)
+        and not world.registry.off(0)
+    )
+    known_since = world.registry.knows_since(1, 0)
+    assert known_since is not None and known_since > 4 * SECOND, "it counts as notified after its next poll"
     world.timeline.run(20 * SECOND)
     assert not world.registry.off(1)
 
 
-def test_disks_tear_lose_keep_and_fill(tmp_path: Path) -> None:
+def test_state_folders_are_corrupted_deleted_restored_and_full(tmp_path: Path) -> None:
     disk, other = (StateFolder(tmp_path / name, tmp_path / f"copy-{name}") for name in ("a", "b"))
     (disk.folder / "state").write_bytes(bytes(1000))
     assert disk.save_copy() == 1
-    cuts = set()
+    outcomes = set()
     for seed in range(40):
         assert disk.corrupt(random.Random(seed)) == 1
-        cuts.add((len((disk.folder / "state").read_bytes()), any((disk.folder / "state").read_bytes())))
+        outcomes.add((len((disk.folder / "state").read_bytes()), any((disk.folder / "state").read_bytes())))
         disk.restore_copy()
-    assert len({size for size, _ in cuts}) > 10 and (1000, True) in cuts
+    assert len({size for size, _ in outcomes}) > 10 and (1000, True) in outcomes
     assert disk.delete_all() == 1 and not disk.files() and other.replace_with(disk.copy_folder) == 1
     code = (
         "import sys; print('up', flush=True); sys.stdin.read(1)\n"
@@ -340,8 +354,8 @@
         assert process.stdout is not None
         process.stdout.readline()
         disk.set_full(process.pid, True)
-        _, trouble = process.communicate(b"\n", timeout=60)
-    assert b"File too large" in trouble and process.returncode == 1
+        _, error = process.communicate(b"\n", timeout=60)
+    assert b"File too large" in error and process.returncode == 1
 
 
 SMALL = """title = "small"
@@ -381,7 +395,7 @@
         ("clock-rate", "peers-shut", "24: troubles.2.kind"),
     ),
 )
-def test_what_a_plan_cant_have_is_named_by_line_and_key(tmp_path: Path, old: str, new: str, key: str) -> None:
+def test_an_invalid_plan_is_reported_with_line_and_key(tmp_path: Path, old: str, new: str, key: str) -> None:
     path = tmp_path / "one.toml"
     path.write_text(SMALL.replace(old, new))
     if key:
@@ -413,27 +427,27 @@
         "--report",
         str(folder),
     ]
-    for _ in range(3):  # 3: the machine was too slow to tell
+    for _ in range(3):  # exit code 3: the machine was too slow for a valid run
         ended = subprocess.run(command, text=True, capture_output=True, timeout=180)
         if ended.returncode != 3:
             break
     assert ended.returncode in (0, 1), ended.stderr
-    told = orjson.loads(ended.stdout.splitlines()[-1])
-    assert told["faults"] == {"sidecars-killed": 1, "sidecars-stopped": 1, "clock-rate": 1}
-    assert ended.returncode == bool(told["violations"])
-    assert [told[name] for name in ("duplicated", "late_sends", "pushed_over")] == [0, 0, 0], told
+    summary = orjson.loads(ended.stdout.splitlines()[-1])
+    assert summary["faults"] == {"sidecars-killed": 1, "sidecars-stopped": 1, "clock-rate": 1}
+    assert ended.returncode == bool(summary["violations"])
+    assert [summary[name] for name in ("duplicated", "late_sends", "pushed_over")] == [0, 0, 0], summary
     again = fleet.judged(folder / fleet.HISTORY)
-    assert again.figures().items() <= told.items(), "the history alone says the same"
+    assert again.figures().items() <= summary.items(), "the history alone gives the same results"
     page = (folder / "fleet.html").read_text()
     assert page.count("data:image/png;base64,") == 2 and "sidecars-stopped: sidecar 2" in page
     names, at, rows = fleet.seen(again.history)
     assert names == ["sidecar-0", "sidecar-1", "sidecar-2"] and len(at) == len(rows) > 5
 
 
-def test_an_interrupted_history_holds_what_was_seen(tmp_path: Path) -> None:
-    made = History(tmp_path / "history.jsonl", lambda: 5)
-    made.write("rig", "run", version=history.VERSION)
-    made.write("rig", "begun")
-    made.close()
-    made.write("rig", "late")
+def test_an_interrupted_history_keeps_what_was_recorded(tmp_path: Path) -> None:
+    writer = History(tmp_path / "history.jsonl", lambda: 5)
+    writer.write("rig", "run", version=history.VERSION)
+    writer.write("rig", "begun")
+    writer.close()
+    writer.write("rig", "late")
     assert [line["what"] for line in history.read(tmp_path / "history.jsonl")] == ["run", "begun"]
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of regions and relays: a sidecar's list never goes back, and ends in the truth."""
+"""Random histories of regions and relays: a sidecar's list never goes back and ends up correct."""
 
 from __future__ import annotations
 
@@ -12,110 +12,111 @@
 
 from .test_never_back import SECOND, Clock, line, target, told, watching
 
-LAG = LIVE + SECOND // 4  # of a relay that says it is in touch: its word's age, and a turn of its loop
+# Of a relay that reports a connected origin: the age of its report, and one turn of its loop.
+MAX_DELAY = LIVE + SECOND // 4
 STATE = frozenset[tuple[str, str, str, int]]
 
 
 class Origin:
-    """A region's discovery: every state of each of its lives."""
+    """The discovery of one region, with every state it had since each of its starts."""
 
-    def __init__(self, region: str, chance: random.Random) -> None:
-        self.region, self.chance = region, chance
-        self.life, self.seq, self.changes = 0, chance.randrange(50), 0
+    def __init__(self, region: str, rng: random.Random) -> None:
+        self.region, self.rng = region, rng
+        self.instance, self.seq, self.changes = 0, rng.randrange(50), 0
         self.lines: dict[str, dict] = {}
-        self.past: list[tuple[int, int, int, dict[str, dict]]] = []  # since when, life, seq, lines
+        self.past: list[tuple[int, int, int, dict[str, dict]]] = []  # (start time, instance, seq, lines)
         self.states: dict[STATE, list[tuple[int, int]]] = {}
 
     def change(self, now: int) -> None:
-        name = f"{self.region}{self.chance.randrange(6)}"
+        name = f"{self.region}{self.rng.randrange(6)}"
         self.changes += 1
-        if name in self.lines and self.chance.random() < 0.3:
+        if name in self.lines and self.rng.random() < 0.3:
             del self.lines[name]
         else:
-            health = self.chance.choice(["active", "leaving"])
+            health = self.rng.choice(["active", "leaving"])
             self.lines[name] = line(name, self.region, health, block=self.changes)
         self.seq += 1
-        self.note(now)
+        self.record(now)
 
     def restart(self, now: int) -> None:
-        """Its versions begin anew; its servers are the same."""
-        self.life += 1
-        self.seq = self.chance.randrange(1, 4)
-        self.note(now)
+        """Restarts the origin: its versions start again, its servers stay the same."""
+        self.instance += 1
+        self.seq = self.rng.randrange(1, 4)
+        self.record(now)
 
-    def note(self, now: int) -> None:
-        self.past.append((now, self.life, self.seq, dict(self.lines)))
-        self.states.setdefault(state(self.lines.values()), []).append((self.life, self.seq))
+    def record(self, now: int) -> None:
+        self.past.append((now, self.instance, self.seq, dict(self.lines)))
+        self.states.setdefault(state(self.lines.values()), []).append((self.instance, self.seq))
 
     def at(self, now: int) -> tuple[int, int, int, dict[str, dict]]:
-        return next((one for one in reversed(self.past) if one[0] <= now), self.past[0])
+        return next((past for past in reversed(self.past) if past[0] <= now), self.past[0])
 
 
 def state(lines: Any) -> STATE:
-    return frozenset((one["host"], one["health"], one["region"], one["block"]) for one in lines)
+    return frozenset((line["host"], line["health"], line["region"], line["block"]) for line in lines)
 
 
 class Relay:
-    """What the other side does: a log of changes of its own, each region as of some moment."""
+    """A simulated relay: its own log of changes, with each region as of some earlier time."""
 
-    def __init__(self, origins: list[Origin], chance: random.Random) -> None:
-        self.origins, self.chance = origins, chance
+    def __init__(self, origins: list[Origin], rng: random.Random) -> None:
+        self.origins, self.rng = origins, rng
         self.start(0)
 
     def start(self, now: int) -> None:
-        self.seq = now * 1000 + self.chance.randrange(1000)
+        self.seq = now * 1000 + self.rng.randrange(1000)
         self.first = self.seq
         self.held: dict[str, dict[str, dict]] = {}
-        self.told: dict[str, tuple[int, bool]] = {}
+        self.reported: dict[str, tuple[int, bool]] = {}
         self.log: list[tuple[int, dict]] = []
-        self.lag = 0
+        self.delay = 0
         self.as_of: dict[str, int] = {}
         self.cut: set[str] = set()
 
-    def look(self, now: int) -> None:
+    def poll_origins(self, now: int) -> None:
         for origin in self.origins:
             region = origin.region
             if region in self.cut:
-                if region in self.told and self.told[region][1]:
-                    self.told[region] = self.told[region][0], False
+                if region in self.reported and self.reported[region][1]:
+                    self.reported[region] = self.reported[region][0], False
                     self.seq += 1
                 continue
-            self.as_of[region] = as_of = max(now - self.lag, self.as_of.get(region, 0))
-            _, life, seq, lines = origin.at(as_of)
+            self.as_of[region] = as_of = max(now - self.delay, self.as_of.get(region, 0))
+            _, _, seq, lines = origin.at(as_of)
             before = self.held.get(region, {})
-            changed = [one for name, one in lines.items() if before.get(name) != one]
-            changed += [{**one, "health": "left"} for name, one in before.items() if name not in lines]
-            if changed or self.told.get(region) != (seq, True):
+            changed = [line for name, line in lines.items() if before.get(name) != line]
+            changed += [{**line, "health": "left"} for name, line in before.items() if name not in lines]
+            if changed or self.reported.get(region) != (seq, True):
                 self.seq += 1
-                self.log += [(self.seq, one) for one in changed]
-            self.held[region], self.told[region] = lines, (seq, True)
+                self.log += [(self.seq, line) for line in changed]
+            self.held[region], self.reported[region] = lines, (seq, True)
         if len(self.log) > 40:
             self.first = self.log[20][0]
             del self.log[:20]
 
     def answer(self, question: str) -> Any:
-        if not self.told:
+        if not self.reported:
             return SimpleNamespace(status=503, body=b"")
         since = int(question.partition("since=")[2].partition("&")[0] or -1)
         if not self.first <= since <= self.seq:
-            lines = [one for held in self.held.values() for one in held.values()]
-            return told(self.seq, self.told, *lines, whole=True)
-        news = {one["host"]: one for seq, one in self.log if seq > since}
-        return told(self.seq, self.told, *news.values())
+            lines = [line for held in self.held.values() for line in held.values()]
+            return told(self.seq, self.reported, *lines, whole=True)
+        updates = {line["host"]: line for seq, line in self.log if seq > since}
+        return told(self.seq, self.reported, *updates.values())
 
 
 class History:
-    """One sidecar's watch among relays that lag, lose touch, restart and are left: what it holds."""
+    """The list of one sidecar whose relays are delayed, lose their origins, restart and are exchanged."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = chance = random.Random(seed)
+        self.rng = rng = random.Random(seed)
         self.clock = Clock()
-        self.origins = [Origin(region, chance) for region in ("eu", "us", "asia")[: chance.choice((2, 3))]]
+        self.origins = [Origin(region, rng) for region in ("eu", "us", "asia")[: rng.choice((2, 3))]]
         self.clock.now = 100 * SECOND
         for origin in self.origins:
             for _ in range(5):
                 origin.change(0)
-        self.relays = [Relay(self.origins, chance) for _ in range(3)]
+        self.relays = [Relay(self.origins, rng) for _ in range(3)]
         self.watch = watching(clock=self.clock)
         self.at = 0
         self.seen: dict[str, tuple[int, int]] = {}
@@ -130,7 +131,7 @@
             self.counts["refused"] += 1
             self.move()
             return
-        # The balancer, which is told only this, has to hold the same.
+        # The balancer, which receives only this update, has to hold the same servers.
         names = {name for name in held if not update.whole} | {entry.name for entry in update.entries}
         gone = {entry.name for entry in update.entries if entry.phase == 0}
         assert names - gone == set(self.watch.roster.lines)
@@ -139,21 +140,23 @@
 
     def check(self) -> None:
         for origin in self.origins:
-            lines = state(one for one in self.watch.roster.lines.values() if one["region"] == origin.region)
+            lines = state(
+                line for line in self.watch.roster.lines.values() if line["region"] == origin.region
+            )
             if not lines and origin.region not in self.seen:
                 continue
             versions = origin.states.get(lines)
-            assert versions, f"{origin.region} never was so: {sorted(lines)}"
-            life, seq = self.seen.get(origin.region, (-1, 0))
-            same = [version for version in versions if version[0] == life]
+            assert versions, f"{origin.region} never had this state: {sorted(lines)}"
+            instance, seq = self.seen.get(origin.region, (-1, 0))
+            same = [version for version in versions if version[0] == instance]
             if same and max(same)[1] < seq:
                 same = []
-                assert any(version[0] != life for version in versions), (
-                    f"{origin.region} went back from {life}, {seq} to {versions}"
+                assert any(version[0] != instance for version in versions), (
+                    f"{origin.region} went back from {instance}, {seq} to {versions}"
                 )
-            # A state that was twice is taken for the earlier one, so that what follows is judged rightly.
+            # A state that occurred twice counts as the earlier one, so that later states are not rejected.
             later = [version for version in same if version[1] >= seq]
-            other = [version for version in versions if version[0] != life]
+            other = [version for version in versions if version[0] != instance]
             self.seen[origin.region] = (
                 min(later) if later else min(version for version in other if version[0] == max(other)[0])
             )
@@ -163,69 +166,69 @@
         self.watch.move(f"r{self.at}:1")
         self.counts["moves"] += 1
 
-    def trouble(self, restarts: bool) -> None:
-        chance, relay = self.chance, self.chance.choice(self.relays)
-        what = chance.choice(("lag", "lag", "cut", "cut", "heal", "move", "relay", "restart"))
-        if what == "lag":
-            relay.lag = chance.randrange(LAG)
-        elif what == "cut":
-            relay.cut.add(chance.choice(self.origins).region)
-        elif what == "heal":
+    def inject_fault(self, restarts: bool) -> None:
+        rng, relay = self.rng, self.rng.choice(self.relays)
+        fault = rng.choice(("lag", "lag", "cut", "cut", "heal", "move", "relay", "restart"))
+        if fault == "lag":
+            relay.delay = rng.randrange(MAX_DELAY)
+        elif fault == "cut":
+            relay.cut.add(rng.choice(self.origins).region)
+        elif fault == "heal":
             relay.cut.clear()
-        elif what == "move":
+        elif fault == "move":
             self.move()
-        elif what == "relay":
+        elif fault == "relay":
             relay.start(self.clock.now)
-            if relay is self.relays[self.at] and chance.random() < 0.5:
+            if relay is self.relays[self.at] and rng.random() < 0.5:
                 self.move()
-        elif restarts and chance.random() < 0.3 and self.clock.now > self.calm_until:
-            # All relays come to know of it before it happens again.
-            chance.choice(self.origins).restart(self.clock.now)
-            self.calm_until = self.clock.now + 30 * SECOND
-        self.counts[what] += 1
+        elif restarts and rng.random() < 0.3 and self.clock.now > self.next_restart_at:
+            # All relays learn of the restart before the next one.
+            rng.choice(self.origins).restart(self.clock.now)
+            self.next_restart_at = self.clock.now + 30 * SECOND
+        self.counts[fault] += 1
 
     def run(self, steps: int, restarts: bool) -> None:
-        self.calm_until = 0
+        self.next_restart_at = 0
         for _ in range(steps):
-            self.clock.now += self.chance.randrange(SECOND)
-            if self.chance.random() < 0.5:
-                self.chance.choice(self.origins).change(self.clock.now)
-            if self.chance.random() < 0.2:
-                self.trouble(restarts)
+            self.clock.now += self.rng.randrange(SECOND)
+            if self.rng.random() < 0.5:
+                self.rng.choice(self.origins).change(self.clock.now)
+            if self.rng.random() < 0.2:
+                self.inject_fault(restarts)
             for relay in self.relays:
-                if self.chance.random() < 0.5:
-                    relay.look(self.clock.now)
-            if self.chance.random() < 0.5:
+                if self.rng.random() < 0.5:
+                    relay.poll_origins(self.clock.now)
+            if self.rng.random() < 0.5:
                 self.call()
 
     def heal(self, within: int) -> None:
-        """Everything is in touch: all that is true is held, at one relay or another."""
+        """Ends all faults; the sidecar then has to hold the current lists, whichever relay it uses."""
         end = self.clock.now + within
         for relay in self.relays:
             relay.cut.clear()
-            relay.lag = 0
+            relay.delay = 0
         while self.clock.now < end:
             for relay in self.relays:
-                relay.look(self.clock.now)
+                relay.poll_origins(self.clock.now)
             self.call()
             self.clock.now += 1_500_000
         for origin in self.origins:
-            mine = state(one for one in self.watch.roster.lines.values() if one["region"] == origin.region)
-            assert mine == state(origin.lines.values()), origin.region
+            held = state(line for line in self.watch.roster.lines.values() if line["region"] == origin.region)
+            assert held == state(origin.lines.values()), origin.region
 
 
-def test_random_histories_never_go_back_and_all_is_in_force_once_they_are_healed() -> None:
+def test_random_histories_never_go_back_and_all_updates_are_applied_once_faults_end() -> None:
     counts = Counter[str]()
     for seed in range(60):
         history = History(seed)
         history.run(200, restarts=False)
         history.heal(6 * SECOND)
         counts += history.counts
-    for what in ("refused", "whole", "changes", "moves", "lag", "cut", "relay"):
-        assert counts[what] > 20, counts
+    for name in ("refused", "whole", "changes", "moves", "lag", "cut", "relay"):
+        assert counts[name] > 20, counts
 
 
-def test_random_histories_with_origins_that_begin_anew_end_in_the_truth() -> None:
+def test_random_histories_with_restarted_origins_end_with_correct_lists() -> None:
     for seed in range(60):
         history = History(1000 + seed)
         history.run(200, restarts=True)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""The lab's loopback host: its servers as bytes meet them, and a whole world around real sidecars."""
+"""The loopback host of the lab: its servers on real sockets, and a whole world with real sidecars."""
 
 from __future__ import annotations
 
@@ -22,43 +22,47 @@
 
 from .helpers import compare, interruptible
 
-ALONE = Plan(
+ONE_SIDECAR = Plan(
     lasts_s=2,
     warm_s=0,
     fleet=Fleet(servers=2, halls=2, cores=1, queue=1, work_ms=5),
     sidecars=Sidecars(count=1),
     load=Load(rate=1),
 )
-UNANSWERED_S = 0.4  # how long a stand-in that says nothing is waited for
+SILENCE_TIMEOUT_S = 0.4  # that a server without an answer is waited for
 
 
-def within(plan: Plan, tmp_path: Path, work: Callable[[LoopbackWorld], Coroutine[Any, Any, None]]) -> None:
-    async def playing() -> None:
+def run_in_world(
+    plan: Plan, tmp_path: Path, work: Callable[[LoopbackWorld], Coroutine[Any, Any, None]]
+) -> None:
+    async def run() -> None:
         world = LoopbackWorld(plan, 1, tmp_path)
         try:
             await work(world)
         finally:
             await world.close()
 
-    asyncio.run(playing())
+    asyncio.run(run())
 
 
 async def dial(address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | str:
     host, _, port = address.rpartition(":")
     try:
-        return await asyncio.wait_for(asyncio.open_connection(host, int(port)), UNANSWERED_S)
+        return await asyncio.wait_for(asyncio.open_connection(host, int(port)), SILENCE_TIMEOUT_S)
     except TimeoutError:
         return "no connection"
     except ConnectionRefusedError:
         return "refused"
 
 
-async def ask(world: LoopbackWorld, number: int, address: str, act: Callable[[], None] | None = None) -> str:
-    """One request to a server, and how it ended; `act` happens once it is there."""
-    made = await dial(address)
-    if isinstance(made, str):
-        return made
-    reader, writer = made
+async def request_outcome(
+    world: LoopbackWorld, number: int, address: str, act: Callable[[], None] | None = None
+) -> str:
+    """Sends a request and returns how it ended; `act` is called once the server has it."""
+    connection = await dial(address)
+    if isinstance(connection, str):
+        return connection
+    reader, writer = connection
     headers = [("Host", "a"), ("X-Trace-Id", f"{number:x}-1"), ("X-Object", "3")]
     writer.write(writing.request("GET", "/", headers))
     data = b""
@@ -67,8 +71,8 @@
             while not world.servers[world.places[0]].at_it:
                 await asyncio.sleep(0)
             act()
-        while part := await asyncio.wait_for(reader.read(65536), UNANSWERED_S):
-            data += part
+        while chunk := await asyncio.wait_for(reader.read(65536), SILENCE_TIMEOUT_S):
+            data += chunk
             if data.endswith((b"s" * 200, b"failed", b"full")):
                 return data.partition(b"\r\n\r\n")[0].decode().replace("\r\n", ", ")
         return f"ended after {len(data)} bytes"
@@ -85,10 +89,10 @@
 
     async def work(world: LoopbackWorld) -> None:
         server = world.at_place(0)
-        where = world.server_address(server.number)
+        address = world.server_address(server.number)
 
         async def note(what: str, act: Callable[[], None] | None = None) -> None:
-            lines.append(f"{what}: {await ask(world, len(lines) + 1, where, act)}")
+            lines.append(f"{what}: {await request_outcome(world, len(lines) + 1, address, act)}")
 
         await note("well")
         server.failing = 1.0
@@ -97,11 +101,11 @@
         await note("stalling")
         server.stalling = 0.0
         server.slowed(0.0)
-        two = [asyncio.ensure_future(ask(world, number, where)) for number in (100, 101)]
+        requests = [asyncio.ensure_future(request_outcome(world, number, address)) for number in (100, 101)]
         while server.at_it < 2:
             await asyncio.sleep(0)
         await note("core and queue taken")
-        lines.extend([await each for each in two])
+        lines.extend([await request for request in requests])
         server.slowed(1.0)
         await note("killed at work", server.kill)
         await note("dead")
@@ -118,23 +122,23 @@
         world.registry.drained(server.number, Phase.GONE)
         server.kill()
         world.begin(0, cold=True)
-        lines.append(f"same address under a new id: {world.server_address(world.places[0]) == where}")
+        lines.append(f"same address under a new id: {world.server_address(world.places[0]) == address}")
         await note("a new server there")
 
-    within(ALONE, tmp_path, work)
+    run_in_world(ONE_SIDECAR, tmp_path, work)
     compare("loopback-server", lines)
 
 
-def test_watch_tells_whole_lists_changes_and_failures(tmp_path: Path) -> None:
+def test_watch_returns_whole_lists_changes_and_failures(tmp_path: Path) -> None:
     lines = []
 
     async def work(world: LoopbackWorld) -> None:
-        desk = DiscoveryServer(world, 0)
-        await desk.open()
-        world.registry.join(0, desk)
-        made = await dial(desk.address)
-        assert not isinstance(made, str)
-        reader, writer = made
+        discovery = DiscoveryServer(world, 0)
+        await discovery.open()
+        world.registry.join(0, discovery)
+        connection = await dial(discovery.address)
+        assert not isinstance(connection, str)
+        reader, writer = connection
 
         async def watch(what: str, since: int) -> None:
             target = f"/discovery/hosts?since={since}&timeout_ms=3000" if since else "/discovery/hosts"
@@ -143,91 +147,91 @@
             size = int(head.lower().partition("content-length: ")[2].split("\r")[0])
             body = (await reader.readexactly(size)).decode()
             if " 200 " in head:
-                told = json.loads(body)
-                hosts = [f"{one['host']} {one['site']} {one['health']}" for one in told["hosts"]]
-                body = f"{told['seq']} {'whole' if told['whole'] else 'changes'} {hosts}"
+                update = json.loads(body)
+                hosts = [f"{host['host']} {host['site']} {host['health']}" for host in update["hosts"]]
+                body = f"{update['seq']} {'whole' if update['whole'] else 'changes'} {hosts}"
             lines.append(f"{what}: {head.split()[1]} {body}")
 
         await watch("first", 0)
         world.registry.drained(1)
         await watch("drain", 1)
-        told = world.registry.knows_since(0, 1)
-        lines.append(f"the judge holds it for told: {told is not None and told <= world.timeline.now}")
+        since = world.registry.knows_since(0, 1)
+        lines.append(f"the judge holds it for told: {since is not None and since <= world.timeline.now}")
         world.registry.break_off()
         await watch("down", 2)
         await watch("still down", 2)
         world.registry.come_back()
         await watch("back", 2)
         writer.close()
-        desk.close()
+        discovery.close()
 
-    within(ALONE, tmp_path, work)
+    run_in_world(ONE_SIDECAR, tmp_path, work)
     compare("loopback-watch", lines)
 
 
-def test_port_taken_and_a_fault_of_the_stand_ins_make_a_run_void(tmp_path: Path) -> None:
+def test_a_taken_port_and_an_exception_in_a_callback_make_a_run_invalid(tmp_path: Path) -> None:
     async def work(world: LoopbackWorld) -> None:
-        door = world.listeners[0]
-        door.close()
-        with socket.create_server(("127.0.0.1", door.port)), pytest.raises(OSError, match="was taken"):
-            door.bind()
-        door.bind()
+        listener = world.listeners[0]
+        listener.close()
+        with socket.create_server(("127.0.0.1", listener.port)), pytest.raises(OSError, match="was taken"):
+            listener.bind()
+        listener.bind()
         world.loop.call_soon(divmod, 1, 0)
         with pytest.raises(InvalidRunError, match="ZeroDivisionError"):
             await world.play(None)
 
-    within(ALONE, tmp_path, work)
+    run_in_world(ONE_SIDECAR, tmp_path, work)
 
 
-def test_stand_ins_slower_than_their_load_say_so(tmp_path: Path) -> None:
+def test_a_run_whose_simulated_parts_were_too_slow_is_invalid(tmp_path: Path) -> None:
     async def work(world: LoopbackWorld) -> None:
         world.timeline.tick_delays_us.extend([1000] * 90 + [30_000] * 10)
         with pytest.raises(InvalidRunError, match="30 ms behind"):
             world.check_tick_delay()
 
-    within(ALONE, tmp_path, work)
+    run_in_world(ONE_SIDECAR, tmp_path, work)
 
 
-def test_answer_after_the_client_has_gone_and_ids_of_another_life_change_nothing(tmp_path: Path) -> None:
+def test_an_answer_after_the_client_has_left_is_counted_and_discovery_can_fail(tmp_path: Path) -> None:
     async def work(world: LoopbackWorld) -> None:
         sidecar = world.sidecars[0]
         clients = world.clients(sidecar, sidecar)
         clients.begin()
-        one = Ask(clients, 7, 0, 1, 0, 10**9)
-        clients.open[7] = one
+        submission = Ask(clients, 7, 0, 1, 0, 10**9)
+        clients.open[7] = submission
         world.judge.tried(7, 0, 10**9)
-        clients.leave(one)
-        clients.succeeded(one, one.turn)  # counts as a second answer: the client had gone
+        clients.leave(submission)
+        clients.succeeded(submission, submission.turn)  # counts as a second answer: the client has left
         assert world.judge.broken["answered_twice"] == 1 and world.tally.left[0] == 1
         world.registry.join(0, sidecar.discovery)
         sidecar.discovery.listed(Listing.FAILED, [])
         assert sidecar.discovery.fails_next
 
-    within(ALONE, tmp_path, work)
+    run_in_world(ONE_SIDECAR, tmp_path, work)
 
 
-def demo(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """`demo`, once more if the machine was too slow to tell."""
+def run_demo(*arguments: str) -> subprocess.CompletedProcess[str]:
+    """Runs `demo`, up to three times if the machine was too slow for a valid run."""
     for _ in range(3):
-        ended = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "pumicepath", "demo", *arguments],
             text=True,
             capture_output=True,
             timeout=120,
         )
-        if ended.returncode != 3:
+        if completed.returncode != 3:
             break
-    return ended
+    return completed
 
 
-def test_demo_plays_troubles_around_real_sidecars_and_the_judge_finds_nothing_broken() -> None:
-    ended = demo("--for", "8", "--seed", "3", "--json")
-    assert ended.returncode == 0, (ended.stdout, ended.stderr)
-    told = json.loads(ended.stdout)
-    assert told["taken"] > 1000 and told["succeeded"] > 0.8 * told["taken"]
-    assert [told[name] for name in ("lost", "duplicated", "late_sends", "pushed_over")] == [0, 0, 0, 0]
-    assert told["taken"] == sum(
-        told[name] for name in ("succeeded", "deferred", "forfeited", "left", "cut", "lost")
+def test_demo_plays_faults_around_real_sidecars_and_no_rule_is_violated() -> None:
+    completed = run_demo("--for", "8", "--seed", "3", "--json")
+    assert completed.returncode == 0, (completed.stdout, completed.stderr)
+    counts = json.loads(completed.stdout)
+    assert counts["taken"] > 1000 and counts["succeeded"] > 0.8 * counts["taken"]
+    assert [counts[name] for name in ("lost", "duplicated", "late_sends", "pushed_over")] == [0, 0, 0, 0]
+    assert counts["taken"] == sum(
+        counts[name] for name in ("succeeded", "deferred", "forfeited", "left", "cut", "lost")
     )
 
 
@@ -252,12 +256,12 @@
         os.killpg(process.pid, 0)
 
 
-def test_live_view_shows_seconds_troubles_servers_and_breakers(tmp_path: Path) -> None:
+def test_live_view_shows_seconds_faults_servers_and_breakers(tmp_path: Path) -> None:
     from io import StringIO
 
     from rich.console import Console
 
-    from pumicepath.lab.loopback import demo as shown
+    from pumicepath.lab.loopback import demo as loopback_demo
 
     async def work(world: LoopbackWorld) -> None:
         world.timeline.started_at -= 3.5  # in the fourth second
@@ -268,10 +272,10 @@
         world.note("sidecar 0: server s-1 open for 5.0 s")
         world.log[0] = world.log[0].strip()[5:]  # without the time
         out = StringIO()
-        Console(file=out, width=90).print(shown.render_view(world))
+        Console(file=out, width=90).print(loopback_demo.render_view(world))
         lines.extend(line.rstrip() for line in out.getvalue().splitlines())
-        lines.append(shown.render_line(world))
+        lines.append(loopback_demo.render_line(world))
 
     lines: list[str] = []
-    within(ALONE, tmp_path, work)
+    run_in_world(ONE_SIDECAR, tmp_path, work)
     compare("loopback-view", lines)
--- a/tests/test_scripted.py
+++ b/tests/test_scripted.py
@@ -1,4 +1,4 @@
-"""What tests stand on: an event that does not come fails a test by name, and holds nothing up."""
+"""The log reader of the test harness: a missing event fails the test with its name and blocks nothing."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from pumicepath.lab.loopback import scripted
 
-SAYS = """
+PROGRAM = """
 import json, sys, time
 for event in "started", "reloaded", "stopped":
     print(json.dumps({"event": event}), flush=True)
@@ -19,17 +19,17 @@
 """
 
 
-def logged(seconds: float) -> scripted.EventLog:
+def start_program(seconds: float) -> scripted.EventLog:
     return scripted.EventLog(
-        subprocess.Popen([sys.executable, "-c", SAYS, str(seconds)], stdout=subprocess.PIPE)
+        subprocess.Popen([sys.executable, "-c", PROGRAM, str(seconds)], stdout=subprocess.PIPE)
     )
 
 
-def test_events_come_in_their_order_and_the_end_of_the_log_is_said_each_time() -> None:
-    log = logged(0)
+def test_events_are_returned_in_order_and_the_end_of_the_log_is_reported_each_time() -> None:
+    log = start_program(0)
     assert log.next_event(("started",)) == {"event": "started"}
     assert log.next_event(("reload_failed", "stopped")) == {"event": "stopped"}
-    assert log.process.wait(60) == 0  # nobody has to read for it to end
+    assert log.process.wait(60) == 0  # it ends though no test reads its events
     for _ in range(2):
         with pytest.raises(AssertionError, match="the log ended before reloaded"):
             log.next_event(("reloaded",))
@@ -42,8 +42,8 @@
     ]
 
 
-def test_an_event_that_does_not_come_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
-    log = logged(120)
+def test_a_missing_event_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    log = start_program(120)
     log.next_event(("last",))
     monkeypatch.setattr(scripted, "EVENT_TIMEOUT_S", 0.05)
     with pytest.raises(AssertionError, match="no event alone within 0.05 s"):
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -1,4 +1,4 @@
-"""The operators' terms that concern many processes or clients at once, forced (docs/crossings.md)."""
+"""Service terms that concern many processes or clients, under forced conditions (docs/crossings.md)."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 from .rig import status, until
 from .test_standing_terms import MODES, Always
 
-# -- 3: a cold server falls under the sum of what all sidecars send it
+# -- 3: a cold server can be overloaded by the sum of what all sidecars send to it
 
-RATE = 10.0  # requests a second that a warm server can do
+RATE = 10.0  # requests per second that a warm server can serve
 SERVERS = 10
-STARTED = 4  # seconds after the begin of a day: from then on the first servers are cold
+STARTED_S = 4  # the first servers start, cold, so long after the start of the simulation
 
 
-class Sent:
-    """An outlet that keeps where the last hop went."""
+class LastHop:
+    """Callbacks that record the server of the last hop."""
 
     def __init__(self) -> None:
         self.last = -1
@@ -47,11 +47,11 @@
         self.last = server
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        return lambda *given: None
+        return lambda *args: None
 
 
-class Ramp:
-    """Sidecars of one fleet and what all of them together send to cold servers, against their budget."""
+class ColdStart:
+    """The sidecars of one fleet, and what they send to cold servers together, compared with the budget."""
 
     def __init__(
         self,
@@ -61,80 +61,80 @@
         load: float = 0.9,
         uneven: bool = False,
         restarted: int = 0,
-        **changed: object,
+        **overrides: object,
     ) -> None:
-        self.chance = random.Random(seed)
-        self.fleet, self.cold, self.restarted, self.changed = fleet, cold, restarted, changed
-        self.servers = [self.chance.getrandbits(60) for _ in range(SERVERS)]
-        parts = [10.0 if uneven and one % 10 == 0 else 1.0 for one in range(fleet)]
-        self.rates = [load * RATE * SERVERS * part / sum(parts) / SECOND for part in parts]
+        self.rng = random.Random(seed)
+        self.fleet, self.cold, self.restarted, self.is_stoppedrides = fleet, cold, restarted, overrides
+        self.servers = [self.rng.getrandbits(60) for _ in range(SERVERS)]
+        weights = [10.0 if uneven and index % 10 == 0 else 1.0 for index in range(fleet)]
+        self.rates = [load * RATE * SERVERS * weight / sum(weights) / SECOND for weight in weights]
         self.hits: dict[int, list[int]] = {server: [] for server in self.servers[:cold]}
-        self.given = settings(fleet=fleet, cold_for=8 * SECOND, **changed)
-        self.sidecars = [self.begun(0, me) for me in range(fleet)]
+        self.settings = settings(fleet=fleet, cold_for=8 * SECOND, **overrides)
+        self.sidecars = [self.create_sidecar(0, index) for index in range(fleet)]
 
     def entries(self, now: int, known: bool = True) -> list[Entry]:
-        started = STARTED * SECOND if now >= STARTED * SECOND else 0
+        started = STARTED_S * SECOND if now >= STARTED_S * SECOND else 0
         return [
-            entry(server, came_up=started if at < self.cold else 0)
-            for at, server in enumerate(self.servers)
-            if at >= self.cold or started
+            entry(server, came_up=started if position < self.cold else 0)
+            for position, server in enumerate(self.servers)
+            if position >= self.cold or started
         ]
 
-    def begun(self, now: int, me: int) -> Balancer:
-        sidecar = Balancer(replace(self.given, me=me), self.chance.getrandbits(32), Sent())
+    def create_sidecar(self, now: int, index: int) -> Balancer:
+        sidecar = Balancer(replace(self.settings, me=index), self.rng.getrandbits(32), LastHop())
         sidecar.listed(now, Listing.CACHED, self.entries(now))
         return sidecar
 
     def run(self) -> None:
-        """From the start of the day until the cold servers are warm."""
+        """Simulates the time until the cold servers are warm."""
         events: list[tuple[int, int, Any]] = []
         number = 0
 
-        def put(at: float, what: Any) -> None:
+        def schedule(at: float, event: Any) -> None:
             nonlocal number
             number += 1
-            heapq.heappush(events, (int(at), number, what))
-
-        for me, rate in enumerate(self.rates):
-            put(self.chance.expovariate(rate), me)
-        for at in range(4 if self.restarted else 0):
-            put((STARTED + 0.5 + 1.5 * at) * SECOND, range(at, self.fleet, self.restarted))
-        told = False
-        while events and (now := events[0][0]) < (STARTED + 8) * SECOND:
-            _, _, what = heapq.heappop(events)
-            if not told and now >= STARTED * SECOND:
-                told = True
+            heapq.heappush(events, (int(at), number, event))
+
+        for index, rate in enumerate(self.rates):
+            schedule(self.rng.expovariate(rate), index)
+        for batch in range(4 if self.restarted else 0):
+            schedule((STARTED_S + 0.5 + 1.5 * batch) * SECOND, range(batch, self.fleet, self.restarted))
+        notified = False
+        while events and (now := events[0][0]) < (STARTED_S + 8) * SECOND:
+            _, _, event = heapq.heappop(events)
+            if not notified and now >= STARTED_S * SECOND:
+                notified = True
                 for sidecar in self.sidecars:
                     sidecar.listed(now, Listing.CHANGES, self.entries(now)[: self.cold])
-            if isinstance(what, range):  # a part of the fleet at once
-                for me in what:
-                    self.sidecars[me] = self.begun(now, me)
-            elif isinstance(what, int):
-                put(now + self.chance.expovariate(self.rates[what]) + 1, what)
-                one = self.sidecars[what].take(
-                    now, number, 0, 1 + self.chance.randrange(500), False, now + 2 * SECOND
+            if isinstance(event, range):  # a part of the fleet restarts at once
+                for index in event:
+                    self.sidecars[index] = self.create_sidecar(now, index)
+            elif isinstance(event, int):
+                schedule(now + self.rng.expovariate(self.rates[event]) + 1, event)
+                submission = self.sidecars[event].take(
+                    now, number, 0, 1 + self.rng.randrange(500), False, now + 2 * SECOND
                 )
-                if one.hops:
-                    put(now + self.chance.expovariate(1 / 50_000) + 5000, one)
-                    if (server := one.balancer.outlet.last) in self.hits:  # type: ignore[attr-defined]
+                if submission.hops:
+                    schedule(now + self.rng.expovariate(1 / 50_000) + 5000, submission)
+                    if (server := submission.balancer.outlet.last) in self.hits:  # type: ignore[attr-defined]
                         self.hits[server].append(now)
             else:
-                what.ended(now, 0, Outcome.OK, now - what.hops[0].at, True)
+                event.ended(now, 0, Outcome.OK, now - event.hops[0].at, True)
 
     def worst(self) -> tuple[float, int, float]:
-        """The most of what may be sent that was, how much that was, and the budget then."""
+        """Returns the worst fraction of the allowed hops, with the number of hops and the budget then."""
         worst = (0.0, 0, 0.0)
-        given = self.given
+        settings_ = self.settings
         for hits in self.hits.values():
             for last, now in enumerate(hits):
-                warmth = given.cold_from + (1 - given.cold_from) * (now / SECOND - STARTED) / 8
-                budget = given.fall_multiple * warmth * RATE * given.fall_window / SECOND
-                sent = sum(then > now - given.fall_window for then in hits[: last + 1])
+                warmth = settings_.cold_from + (1 - settings_.cold_from) * (now / SECOND - STARTED_S) / 8
+                budget = settings_.fall_multiple * warmth * RATE * settings_.fall_window / SECOND
+                sent = sum(then > now - settings_.fall_window for then in hits[: last + 1])
                 worst = max(worst, (sent / (budget + 2 * math.sqrt(budget) + 2), sent, budget))
         return worst
 
 
-RAMPS: dict[str, dict] = {
+COLD_STARTS: dict[str, dict] = {
     "even": {},
     "uneven": {"uneven": True},
     "a part restarted": {"restarted": 4},
@@ -149,38 +149,40 @@
 }
 
 
-@pytest.mark.parametrize("name", RAMPS)
-def test_the_sum_of_what_thirty_sidecars_send_to_a_cold_server_stays_in_its_budget(name: str) -> None:
+@pytest.mark.parametrize("name", COLD_STARTS)
+def test_hops_of_thirty_sidecars_to_a_cold_server_stay_in_its_budget(name: str) -> None:
     for seed in range(2):
-        ramp = Ramp(seed, **RAMPS[name])
-        ramp.run()
-        part, sent, budget = ramp.worst()
-        print(f"{name}, seed {seed}: {part:.2f} of what may be sent, {sent} with a budget of {budget:.1f}")
-        assert part <= 1.0
-        assert sum(map(len, ramp.hits.values())) > 10 * len(ramp.hits), "and it is used"
+        cold_start = ColdStart(seed, **COLD_STARTS[name])
+        cold_start.run()
+        fraction, sent, budget = cold_start.worst()
+        print(
+            f"{name}, seed {seed}: {fraction:.2f} of what may be sent, {sent} with a budget of {budget:.1f}"
+        )
+        assert fraction <= 1.0
+        assert sum(map(len, cold_start.hits.values())) > 10 * len(cold_start.hits), "the budget is used"
 
 
-# -- 4: idle clients may fill the descriptors while discovery is down
+# -- 4: idle clients may use all descriptors while discovery is down
 
 
-class Held:
-    """Clients that take all connections they get, and come again for each that is closed.
+class IdleClients:
+    """Clients that open as many connections as they can, and open each that is closed again.
 
-    A quarter of them say nothing, the others begin a request and rest.
+    A quarter of them send nothing, the others send the start of a request and then stay idle.
     """
 
-    def __init__(self, where: tuple[str, int], count: int) -> None:
-        self.where = where
-        self.over = False
+    def __init__(self, address: tuple[str, int], count: int) -> None:
+        self.address = address
+        self.is_stopped = False
         for number in range(count):
             threading.Thread(target=self.hold, args=(b"GET /" * (number % 4 > 0),), daemon=True).start()
 
-    def hold(self, says: bytes) -> None:
-        while not self.over:
-            with contextlib.suppress(OSError), socket.create_connection(self.where) as sock:
+    def hold(self, data: bytes) -> None:
+        while not self.is_stopped:
+            with contextlib.suppress(OSError), socket.create_connection(self.address) as sock:
                 sock.settimeout(1)
-                sock.sendall(says)
-                while not self.over:
+                sock.sendall(data)
+                while not self.is_stopped:
                     try:
                         if not sock.recv(100):
                             break
@@ -189,11 +191,11 @@
             time.sleep(0.1)
 
 
-def ask(around: Deployment) -> int:
-    """The status of an answer on a connection of its own; 0 for a clean close, or no connection at all."""
+def request_status(deployment: Deployment) -> int:
+    """Sends a request on a new connection and returns the status; 0 if it is closed or refused."""
     try:
-        with socket.create_connection(around.address) as sock:
-            around.send("read", sock=sock)
+        with socket.create_connection(deployment.address) as sock:
+            deployment.send("read", sock=sock)
             return status(sock)
     except TimeoutError:
         raise
@@ -201,117 +203,126 @@
         return 0
 
 
-def core_time(process: subprocess.Popen) -> float:
+def cpu_seconds(process: subprocess.Popen) -> float:
     fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-# The descriptors that the limits tell of, and those that the process has.
+# The descriptors that the configured limits name, and those that the process really has.
 @pytest.mark.parametrize(
-    "mode, told, real", [("on_request", 72, 72), ("pushed", 72, 72), ("on_request", 256, 72)]
+    "mode, configured, real", [("on_request", 72, 72), ("pushed", 72, 72), ("on_request", 256, 72)]
 )
-def test_idle_clients_that_fill_the_descriptors_do_not_keep_the_watch_from_discovery(
-    mode: str, told: int, real: int, tmp_path: Path
+def test_idle_clients_that_use_all_descriptors_do_not_keep_the_watch_from_discovery(
+    mode: str, configured: int, real: int, tmp_path: Path
 ) -> None:
-    around = Deployment(tmp_path, 1)
-    around.servers[0].script = Always()  # type: ignore[assignment]
-    around.configuration["settings"]["membershipMode"] = mode
-    around.configuration["limits"]["sockets"] = told
-    around.config_path.write_text(json.dumps(around.configuration))
-    around.discovery_script.put(http_response(200, json.dumps(around.list_document(2, True, "active"))))
-    begun = around.start_process
+    deployment = Deployment(tmp_path, 1)
+    deployment.servers[0].script = Always()  # type: ignore[assignment]
+    deployment.configuration["settings"]["membershipMode"] = mode
+    deployment.configuration["limits"]["sockets"] = configured
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
+    deployment.discovery_script.put(
+        http_response(200, json.dumps(deployment.list_document(2, True, "active")))
+    )
+    start_process = deployment.start_process
 
     def limited() -> subprocess.Popen:
-        process = begun()
+        process = start_process()
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (real, real))
         return process
 
-    around.start_process = limited  # type: ignore[method-assign]
-    with around.running():
-        process = around.process
-        log = around.logs[process]
+    deployment.start_process = limited  # type: ignore[method-assign]
+    with deployment.running():
+        process = deployment.process
+        log = deployment.logs[process]
         for _ in range(2):
-            assert around.discovery.received_requests.acquire(timeout=20)  # the second is the watch
-        around.discovery.listener.shutdown(socket.SHUT_RDWR)
-        around.discovery.listener.close()
-        around.discovery_script.put("reset")
-        idle = Held(around.address, 100)
+            # The second request is the watch.
+            assert deployment.discovery.received_requests.acquire(timeout=20)
+        deployment.discovery.listener.shutdown(socket.SHUT_RDWR)
+        deployment.discovery.listener.close()
+        deployment.discovery_script.put("reset")
+        idle = IdleClients(deployment.address, 100)
         descriptors = Path(f"/proc/{process.pid}/fd")
-        # All that there are, or as many clients as the limits let it have.
-        clients = (min(told, real) - 48) * 13 // 20
+        # All descriptors that there are, or as many clients as the limits allow.
+        clients = (min(configured, real) - 48) * 13 // 20
         until(lambda: len(list(descriptors.iterdir())) >= min(real - 2, clients + 20))
-        began, used = time.monotonic(), core_time(process)
+        began, used = time.monotonic(), cpu_seconds(process)
         answers = []
         while time.monotonic() < began + 1.0:
-            answers.append(ask(around))
-        spent = (core_time(process) - used) / (time.monotonic() - began)
+            answers.append(request_status(deployment))
+        core_fraction = (cpu_seconds(process) - used) / (time.monotonic() - began)
         assert "accept_failed" not in {event["event"] for event in log.all_events}, "no descriptor is left"
-        # Discovery comes back, at the same place, and has a change.
-        host, _, port = around.discovery.address.partition(":")
-        around.discovery.listener = socket.create_server((host, int(port)))
+        # Discovery comes back at the same address, with a changed list.
+        host, _, port = deployment.discovery.address.partition(":")
+        deployment.discovery.listener = socket.create_server((host, int(port)))
         returned = time.monotonic()
-        around.discovery_script.put(http_response(200, json.dumps(around.list_document(3, False, "active"))))
-        threading.Thread(target=around.discovery.accept, daemon=True).start()
+        deployment.discovery_script.put(
+            http_response(200, json.dumps(deployment.list_document(3, False, "active")))
+        )
+        threading.Thread(target=deployment.discovery.accept, daemon=True).start()
         for _ in range(2):
-            assert around.discovery.received_requests.acquire(timeout=20), "the watch is not opened again"
+            assert deployment.discovery.received_requests.acquire(timeout=20), "the watch is not opened again"
         back = time.monotonic() - returned
-        answers.append(ask(around))
-        idle.over = True
-        until(lambda: ask(around) == 200)
-        around.discovery_script.put(http_response(200, json.dumps(around.list_document(4, False, "leaving"))))
-        until(lambda: ask(around) == 503)  # what the watch tells is in force
+        answers.append(request_status(deployment))
+        idle.is_stopped = True
+        until(lambda: request_status(deployment) == 200)
+        deployment.discovery_script.put(
+            http_response(200, json.dumps(deployment.list_document(4, False, "leaving")))
+        )
+        until(lambda: request_status(deployment) == 503)  # the update from the watch is applied
         assert process.poll() is None
         process.terminate()
         assert process.wait(20) == 0
         log.reader_thread.join(20)
     seen = Counter(event["event"] for event in log.all_events)
-    print(f"{Counter(answers)}, watch back after {back:.2f} s, {spent:.2f} of a core, {seen}")
+    print(f"{Counter(answers)}, watch back after {back:.2f} s, {core_fraction:.2f} of a core, {seen}")
     assert set(answers) <= {0, 200, 503}
-    assert spent < 0.8, "a busy loop"
-    assert not {"fault", "accept_failed"} & seen.keys(), "what is kept back for the watch is there"
+    assert core_fraction < 0.8, "a busy loop"
+    assert not {"fault", "accept_failed"} & seen.keys(), (
+        "the descriptors reserved for the watch are available"
+    )
     assert next(event for event in log.all_events if event["event"] == "stopped")["broken"] == {}
 
 
 # -- 5: nine in ten restarted processes are ready within 10 s
 
 READY_S = 10.0
-CALL_S = 0.1  # that discovery takes for each call, one after the other
+CALL_S = 0.1  # that discovery takes for each call, one at a time
 
 
-class InTurn(ScriptedServer):
-    """A discovery that works through calls in turn, and tells nothing while a watch waits."""
+class SlowDiscovery(ScriptedServer):
+    """A discovery server that handles one call at a time and never answers a watch."""
 
     def __init__(self, listing: dict) -> None:
-        self.turn = threading.Lock()
+        self.lock = threading.Lock()
         self.whole = http_response(200, json.dumps(listing))
-        self.connection = threading.local()  # each is served by a thread of its own
+        self.connection = threading.local()  # each connection is served by its own thread
         super().__init__("discovery", self, [])  # type: ignore[arg-type]
 
     def get(self) -> object:
-        with self.turn:
+        with self.lock:
             time.sleep(CALL_S)
-        if getattr(self.connection, "asked", False):
+        if getattr(self.connection, "has_list", False):
             return "wait"  # the second call on a connection is the watch
-        self.connection.asked = True
+        self.connection.has_list = True
         return self.whole
 
 
-def up(where: tuple[str, int]) -> bool:
+def is_ready(address: tuple[str, int]) -> bool:
     try:
-        with socket.create_connection(where, 1) as sock:
+        with socket.create_connection(address, 1) as sock:
             sock.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
             return status(sock) == 200
     except OSError:
         return False
 
 
-def load(where: tuple[str, int], over: threading.Event, answers: Counter) -> None:
-    """A client that asks again and again, with a connection of its own while it has one."""
+def load(address: tuple[str, int], stop: threading.Event, answers: Counter) -> None:
+    """Sends requests one after the other on one connection, which is opened again when it ends."""
     number = 0
-    while not over.is_set():
-        with contextlib.suppress(OSError), socket.create_connection(where, 5) as sock:
+    while not stop.is_set():
+        with contextlib.suppress(OSError), socket.create_connection(address, 5) as sock:
             parser = ResponseParser()
-            while not over.is_set():
+            while not stop.is_set():
                 number += 1
                 sock.sendall(
                     b"GET /a HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\nX-Expires-In-Ms: 2000\r\n"
@@ -325,70 +336,72 @@
         time.sleep(0.05)
 
 
-def ready(sidecars: list[Deployment], wheres: list[tuple[str, int]], longest: float) -> list[float]:
-    """Start all of them at once; after how many seconds each is ready, in order."""
+def start_and_wait(
+    sidecars: list[Deployment], addresses: list[tuple[str, int]], timeout_s: float
+) -> list[float]:
+    """Starts all sidecars at once; returns after how many seconds each was ready, sorted."""
     began = time.monotonic()
-    for one in sidecars:
-        one.process = one.start_process()
+    for sidecar in sidecars:
+        sidecar.process = sidecar.start_process()
     times: list[float] = []
 
-    def wait(where: tuple[str, int]) -> None:
-        while time.monotonic() < began + longest:
-            if up(where):
+    def wait(address: tuple[str, int]) -> None:
+        while time.monotonic() < began + timeout_s:
+            if is_ready(address):
                 times.append(time.monotonic() - began)
                 return
             time.sleep(0.02)
 
-    threads = [threading.Thread(target=wait, args=(where,)) for where in wheres]
+    threads = [threading.Thread(target=wait, args=(address,)) for address in addresses]
     for thread in threads:
         thread.start()
     for thread in threads:
-        thread.join(longest + 10)
+        thread.join(timeout_s + 10)
     return sorted(times)
 
 
 def test_nine_of_ten_processes_that_are_restarted_at_once_are_ready_in_time(tmp_path: Path) -> None:
-    ground = Deployment(tmp_path, 3)
-    discovery = InTurn(ground.list_document(2, True, "active"))
-    sidecars, wheres, over, answers = [], [], threading.Event(), Counter()  # type: ignore[var-annotated]
+    server_deployment = Deployment(tmp_path, 3)
+    discovery = SlowDiscovery(server_deployment.list_document(2, True, "active"))
+    sidecars, addresses, stop, answers = [], [], threading.Event(), Counter()  # type: ignore[var-annotated]
     for number in range(10):
         folder = tmp_path / str(number)
         folder.mkdir()
-        one = Deployment(folder, 0)
-        # A port of this address's own, for the process and the one after it.
+        sidecar = Deployment(folder, 0)
+        # An address of its own, so that the port stays free for the restarted process.
         with socket.create_server((f"127.0.44.{number + 1}", 0)) as sock:
-            where = sock.getsockname()
-        one.configuration.update(
-            listen=f"{where[0]}:{where[1]}", discovery=discovery.address, name=f"n{number}"
+            address = sock.getsockname()
+        sidecar.configuration.update(
+            listen=f"{address[0]}:{address[1]}", discovery=discovery.address, name=f"n{number}"
         )
-        one.configuration["settings"].update(me=number, fleetSize=10, membershipMode=MODES[number % 2])
-        one.config_path.write_text(json.dumps(one.configuration))
-        sidecars.append(one)
-        wheres.append(where)
-    for server in ground.servers:
+        sidecar.configuration["settings"].update(me=number, fleetSize=10, membershipMode=MODES[number % 2])
+        sidecar.config_path.write_text(json.dumps(sidecar.configuration))
+        sidecars.append(sidecar)
+        addresses.append(address)
+    for server in server_deployment.servers:
         server.script = Always()  # type: ignore[assignment]
     try:
-        alone = ready(sidecars[:1], wheres[:1], 60.0)[0]
-        ready(sidecars[1:], wheres[1:], 60.0)
-        clients = [threading.Thread(target=load, args=(where, over, answers)) for where in wheres * 2]
+        alone = start_and_wait(sidecars[:1], addresses[:1], 60.0)[0]
+        start_and_wait(sidecars[1:], addresses[1:], 60.0)
+        clients = [threading.Thread(target=load, args=(address, stop, answers)) for address in addresses * 2]
         for client in clients:
             client.start()
         until(lambda: answers[200] > 100)
-        for one in sidecars:
-            one.process.kill()
-        for one in sidecars:
-            one.process.wait()
+        for sidecar in sidecars:
+            sidecar.process.kill()
+        for sidecar in sidecars:
+            sidecar.process.wait()
         served = answers[200]
-        # On a slow machine ten starts take their share of what cores there are, each as long as one alone.
+        # Ten starts share the cores of the machine, and each takes as much CPU time as a start alone.
         allowed = max(READY_S, 2.0 * alone * len(sidecars) / max(1, min(2, os.cpu_count() or 1)))
-        times = ready(sidecars, wheres, 4 * allowed)
-        print(f"alone {alone:.2f} s; {[round(one, 2) for one in times]} of {allowed:.1f}; {answers}")
+        times = start_and_wait(sidecars, addresses, 4 * allowed)
+        print(f"alone {alone:.2f} s; {[round(time_s, 2) for time_s in times]} of {allowed:.1f}; {answers}")
         assert len(times) >= 9 and times[8] <= allowed, times
-        until(lambda: answers[200] > served + 100)  # and they serve
+        until(lambda: answers[200] > served + 100)  # the restarted processes serve
     finally:
-        over.set()
-        for one in sidecars:
-            if hasattr(one, "process"):
-                one.process.kill()
-                one.process.wait()
+        stop.set()
+        for sidecar in sidecars:
+            if hasattr(sidecar, "process"):
+                sidecar.process.kill()
+                sidecar.process.wait()
     assert set(answers) <= {200, 503}
