--- a/pumicepath/lab/loopback/__init__.py
+++ b/pumicepath/lab/loopback/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins behind real sockets on loopback, and real sidecars as processes."""
+"""The model's servers, discovery and clients behind real sockets on loopback, with real sidecar processes."""
--- a/pumicepath/lab/loopback/scripted.py
+++ b/pumicepath/lab/loopback/scripted.py
@@ -20,7 +20,7 @@
 from ...http1.messages import Response
 from ...http1.parsing import RequestParser, ResponseParser
 
-EVENT_TIMEOUT_S = 60.0  # until a sidecar has logged an expected event, on a slow machine, too
+EVENT_TIMEOUT_S = 60.0  # generous, as a slow machine may take long to log an expected event
 
 
 def http_response(status: int, body: str = "", *headers: tuple[str, str]) -> bytes:
--- a/pumicepath/lab/verification/checks/__init__.py
+++ b/pumicepath/lab/verification/checks/__init__.py
@@ -24,4 +24,4 @@
 
 def violations(lines: Sequence[Line]) -> dict[str, list[str]]:
     """Runs every check and returns the violations by check name, without the checks that found none."""
-    return {name: found for name, check in CHECKS.items() if (found := check(lines))}
+    return {name: texts for name, check in CHECKS.items() if (texts := check(lines))}
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -287,7 +287,7 @@
         "own, began = Path(sys.argv[1]), time.monotonic()\n"
         "def tried(what):\n"
         "    try: return what() and 'done'\n"
-        "    except OSError as trouble: return trouble.strerror\n"
+        "    except OSError as error: return error.strerror\n"
         "print(tried(lambda: (own / 'kept').read_text()), tried(lambda: (own / 'new').write_text('y')),\n"
         "      tried(lambda: os.replace(own / 'kept', own / 'b')), tried(lambda: os.open(own / 'c',\n"
         "      os.O_CREAT)), tried(lambda: (own.parent / 'other').write_text('z')),\n"
