--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -42,7 +42,7 @@
 import telling  # noqa: E402
 
 from pumicepath.compiled import FORM  # noqa: E402
-from pumicepath.lab.capacity import page, slopes  # noqa: E402
+from pumicepath.lab.capacity import measurements, page  # noqa: E402
 
 FILE, PAGE = ROOT / "docs" / "capacity.json", ROOT / "docs" / "CAPACITY.md"
 LISTS = (12, 100, 1000, 5000, 20_000)
@@ -324,7 +324,7 @@
 
 def of_pairs(pairs: list[dict[str, Any]]) -> dict[str, Any]:
     """Hollow sidecars beside real ones, as benchmarks/hollow_against_real.py tells of them."""
-    if len({one["servers"] for one in pairs}) < slopes.FEWEST:
+    if len({one["servers"] for one in pairs}) < measurements.MIN_SIZES:
         return {}
     run = {
         "date": datetime.now(UTC).strftime("%Y-%m-%d %H:%M"),
@@ -348,7 +348,7 @@
 
 
 def of_runs(runs: list[dict[str, Any]]) -> dict[str, Any]:
-    if len({one["result"]["sidecars"] for one in runs}) < slopes.FEWEST:
+    if len({one["result"]["sidecars"] for one in runs}) < measurements.MIN_SIZES:
         return {}
     run = {
         "date": datetime.now(UTC).strftime("%Y-%m-%d ") + max(one["at"][:5] for one in runs),
@@ -395,7 +395,11 @@
                     f"{SERIES[name].unit}",
                     flush=True,
                 )
-    found = {name: series(name, sizes, run) for name, sizes in values.items() if len(sizes) >= slopes.FEWEST}
+    found = {
+        name: series(name, sizes, run)
+        for name, sizes in values.items()
+        if len(sizes) >= measurements.MIN_SIZES
+    }
     if FORM == "compiled":
         return found
     # With PUMICEPATH_INTERPRETED=1 what has a compiled form stands beside that, and the rest is as it was.
@@ -406,7 +410,7 @@
     data = json.loads(FILE.read_text()) if FILE.exists() else {"machine": {}, "series": {}}
     data["machine"] = machine()
     data["series"] = dict(sorted({**data["series"], **found}.items()))
-    slopes.decode(data)
+    measurements.decode(data)
     options = orjson.OPT_INDENT_2
     text = orjson.dumps(data, option=options).decode()
     FILE.write_text(compact(text))
@@ -442,9 +446,9 @@
         for group in only or tuple(GROUPS):
             keep(measure(group, repeats))
     try:
-        capacity = slopes.decode(json.loads(FILE.read_text()))
-        PAGE.write_text(page.written(PAGE.read_text(), capacity))
-    except (slopes.BadCapacity, ValueError, OSError) as trouble:
+        capacity = measurements.decode(json.loads(FILE.read_text()))
+        PAGE.write_text(page.render_page(PAGE.read_text(), capacity))
+    except (measurements.CapacityError, ValueError, OSError) as trouble:
         print(f"{FILE.name}: {trouble}", file=sys.stderr)
         sys.exit(2)
 
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -22,9 +22,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.fleet.fellow import Fellow  # noqa: E402
+from pumicepath.fleet.node import FleetNode  # noqa: E402
 from pumicepath.fleet.settings import Voting  # noqa: E402
-from pumicepath.lab.experiments.fleet import judged  # noqa: E402
+from pumicepath.lab.experiments.fleet_report import check_history  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.links import Links  # noqa: E402
 from pumicepath.lab.model.timeline import SECOND, Virtual  # noqa: E402
@@ -100,12 +100,12 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "history"
         result = play(soaked(count, seconds, seed), seed, history=path)
-        found = judged(path)
+        found = check_history(path)
     print(
         f"{count} real sidecars for {seconds:g} s, seed {seed}: {found.handovers} hand-overs, "
         f"service {result.service:.4f}, {sum(result.rules.values())} rules broken"
     )
-    print("\n".join(found.lines()))
+    print("\n".join(found.summary_lines()))
     return 1 if found.violations or any(result.rules.values()) else 0
 
 
@@ -126,7 +126,7 @@
     def want(self) -> None:
         for node in self.peering.nodes:
             if node.fellow is not None and node.fellow.duties is not None:
-                node.fellow.duties.want(node.clock(), self.duties)
+                node.fellow.duties.set_wanted(node.clock(), self.duties)
                 node.wake()
         self.time.at(self.time.now + SECOND, self.want)
 
@@ -137,7 +137,7 @@
                 not node.stopped
                 and fellow is not None
                 and fellow.duties is not None
-                and fellow.duties.number(node.clock(), duty)
+                and fellow.duties.fencing_number(node.clock(), duty)
             ):
                 return node.number
         return -1
@@ -167,7 +167,7 @@
             fleet.links.cut({number}, every - {number})
         case "resign":
             assert node.fellow is not None
-            node.fellow.end(node.clock())
+            node.fellow.stop(node.clock())
     return fleet.until_held("d", number if how != "cut" else -1) if how != "cut" else gap(fleet, number)
 
 
@@ -212,11 +212,11 @@
             mine.setdefault(by.randrange(count), []).append(name)
 
         def want(
-            fellow: Fellow, number: int, fleet: Wanting = fleet, mine: dict[int, list[str]] = mine
+            fellow: FleetNode, number: int, fleet: Wanting = fleet, mine: dict[int, list[str]] = mine
         ) -> Callable[[], None]:
             def call() -> None:
                 if fellow.duties is not None:
-                    fellow.duties.want(fleet.peering.nodes[number].clock(), mine.get(number, []))
+                    fellow.duties.set_wanted(fleet.peering.nodes[number].clock(), mine.get(number, []))
                     fleet.peering.nodes[number].wake()
 
             return call
--- a/benchmarks/hearing.py
+++ b/benchmarks/hearing.py
@@ -17,13 +17,13 @@
 from telling import Origin, answer, change, whole
 from trees import ROOT
 
-from pumicepath.discovery.roster import Roster
+from pumicepath.balancer import Balancer
+from pumicepath.discovery.server_list import ServerList
 from pumicepath.discovery.watch import Watch
-from pumicepath.interface import Listing, Outcome
+from pumicepath.interface import ListKind, Outcome
 from pumicepath.lab.loopback.process import SidecarProcess
 from pumicepath.lab.spec import told as settings_of
-from pumicepath.logic import Balancer
-from pumicepath.settings import decode
+from pumicepath.settings import decode_settings
 
 NEAR = "zone-00"
 
@@ -32,24 +32,26 @@
     """One sidecar's parts from an answer's bytes to what its balancer knows."""
 
     def __init__(self) -> None:
-        self.roster = Roster([NEAR], lambda born: max(0, born))
+        self.roster = ServerList([NEAR], lambda born: max(0, born))
         self.watch = Watch(self.roster, "127.0.0.1:1", -1, 20_000_000)
-        self.balancer = Balancer(decode(settings_of(PLAN, 0, 0)), 1, Nowhere())
+        self.balancer = Balancer(decode_settings(settings_of(PLAN, 0, 0)), 1, Nowhere())
         self.now = 10**9
 
     def hear(self, data: bytes) -> None:
         parser = self.watch.parser
         while data:
-            room = parser.ring.room()
+            room = parser.ring.writable()
             some = data[: len(room)]
             room[: len(some)] = some
-            parser.ring.wrote(len(some))
+            parser.ring.commit(len(some))
             data = data[len(some) :]
             response = parser.next()
         assert response is not None
-        update = self.watch.update(response)
+        update = self.watch.handle_response(response)
         self.now += 1_000
-        self.balancer.listed(self.now, Listing.FULL if update.whole else Listing.CHANGES, update.entries)
+        self.balancer.update_servers(
+            self.now, ListKind.FULL if update.whole else ListKind.CHANGES, update.entries
+        )
 
 
 def heard(servers: int) -> dict[str, float]:
@@ -96,8 +98,8 @@
         state[0] += 6_667  # microseconds: 150 calls a second
         state[1] += 1
         key = 10**6 + state[1] if new else 1 + state[1] % 50
-        one = balancer.take(state[0], state[1], 0, key, False, state[0] + 2_000_000)
-        one.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
+        one = balancer.submit(state[0], state[1], 0, key, False, state[0] + 2_000_000)
+        one.hop_finished(state[0] + 5000, 0, Outcome.OK, 5000, True)
 
     times = max(50, min(5000, 400_000 // servers))
     for _ in range(50):
--- a/benchmarks/holding.py
+++ b/benchmarks/holding.py
@@ -47,7 +47,7 @@
     def want() -> None:
         for node in fleet.peering.nodes:
             if node.fellow is not None and node.fellow.duties is not None:
-                node.fellow.duties.want(node.clock(), mine.get(node.number, []))
+                node.fellow.duties.set_wanted(node.clock(), mine.get(node.number, []))
                 node.wake()
 
     fleet.want = want  # type: ignore[method-assign]
--- a/benchmarks/hollow_against_real.py
+++ b/benchmarks/hollow_against_real.py
@@ -27,14 +27,14 @@
 
 from pumicepath import compiled  # noqa: E402
 from pumicepath.lab.hollow import processes  # noqa: E402
-from pumicepath.lab.hollow.plan import Ask, Plan  # noqa: E402
-from pumicepath.lab.hollow.processes import Child  # noqa: E402
-from pumicepath.lab.hollow.sidecar import told  # noqa: E402
+from pumicepath.lab.hollow.plan import Plan, RunOptions  # noqa: E402
+from pumicepath.lab.hollow.processes import ChildProcess  # noqa: E402
+from pumicepath.lab.hollow.sidecar import sidecar_settings  # noqa: E402
 
 AT_ONCE = 10  # real processes that start together
 
 
-def real(plan: Plan, number: int, place: str, folder: Path) -> Child:
+def real(plan: Plan, number: int, place: str, folder: Path) -> ChildProcess:
     """One `serve` without clients; its log is read as what a child says."""
     path = folder / f"real-{number}.json"
     path.write_text(
@@ -45,37 +45,39 @@
                 "discovery": place,
                 "seed": f"{number + 1:x}",
                 "limits": {"memory_mb": 192, "sockets": 1024},
-                "settings": told(plan, number),
+                "settings": sidecar_settings(plan, number),
             }
         )
     )
     os.environ["GW_CONFIG"] = str(path)
-    return Child(["-m", "pumicepath", "serve"], folder, f"real-{number}")
+    return ChildProcess(["-m", "pumicepath", "serve"], folder, f"real-{number}")
 
 
-def until_connected(origin: Child, count: int) -> None:
+def until_connected(origin: ChildProcess, count: int) -> None:
     end = time.monotonic() + 300
-    while origin.ask({"do": "figures"}, "figures")["connections"] < count:
+    while origin.request({"do": "figures"}, "figures")["connections"] < count:
         if time.monotonic() > end:
             raise SystemExit("not all of them came")
         time.sleep(0.2)
 
 
-def cpu_of(children: list[Child]) -> float:
-    return sum(processes.cpu(child.process.pid) for child in children)
+def cpu_of(children: list[ChildProcess]) -> float:
+    return sum(processes.cpu_seconds(child.process.pid) for child in children)
 
 
-def phase(origin: Child, sides: dict[str, list[Child]], seconds: float, rate: bool) -> dict[str, Any]:
+def phase(
+    origin: ChildProcess, sides: dict[str, list[ChildProcess]], seconds: float, rate: bool
+) -> dict[str, Any]:
     """CPU and bytes of both sides over a time, and delays of changes; changes are made if `rate`."""
     before = {name: cpu_of(children) for name, children in sides.items()}
-    first, bytes_then = origin.ask({"do": "figures"}, "figures"), origin.ask({"do": "peers"}, "peers")
-    sides["hollow"][0].tell({"do": "measure"})
-    origin.tell({"do": "go" if rate else "rest"})
+    first, bytes_then = origin.request({"do": "figures"}, "figures"), origin.request({"do": "peers"}, "peers")
+    sides["hollow"][0].send({"do": "measure"})
+    origin.send({"do": "go" if rate else "rest"})
     time.sleep(seconds)
-    origin.tell({"do": "rest"})
+    origin.send({"do": "rest"})
     time.sleep(1.0)
-    judged = sides["hollow"][0].ask({"do": "measured"}, "measured")["judged_s"]
-    last, bytes_now = origin.ask({"do": "figures"}, "figures"), origin.ask({"do": "peers"}, "peers")
+    judged = sides["hollow"][0].request({"do": "measured"}, "measured")["judged_s"]
+    last, bytes_now = origin.request({"do": "figures"}, "figures"), origin.request({"do": "peers"}, "peers")
     found: dict[str, Any] = {"changes": last["seq"] - first["seq"]}
     for name, peer in (("real", "127.0.0.1"), ("hollow", "others")):
         spent = cpu_of(sides[name]) - before[name] - (judged if name == "hollow" else 0.0)
@@ -93,22 +95,24 @@
 
 
 def size(servers: int, each: int, rest_s: float, changing_s: float, rate: float) -> dict[str, Any]:
-    ask = Ask(servers, max(1, servers // 10), 1, 4, changes_per_s=rate)
+    ask = RunOptions(servers, max(1, servers // 10), 1, 4, changes_per_s=rate)
     plan = Plan(ask)
-    children: list[Child] = []
+    children: list[ChildProcess] = []
     with tempfile.TemporaryDirectory() as at:
         folder = Path(at)
-        (folder / "ask.json").write_text(json.dumps(ask.told()))
+        (folder / "ask.json").write_text(json.dumps(ask.as_dict()))
         try:
-            origin = Child(
+            origin = ChildProcess(
                 ["-m", "pumicepath.lab.hollow.origin", at, "0", "127.0.0.1", "0"], folder, "origin"
             )
             children.append(origin)
-            place = origin.event("started")["listen"]
-            hollow = Child(["-m", "pumicepath.lab.hollow.host", at, "0", str(each), place], folder, "hollow")
+            place = origin.wait_for("started")["listen"]
+            hollow = ChildProcess(
+                ["-m", "pumicepath.lab.hollow.host", at, "0", str(each), place], folder, "hollow"
+            )
             children.append(hollow)
-            ready = hollow.event("ready", 300)
-            reals: list[Child] = []
+            ready = hollow.wait_for("ready", 300)
+            reals: list[ChildProcess] = []
             for first in range(0, each, AT_ONCE):
                 some = [
                     real(plan, number, place, folder) for number in range(first, min(each, first + AT_ONCE))
@@ -116,14 +120,14 @@
                 children += some
                 reals += some
                 for child in some:
-                    child.event("started", 300)
+                    child.wait_for("started", 300)
             until_connected(origin, 2 * each)
             time.sleep(3.0)
             sides = {"real": reals, "hollow": [hollow]}
             rest = phase(origin, sides, rest_s, False)
             mb = {
-                "real": statistics.mean(processes.mb(child.process.pid) for child in reals),
-                "hollow": (processes.mb(hollow.process.pid) - ready["base_mb"]) / each,
+                "real": statistics.mean(processes.resident_mb(child.process.pid) for child in reals),
+                "hollow": (processes.resident_mb(hollow.process.pid) - ready["base_mb"]) / each,
             }
             changing = phase(origin, sides, changing_s, True)
         finally:
--- a/benchmarks/pacing.py
+++ b/benchmarks/pacing.py
@@ -29,8 +29,8 @@
 from relay import Asker  # noqa: E402
 
 from pumicepath.compiled import FORM  # noqa: E402
-from pumicepath.lab.hollow.plan import Ask, Plan  # noqa: E402
-from tests.relay_rig import Origin, Relay, line, until  # noqa: E402
+from pumicepath.lab.hollow.plan import Plan, RunOptions  # noqa: E402
+from tests.relay_rig import Origin, RelayProcess, list_line, wait_until  # noqa: E402
 
 LONGEST_MS = 3000
 EVERY_S = 0.05  # between two changes
@@ -39,7 +39,7 @@
 
 
 def services(plan: Plan, number: int) -> str:
-    return ",".join(sorted(plan.service_name(service) for service in plan.calls[number]))
+    return ",".join(sorted(plan.service_name(service) for service in plan.called_services[number]))
 
 
 def come(where: tuple[str, int], plan: Plan, numbers: range, pipe: Connection) -> None:
@@ -87,15 +87,15 @@
 
 class Bench:
     def __init__(self, told: argparse.Namespace, pace: int) -> None:
-        self.plan = Plan(Ask(20_000, 1_900, 10, 34, calls=8, popular=0.5))
+        self.plan = Plan(RunOptions(20_000, 1_900, 10, 34, calls=8, popular=0.5))
         plan = self.plan
         self.draw = random.Random(told.seed)
         self.names = [plan.service_name(service) for service in plan.service_of]
-        self.origin = Origin([line(plan.server_name(at), self.names[at]) for at in range(20_000)])
-        self.relay = Relay(
+        self.origin = Origin([list_line(plan.server_name(at), self.names[at]) for at in range(20_000)])
+        self.relay = RelayProcess(
             Path(tempfile.mkdtemp()), {"eu": self.origin}, mostFollowers=100_000, wholeBytesPerS=pace
         )
-        until(lambda: self.relay.stats()["servers"] == 20_000, 60)
+        wait_until(lambda: self.relay.stats()["servers"] == 20_000, 60)
         self.selector = selectors.DefaultSelector()
         self.concerned: dict[str, set[Asker]] = {}
         for first in range(0, told.rest, 50):
@@ -109,7 +109,7 @@
         """Some more, up to their first list; those that are there wait and ask anew."""
         fresh = set()
         for number in numbers:
-            asker = Asker(self.relay.where, services(self.plan, number))
+            asker = Asker(self.relay.socket_address, services(self.plan, number))
             self.selector.register(asker.sock, selectors.EVENT_READ, asker)
             for name in asker.services.split(","):
                 self.concerned.setdefault(name, set()).add(asker)
@@ -180,7 +180,7 @@
     alone = bench.follow(None, ALONE_S)
     near, far = multiprocessing.Pipe()
     numbers = range(told.rest, told.rest + told.coming)
-    others = multiprocessing.Process(target=come, args=(bench.relay.where, bench.plan, numbers, far))
+    others = multiprocessing.Process(target=come, args=(bench.relay.socket_address, bench.plan, numbers, far))
     others.start()
     near.recv()
     near.send("go")
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -18,18 +18,18 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
+from pumicepath.balancer import Balancer  # noqa: E402
 from pumicepath.compiled import FORM  # noqa: E402
 from pumicepath.http1 import writing  # noqa: E402
-from pumicepath.http1.parsing import MOST_BODY, RequestParser, ResponseParser  # noqa: E402
-from pumicepath.interface import Entry, Listing, Outcome, Phase  # noqa: E402
+from pumicepath.http1.parsing import MAX_BODY_BYTES, RequestParser, ResponseParser  # noqa: E402
+from pumicepath.interface import ListKind, Outcome, ServerEntry, ServerState  # noqa: E402
 from pumicepath.lab.loopback.client_connections import encode_request as request_of  # noqa: E402
 from pumicepath.lab.loopback.servers import RESPONSES  # noqa: E402
 from pumicepath.lab.spec import Load, Plan, Sidecars, Tariff  # noqa: E402
 from pumicepath.lab.spec import told as settings_of
-from pumicepath.logic import Balancer  # noqa: E402
 from pumicepath.sidecar import answers, config  # noqa: E402
-from pumicepath.sidecar.entrance import Entrance  # noqa: E402
-from pumicepath.sidecar.submissions import asked  # noqa: E402
+from pumicepath.sidecar.admission_gate import AdmissionGate  # noqa: E402
+from pumicepath.sidecar.submissions import parse_submission  # noqa: E402
 
 REQUEST = request_of("read", True, "12d687-1", 77, 2000, False, 0)
 ANSWER = RESPONSES[Outcome.OK]
@@ -50,7 +50,7 @@
     told = config.decode_config(
         {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings_of(PLAN, 0, 0)}
     )
-    request, response = RequestParser(), ResponseParser(MOST_BODY)
+    request, response = RequestParser(), ResponseParser(MAX_BODY_BYTES)
 
     def feed(parser, data: bytes):
         room = parser.ring.room()
@@ -63,26 +63,28 @@
 
     def glance() -> None:
         feed(request, REQUEST)
-        seen = request.glance()
-        request.ring.drop(seen[0])
+        seen = request.peek_request()
+        request.ring.consume(seen[0])
 
     whole, answer = parse(request, REQUEST), parse(response, ANSWER)
 
     def onward() -> bytes:
-        headers = [(name, value) for name, value in whole.passed_on() if name.lower() != "x-expires-in-ms"]
+        headers = [
+            (name, value) for name, value in whole.end_to_end_headers() if name.lower() != "x-expires-in-ms"
+        ]
         return writing.request(whole.method, whole.target, [*headers, ("x-expires-in-ms", "5")], whole.body)
 
-    entrance = Entrance(told)
+    entrance = AdmissionGate(told)
 
     def through() -> None:
         entrance.enter(10, 10**18, 0, False, 5000.0)
         entrance.leave()
-        entrance.again()
+        entrance.reenter()
         entrance.leave(100)
 
     found: dict[str, Callable[[], object]] = {
         "read a request": lambda: parse(request, REQUEST),
-        "what it asks": lambda: asked(whole, told.request_classes, told.settings.tariffs),
+        "what it asks": lambda: parse_submission(whole, told.request_classes, told.settings.request_classes),
         "through the entrance, twice": through,
         "write the hop": onward,
         "read the answer": lambda: parse(response, ANSWER),
@@ -91,7 +93,9 @@
     }
     for servers in (4, 9, 12):
         balancer = Balancer(told.settings, 1, Nowhere())
-        balancer.listed(0, Listing.FULL, [Entry(at, 0, 0, Phase.READY, 1.0, 0) for at in range(servers)])
+        balancer.update_servers(
+            0, ListKind.FULL, [ServerEntry(at, 0, 0, ServerState.READY, 1.0, 0) for at in range(servers)]
+        )
         found[f"decide, {servers} servers"] = decisions(balancer)
     return found
 
@@ -104,8 +108,8 @@
     def decide() -> None:
         state[0] += 800
         state[1] += 1
-        one = balancer.take(state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000)
-        one.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
+        one = balancer.submit(state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000)
+        one.hop_finished(state[0] + 5000, 0, Outcome.OK, 5000, True)
 
     return decide
 
--- a/benchmarks/ranking.py
+++ b/benchmarks/ranking.py
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.experiments import figures, files  # noqa: E402
+from pumicepath.lab.experiments import files, statistics  # noqa: E402
 from pumicepath.lab.virtual.baselines import TEXTBOOK  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
@@ -30,7 +30,7 @@
 def decisions(revision: str) -> Any:
     """The balancer of a revision, as a module beside ours."""
     text = subprocess.run(
-        ["git", "show", f"{revision}:pumicepath/logic.py"],
+        ["git", "show", f"{revision}:pumicepath/balancer.py"],
         cwd=ROOT,
         check=True,
         capture_output=True,
@@ -47,7 +47,7 @@
 
 def play(job: tuple[str, str, int]) -> float:
     arm, day, seed = job
-    plan = files.read(ROOT / "experiments" / f"{day}.toml", 1).plan
+    plan = files.load_experiment(ROOT / "experiments" / f"{day}.toml", 1).plan
     maker = arm if arm in TEXTBOOK or arm in ("pumicepath", "oracle") else decisions(arm)
     return VirtualWorld(plan, seed, maker).run().service
 
@@ -68,7 +68,7 @@
         seeds = range(1, told.seeds + 1)
         means = [sum(service[arm, day, seed] for seed in seeds) / told.seeds for day in told.days]
         whole = [sum(service[arm, day, seed] for day in told.days) / len(told.days) for seed in seeds]
-        spread = figures.interval(whole)
+        spread = statistics.bootstrap_interval(whole)
         print(f"{arm:<18}" + "".join(f"{mean:13.3f}" for mean in means) + f"   {spread}")
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -25,7 +25,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from pumicepath.compiled import FORM  # noqa: E402
-from tests.relay_rig import Origin, Relay, line, until  # noqa: E402
+from tests.relay_rig import Origin, RelayProcess, list_line, wait_until  # noqa: E402
 
 HEAD = re.compile(rb"HTTP/1.1 (\d+) .*?\r\nContent-Length: (\d+)(?:\r\n[^\r]+)*\r\n\r\n", re.S)
 SEQ = re.compile(rb'{"seq":(\d+)')
@@ -69,17 +69,17 @@
         names = [f"service-{at:04}" for at in range(told.services)]
         self.origin = Origin(
             [
-                line(f"srv-{at:06}", names[at % told.services], port=9000 + at % 1000)
+                list_line(f"srv-{at:06}", names[at % told.services], port=9000 + at % 1000)
                 for at in range(told.servers)
             ]
         )
-        self.relay = Relay(folder, {"eu": self.origin}, mostFollowers=100_000, wholeBytesPerS=rate)
-        until(lambda: self.relay.stats()["servers"] == told.servers)
+        self.relay = RelayProcess(folder, {"eu": self.origin}, mostFollowers=100_000, wholeBytesPerS=rate)
+        wait_until(lambda: self.relay.stats()["servers"] == told.servers)
         self.before_kb = self.memory_kb()
         self.selector = selectors.DefaultSelector()
         self.askers = []
         for _ in range(followers):
-            asker = Asker(self.relay.where, ",".join(sorted(self.draw.sample(names, told.each))))
+            asker = Asker(self.relay.socket_address, ",".join(sorted(self.draw.sample(names, told.each))))
             self.selector.register(asker.sock, selectors.EVENT_READ, asker)
             self.askers.append(asker)
 
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -21,7 +21,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.lab.experiments.figures import difference  # noqa: E402
+from pumicepath.lab.experiments.statistics import paired_difference  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.result import Result  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble  # noqa: E402
@@ -109,7 +109,7 @@
         for together in (False, True):
             values = sorted(found[seed, together][key] for seed in seeds)
             cells.append(f"{median(values):.4g} ({values[0]:.4g} to {values[-1]:.4g})")
-        pair = difference(
+        pair = paired_difference(
             {seed: found[seed, True][key] for seed in seeds},
             {seed: found[seed, False][key] for seed in seeds},
         )
--- a/pumicepath/lab/loopback/client_connections.py
+++ b/pumicepath/lab/loopback/client_connections.py
@@ -11,8 +11,8 @@
 from typing import Any, Protocol
 
 from ...http1 import writing
-from ...http1.messages import Malformed, Response
-from ...interface import Tariff
+from ...http1.messages import MalformedMessageError, Response
+from ...interface import RequestClass
 from ..model.clients import Ask
 from ..model.judge import Judge
 from ..spec import Plan
@@ -29,7 +29,7 @@
     judge: Judge
     loop: asyncio.AbstractEventLoop
     timeline: EventLoopTimeline
-    tariffs: tuple[Tariff, ...]
+    tariffs: tuple[RequestClass, ...]
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
         """Runs a coroutine as a task that ends with the world at the latest."""
@@ -149,14 +149,14 @@
             )
         )
 
-    def malformed_message(self, error: Malformed) -> None:
+    def malformed_message(self, error: MalformedMessageError) -> None:
         self.pool.host.note(f"client received {error}")
         self.transport.abort()
 
     def response_received(self, response: Response) -> None:
         submission, self.submission = self.submission, None
         self.used = True
-        if response.keeps():
+        if response.keeps_alive():
             self.pool.idle.append(self)
         else:
             self.transport.close()
--- a/pumicepath/lab/loopback/discovery.py
+++ b/pumicepath/lab/loopback/discovery.py
@@ -10,10 +10,10 @@
 import orjson
 
 from ...http1 import writing
-from ...interface import Entry, Listing, Phase
+from ...interface import ListKind, ServerEntry, ServerState
 from .host import LoopbackHost
 
-HEALTH_BY_STATE = {Phase.READY: "active", Phase.DRAINING: "leaving", Phase.GONE: "left"}
+HEALTH_BY_STATE = {ServerState.READY: "active", ServerState.DRAINING: "leaving", ServerState.GONE: "left"}
 WATCH_QUERY = re.compile(rb"[?&]since=(\d+)&timeout_ms=(\d+)")
 
 
@@ -25,7 +25,7 @@
         self.number = number
         self.version = 0
         # Not sent yet: whether it is the whole list (or only changes), and the entries.
-        self.pending_updates: list[tuple[bool, list[Entry]]] = []
+        self.pending_updates: list[tuple[bool, list[ServerEntry]]] = []
         self.fails_next = False
         self.update_ready = asyncio.Event()
         self.start_unix_ms = time.time() * 1000 - world.timeline.now / 1000
@@ -38,12 +38,12 @@
         host, port = self.listener.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
-    def listed(self, kind: Listing, entries: list[Entry]) -> None:
-        if kind == Listing.CACHED:
+    def listed(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+        if kind == ListKind.CACHED:
             return  # the configuration has this list
-        if kind == Listing.FAILED:
+        if kind == ListKind.FAILED:
             self.fails_next = True
-        elif kind == Listing.FULL:
+        elif kind == ListKind.FULL:
             self.pending_updates = [(True, entries)]
         else:
             self.pending_updates.append((False, entries))
@@ -91,13 +91,13 @@
             self.update_ready.clear()
         return self.list_response(whole, entries)
 
-    def list_response(self, whole: bool, entries: list[Entry]) -> bytes:
+    def list_response(self, whole: bool, entries: list[ServerEntry]) -> bytes:
         """Returns a response with a list or changes under the next version."""
         self.version += 1
         body = orjson.dumps(self.list_document(whole, entries))
         return writing.response(200, [("Content-Type", "application/json")], body, True)
 
-    def list_document(self, whole: bool, entries: list[Entry]) -> dict[str, Any]:
+    def list_document(self, whole: bool, entries: list[ServerEntry]) -> dict[str, Any]:
         """Returns a list or changes in discovery's JSON format."""
         return {
             "seq": self.version,
@@ -109,9 +109,9 @@
                     "site": f"hall-{entry.zone}",
                     "class": "m",
                     "block": entry.cell,
-                    "health": HEALTH_BY_STATE[entry.phase],
-                    "share": entry.scale,
-                    "born_ms": int(self.start_unix_ms + entry.came_up / 1000) if entry.came_up else 0,
+                    "health": HEALTH_BY_STATE[entry.state],
+                    "share": entry.weight,
+                    "born_ms": int(self.start_unix_ms + entry.started_at / 1000) if entry.started_at else 0,
                 }
                 for entry in entries
             ],
--- a/pumicepath/lab/loopback/host.py
+++ b/pumicepath/lab/loopback/host.py
@@ -6,7 +6,7 @@
 from collections.abc import Coroutine, Sequence
 from typing import Any, Protocol
 
-from ...interface import Tariff
+from ...interface import RequestClass
 from ..model.judge import Judge
 from ..model.links import Links
 from ..model.listing import Registry
@@ -29,7 +29,7 @@
     timeline: EventLoopTimeline
     history: History
     links: Links | None
-    tariffs: tuple[Tariff, ...]
+    tariffs: tuple[RequestClass, ...]
     processes: list[asyncio.subprocess.Process]
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
--- a/pumicepath/lab/loopback/protocols.py
+++ b/pumicepath/lab/loopback/protocols.py
@@ -9,7 +9,7 @@
 import asyncio
 from typing import Any
 
-from ...http1.messages import Malformed, Request, Response
+from ...http1.messages import MalformedMessageError, Request, Response
 from ...http1.parsing import RequestParser, ResponseParser
 
 
@@ -21,7 +21,7 @@
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
-    def malformed_message(self, error: Malformed) -> None:
+    def malformed_message(self, error: MalformedMessageError) -> None:
         self.transport.abort()
 
 
@@ -36,7 +36,7 @@
             self.parser.feed(data)
             while (request := self.parser.next()) is not None:
                 self.request_received(request)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.malformed_message(error)
 
     def request_received(self, request: Request) -> None:
@@ -53,7 +53,7 @@
         try:
             self.parser.feed(data)
             response = self.parser.next()
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.malformed_message(error)
             return
         if response is not None:
--- a/pumicepath/lab/loopback/scripted.py
+++ b/pumicepath/lab/loopback/scripted.py
@@ -37,7 +37,7 @@
             return None
         parser.feed(data)
         if not data:
-            parser.end()
+            parser.end_input()
             return parser.next()
     return message
 
@@ -240,7 +240,7 @@
             "client: nothing"
             if response is None
             else f"client: {response.status} {response.body.decode().strip()}"
-            f"{'' if response.keeps() else ', closed'}"
+            f"{'' if response.keeps_alive() else ', closed'}"
         )
         return response
 
--- a/pumicepath/lab/loopback/separate_processes.py
+++ b/pumicepath/lab/loopback/separate_processes.py
@@ -164,7 +164,7 @@
     world.timeline.started_at = world.loop.time()
     world.start_task(world.timeline.measure_ticks())
     world.clients(sidecar, sidecar).begin()  # type: ignore[arg-type]
-    deadline_s = max(request_class.patience for request_class in world.tariffs) / 1e6
+    deadline_s = max(request_class.deadline for request_class in world.tariffs) / 1e6
     await asyncio.sleep(plan.lasts_s + deadline_s + 0.3)
     for task in list(world.tasks):
         task.cancel()
--- a/pumicepath/lab/loopback/servers.py
+++ b/pumicepath/lab/loopback/servers.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from ...http1 import writing
-from ...http1.messages import Malformed, Request
+from ...http1.messages import MalformedMessageError, Request
 from ...interface import Outcome
-from ...sidecar.servers import NEVER_RAN
+from ...sidecar.servers import NEVER_RAN_HEADER
 from ..model.servers import Job, Server
 from .host import LoopbackHost
 from .protocols import HttpServerProtocol
@@ -19,7 +19,7 @@
 RESPONSES = {
     Outcome.OK: writing.response(200, [], BODY, True),
     Outcome.ERROR: writing.response(500, [], b"failed", True),
-    Outcome.FULL: writing.response(503, [(NEVER_RAN, "1")], b"full", True),
+    Outcome.FULL: writing.response(503, [(NEVER_RAN_HEADER, "1")], b"full", True),
 }
 BACKLOG_FILLERS = 2  # connections that fill the accept queue of a listener with backlog 0
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0: close sends a reset
@@ -151,7 +151,7 @@
         elif not self.job.gone:
             self.server.cancelled(self.job)
 
-    def malformed_message(self, error: Malformed) -> None:
+    def malformed_message(self, error: MalformedMessageError) -> None:
         self.world.note(f"server received {error}")
         self.reset()
 
--- a/pumicepath/lab/loopback/world.py
+++ b/pumicepath/lab/loopback/world.py
@@ -183,7 +183,7 @@
             self.clients(sidecar, sidecar).begin()
         for number, fault in enumerate(self.plan.troubles):
             KINDS[fault.kind](self, fault, number).plan()
-        deadline = max(request_class.patience for request_class in self.tariffs)
+        deadline = max(request_class.deadline for request_class in self.tariffs)
         second = SECOND
         while second <= self.lasts + deadline + SECOND:
             await asyncio.sleep(max(0.0, (second - self.timeline.now) / 1e6))
--- a/pumicepath/lab/verification/recording.py
+++ b/pumicepath/lab/verification/recording.py
@@ -10,8 +10,8 @@
 from types import SimpleNamespace
 from typing import Any
 
-from ...interface import Tariff
-from ...settings import decode
+from ...interface import RequestClass
+from ...settings import decode_settings
 from ..model.judge import Judge
 from ..model.listing import Registry
 from ..model.servers import Job, Server
@@ -26,7 +26,7 @@
     def __init__(
         self,
         timeline: Timeline,
-        tariffs: tuple[Tariff, ...],
+        tariffs: tuple[RequestClass, ...],
         registry: Registry,
         grace: int,
         slack: int,
@@ -111,7 +111,7 @@
     """Returns the rule checker in its state after all events of a history."""
     head = lines[0]
     plan = Plan(**head["plan"])
-    request_classes = decode(told(plan, 0, 0)).tariffs
+    request_classes = decode_settings(told(plan, 0, 0)).request_classes
     timeline, registry = Virtual(), ReplayedRegistry()
     checker = Judge(timeline, request_classes, registry, micros(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
     for line in lines:
--- a/setup.py
+++ b/setup.py
@@ -14,7 +14,7 @@
 
 HERE = Path(__file__).resolve().parent
 MODULES = [
-    "pumicepath/logic.py",
+    "pumicepath/balancer.py",
     "pumicepath/interface.py",
     "pumicepath/settings.py",
     "pumicepath/invariants.py",
@@ -22,7 +22,7 @@
     "pumicepath/http1/messages.py",
     "pumicepath/http1/parsing.py",
     "pumicepath/http1/writing.py",
-    "pumicepath/intake/queue.py",
+    "pumicepath/admission/queue.py",
 ]
 BUILT = HERE / "pumicepath" / "compiled.json"
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from pumicepath.command import main
-from pumicepath.lab.experiments import files, fleet
+from pumicepath.lab.experiments import files, fleet_report
 from pumicepath.lab.model.links import Links, Noise
 from pumicepath.lab.model.timeline import SECOND, Virtual
 from pumicepath.lab.spec import Plan, Sidecars, Trouble
@@ -22,7 +22,7 @@
 from pumicepath.lab.verification.history import History, HistoryError
 from pumicepath.lab.virtual.run import VirtualWorld
 
-from .helpers import compare
+from .helpers import check_trace
 
 HEAD = {
     "at": 0,
@@ -134,7 +134,7 @@
         violations = checks.violations(in_order(name))
         lines.append(f"{name}:")
         lines += [f"    {check}: {text}" for check, texts in violations.items() for text in texts]
-    compare("faults-planted", lines)
+    check_trace("faults-planted", lines)
     assert set(checks.PROPERTIES) == {"four_rules", "one_holder", "fencing", "budgets"}
 
 
@@ -234,7 +234,7 @@
     links.timeline.run(1)  # type: ignore[attr-defined]
     lines.append(f"cut one way: {len(delivered)} of 3")
     undo()
-    compare("faults-links", lines)
+    check_trace("faults-links", lines)
 
 
 def test_a_changed_clock_runs_at_its_rate_and_only_its_wall_clock_steps(tmp_path: Path) -> None:
@@ -399,14 +399,14 @@
     path = tmp_path / "one.toml"
     path.write_text(SMALL.replace(old, new))
     if key:
-        with pytest.raises(files.BadExperiment, match=key):
-            files.read(path)
+        with pytest.raises(files.ExperimentError, match=key):
+            files.load_experiment(path)
     path.write_text(SMALL.replace("peers = true", "").replace("sidecars-killed", "peers-cut"))
-    with pytest.raises(files.BadExperiment, match="14: troubles.0.kind: peers-cut needs peers = true"):
-        files.read(path)
+    with pytest.raises(files.ExperimentError, match="14: troubles.0.kind: peers-cut needs peers = true"):
+        files.load_experiment(path)
     path.write_text(SMALL)
-    with pytest.raises(files.BadExperiment, match="troubles.1.kind: sidecars-stopped needs real processes"):
-        files.read(path, host="virtual")
+    with pytest.raises(files.ExperimentError, match="troubles.1.kind: sidecars-stopped needs real processes"):
+        files.load_experiment(path, host="virtual")
 
 
 def test_an_experiment_with_real_processes_ends_in_one_object_and_a_page(tmp_path: Path) -> None:
@@ -436,11 +436,11 @@
     assert summary["faults"] == {"sidecars-killed": 1, "sidecars-stopped": 1, "clock-rate": 1}
     assert ended.returncode == bool(summary["violations"])
     assert [summary[name] for name in ("duplicated", "late_sends", "pushed_over")] == [0, 0, 0], summary
-    again = fleet.judged(folder / fleet.HISTORY)
-    assert again.figures().items() <= summary.items(), "the history alone gives the same results"
+    again = fleet_report.check_history(folder / fleet_report.HISTORY_FILE)
+    assert again.metrics().items() <= summary.items(), "the history alone gives the same results"
     page = (folder / "fleet.html").read_text()
     assert page.count("data:image/png;base64,") == 2 and "sidecars-stopped: sidecar 2" in page
-    names, at, rows = fleet.seen(again.history)
+    names, at, rows = fleet_report.liveness_matrix(again.history)
     assert names == ["sidecar-0", "sidecar-1", "sidecar-2"] and len(at) == len(rows) > 5
 
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -7,13 +7,13 @@
 from types import SimpleNamespace
 from typing import Any
 
-from pumicepath.discovery.roster import BadList
-from pumicepath.distribution.origins import LIVE
+from pumicepath.discovery.server_list import BadList
+from pumicepath.distribution.origins import LIVE_TIMEOUT_US
 
-from .test_never_back import SECOND, Clock, line, target, told, watching
+from .test_never_back import SECOND, Clock, line, make_watch, relay_answer, request_target
 
 # Of a relay that reports a connected origin: the age of its report, and one turn of its loop.
-MAX_DELAY = LIVE + SECOND // 4
+MAX_DELAY = LIVE_TIMEOUT_US + SECOND // 4
 STATE = frozenset[tuple[str, str, str, int]]
 
 
@@ -100,9 +100,9 @@
         since = int(question.partition("since=")[2].partition("&")[0] or -1)
         if not self.first <= since <= self.seq:
             lines = [line for held in self.held.values() for line in held.values()]
-            return told(self.seq, self.reported, *lines, whole=True)
+            return relay_answer(self.seq, self.reported, *lines, whole=True)
         updates = {line["host"]: line for seq, line in self.log if seq > since}
-        return told(self.seq, self.reported, *updates.values())
+        return relay_answer(self.seq, self.reported, *updates.values())
 
 
 class History:
@@ -117,31 +117,31 @@
             for _ in range(5):
                 origin.change(0)
         self.relays = [Relay(self.origins, rng) for _ in range(3)]
-        self.watch = watching(clock=self.clock)
+        self.watch = make_watch(clock=self.clock)
         self.at = 0
         self.seen: dict[str, tuple[int, int]] = {}
         self.counts = Counter[str]()
 
     def call(self) -> None:
         relay = self.relays[self.at]
-        held = dict(self.watch.roster.lines)
+        held = dict(self.watch.server_list.lines)
         try:
-            update = self.watch.update(relay.answer(target(self.watch)))
+            update = self.watch.handle_response(relay.answer(request_target(self.watch)))
         except BadList:
             self.counts["refused"] += 1
             self.move()
             return
         # The balancer, which receives only this update, has to hold the same servers.
         names = {name for name in held if not update.whole} | {entry.name for entry in update.entries}
-        gone = {entry.name for entry in update.entries if entry.phase == 0}
-        assert names - gone == set(self.watch.roster.lines)
+        gone = {entry.name for entry in update.entries if entry.state == 0}
+        assert names - gone == set(self.watch.server_list.lines)
         self.counts["whole" if update.whole else "changes"] += 1
         self.check()
 
     def check(self) -> None:
         for origin in self.origins:
             lines = state(
-                line for line in self.watch.roster.lines.values() if line["region"] == origin.region
+                line for line in self.watch.server_list.lines.values() if line["region"] == origin.region
             )
             if not lines and origin.region not in self.seen:
                 continue
@@ -163,7 +163,7 @@
 
     def move(self) -> None:
         self.at = (self.at + 1) % len(self.relays)
-        self.watch.move(f"r{self.at}:1")
+        self.watch.switch_to(f"r{self.at}:1")
         self.counts["moves"] += 1
 
     def inject_fault(self, restarts: bool) -> None:
@@ -213,7 +213,9 @@
             self.call()
             self.clock.now += 1_500_000
         for origin in self.origins:
-            held = state(line for line in self.watch.roster.lines.values() if line["region"] == origin.region)
+            held = state(
+                line for line in self.watch.server_list.lines.values() if line["region"] == origin.region
+            )
             assert held == state(origin.lines.values()), origin.region
 
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -12,14 +12,14 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Address
+from pumicepath.discovery.server_list import Address
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 from pumicepath.sidecar.hot_restart import SOCKET_NAME, Channel, HotRestart, ShortPath, request_handover
 
-from .helpers import compare
-from .rig import Rig, held, until
+from .helpers import check_trace
+from .rig import Rig, paused, wait_until
 
 
 class EchoServer(ScriptedServer):
@@ -149,7 +149,7 @@
             ResponseParser(),
         )
         deployment.submit("read", http_response(200, "served by the third"))
-    compare(
+    check_trace(
         "succession",
         [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in deployment.transcript],
     )
@@ -246,13 +246,13 @@
             before.bind(short)
         before.listen()
         after = HotRestart(None, None, dict, Address("127.0.0.1", 1))
-        with held(monkeypatch, os, "replace") as (reached, proceed):
+        with paused(monkeypatch, os, "replace") as (reached, proceed):
             threading.Thread(target=after.open_socket, daemon=True).start()
             assert reached.acquire(timeout=20)
             with socket.socket(socket.AF_UNIX) as connected, ShortPath(tmp_path / SOCKET_NAME) as short:
                 connected.connect(short)
             proceed.release()
-            until(lambda: not (tmp_path / f"{SOCKET_NAME}.{os.getpid()}").exists())
+            wait_until(lambda: not (tmp_path / f"{SOCKET_NAME}.{os.getpid()}").exists())
         with socket.socket(socket.AF_UNIX) as connected, ShortPath(tmp_path / SOCKET_NAME) as short:
             connected.connect(short)
             before.setblocking(False)
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -14,12 +14,12 @@
 import pytest
 
 from pumicepath.discovery import watch as watching
-from pumicepath.discovery.roster import BadList, Roster, address
+from pumicepath.discovery.server_list import BadList, ServerList, parse_address
 from pumicepath.discovery.watch import Watch
 from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response
 from pumicepath.sidecar.watching import Watcher
 
-from .helpers import compare
+from .helpers import check_trace
 
 
 def line(name: str, health: str = "active", **changed: object) -> dict:
@@ -108,8 +108,8 @@
     heard, script = Heard(lines), queue.SimpleQueue()
 
     peer = ScriptedServer("", script, asked := [])  # calls past the script stay open
-    where = address(peer.address)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), where, pushed)
+    where = parse_address(peer.address)
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), where, pushed)
     watcher.dispatcher = heard
     watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
@@ -135,7 +135,7 @@
     lines = []
     for name, steps in CASES.items():
         lines += play(name, steps, monkeypatch)
-    compare("crossed-list", lines)
+    check_trace("crossed-list", lines)
 
 
 def test_where_lists_are_pushed_a_watch_that_fails_is_tried_again_without_a_pause_of_the_balancer(
@@ -146,7 +146,7 @@
     )
     steps = [told(8), "reset", "reset", http_response(503), told(9)]
     lines += play("down while a watch is open", steps, monkeypatch, pushed=True)
-    compare("crossed-pushed", lines)
+    check_trace("crossed-pushed", lines)
 
 
 def test_a_new_discovery_that_stays_away_is_told_of_once_the_move_is_over(
@@ -156,8 +156,8 @@
     heard, script = Heard([]), queue.SimpleQueue()
     peer = ScriptedServer("", script, [])
     with socket.create_server(("127.0.0.1", 0)) as nobody:
-        away = address(f"127.0.0.1:{nobody.getsockname()[1]}")
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), address(peer.address))
+        away = parse_address(f"127.0.0.1:{nobody.getsockname()[1]}")
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), parse_address(peer.address))
     watcher.dispatcher = heard
     script.put(told(8))
     watcher.request_list()
@@ -175,23 +175,23 @@
 
 def test_a_call_is_given_up_while_what_it_missed_is_not_yet_deemed_told() -> None:
     shares = iter([0.0, 0.5, 1.0])
-    watch = Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000_000, lambda: next(shares, 0.25))
+    watch = Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000_000, lambda: next(shares, 0.25))
     # The first call after a doubt does not wait, so a second one fits into the 6 s that it has.
-    assert "timeout_ms=1 " in watch.request().decode() and 2 * watch.until_silent() <= 6
-    watch.doubted = False
+    assert "timeout_ms=1 " in watch.next_request().decode() and 2 * watch.answer_timeout_s() <= 6
+    watch.ask_immediately = False
     waits = []
     for _ in range(2):
-        watch.request()
+        watch.next_request()
         waits.append(watch.wait_ms)
         # A dial and an answer have to fit into the 2 s after the wait.
-        assert watch.until_silent() - watch.wait_ms / 1000 <= 0.5
+        assert watch.answer_timeout_s() - watch.wait_ms / 1000 <= 0.5
     assert waits == [15_000, 20_000], "sidecars that began together do not go on together"
 
 
 def test_an_answer_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watching, "ANSWER_S", 0.2)
     monkeypatch.setattr("pumicepath.sidecar.watching.RESPONSE_TIMEOUT_S", 0.2)
-    watcher = Watcher(Watch(Roster(["a"], lambda born: 1), "d", 7, 100_000), address("127.0.0.1:1"))
+    watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), parse_address("127.0.0.1:1"))
     near, far = socket.socketpair()
 
     def trickle() -> None:
@@ -209,23 +209,23 @@
 
 def test_a_list_that_is_refused_leaves_nothing_behind() -> None:
     clock = iter(range(1000, 2000))
-    roster = Roster(["a"], lambda born: next(clock))
-    first = roster.read(listing(1, line("s-1", born_ms=5), whole=True))
+    roster = ServerList(["a"], lambda born: next(clock))
+    first = roster.apply(listing(1, line("s-1", born_ms=5), whole=True))
     for bad in (
         listing(2, line("s-1", born_ms=6), {"host": "s-2"}),
         listing(2, line("s-1", born_ms=6), line("s-3", born_ms=9), line("s-3")),
     ):
         with pytest.raises(BadList):
-            roster.read(bad)
+            roster.apply(bad)
 
     def refuse(update: object) -> None:
         raise BadList("not now")
 
     with pytest.raises(BadList):
-        roster.read(listing(2, line("s-1", born_ms=6), line("s-4", born_ms=7)), refuse)
-    again = roster.read(listing(2, line("s-1", born_ms=5)))
+        roster.apply(listing(2, line("s-1", born_ms=6), line("s-4", born_ms=7)), refuse)
+    again = roster.apply(listing(2, line("s-1", born_ms=5)))
     assert again.entries == first.entries, "the same start, as of the same moment"
-    assert list(roster.starts) == ["s-1"] == [one["host"] for one in roster.whole(2)["hosts"]]
+    assert list(roster.start_times) == ["s-1"] == [one["host"] for one in roster.snapshot(2)["hosts"]]
 
 
 def test_where_lists_are_pushed_nothing_is_taken_before_the_first_list(tmp_path: Path) -> None:
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -14,13 +14,13 @@
 import pytest
 
 from pumicepath.http1 import writing
-from pumicepath.interface import Listing, Phase
+from pumicepath.interface import ListKind, ServerState
 from pumicepath.lab.loopback.discovery import DiscoveryServer
 from pumicepath.lab.loopback.world import InvalidRunError, LoopbackWorld
 from pumicepath.lab.model.clients import Ask
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
-from .helpers import compare, interruptible
+from .helpers import check_trace, restore_sigint
 
 ONE_SIDECAR = Plan(
     lasts_s=2,
@@ -119,14 +119,14 @@
         await note("hall cut off")
         world.network.cut.clear()
         await note("hall back")
-        world.registry.drained(server.number, Phase.GONE)
+        world.registry.drained(server.number, ServerState.GONE)
         server.kill()
         world.begin(0, cold=True)
         lines.append(f"same address under a new id: {world.server_address(world.places[0]) == address}")
         await note("a new server there")
 
     run_in_world(ONE_SIDECAR, tmp_path, work)
-    compare("loopback-server", lines)
+    check_trace("loopback-server", lines)
 
 
 def test_watch_returns_whole_lists_changes_and_failures(tmp_path: Path) -> None:
@@ -166,7 +166,7 @@
         discovery.close()
 
     run_in_world(ONE_SIDECAR, tmp_path, work)
-    compare("loopback-watch", lines)
+    check_trace("loopback-watch", lines)
 
 
 def test_a_taken_port_and_an_exception_in_a_callback_make_a_run_invalid(tmp_path: Path) -> None:
@@ -204,7 +204,7 @@
         clients.succeeded(submission, submission.turn)  # counts as a second answer: the client has left
         assert world.judge.broken["answered_twice"] == 1 and world.tally.left[0] == 1
         world.registry.join(0, sidecar.discovery)
-        sidecar.discovery.listed(Listing.FAILED, [])
+        sidecar.discovery.listed(ListKind.FAILED, [])
         assert sidecar.discovery.fails_next
 
     run_in_world(ONE_SIDECAR, tmp_path, work)
@@ -245,7 +245,7 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         start_new_session=True,
-        preexec_fn=interruptible,
+        preexec_fn=restore_sigint,
     ) as process:
         assert process.stdout is not None
         process.stdout.readline()  # the first second has been played
@@ -278,4 +278,4 @@
 
     lines: list[str] = []
     run_in_world(ONE_SIDECAR, tmp_path, work)
-    compare("loopback-view", lines)
+    check_trace("loopback-view", lines)
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -21,14 +21,14 @@
 
 import pytest
 
+from pumicepath.balancer import Balancer
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.interface import Entry, Listing, Outcome
+from pumicepath.interface import ListKind, Outcome, ServerEntry
 from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
-from pumicepath.logic import Balancer
 
-from .helpers import SECOND, entry, settings
-from .rig import status, until
-from .test_standing_terms import MODES, Always
+from .helpers import SECOND, make_entry, make_settings
+from .rig import read_status, wait_until
+from .test_standing_terms import MODES, AlwaysServing
 
 # -- 3: a cold server can be overloaded by the sum of what all sidecars send to it
 
@@ -64,25 +64,25 @@
         **overrides: object,
     ) -> None:
         self.rng = random.Random(seed)
-        self.fleet, self.cold, self.restarted, self.is_stoppedrides = fleet, cold, restarted, overrides
+        self.fleet, self.cold, self.restarted, self.overrides = fleet, cold, restarted, overrides
         self.servers = [self.rng.getrandbits(60) for _ in range(SERVERS)]
         weights = [10.0 if uneven and index % 10 == 0 else 1.0 for index in range(fleet)]
         self.rates = [load * RATE * SERVERS * weight / sum(weights) / SECOND for weight in weights]
         self.hits: dict[int, list[int]] = {server: [] for server in self.servers[:cold]}
-        self.settings = settings(fleet=fleet, cold_for=8 * SECOND, **overrides)
+        self.settings = make_settings(fleet_size=fleet, cold_duration=8 * SECOND, **overrides)
         self.sidecars = [self.create_sidecar(0, index) for index in range(fleet)]
 
-    def entries(self, now: int, known: bool = True) -> list[Entry]:
+    def entries(self, now: int, known: bool = True) -> list[ServerEntry]:
         started = STARTED_S * SECOND if now >= STARTED_S * SECOND else 0
         return [
-            entry(server, came_up=started if position < self.cold else 0)
+            make_entry(server, started_at=started if position < self.cold else 0)
             for position, server in enumerate(self.servers)
             if position >= self.cold or started
         ]
 
     def create_sidecar(self, now: int, index: int) -> Balancer:
-        sidecar = Balancer(replace(self.settings, me=index), self.rng.getrandbits(32), LastHop())
-        sidecar.listed(now, Listing.CACHED, self.entries(now))
+        sidecar = Balancer(replace(self.settings, sidecar_index=index), self.rng.getrandbits(32), LastHop())
+        sidecar.update_servers(now, ListKind.CACHED, self.entries(now))
         return sidecar
 
     def run(self) -> None:
@@ -105,21 +105,21 @@
             if not notified and now >= STARTED_S * SECOND:
                 notified = True
                 for sidecar in self.sidecars:
-                    sidecar.listed(now, Listing.CHANGES, self.entries(now)[: self.cold])
+                    sidecar.update_servers(now, ListKind.CHANGES, self.entries(now)[: self.cold])
             if isinstance(event, range):  # a part of the fleet restarts at once
                 for index in event:
                     self.sidecars[index] = self.create_sidecar(now, index)
             elif isinstance(event, int):
                 schedule(now + self.rng.expovariate(self.rates[event]) + 1, event)
-                submission = self.sidecars[event].take(
+                submission = self.sidecars[event].submit(
                     now, number, 0, 1 + self.rng.randrange(500), False, now + 2 * SECOND
                 )
                 if submission.hops:
                     schedule(now + self.rng.expovariate(1 / 50_000) + 5000, submission)
-                    if (server := submission.balancer.outlet.last) in self.hits:  # type: ignore[attr-defined]
+                    if (server := submission.balancer.callbacks.last) in self.hits:  # type: ignore[attr-defined]
                         self.hits[server].append(now)
             else:
-                event.ended(now, 0, Outcome.OK, now - event.hops[0].at, True)
+                event.hop_finished(now, 0, Outcome.OK, now - event.hops[0].sent_at, True)
 
     def worst(self) -> tuple[float, int, float]:
         """Returns the worst fraction of the allowed hops, with the number of hops and the budget then."""
@@ -127,9 +127,11 @@
         settings_ = self.settings
         for hits in self.hits.values():
             for last, now in enumerate(hits):
-                warmth = settings_.cold_from + (1 - settings_.cold_from) * (now / SECOND - STARTED_S) / 8
-                budget = settings_.fall_multiple * warmth * RATE * settings_.fall_window / SECOND
-                sent = sum(then > now - settings_.fall_window for then in hits[: last + 1])
+                warmth = (
+                    settings_.cold_fraction + (1 - settings_.cold_fraction) * (now / SECOND - STARTED_S) / 8
+                )
+                budget = settings_.overload_multiple * warmth * RATE * settings_.overload_window / SECOND
+                sent = sum(then > now - settings_.overload_window for then in hits[: last + 1])
                 worst = max(worst, (sent / (budget + 2 * math.sqrt(budget) + 2), sent, budget))
         return worst
 
@@ -142,10 +144,10 @@
     "twenty, uneven": {"fleet": 20, "uneven": True},
     "half of the servers": {"cold": 5},
     "a burst, uneven": {"load": 1.35, "uneven": True},
-    "small windows": {"fall_window": SECOND // 4, "uneven": True, "restarted": 4},
-    "quotas, a part restarted": {"quotas": (RATE * SERVERS,), "uneven": True, "restarted": 4},
-    "repeats are marked": {"marked": True, "uneven": True},
-    "connections cost": {"connection_price": 0.05},
+    "small windows": {"overload_window": SECOND // 4, "uneven": True, "restarted": 4},
+    "quotas, a part restarted": {"tenant_quotas": (RATE * SERVERS,), "uneven": True, "restarted": 4},
+    "repeats are marked": {"clients_mark_retries": True, "uneven": True},
+    "connections cost": {"connection_cost": 0.05},
 }
 
 
@@ -196,7 +198,7 @@
     try:
         with socket.create_connection(deployment.address) as sock:
             deployment.send("read", sock=sock)
-            return status(sock)
+            return read_status(sock)
     except TimeoutError:
         raise
     except OSError:
@@ -216,7 +218,7 @@
     mode: str, configured: int, real: int, tmp_path: Path
 ) -> None:
     deployment = Deployment(tmp_path, 1)
-    deployment.servers[0].script = Always()  # type: ignore[assignment]
+    deployment.servers[0].script = AlwaysServing()  # type: ignore[assignment]
     deployment.configuration["settings"]["membershipMode"] = mode
     deployment.configuration["limits"]["sockets"] = configured
     deployment.config_path.write_text(json.dumps(deployment.configuration))
@@ -244,7 +246,7 @@
         descriptors = Path(f"/proc/{process.pid}/fd")
         # All descriptors that there are, or as many clients as the limits allow.
         clients = (min(configured, real) - 48) * 13 // 20
-        until(lambda: len(list(descriptors.iterdir())) >= min(real - 2, clients + 20))
+        wait_until(lambda: len(list(descriptors.iterdir())) >= min(real - 2, clients + 20))
         began, used = time.monotonic(), cpu_seconds(process)
         answers = []
         while time.monotonic() < began + 1.0:
@@ -264,11 +266,11 @@
         back = time.monotonic() - returned
         answers.append(request_status(deployment))
         idle.is_stopped = True
-        until(lambda: request_status(deployment) == 200)
+        wait_until(lambda: request_status(deployment) == 200)
         deployment.discovery_script.put(
             http_response(200, json.dumps(deployment.list_document(4, False, "leaving")))
         )
-        until(lambda: request_status(deployment) == 503)  # the update from the watch is applied
+        wait_until(lambda: request_status(deployment) == 503)  # the update from the watch is applied
         assert process.poll() is None
         process.terminate()
         assert process.wait(20) == 0
@@ -311,7 +313,7 @@
     try:
         with socket.create_connection(address, 1) as sock:
             sock.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-            return status(sock) == 200
+            return read_status(sock) == 200
     except OSError:
         return False
 
@@ -379,14 +381,14 @@
         sidecars.append(sidecar)
         addresses.append(address)
     for server in server_deployment.servers:
-        server.script = Always()  # type: ignore[assignment]
+        server.script = AlwaysServing()  # type: ignore[assignment]
     try:
         alone = start_and_wait(sidecars[:1], addresses[:1], 60.0)[0]
         start_and_wait(sidecars[1:], addresses[1:], 60.0)
         clients = [threading.Thread(target=load, args=(address, stop, answers)) for address in addresses * 2]
         for client in clients:
             client.start()
-        until(lambda: answers[200] > 100)
+        wait_until(lambda: answers[200] > 100)
         for sidecar in sidecars:
             sidecar.process.kill()
         for sidecar in sidecars:
@@ -397,7 +399,7 @@
         times = start_and_wait(sidecars, addresses, 4 * allowed)
         print(f"alone {alone:.2f} s; {[round(time_s, 2) for time_s in times]} of {allowed:.1f}; {answers}")
         assert len(times) >= 9 and times[8] <= allowed, times
-        until(lambda: answers[200] > served + 100)  # the restarted processes serve
+        wait_until(lambda: answers[200] > served + 100)  # the restarted processes serve
     finally:
         stop.set()
         for sidecar in sidecars:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -14,10 +14,10 @@
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
-from pumicepath.settings import check
+from pumicepath.settings import check_settings
 from pumicepath.sidecar import config
 
-from .helpers import compare
+from .helpers import check_trace
 
 
 def other(told: dict) -> dict:
@@ -86,7 +86,7 @@
         lines.append(f"-- there, with another address: {load(around, {**new, 'listen': '127.0.0.1:1'})}")
         around.submit("view", http_response(200, "viewed"))
         assert around.process.poll() is None
-    compare("switch", [line.replace("s-0", "s").replace("s-1", "s") for line in lines])
+    check_trace("switch", [line.replace("s-0", "s").replace("s-1", "s") for line in lines])
 
 
 class Counting(ScriptedServer):
@@ -176,7 +176,7 @@
 )
 def test_settings_that_cannot_be_meant_are_named_by_their_key(settings: dict, says: str) -> None:
     with pytest.raises(ValueError, match="^settings") as trouble:
-        check(settings)
+        check_settings(settings)
     assert str(trouble.value).startswith(says)
 
 
@@ -214,4 +214,4 @@
             value = whole.pop(key)
             said(f"without {part}.{key}", json.dumps(around.configuration))
             whole[key] = value
-    compare("lacking", lines)
+    check_trace("lacking", lines)
