--- a/pumicepath/commands/lab.py
+++ b/pumicepath/commands/lab.py
@@ -131,9 +131,9 @@
     history = folder / fleet_report.HISTORY_FILE
     try:
         result = world.play(
-            loaded.plan, seed, None if as_json else lambda each: click.echo(demo.line(each)), history
+            loaded.plan, seed, None if as_json else lambda each: click.echo(demo.render_line(each)), history
         )
-    except world.Void as error:
+    except world.InvalidRunError as error:
         fail(f"void: {error}", 3)
     except OSError as error:
         fail(f"loopback: {error.strerror or error}")
@@ -146,7 +146,12 @@
     else:
         click.echo(
             "\n".join(
-                [*demo.verdict(result), *checked.summary_lines(), f"history: {history}", f"report: {page}"]
+                [
+                    *demo.summary_lines(result),
+                    *checked.summary_lines(),
+                    f"history: {history}",
+                    f"report: {page}",
+                ]
             )
         )
     if checked.violations:
@@ -162,12 +167,12 @@
         import orjson
 
         from ..lab.experiments import fleet_report
-        from ..lab.faults.history import BadHistory
+        from ..lab.verification.history import HistoryError
     except ImportError as error:
         fail(MISSING_PACKAGE.format(error))
     try:
         checked = fleet_report.check_history(history)
-    except BadHistory as error:
+    except HistoryError as error:
         fail(error)
     click.echo(orjson.dumps(checked.metrics()).decode() if as_json else "\n".join(checked.summary_lines()))
     if checked.violations:
--- a/pumicepath/lab/loopback/servers.py
+++ b/pumicepath/lab/loopback/servers.py
@@ -1,4 +1,4 @@
-"""The model's servers behind real sockets: they refuse, reset, go silent and stall as their model does."""
+"""The model's servers behind real sockets: they refuse, reset, go silent and stall as the model does."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from ...interface import Outcome
 from ...sidecar.servers import NEVER_RAN_HEADER
 from ..model.servers import Job, Server
-from .ends import ServerEnd
-from .ground import Ground
+from .host import LoopbackHost
+from .protocols import HttpServerProtocol
 
 BODY = b"s" * 200
-ANSWERS = {
+RESPONSES = {
     Outcome.OK: writing.response(200, [], BODY, True),
     Outcome.ERROR: writing.response(500, [], b"failed", True),
     Outcome.FULL: writing.response(503, [(NEVER_RAN_HEADER, "1")], b"full", True),
 }
-FILLED = 2  # connections that fill the queue of a listener with no backlog
-AT_ONCE = struct.pack("ii", 1, 0)
+BACKLOG_FILLERS = 2  # connections that fill the accept queue of a listener with backlog 0
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0: close sends a reset
 
 
-class Door:
-    """One address for good, whoever listens behind it: open, shut (refuses), or silent (drops)."""
+class ServerListener:
+    """A fixed address whose server may change; it accepts, refuses or drops connections."""
 
-    def __init__(self, world: Ground) -> None:
+    def __init__(self, world: LoopbackHost) -> None:
         self.world = world
         self.port = 0
         self.sock: socket.socket
         self.fillers: list[socket.socket] = []
-        self.behind: LiveServer | None = None
+        self.server: LoopbackServer | None = None
         self.bind()
         self.port = self.sock.getsockname()[1]
 
@@ -42,38 +42,41 @@
         return f"127.0.0.1:{self.port}"
 
     def bind(self) -> None:
+        """Binds a new socket to the port.  Raises OSError if another program has taken it meanwhile."""
         self.sock = socket.socket()
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             self.sock.bind(("127.0.0.1", self.port))
-        except OSError as trouble:
+        except OSError as error:
             self.sock.close()
-            raise OSError(trouble.errno, f"port {self.port} was taken by another program") from trouble
+            raise OSError(error.errno, f"port {self.port} was taken by another program") from error
         self.sock.setblocking(False)
 
     def close(self) -> None:
+        """Closes the socket; open connections are left alone."""
         self.world.loop.remove_reader(self.sock.fileno())
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
         self.sock.close()
 
-    def shut(self) -> None:
-        """Connections are refused: the port is held, and nobody listens."""
+    def refuse_connections(self) -> None:
+        """Refuses connections: the port stays bound, and nothing listens on it."""
         self.close()
         self.bind()
 
-    def open(self, server: LiveServer) -> None:
-        self.shut()
-        self.behind = server
+    def open(self, server: LoopbackServer) -> None:
+        """Accepts connections for a server."""
+        self.refuse_connections()
+        self.server = server
         self.sock.listen(1024)
         self.world.loop.add_reader(self.sock.fileno(), self.accept)
 
-    def silence(self) -> None:
-        """The kernel drops what would connect: nobody accepts, and the queue is full."""
-        self.shut()
+    def drop_connections(self) -> None:
+        """Makes the kernel drop connection attempts: nothing accepts, and the accept queue is full."""
+        self.refuse_connections()
         self.sock.listen(0)
-        for _ in range(FILLED):
+        for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             with suppress(BlockingIOError):
@@ -85,47 +88,49 @@
             while True:
                 sock, _ = self.sock.accept()
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self.world.keep(
-                    self.world.loop.connect_accepted_socket(lambda: Connection(self.world, self.behind), sock)
+                self.world.start_task(
+                    self.world.loop.connect_accepted_socket(
+                        lambda: ServerConnection(self.world, self.server), sock
+                    )
                 )
 
 
-class LiveServer(Server):
-    """A server of the model with connections; `door` is given once it has a place."""
+class LoopbackServer(Server):
+    """A server of the model with real connections; its listener is set when it is given an address."""
 
-    door: Door | None = None
+    listener: ServerListener | None = None
 
-    def __init__(self, *given: Any, **named: Any) -> None:
-        super().__init__(*given, **named)
-        self.connections: set[Connection] = set()
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
+        self.connections: set[ServerConnection] = set()
 
     def kill(self) -> None:
         super().kill()
-        if self.door is not None and self.door.behind is self:
-            self.door.shut()
+        if self.listener is not None and self.listener.server is self:
+            self.listener.refuse_connections()
         for connection in list(self.connections):
             connection.reset()
 
     def start(self, cold: bool = True) -> None:
         super().start(cold)
-        if self.door is not None:
-            self.door.open(self)
+        if self.listener is not None:
+            self.listener.open(self)
 
     def silence(self) -> None:
         super().silence()
-        if self.door is not None:
-            self.door.silence()
+        if self.listener is not None:
+            self.listener.drop_connections()
 
 
-class Connection(ServerEnd):
-    """One connection to a server: a request at a time, answered when the model says so."""
+class ServerConnection(HttpServerProtocol):
+    """One connection to a server, with one request at a time, answered when the model decides."""
 
-    def __init__(self, world: Ground, server: LiveServer | None) -> None:
+    def __init__(self, world: LoopbackHost, server: LoopbackServer | None) -> None:
         super().__init__()
         self.world = world
         self.server = server
         self.job: Job | None = None
-        self.ask = -1
+        self.submission = -1
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
@@ -134,69 +139,72 @@
         else:
             self.server.connections.add(self)
 
-    def connection_lost(self, trouble: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         if self.server is None:
             return
         self.server.connections.discard(self)
-        ask, self.ask = self.ask, -1
-        if ask < 0:
+        submission, self.submission = self.submission, -1
+        if submission < 0:
             return
-        if self.job is None:  # on its way, or lost where nothing answers
-            self.world.judge.returned(ask)
+        if self.job is None:  # still on the way, or lost at a silent server
+            self.world.judge.returned(submission)
         elif not self.job.gone:
             self.server.cancelled(self.job)
 
-    def malformed(self, trouble: MalformedMessageError) -> None:
-        self.world.note(f"server got {trouble}")
+    def malformed_message(self, error: MalformedMessageError) -> None:
+        self.world.note(f"server received {error}")
         self.reset()
 
-    def came(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         world, server = self.world, self.server
         if server is None:
             return
-        self.ask = int(request.header("x-trace-id").partition("-")[0], 16)
-        sidecar = self.ask >> 32
-        hall = world.hall_of(sidecar)
-        world.judge.sent(sidecar, server.number, self.ask)
-        world.network.carry(hall, server.hall, self.arrive, self.ask, sidecar, request.header("x-object"))
+        self.submission = int(request.header("x-trace-id").partition("-")[0], 16)
+        sidecar = self.submission >> 32
+        zone = world.zone_of(sidecar)
+        world.judge.sent(sidecar, server.number, self.submission)
+        world.network.carry(
+            zone, server.hall, self.hop_arrived, self.submission, sidecar, request.header("x-object")
+        )
 
-    def arrive(self, ask: int, sidecar: int, key: str) -> None:
+    def hop_arrived(self, submission: int, sidecar: int, key: str) -> None:
         world, server = self.world, self.server
-        if self.ask != ask or server is None:
-            return  # given up on the way
+        if self.submission != submission or server is None:
+            return  # the sidecar gave it up on the way
 
         def reply(outcome: Outcome) -> None:
-            world.judge.returned(ask)
+            world.judge.returned(submission)
             self.job = None
-            if self.ask == ask:
-                self.ask = -1
+            if self.submission == submission:
+                self.submission = -1
                 if not server.silent:
-                    world.network.carry(server.hall, world.hall_of(sidecar), self.answer, outcome)
+                    world.network.carry(server.hall, world.zone_of(sidecar), self.send_response, outcome)
 
         job = Job(
-            ask,
+            submission,
             int(key or "0", 16),
             sidecar,
-            world.work(ask),
+            world.work(submission),
             reply,
             world.registry.knows_start(sidecar, server.number, server.came_up),
         )
         if server.came(job) and not job.gone:
             self.job = job
 
-    def answer(self, outcome: Outcome) -> None:
+    def send_response(self, outcome: Outcome) -> None:
         if self.transport.is_closing():
             return
-        if outcome not in ANSWERS:
+        if outcome not in RESPONSES:
             self.reset()
         elif outcome == Outcome.OK and self.server is not None and self.server.stalls():
-            self.transport.write(ANSWERS[outcome][: -len(BODY) // 2])  # and no more
+            self.transport.write(RESPONSES[outcome][: -len(BODY) // 2])  # the rest never follows
         else:
-            self.transport.write(ANSWERS[outcome])
+            self.transport.write(RESPONSES[outcome])
 
     def reset(self) -> None:
+        """Ends the connection with a TCP reset."""
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
             with suppress(OSError):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.transport.abort()
--- /dev/null
+++ b/pumicepath/lab/verification/__init__.py
@@ -0,0 +1,1 @@
+"""Faults of real processes (clocks, disks), the recorded history of a run, and its checks."""
--- a/pumicepath/lab/faults/recording.py
+++ b/pumicepath/lab/verification/recording.py
@@ -1,6 +1,7 @@
-"""The model's judge, writing down all that it is told: `Recorded` in place of `Judge`.
+"""The model's rule checker with a recorded history.
 
-`replayed` judges a history again, without the run: the same code on what was seen then.
+`RecordingRuleChecker` writes every event that it is given to the history before it checks it; `replay`
+feeds a history to the same checks again, without the run.
 """
 
 from __future__ import annotations
@@ -19,7 +20,9 @@
 from .history import History, Line
 
 
-class Recorded(Judge):
+class RecordingRuleChecker(Judge):
+    """A rule checker that records each event of clients, servers and processes in a history."""
+
     def __init__(
         self,
         timeline: Timeline,
@@ -94,54 +97,57 @@
         super().stop(sidecar, stopped)
 
 
-class Told:
-    """A registry that knows what was written beside each hop."""
+class ReplayedRegistry:
+    """Stands in for the registry in a replay: it answers with what the history says of the current hop."""
 
     def __init__(self) -> None:
-        self.since: int | None = None
+        self.known_since: int | None = None
 
     def knows_since(self, sidecar: int, server: int) -> int | None:
-        return self.since
+        return self.known_since
 
 
-def replayed(lines: Sequence[Line]) -> Judge:
-    """The judge as it stood at the end of a history, by what clients and servers saw in it."""
+def replay(lines: Sequence[Line]) -> Judge:
+    """Returns the rule checker in its state after all events of a history."""
     head = lines[0]
     plan = Plan(**head["plan"])
-    tariffs = decode_settings(told(plan, 0, 0)).request_classes
-    timeline, registry = Virtual(), Told()
-    judge = Judge(timeline, tariffs, registry, micros(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
+    request_classes = decode_settings(told(plan, 0, 0)).request_classes
+    timeline, registry = Virtual(), ReplayedRegistry()
+    checker = Judge(timeline, request_classes, registry, micros(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
     for line in lines:
         timeline.run(line["at"])
-        tell(judge, registry, line)
-    return judge
+        replay_line(checker, registry, line)
+    return checker
 
 
-def tell(judge: Judge, registry: Told, line: Line) -> None:
+def replay_line(checker: Judge, registry: ReplayedRegistry, line: Line) -> None:
+    """Feeds one line of a history to a rule checker; lines of other kinds are ignored."""
     what: Any = line["what"]
     if what == "tried":
-        judge.tried(line["ask"], line["tariff"], line["until"])
+        checker.tried(line["ask"], line["tariff"], line["until"])
     elif what == "answered":
-        judge.answered(line["ask"], line["end"])
+        checker.answered(line["ask"], line["end"])
     elif what == "gone":
-        judge.gone(line["ask"], line["why"])
+        checker.gone(line["ask"], line["why"])
     elif what == "patience_over":
-        judge.patience_over(line["ask"])
+        checker.patience_over(line["ask"])
     elif what == "closed":
-        judge.closed(line["ask"])
+        checker.closed(line["ask"])
     elif what == "sent":
-        registry.since = line["told"]
-        judge.sent(line["sidecar"], line["server"], line["ask"])
+        registry.known_since = line["told"]
+        checker.sent(line["sidecar"], line["server"], line["ask"])
     elif what == "returned":
-        judge.returned(line["ask"])
+        checker.returned(line["ask"])
     elif what == "ran":
-        at: Any = SimpleNamespace(number=line["server"], hall=line["hall"], cell=line["cell"])
-        work: Any = SimpleNamespace(ask=line["ask"])
-        judge.ran(line["at"], work, at)
+        server: Any = SimpleNamespace(number=line["server"], hall=line["hall"], cell=line["cell"])
+        job: Any = SimpleNamespace(ask=line["ask"])
+        checker.ran(line["at"], job, server)
     elif what == "pushed_over":
-        fallen: Any = SimpleNamespace(number=line["server"], arrivals=[(0, line["work"])])
-        judge.pushed_over(
-            line["at"], fallen, {each: 0 for each in range(1, line["sidecars"])} | {0: line["knowing"]}
+        cold_server: Any = SimpleNamespace(number=line["server"], arrivals=[(0, line["work"])])
+        checker.pushed_over(
+            line["at"],
+            cold_server,
+            {sender: 0 for sender in range(1, line["sidecars"])} | {0: line["knowing"]},
         )
     elif what in ("stopped", "going_on"):
-        judge.stop(line["sidecar"], what == "stopped")
+        checker.stop(line["sidecar"], what == "stopped")
--- a/tests/following_rig.py
+++ b/tests/following_rig.py
@@ -12,7 +12,7 @@
 
 from pumicepath.distribution.relay_selector import RelaySelector
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 
 
 class ScriptedRelay:
@@ -47,7 +47,7 @@
         sock.settimeout(None)
         parser = RequestParser()
         try:
-            while (request := next_of(sock, parser)) is not None:
+            while (request := read_message(sock, parser)) is not None:
                 with self.changed:
                     self.requests.append((time.monotonic(), request.target))
                     data = self.answer(request.target)
@@ -67,10 +67,10 @@
         if self.state == "silent":
             return b""
         if self.state == "busy":
-            return answer(503)
+            return http_response(503)
         whole = not self.first <= since <= self.seq
         lines = list(self.lines.values()) if whole else [one for seq, one in self.changes if seq > since]
-        return answer(
+        return http_response(
             200, json.dumps({"seq": self.seq, "whole": whole, "hosts": lines, "regions": self.regions})
         )
 
@@ -100,16 +100,16 @@
         return f"since={self.seq}&" in (self.requests[-1][1] if self.requests else "")
 
 
-class AnsweringServer(Peer):
+class AnsweringServer(ScriptedServer):
     """A server that answers 200 to every request."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
         sock.settimeout(None)
         with sock, contextlib.suppress(OSError):
-            while next_of(sock, parser) is not None:
-                self.lines.append(f"{self.name}: asked")
-                sock.sendall(answer(200, "fine"))
+            while read_message(sock, parser) is not None:
+                self.transcript.append(f"{self.name}: asked")
+                sock.sendall(http_response(200, "fine"))
 
 
 class RelayDeployment(Deployment):
@@ -119,34 +119,34 @@
         self, folder: Path, count: int, max_wait: float = 0.6, servers: int = 2, **changed: Any
     ) -> None:
         super().__init__(folder, 0, **changed)
-        self.servers = [AnsweringServer(f"s-{at}", self.script, self.lines) for at in range(servers)]
-        self.told["known"] = self.listing(1, True, "active")
+        self.servers = [AnsweringServer(f"s-{at}", self.script, self.transcript) for at in range(servers)]
+        self.configuration["known"] = self.list_document(1, True, "active")
         relays = {relay.address: relay for relay in (ScriptedRelay(1000 * (at + 1)) for at in range(count))}
         order = RelaySelector("n0", list(relays), lambda: 0.5).order
         self.relays = [relays[at] for at in order]
-        self.told["relays"] = list(relays)
+        self.configuration["relays"] = list(relays)
         if max_wait:
-            self.told["settings"]["rules"]["askEveryS"] = max_wait / 2
+            self.configuration["settings"]["rules"]["askEveryS"] = max_wait / 2
         self.write_config()
 
     def write_config(self, **changed: Any) -> None:
-        self.told.update(changed)
-        self.config.write_text(json.dumps(self.told))
+        self.configuration.update(changed)
+        self.config_path.write_text(json.dumps(self.configuration))
 
     def lines_with_health(self, *healths: str) -> list[dict]:
         return [
             {**line, "health": health}
-            for line, health in zip(self.listing(1, True, "active")["hosts"], healths)
+            for line, health in zip(self.list_document(1, True, "active")["hosts"], healths)
         ]
 
     def servers_used(self, requests: int) -> set[str]:
         """The servers that receive anything until `requests` are served, however slow the machine is."""
-        del self.lines[:]
+        del self.transcript[:]
         end = time.monotonic() + 20
         while requests:
             assert time.monotonic() < end
-            with socket.create_connection(self.where) as sock:
+            with socket.create_connection(self.address) as sock:
                 self.send("read", sock=sock)
-                response = self.hear(sock, ResponseParser())
+                response = self.receive(sock, ResponseParser())
             requests -= response is not None and response.status == 200
-        return {line.partition(":")[0] for line in self.lines if line.startswith("s-")}
+        return {line.partition(":")[0] for line in self.transcript if line.startswith("s-")}
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -16,7 +16,7 @@
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
 from pumicepath.interface import ListKind
-from pumicepath.lab.loopback.scripted import Deployment, Peer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, read_message
 from pumicepath.sidecar import config
 from pumicepath.sidecar.client import Client
 from pumicepath.sidecar.clients import Clients
@@ -37,14 +37,14 @@
 
     def __init__(self, folder: Path, servers: int = 1, **settings: Any) -> None:
         self.deployment = Deployment(folder, servers)
-        configuration = self.deployment.told
+        configuration = self.deployment.configuration
         for key, value in settings.items():
             configuration["settings"][key] = value
         self.config = config.decode_config(configuration)
         self.dispatcher = Dispatcher(self.config, NullLog(), lambda: None)  # type: ignore[arg-type]
         self.clients = Clients(self.dispatcher)
         self.clients.listener.settimeout(20)
-        update = ServerList(["a"], lambda born: 0).apply(self.deployment.listing(1, True, "active"))
+        update = ServerList(["a"], lambda born: 0).apply(self.deployment.list_document(1, True, "active"))
         self.dispatcher.update_servers(ListKind.FULL, update)
         start_thread(self.dispatcher.run_timers)
 
@@ -99,7 +99,7 @@
 
 def read_status(sock: socket.socket) -> int:
     """Return the status of the next response, or 0 if there is none."""
-    response = next_of(sock, ResponseParser())
+    response = read_message(sock, ResponseParser())
     return response.status if response is not None else 0
 
 
@@ -113,8 +113,8 @@
     for sock in filling:
         sock.setblocking(False)
         sock.connect_ex(listener.getsockname())
-    peer = Peer.__new__(Peer)
+    peer = ScriptedServer.__new__(ScriptedServer)
     peer.name, peer.address = "late", f"127.0.0.1:{listener.getsockname()[1]}"
     deployment.servers = [peer]
-    deployment.told["known"] = deployment.listing(1, True, "active")
+    deployment.configuration["known"] = deployment.list_document(1, True, "active")
     return listener, filling
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 from pumicepath.http1.messages import Request
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.interface import ListKind, Outcome
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 from pumicepath.sidecar import arrival, clock
 from pumicepath.sidecar.exchange import Exchange
 from pumicepath.sidecar.servers import ServerConnection, start_thread
@@ -55,19 +55,19 @@
             wait_until(lambda: clock.now() - client.state_since > 10_000)
             resume.release()
             if not leaves:
-                rig.deployment.script.put(answer(200, "served", ENDS))
+                rig.deployment.script.put(http_response(200, "served", ENDS))
                 assert read_status(client_socket) == 200
                 client_socket.close()
             wait_until(lambda: client not in rig.clients.open)
 
     run_request("stays", False)
     run_request("leaves", True)
-    assert rig.deployment.lines == ["s-0: GET /stays stays"]
+    assert rig.deployment.transcript == ["s-0: GET /stays stays"]
     wait_until(lambda: not rig.dispatcher.exchanges)
     # The unused connection serves the next request.
     client_socket, client = rig.connect()
     client_socket.sendall(rig.request("next"))
-    rig.deployment.script.put(answer(200, "served"))
+    rig.deployment.script.put(http_response(200, "served"))
     start_thread(client.run)
     assert read_status(client_socket) == 200 and rig.dispatcher.pool.open_count == 1
 
@@ -75,20 +75,20 @@
 def test_a_request_whose_client_left_during_a_slow_connect_is_not_sent_by_the_process(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 0)
     listener, full = server_with_full_backlog(deployment)
-    deployment.told["settings"]["policyLimits"]["dialTimeoutS"] = 15.0
-    deployment.told["settings"]["tariffs"][1]["patienceS"] = 20.0
-    deployment.told["admin_addr"] = "127.0.0.1:0"
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.configuration["settings"]["policyLimits"]["dialTimeoutS"] = 15.0
+    deployment.configuration["settings"]["tariffs"][1]["patienceS"] = 20.0
+    deployment.configuration["admin_addr"] = "127.0.0.1:0"
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
     with deployment.running():
         deployment.send("once", 20_000)
-        wait_until(lambda: any(value for name, value in deployment.figures().items() if "current" in name))
-        deployment.client.close()
+        wait_until(lambda: any(value for name, value in deployment.metrics().items() if "current" in name))
+        deployment.client_socket.close()
         filling = [sock.getsockname() for sock in full]
         listener.settimeout(20)
         while (accepted := listener.accept())[1] in filling:
             pass
         # The next request must be the first that is written, on that connection or on one of its own.
-        deployment.client = socket.create_connection(deployment.where)
+        deployment.client_socket = socket.create_connection(deployment.address)
         deployment.send("once", 20_000)
         sockets = [accepted[0]]
         data = b""
@@ -119,7 +119,7 @@
         rig = Rig(tmp_path, 2, tariffs=[request_class])
         client_socket, client = rig.connect()
         rig.deployment.script.put("reset")
-        rig.deployment.script.put(answer(200, "served", ENDS))
+        rig.deployment.script.put(http_response(200, "served", ENDS))
         with paused(monkeypatch, ServerConnection, "connect", before=False) as (reached, resume):
             client_socket.sendall(rig.request("twice", expires=60_000))
             start_thread(client.run)
@@ -133,7 +133,7 @@
             resume.release()
             lines.append(
                 f"{group}, window {'over' if expired else 'open'}: {read_status(client_socket)} after "
-                f"{len(rig.deployment.lines)} sends"
+                f"{len(rig.deployment.transcript)} sends"
             )
 
     for group in ("all", "zone"):
@@ -161,11 +161,11 @@
             assert reached.acquire(timeout=20)
         (exchange,) = rig.dispatcher.exchanges.values()
         chosen = next(peer for peer in servers if stable_id(peer.name) == exchange.hops[-1].server)
-        before = [line for line in rig.deployment.lines if line.startswith(chosen.name)]
+        before = [line for line in rig.deployment.transcript if line.startswith(chosen.name)]
         if change == "by hand":
             assert rig.dispatcher.set_out_of_service(chosen.name, True)
         else:
-            listing = rig.deployment.listing(2, change == "not there", "active")
+            listing = rig.deployment.list_document(2, change == "not there", "active")
             listing["hosts"] = [
                 host for host in listing["hosts"] if (host["host"] == chosen.name) != listing["whole"]
             ]
@@ -173,10 +173,10 @@
                 host.update({"born_ms": 5} if change == "started anew" else {"health": change})
             update = ServerList(["a"], lambda born: born).apply(listing)
             rig.dispatcher.update_servers(ListKind.FULL if listing["whole"] else ListKind.CHANGES, update)
-        rig.deployment.script.put((answer(200, "elsewhere"), "end"))
+        rig.deployment.script.put((http_response(200, "elsewhere"), "end"))
         resume.release(100)
         assert read_status(client_socket) in (200, 503)
-        assert [line for line in rig.deployment.lines if line.startswith(chosen.name)] == before
+        assert [line for line in rig.deployment.transcript if line.startswith(chosen.name)] == before
 
 
 def test_nothing_is_written_after_the_deadline_or_the_final_answer(tmp_path: Path) -> None:
@@ -201,7 +201,7 @@
 ) -> None:
     rig = Rig(tmp_path, policyLimits={"mostHops": 1, "connIdleS": 30.0, "dialTimeoutS": 15.0})
     listener, filling = server_with_full_backlog(rig.deployment)
-    update = ServerList(["a"], lambda born: 0).apply(rig.deployment.listing(2, True, "active"))
+    update = ServerList(["a"], lambda born: 0).apply(rig.deployment.list_document(2, True, "active"))
     rig.dispatcher.update_servers(ListKind.FULL, update)
     # As on a platform where a connect goes on although another thread shuts the socket down.
     monkeypatch.setattr(ServerConnection, "shutdown", lambda connection: None)
@@ -240,7 +240,7 @@
         assert isinstance(connection, ServerConnection) and connection.instance is not None
         connection.connect(connection.instance.address, hop)
         parser = ResponseParser()
-        parser.feed(answer(200, "in hand"))
+        parser.feed(http_response(200, "in hand"))
         response = parser.next()
         steps = {
             "deadline": lambda: rig.dispatcher.run_locked(exchange.on_timer),
@@ -263,34 +263,37 @@
 def test_a_truncated_or_reset_response_is_not_used_and_full_counts_only_when_complete(tmp_path: Path) -> None:
     unframed = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nsome of it"
     steps = {
-        "full, whole, then a reset": [(answer(503, "", NEVER), "reset"), answer(200, "elsewhere")],
-        "full, cut by a reset": [(answer(503, "long", NEVER)[:-2], "reset")],
-        "full, cut by an end": [(answer(503, "long", NEVER)[:-2], "end")],
+        "full, whole, then a reset": [
+            (http_response(503, "", NEVER), "reset"),
+            http_response(200, "elsewhere"),
+        ],
+        "full, cut by a reset": [(http_response(503, "long", NEVER)[:-2], "reset")],
+        "full, cut by an end": [(http_response(503, "long", NEVER)[:-2], "end")],
         "no length, ended": [(unframed, "end")],
         "no length, reset": [(unframed, "reset")],
-        "whole, then a reset": [(answer(200, "whole"), "reset")],
+        "whole, then a reset": [(http_response(200, "whole"), "reset")],
         "two answers at once, then a request": [
-            answer(200, "first") + answer(200, "second"),
-            answer(200, "its own"),
+            http_response(200, "first") + http_response(200, "second"),
+            http_response(200, "its own"),
         ],
     }
     with Deployment(tmp_path, 2).running() as deployment:
         for name, script in steps.items():
-            deployment.lines.append(f"-- {name}")
-            deployment.ask("once", *script)
+            deployment.transcript.append(f"-- {name}")
+            deployment.submit("once", *script)
             if name.startswith("two"):
-                deployment.ask("once")
+                deployment.submit("once")
     # Which of the two servers is used does not matter.
-    check_trace("crossed-answers", [line.replace("s-1", "s-0") for line in deployment.lines])
+    check_trace("crossed-answers", [line.replace("s-1", "s-0") for line in deployment.transcript])
 
 
 def test_a_client_that_half_closes_still_gets_the_response_of_a_hop_in_flight(tmp_path: Path) -> None:
     with Deployment(tmp_path, 1).running() as deployment:
         deployment.send("once")
-        assert deployment.servers[0].met.acquire(timeout=20)
-        deployment.client.shutdown(socket.SHUT_WR)
-        deployment.script.put(answer(200, "all the same"))
-        assert read_status(deployment.client) == 200
+        assert deployment.servers[0].received_requests.acquire(timeout=20)
+        deployment.client_socket.shutdown(socket.SHUT_WR)
+        deployment.script.put(http_response(200, "all the same"))
+        assert read_status(deployment.client_socket) == 200
 
 
 def test_a_shorter_dedup_window_applies_to_requests_read_after_the_reload(
@@ -315,7 +318,7 @@
     def run_request(name: str, reloads: bool) -> int:
         client_socket, client = rig.connect()
         rig.deployment.script.put("reset")
-        rig.deployment.script.put(answer(200, "served", ENDS))
+        rig.deployment.script.put(http_response(200, "served", ENDS))
         with paused(monkeypatch, ServerConnection, "connect", before=False) as (reached, resume):
             client_socket.sendall(rig.request(name, expires=60_000))
             start_thread(client.run)
@@ -325,8 +328,8 @@
             resume.release(100)
             return read_status(client_socket)
 
-    assert run_request("before", True) == 200 and len(rig.deployment.lines) == 2
-    assert run_request("after", False) == 503 and len(rig.deployment.lines) == 3
+    assert run_request("before", True) == 200 and len(rig.deployment.transcript) == 2
+    assert run_request("after", False) == 503 and len(rig.deployment.transcript) == 3
 
 
 # -- idle closes
@@ -336,17 +339,17 @@
     """A listener as the only server, a client's socket, and the server's end of an idle connection."""
     server = socket.create_server(("127.0.0.1", 0))
     server.settimeout(20)
-    peer = Peer.__new__(Peer)
+    peer = ScriptedServer.__new__(ScriptedServer)
     peer.name, peer.address = "s-0", f"127.0.0.1:{server.getsockname()[1]}"
     rig.deployment.servers = [peer]
-    update = ServerList(["a"], lambda born: 0).apply(rig.deployment.listing(2, True, "active"))
+    update = ServerList(["a"], lambda born: 0).apply(rig.deployment.list_document(2, True, "active"))
     rig.dispatcher.update_servers(ListKind.FULL, update)
     client_socket, client = rig.connect()
     start_thread(client.run)
     client_socket.sendall(rig.request("first"))
     server_socket = server.accept()[0]
     assert b"first" in server_socket.recv(65536)
-    server_socket.sendall(answer(200, "first"))
+    server_socket.sendall(http_response(200, "first"))
     assert read_status(client_socket) == 200
     return server, client_socket, server_socket
 
@@ -360,13 +363,13 @@
     server, client_socket, server_socket = idle_connection(rig)
     client_socket.sendall(rig.request("second"))
     assert b"second" in server_socket.recv(65536)
-    server_socket.sendall(answer(200, "first") + answer(200, "second"))
+    server_socket.sendall(http_response(200, "first") + http_response(200, "second"))
     assert read_status(client_socket) == 200
     client_socket.sendall(rig.request("third"))
     new_socket = server.accept()[0]
     assert b"third" in new_socket.recv(65536)
-    new_socket.sendall(answer(200, "third"))
-    response = next_of(client_socket, ResponseParser())
+    new_socket.sendall(http_response(200, "third"))
+    response = read_message(client_socket, ResponseParser())
     assert response is not None and response.body == b"third"
 
 
@@ -389,7 +392,7 @@
         if event == "reset":
             server_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         if event.startswith("an answer"):
-            server_socket.sendall(answer(200, "nobody's"))
+            server_socket.sendall(http_response(200, "nobody's"))
         else:
             server_socket.close()
         wait_until(lambda: not connection.is_reusable())
@@ -397,8 +400,8 @@
         server.settimeout(20)
         new_socket = server.accept()[0]
         assert b"second" in new_socket.recv(65536)
-        new_socket.sendall(answer(200, "second"))
-        response = next_of(client_socket, ResponseParser())
+        new_socket.sendall(http_response(200, "second"))
+        response = read_message(client_socket, ResponseParser())
     assert response is not None and response.body == b"second"
 
 
@@ -431,7 +434,7 @@
     client_socket, client = rig.connect()
     start_thread(client.run)
     client_socket.sendall(rig.request("one"))
-    assert rig.deployment.servers[0].met.acquire(timeout=20)
+    assert rig.deployment.servers[0].received_requests.acquire(timeout=20)
     (exchange,) = rig.dispatcher.exchanges.values()
     connection = exchange.hops[0].connection
     assert isinstance(connection, ServerConnection) and connection.sock is not None
@@ -443,26 +446,26 @@
     assert watcher.connect().getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-class AnsweringPeer(Peer):
+class AnsweringPeer(ScriptedServer):
     """A server that answers every request."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
         with sock, contextlib.suppress(OSError):
-            while next_of(sock, parser) is not None:
-                sock.sendall(answer(200, "served"))
+            while read_message(sock, parser) is not None:
+                sock.sendall(http_response(200, "served"))
 
 
 def test_clients_that_flood_and_disconnect_do_not_starve_others(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 0, limits={"memory_mb": 192, "sockets": 120})
     deployment.servers = [AnsweringPeer("s-0", queue.SimpleQueue(), [])]
-    deployment.told["known"] = deployment.listing(1, True, "active")
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.configuration["known"] = deployment.list_document(1, True, "active")
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
 
     def flood(number: int) -> None:
         for turn in range(40):
             headers = [("Host", "api"), ("X-Qos", "read"), ("X-Trace-Id", f"flood-{number}-{turn}")]
-            with contextlib.suppress(OSError), socket.create_connection(deployment.where) as sock:
+            with contextlib.suppress(OSError), socket.create_connection(deployment.address) as sock:
                 sock.sendall(writing.request("GET", "/", headers) * 3 + b"GET / HTTP/9\r\n\r\nand so on")
 
     with deployment.running():
@@ -473,12 +476,12 @@
 
         def ask() -> int:
             deployment.send("read")
-            response = next_of(deployment.client, deployment.parser)
+            response = read_message(deployment.client_socket, deployment.client_parser)
             if (
                 response is None or not response.keeps_alive()
             ):  # closed between two requests, as any connection may be
-                deployment.client, deployment.parser = (
-                    socket.create_connection(deployment.where),
+                deployment.client_socket, deployment.client_parser = (
+                    socket.create_connection(deployment.address),
                     ResponseParser(),
                 )
             return response.status if response is not None else 0
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -11,7 +11,7 @@
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.interface import ListKind
-from pumicepath.lab.loopback.scripted import Deployment, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, http_response, read_message
 from pumicepath.sidecar import arrival, clock, config
 from pumicepath.sidecar.admission_gate import AdmissionGate
 from pumicepath.sidecar.client import BUSY, DRAINING, FRESH, IDLE, Client
@@ -36,7 +36,7 @@
     """A stand-in for the set of client connections, with a dispatcher that has no servers."""
 
     def __init__(self, folder: Path) -> None:
-        self.config = config.decode_config(Deployment(folder, 0).told)
+        self.config = config.decode_config(Deployment(folder, 0).configuration)
         self.dispatcher = Dispatcher(self.config, Log("n0"), None)
         self.fresh: dict = {}
         self.bad_requests: Counter[str] = Counter()
@@ -61,7 +61,7 @@
         assert client.expire(state) and client.state == DRAINING
         thread = threading.Thread(target=client.run)
         thread.start()
-        response = next_of(client_socket, ResponseParser())
+        response = read_message(client_socket, ResponseParser())
         lines.append(
             f"{name}: {response.status if response else 'closed'}"
             f"{', closed' if response and not response.keeps_alive() else ''}"
@@ -87,7 +87,7 @@
 
 
 def test_slots_are_passed_on_and_rejected_waiters_are_woken(tmp_path: Path) -> None:
-    gate = AdmissionGate(config.decode_config(Deployment(tmp_path, 0).told))
+    gate = AdmissionGate(config.decode_config(Deployment(tmp_path, 0).configuration))
     now = clock.now()
     assert all(gate.enter(now, now + 2_000_000, 0, False, 5000.0) for _ in range(MAX_ACTIVE))
     results: deque = deque()
@@ -205,15 +205,15 @@
     heads = []
     for allowed in (True, False):
         deployment = Deployment(tmp_path, 0)
-        deployment.told["settings"]["policyLimits"]["retryAfter"] = allowed
+        deployment.configuration["settings"]["policyLimits"]["retryAfter"] = allowed
         owner = ClientOwner(tmp_path)
-        owner.dispatcher = Dispatcher(config.decode_config(deployment.told), Log("n0"), None)
+        owner.dispatcher = Dispatcher(config.decode_config(deployment.configuration), Log("n0"), None)
         owner.dispatcher.admission_gate.queue.offer = lambda *_: AdmissionResult.REJECTED
         server_socket, client_socket = connected_sockets()
         client, parser = Client(server_socket, owner, clock.now()), RequestParser()
         parser.feed(b"GET /api HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\n\r\n")
         assert client.reject_early(parser, clock.now()) and parser.is_idle()
-        response = next_of(client_socket, ResponseParser())
+        response = read_message(client_socket, ResponseParser())
         heads.append((response.status, bool(response.header("Retry-After")), response.keeps_alive()))
     assert heads == [(503, True, True), (503, False, True)]
 
@@ -227,22 +227,22 @@
 def test_requests_that_piled_up_while_the_sidecar_was_stopped_are_answered_once_each(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 3)
     with deployment.running():
-        clients = [socket.create_connection(deployment.where) for _ in range(40)]
+        clients = [socket.create_connection(deployment.address) for _ in range(40)]
         for sock in clients:
-            deployment.script.put(answer(200, "first"))
+            deployment.script.put(http_response(200, "first"))
             deployment.send("once", sock=sock, body="lot")
-            deployment.hear(sock, ResponseParser())
+            deployment.receive(sock, ResponseParser())
         deployment.process.send_signal(signal.SIGSTOP)
         for sock in clients:
-            deployment.script.put(answer(200, "second"))
+            deployment.script.put(http_response(200, "second"))
             deployment.send("once", sock=sock, body="lot")
         deployment.process.send_signal(signal.SIGCONT)
         for sock in clients:
-            deployment.hear(sock, ResponseParser())
+            deployment.receive(sock, ResponseParser())
         deployment.process.send_signal(signal.SIGTERM)
-        stopped = deployment.event("stopped")
-    ends = Counter(line.split(" ", 1)[1] for line in deployment.lines if line.startswith("client"))
-    runs = Counter(line.split()[3] for line in deployment.lines if not line.startswith("client"))
+        stopped = deployment.next_event("stopped")
+    ends = Counter(line.split(" ", 1)[1] for line in deployment.transcript if line.startswith("client"))
+    runs = Counter(line.split()[3] for line in deployment.transcript if not line.startswith("client"))
     # More requests at once than slots: each was served, none ran twice, and nothing is left.
     assert ends == {"200 first": 40, "200 second": 40} and set(runs.values()) == {1} and len(runs) == 80
     assert (stopped["clients"], stopped["taken"], stopped["broken"]) == (0, 80, {})
--- a/tests/test_dropped.py
+++ b/tests/test_dropped.py
@@ -7,7 +7,7 @@
 
 from pumicepath.balancer import MAX_UNLISTED_US
 from pumicepath.interface import ListKind, Outcome, ServerState
-from pumicepath.lab.loopback.scripted import Deployment, answer
+from pumicepath.lab.loopback.scripted import Deployment, http_response
 
 from .helpers import SECOND, ScriptedHost, check_host_trace, check_trace, make_entry, make_settings
 
@@ -76,16 +76,20 @@
 
 def test_a_sidecar_still_sends_to_a_server_missing_from_the_list(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 1)
-    deployment.told["settings"]["rules"]["drainBindsAlone"] = True
-    deployment.config.write_text(json.dumps(deployment.told))
-    full_list = deployment.listing(2, True, "active")
-    deployment.lists.put(answer(200, json.dumps({**full_list, "hosts": []})))
-    deployment.discovery.script = deployment.lists
+    deployment.configuration["settings"]["rules"]["drainBindsAlone"] = True
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
+    full_list = deployment.list_document(2, True, "active")
+    deployment.discovery_script.put(http_response(200, json.dumps({**full_list, "hosts": []})))
+    deployment.discovery.script = deployment.discovery_script
     with deployment.running():
-        assert deployment.discovery.met.acquire(timeout=5) and deployment.discovery.met.acquire(timeout=5)
+        assert deployment.discovery.received_requests.acquire(
+            timeout=5
+        ) and deployment.discovery.received_requests.acquire(timeout=5)
         # The second call has arrived, so the empty list has been applied.
-        deployment.ask("read", answer(200, "though the list is empty"))
-        deployment.lists.put(answer(200, json.dumps(deployment.listing(3, False, "leaving"))))
-        assert deployment.discovery.met.acquire(timeout=5)
-        deployment.ask("read")
-    check_trace("dropped_then_draining", deployment.lines)
+        deployment.submit("read", http_response(200, "though the list is empty"))
+        deployment.discovery_script.put(
+            http_response(200, json.dumps(deployment.list_document(3, False, "leaving")))
+        )
+        assert deployment.discovery.received_requests.acquire(timeout=5)
+        deployment.submit("read")
+    check_trace("dropped_then_draining", deployment.transcript)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -19,9 +19,9 @@
 )
 from pumicepath.fleet.messages import MAX_BATCH_ITEMS
 from pumicepath.fleet.settings import Voting
-from pumicepath.lab.faults.checks import fencing, one_holder
 from pumicepath.lab.model.links import Links
 from pumicepath.lab.model.timeline import Virtual
+from pumicepath.lab.verification.checks import fencing, one_holder
 from pumicepath.lab.virtual.holders import DRIFT, Found, Planted, schedule
 from pumicepath.lab.virtual.peers import Peering, address
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
 
 from pumicepath.fleet.messages import ALIVE, LEFT, SUSPECTED, Ping, Record, Updates, encode_message
 from pumicepath.lab.loopback.scripted import Deployment
-from pumicepath.lab.loopback.world import LiveWorld
+from pumicepath.lab.loopback.world import LoopbackWorld
 from pumicepath.lab.model.links import Noise
 from pumicepath.lab.model.views import wrong
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
@@ -38,7 +38,7 @@
 class RunningFleet:
     """The running world and its sidecars, with waits for expected states."""
 
-    def __init__(self, world: LiveWorld) -> None:
+    def __init__(self, world: LoopbackWorld) -> None:
         self.world = world
         self.sidecars = world.sidecars
 
@@ -49,7 +49,7 @@
         deadline = time.monotonic() + TIMEOUT_S
         while True:
             running = [sidecar for sidecar in self.sidecars if sidecar.up and not sidecar.stopped]
-            responses = await asyncio.gather(*(sidecar.asked("/peers", 5.0) for sidecar in running))
+            responses = await asyncio.gather(*(sidecar.query_admin("/peers", 5.0) for sidecar in running))
             views = {
                 sidecar.name: [(peer["name"], peer["state"]) for peer in view["peers"]]
                 for sidecar, view in zip(running, responses)
@@ -87,15 +87,15 @@
 
 def run_fleet(
     folder: Path, work: Callable[[RunningFleet], Coroutine[Any, Any, None]], plan: Plan = PLAN
-) -> LiveWorld:
+) -> LoopbackWorld:
     """Start the sidecars and clients of a plan, run `work`, and return the stopped world."""
 
-    async def run() -> LiveWorld:
-        world = LiveWorld(plan, 1, folder)
+    async def run() -> LoopbackWorld:
+        world = LoopbackWorld(plan, 1, folder)
         fleet = RunningFleet(world)
         try:
             assert world.links is not None
-            await world.relays.open(len(world.sidecars))
+            await world.datagram_proxies.open(len(world.sidecars))
             for sidecar in world.sidecars:
                 sidecar.start()
             await fleet.wait_until_started()
@@ -103,7 +103,7 @@
                 world.clients(sidecar, sidecar).begin()
             await work(fleet)
         finally:
-            await world.end()
+            await world.close()
         return world
 
     return asyncio.run(run())
@@ -156,7 +156,7 @@
 
     async def work(fleet: RunningFleet) -> None:
         await fleet.wait_until_correct("all have started")
-        views = await asyncio.gather(*(sidecar.asked("/peers", 5.0) for sidecar in fleet.sidecars))
+        views = await asyncio.gather(*(sidecar.query_admin("/peers", 5.0) for sidecar in fleet.sidecars))
         false_records = [
             Record(view["name"], int(view["born"], 16), view["address"], "a", 1 << 31, state)
             for view in views
@@ -179,10 +179,10 @@
                 )
                 for sidecar in fleet.sidecars:
                     for message in false_messages:
-                        sender.sendto(encode_message(message, 0), sidecar.speaks_at)
-                    sender.sendto(bytes((2, *encode_message(false_messages[0], 0)[1:])), sidecar.speaks_at)
-                    sender.sendto(encode_message(false_messages[0], 0)[:-7], sidecar.speaks_at)
-                    sender.sendto(rng.randbytes(60_000), sidecar.speaks_at)
+                        sender.sendto(encode_message(message, 0), sidecar.peer_socket)
+                    sender.sendto(bytes((2, *encode_message(false_messages[0], 0)[1:])), sidecar.peer_socket)
+                    sender.sendto(encode_message(false_messages[0], 0)[:-7], sidecar.peer_socket)
+                    sender.sendto(rng.randbytes(60_000), sidecar.peer_socket)
                 await asyncio.sleep(0.01)
         names = {sidecar.name for sidecar in fleet.sidecars}
 
@@ -194,7 +194,7 @@
             )
 
         await fleet.wait_until(all_there, "the sender has stopped")
-        response = await fleet.sidecars[0].asked("/peers", 5.0)
+        response = await fleet.sidecars[0].query_admin("/peers", 5.0)
         assert response is not None
         assert response["figures"]["peers_noise"] > 0 and response["figures"]["peers_foreign"] > 0
 
@@ -206,7 +206,7 @@
 
 
 def run_peers_command(around: Deployment) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "pumicepath", "peers", "{}:{}".format(*around.operators)]
+    command = [sys.executable, "-m", "pumicepath", "peers", "{}:{}".format(*around.admin_address)]
     return subprocess.run(command, text=True, capture_output=True, timeout=60)
 
 
@@ -215,21 +215,21 @@
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
     with Deployment(tmp_path / "a", 1, admin_addr="127.0.0.1:0", peers=peers).running() as one:
-        response = json.loads(one.call("GET", "/peers").body)  # type: ignore[union-attr]
+        response = json.loads(one.call_admin("GET", "/peers").body)  # type: ignore[union-attr]
         other = Deployment(
             tmp_path / "b", 1, admin_addr="127.0.0.1:0", peers={**peers, "seeds": [response["address"]]}
         )
         with other.running():
-            said = one.event("peers_name_twice")
-            assert said["name"] == "n0" and one.figures()["edge_gw.peers_alive"] == 1
+            said = one.next_event("peers_name_twice")
+            assert said["name"] == "n0" and one.metrics()["edge_gw.peers_alive"] == 1
             ended = run_peers_command(one)
             assert ended.returncode == 0 and said["other"] in ended.stdout and "1 alive" in ended.stdout
 
 
 def test_without_peers_configured_nothing_of_them_is_loaded(tmp_path: Path) -> None:
     with Deployment(tmp_path, 1, admin_addr="127.0.0.1:0").running() as around:
-        assert not [name for name in around.figures() if "peers" in name or "fleet" in name]
-        response = around.call("GET", "/peers")
+        assert not [name for name in around.metrics() if "peers" in name or "fleet" in name]
+        response = around.call_admin("GET", "/peers")
         assert response is not None and response.status == 404
         kernel = Path(f"/proc/{around.process.pid}")
         assert "msgspec" not in (kernel / "maps").read_text(), "not even imported"
@@ -247,7 +247,7 @@
 def test_invalid_peer_settings_end_the_start_and_name_the_key(tmp_path: Path, peers: dict, why: str) -> None:
     around = Deployment(tmp_path, 1, peers=peers)
     ended = subprocess.run(
-        [sys.executable, "-m", "pumicepath", "serve", "--config", str(around.config)],
+        [sys.executable, "-m", "pumicepath", "serve", "--config", str(around.config_path)],
         text=True,
         capture_output=True,
         timeout=60,
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -21,7 +21,7 @@
 from pumicepath.discovery.watch import Watch
 from pumicepath.distribution import relay_selector as deciding
 from pumicepath.distribution.relay_selector import RelaySelector
-from pumicepath.lab.loopback.scripted import Deployment, answer
+from pumicepath.lab.loopback.scripted import Deployment, http_response
 from pumicepath.sidecar import config, running
 from pumicepath.sidecar.watching import Watcher
 
@@ -48,15 +48,15 @@
         assert time.monotonic() - began < 15
         assert deployment.servers_used(30) == {"s-1"}
         # The log line on the first relay precedes or follows the one on the start.
-        failed, changed = deployment.event("watch_failed"), deployment.event("relay_changed")
+        failed, changed = deployment.next_event("watch_failed"), deployment.next_event("relay_changed")
         assert failed["relay"] == first.address and "TimeoutError" in changed["why"]
         assert (changed["from"], changed["to"]) == (first.address, second.address)
-        stale = deployment.event("region_stale")
+        stale = deployment.next_event("region_stale")
         assert (stale["region"], stale["seq"], stale["relay"]) == ("eu", 6, second.address)
         # A change that is newer than the drain is accepted from the second relay as well.
         second.publish("eu", 7, True, deployment.lines_with_health("active")[0])
         wait_until(lambda: second.is_caught_up() and "s-0" in deployment.servers_used(10))
-        assert deployment.event("region_back")["region"] == "eu"
+        assert deployment.next_event("region_back")["region"] == "eu"
 
 
 def test_silent_and_killed_relays_are_replaced_by_the_next_one(tmp_path: Path) -> None:
@@ -76,7 +76,9 @@
         wait_until(third.is_caught_up)
         assert deployment.servers_used(10) == {"s-1"}
         assert all("services=*" in target for relay in deployment.relays for _, target in relay.requests)
-        assert not deployment.discovery.met.acquire(blocking=False), "discovery receives no request at all"
+        assert not deployment.discovery.received_requests.acquire(blocking=False), (
+            "discovery receives no request at all"
+        )
 
 
 def test_overloaded_relays_are_asked_with_growing_pauses(tmp_path: Path) -> None:
@@ -113,11 +115,11 @@
         def reload(event: str, **changed: Any) -> dict:
             deployment.write_config(**changed)
             deployment.process.send_signal(signal.SIGHUP)
-            return deployment.event(event)
+            return deployment.next_event(event)
 
         assert "relays[0]: 'here'" in reload("reload_failed", relays=["here"])["text"]
         assert "services[0]" in reload("reload_failed", relays=[first.address], services=["a b"])["text"]
-        del deployment.told["services"]
+        del deployment.configuration["services"]
         assert "services is missing" in reload("reload_failed")["text"]
         calls = len(first.requests)
         wait_until(lambda: len(first.requests) > calls + 1)
@@ -134,8 +136,8 @@
         assert deployment.servers_used(10) == {"s-0"}
         calls = len(first.requests)
         reload("reloaded", relays=None, services=None)
-        assert deployment.discovery.met.acquire(timeout=20) and len(first.requests) == calls
-        assert deployment.discovery.lines == ["discovery: GET /discovery/hosts"], (
+        assert deployment.discovery.received_requests.acquire(timeout=20) and len(first.requests) == calls
+        assert deployment.discovery.transcript == ["discovery: GET /discovery/hosts"], (
             "the versions of discovery differ"
         )
 
@@ -156,10 +158,10 @@
     with deployment.running():
         wait_until(first.is_caught_up)
         first.set_state("busy")
-        after = deployment.begun()
+        after = deployment.start_process()
         try:
-            deployment.event("started", process=after)
-            deployment.event("succeeding", process=after)
+            deployment.next_event("started", process=after)
+            deployment.next_event("succeeding", process=after)
             deployment.process.kill()
             deployment.process.wait()
             calls = len(second.requests)
@@ -179,11 +181,11 @@
     with deployment.running():
         wait_until(relay.is_caught_up)
         deployment.write_config(relays=None)
-        after = deployment.begun()
+        after = deployment.start_process()
         try:
-            deployment.event("started", process=after)
-            assert deployment.discovery.met.acquire(timeout=20)
-            assert deployment.discovery.lines == ["discovery: GET /discovery/hosts"], (
+            deployment.next_event("started", process=after)
+            assert deployment.discovery.received_requests.acquire(timeout=20)
+            assert deployment.discovery.transcript == ["discovery: GET /discovery/hosts"], (
                 "the versions of discovery differ"
             )
         finally:
@@ -196,14 +198,14 @@
     asked: list[str] = []
     listener = socket.create_server(("127.0.0.1", 0))
     where = f"127.0.0.1:{listener.getsockname()[1]}"
-    deployment.told["discovery"] = where
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.configuration["discovery"] = where
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
 
     def serve() -> None:
         sock = listener.accept()[0]
         for number in range(8, 11):
             asked.append(sock.recv(65536).decode())
-            sock.sendall(answer(200, json.dumps(deployment.listing(number, False, "active"))))
+            sock.sendall(http_response(200, json.dumps(deployment.list_document(number, False, "active"))))
         asked.append(sock.recv(65536).decode())
         done.set()
 
@@ -223,7 +225,7 @@
         "import sys; from pumicepath.command import main; main.get_command(None, 'serve');"
         "from pumicepath.sidecar import config, running;"
         "from pumicepath.discovery.watch import Watch;"
-        f"c = config.read({str(deployment.config)!r}); Watch(None, '', 1, 1);"
+        f"c = config.read({str(deployment.config_path)!r}); Watch(None, '', 1, 1);"
         "assert running.create_relay_selector(c) is None;"
         "print([name for name in sys.modules if 'distribution' in name or 'relay' in name"
         " or name == 'pumicepath.sidecar.following'"
@@ -237,7 +239,7 @@
     drawn = set()
     for at in range(8):
         deployment = Deployment(tmp_path, 0, name=f"n{at}", relays=["127.0.0.1:1"])
-        homes = running.create_relay_selector(config.read(str(deployment.config)))
+        homes = running.create_relay_selector(config.read(str(deployment.config_path)))
         assert homes is not None
         drawn.add(homes.call_failed(0))
     assert len(drawn) == 8
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -16,7 +16,7 @@
 from pumicepath.discovery import watch as watching
 from pumicepath.discovery.server_list import BadList, ServerList, parse_address
 from pumicepath.discovery.watch import Watch
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response
 from pumicepath.sidecar.watching import Watcher
 
 from .helpers import check_trace
@@ -41,7 +41,7 @@
 
 
 def list_response(seq: int, *lines: dict, whole: bool = False) -> bytes:
-    return answer(200, json.dumps(listing(seq, *lines, whole=whole)))
+    return http_response(200, json.dumps(listing(seq, *lines, whole=whole)))
 
 
 class RecordingDispatcher:
@@ -76,10 +76,10 @@
     "reset at the first call": ["reset", GOOD],
     "reset later": [list_response(8), "reset", list_response(9, line("s-1", "leaving"))],
     "ended between two calls": [(list_response(8), "end"), list_response(9, line("s-1", "leaving"))],
-    "too many callers": [answer(503), GOOD],
+    "too many callers": [http_response(503), GOOD],
     "cut": [(GOOD[:-9], "end"), GOOD],
-    "not JSON": [answer(200, "{"), GOOD],
-    "indented": [answer(200, json.dumps(listing(8, line("s-1", "leaving")), indent=4))],
+    "not JSON": [http_response(200, "{"), GOOD],
+    "indented": [http_response(200, json.dumps(listing(8, line("s-1", "leaving")), indent=4))],
     "no server at all": [list_response(8, whole=True), GOOD],
     "an older change": [
         list_response(8, line("s-1", "leaving")),
@@ -114,14 +114,14 @@
     lines = [f"{name}{', pushed' if pushed else ''}:"]
     recorder, script = RecordingDispatcher(lines), queue.SimpleQueue()
 
-    peer = Peer("", script, requests := [])  # requests after the end of the script stay open
+    peer = ScriptedServer("", script, requests := [])  # requests after the end of the script stay open
     discovery_address = parse_address(peer.address)
     watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), discovery_address, pushed)
     watcher.dispatcher = recorder
     watcher.request_list()
     threading.Thread(target=watcher.run, daemon=True).start()
     for number, step in enumerate(steps):
-        assert peer.met.acquire(timeout=20), (name, number, lines)
+        assert peer.received_requests.acquire(timeout=20), (name, number, lines)
         lines.append("  " + requests[number].removeprefix(": GET /discovery/").replace("?", " "))
         script.put(step)
         # The next request follows once this answer was checked; after a failure the balancer has to ask.
@@ -129,9 +129,9 @@
             time.sleep(0.001)
             if lines[-1].startswith("    told: failed"):
                 watcher.request_list()
-                assert peer.met.acquire(timeout=20)
-                peer.met.release()
-    assert peer.met.acquire(timeout=20), (name, lines)
+                assert peer.received_requests.acquire(timeout=20)
+                peer.received_requests.release()
+    assert peer.received_requests.acquire(timeout=20), (name, lines)
     lines.append("  " + requests[len(steps)].removeprefix(": GET /discovery/").replace("?", " "))
     return lines
 
@@ -148,8 +148,10 @@
 def test_where_lists_are_pushed_a_failed_watch_is_retried_without_a_pause_of_the_balancer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    lines = run_case("down for some calls", ["reset", answer(503), "reset", GOOD], monkeypatch, pushed=True)
-    steps = [list_response(8), "reset", "reset", answer(503), list_response(9)]
+    lines = run_case(
+        "down for some calls", ["reset", http_response(503), "reset", GOOD], monkeypatch, pushed=True
+    )
+    steps = [list_response(8), "reset", "reset", http_response(503), list_response(9)]
     lines += run_case("down while a watch is open", steps, monkeypatch, pushed=True)
     check_trace("crossed-pushed", lines)
 
@@ -159,7 +161,7 @@
 ) -> None:
     monkeypatch.setattr("pumicepath.sidecar.watching.MOVE_RETRY_S", 0.3)
     recorder, script = RecordingDispatcher([]), queue.SimpleQueue()
-    peer = Peer("", script, [])
+    peer = ScriptedServer("", script, [])
     with socket.create_server(("127.0.0.1", 0)) as listener:
         unreachable = parse_address(f"127.0.0.1:{listener.getsockname()[1]}")
     watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 7, 100_000), parse_address(peer.address))
@@ -235,22 +237,24 @@
 
 def test_where_lists_are_pushed_nothing_is_admitted_before_the_first_list(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 1)
-    deployment.told["settings"]["membershipMode"] = "pushed"
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.configuration["settings"]["membershipMode"] = "pushed"
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
 
     def hold_back() -> None:
-        assert deployment.discovery.met.acquire(timeout=20)
+        assert deployment.discovery.received_requests.acquire(timeout=20)
         requested_at = time.time()
         time.sleep(0.5)
         spans.append((requested_at, time.time()))
-        deployment.lists.put(answer(200, json.dumps(deployment.listing(8, False, "leaving"))))
+        deployment.discovery_script.put(
+            http_response(200, json.dumps(deployment.list_document(8, False, "leaving")))
+        )
 
     spans: list[tuple[float, float]] = []
     holder = threading.Thread(target=hold_back)
     holder.start()
     seen = SimpleNamespace(started=0.0)
-    event = deployment.event
-    deployment.event = lambda name, process=None: note(event(name, process))  # type: ignore[method-assign]
+    event = deployment.next_event
+    deployment.next_event = lambda name, process=None: note(event(name, process))  # type: ignore[method-assign]
 
     def note(record: dict) -> dict:
         if record["event"] == "started":
@@ -262,5 +266,7 @@
         requested_at, released = spans[0]
         # The start waits at most 2 s: on a machine where the half second took longer, either is right.
         assert seen.started + 0.002 >= released or released - requested_at > 1.5
-        response = deployment.ask("once")
-    assert response is not None and response.status == 503 and deployment.lines == ["client: 503 deferred"]
+        response = deployment.submit("once")
+    assert (
+        response is not None and response.status == 503 and deployment.transcript == ["client: 503 deferred"]
+    )
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pumicepath.interface import DedupGroup, Effect, ListKind, Outcome, RequestClass, ServerEntry, ServerState
-from pumicepath.lab.loopback.scripted import Deployment, answer
+from pumicepath.lab.loopback.scripted import Deployment, http_response
 from pumicepath.settings import decode_settings
 
 from .helpers import (
@@ -148,10 +148,10 @@
 def test_a_sidecar_sends_a_restricted_class_where_its_file_says(tmp_path: Path) -> None:
     """Kinds are numbered in the order of the list; a file read again may name others."""
     deployment = Deployment(tmp_path, 3)
-    settings = deployment.told["settings"]
+    settings = deployment.configuration["settings"]
     settings["kinds"] = ["m3", "m1"]
     settings["tariffs"][0]["kindsAllowed"] = ["m1"]
-    listing_of_deployment = deployment.listing
+    listing_of_deployment = deployment.list_document
 
     def listing(seq: int, whole: bool, health: str) -> dict:
         lines = listing_of_deployment(seq, whole, health)
@@ -159,20 +159,20 @@
             line["class"] = f"m{2 - at}"
         return lines
 
-    deployment.listing = listing  # type: ignore[method-assign]
-    deployment.told["known"] = listing(1, True, "active")
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.list_document = listing  # type: ignore[method-assign]
+    deployment.configuration["known"] = listing(1, True, "active")
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
     with deployment.running():
         for _ in range(3):
-            deployment.ask("read", answer(200, "by m1"))
+            deployment.submit("read", http_response(200, "by m1"))
         settings["tariffs"][0]["kindsAllowed"] = ["m0"]
         settings["kinds"] = ["m0", "m1"]
-        deployment.lines.append(f"-- {reload(deployment, deployment.told)}")
+        deployment.transcript.append(f"-- {reload(deployment, deployment.configuration)}")
         for _ in range(3):
-            deployment.ask("read", answer(200, "by m0"))
+            deployment.submit("read", http_response(200, "by m0"))
         settings["kinds"], settings["tariffs"][0]["kindsAllowed"] = ["m1", "none such"], ["none such"]
-        deployment.lines.append(f"-- {reload(deployment, deployment.told)}")
-        deployment.ask("read")
+        deployment.transcript.append(f"-- {reload(deployment, deployment.configuration)}")
+        deployment.submit("read")
         settings["tariffs"][0]["kindsAllowed"] = ["m2"]
-        deployment.lines.append(f"-- bad: {reload(deployment, deployment.told)}")
-    check_trace("placed", deployment.lines)
+        deployment.transcript.append(f"-- bad: {reload(deployment, deployment.configuration)}")
+    check_trace("placed", deployment.transcript)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -23,7 +23,7 @@
 from pumicepath.distribution.relay_store import encode_entries
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.lab.loopback.scripted import next_of
+from pumicepath.lab.loopback.scripted import read_message
 from pumicepath.relay import config, loop
 from pumicepath.relay.upstreams import DECODE_BATCH_LINES
 
@@ -195,16 +195,16 @@
     ):
         with socket.create_connection(relay.socket_address) as sock:
             sock.sendall(writing.request("GET", target, [("Host", "r")]))
-            assert next_of(sock, ResponseParser()).status == status, target
+            assert read_message(sock, ResponseParser()).status == status, target
     with socket.create_connection(relay.socket_address) as sock:
         sock.sendall(b"NONSENSE\r\n\r\n")
-        assert next_of(sock, ResponseParser()).status == 400
+        assert read_message(sock, ResponseParser()).status == 400
     with socket.create_connection(relay.socket_address) as sock:
         parser = ResponseParser()
         target = f"/discovery/hosts?since={follower.seq}"
         sock.sendall(writing.request("GET", target + "&timeout_ms=300", [("Host", "r")]))
         sock.sendall(writing.request("GET", target, [("Host", "r")]) * 235)
-        assert [next_of(sock, parser).status for _ in range(236)] == [200] * 236
+        assert [read_message(sock, parser).status for _ in range(236)] == [200] * 236
     assert relay.stats()["faults"] == 0
     assert relay.process.poll() is None
 
@@ -616,7 +616,7 @@
     other.sendall(writing.request("GET", "/discovery/hosts", [("Host", "r")]))
     left = next(iter(relay.followers.values()))
     wait_until(lambda: relay.handle_io_safely(left, selectors.EVENT_READ, 0) or relay.counters["calls"])
-    assert next_of(other, ResponseParser()).status == 503
+    assert read_message(other, ResponseParser()).status == 503
     upstream = relay.upstreams[0]
     monkeypatch.setattr(upstream, "handle_io", fault)
     relay.handle_io_safely(upstream, 0, 0)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -16,7 +16,7 @@
 from pumicepath.discovery.watch import Watch
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response
 from pumicepath.sidecar import clock, config
 from pumicepath.sidecar.admission_gate import AdmissionGate
 from pumicepath.sidecar.clients import BUSY, CLOSING, DRAINING, FRESH, IDLE, PARTIAL, Client, Clients
@@ -46,21 +46,25 @@
 
 def test_each_outcome_of_a_hop_gives_its_answer(tmp_path: Path) -> None:
     steps = {
-        "served": [answer(200, "stock")],
-        "error": [answer(500)],
-        "may have run": [answer(503)],
-        "never ran": [answer(503, "", NEVER), answer(504, "", NEVER), answer(200, "stock")],
+        "served": [http_response(200, "stock")],
+        "error": [http_response(500)],
+        "may have run": [http_response(503)],
+        "never ran": [
+            http_response(503, "", NEVER),
+            http_response(504, "", NEVER),
+            http_response(200, "stock"),
+        ],
         "reset": ["reset"],
         "ended": ["end"],
-        "half a body": [(answer(200, "stock")[:-2], "end")],
+        "half a body": [(http_response(200, "stock")[:-2], "end")],
         "no HTTP": [(b"SMTP\r\n\r\n", "wait")],
         "too long": [(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", "wait")],
     }
     with Deployment(tmp_path, 3).running() as deployment:
         for name, script in steps.items():
-            deployment.lines.append(f"-- {name}")
-            deployment.ask("once", *script, body="lot 7")
-    check_trace("outcomes", deployment.lines)
+            deployment.transcript.append(f"-- {name}")
+            deployment.submit("once", *script, body="lot 7")
+    check_trace("outcomes", deployment.transcript)
 
 
 def test_idempotent_requests_are_retried_elsewhere_and_chunked_responses_are_forwarded(
@@ -70,36 +74,36 @@
         b"HTTP/1.1 200 OK\r\nX-Store: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     )
     with Deployment(tmp_path, 3).running() as deployment:
-        response = deployment.ask("read", "reset", answer(500), chunked)
+        response = deployment.submit("read", "reset", http_response(500), chunked)
         assert response is not None and response.header("X-Store") == "s"
-    check_trace("elsewhere", deployment.lines)
+    check_trace("elsewhere", deployment.transcript)
 
 
 def test_requests_to_silent_servers_are_answered_before_the_deadline(tmp_path: Path) -> None:
     with Deployment(tmp_path, 1).running() as deployment:
         for request_class in ("read", "once"):
             started_at = time.monotonic()
-            deployment.ask(request_class, "wait", expires=800)
+            deployment.submit(request_class, "wait", expires_in_ms=800)
             assert 0.7 < time.monotonic() - started_at < 0.85
             # Its connection is closed, so that the request can't run later and no late response is used.
-            deployment.servers[0].closed.acquire(timeout=5)
-        deployment.ask("read", answer(200, "late ones are not mixed up"))
-    check_trace("silent", deployment.lines)
+            deployment.servers[0].closed_connections.acquire(timeout=5)
+        deployment.submit("read", http_response(200, "late ones are not mixed up"))
+    check_trace("silent", deployment.transcript)
 
 
 def test_refused_connections_never_ran_and_a_closed_idle_one_is_not_used(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 2)
     with deployment.running():
-        deployment.ask("once", (answer(200, "first"), "end"))
-        assert [peer.closed.acquire(timeout=1) for peer in deployment.servers].count(True) == 1
-        deployment.ask("once", answer(200, "on a new connection"))
-        first = deployment.lines[0].split(":")[0]
+        deployment.submit("once", (http_response(200, "first"), "end"))
+        assert [peer.closed_connections.acquire(timeout=1) for peer in deployment.servers].count(True) == 1
+        deployment.submit("once", http_response(200, "on a new connection"))
+        first = deployment.transcript[0].split(":")[0]
         closed_peer = next(peer for peer in deployment.servers if peer.name == first)
         closed_peer.listener.shutdown(socket.SHUT_RDWR)
         closed_peer.listener.close()
-        deployment.ask("once", "reset")
-        deployment.ask("once", answer(200, "elsewhere"))
-    check_trace("refused", deployment.lines)
+        deployment.submit("once", "reset")
+        deployment.submit("once", http_response(200, "elsewhere"))
+    check_trace("refused", deployment.transcript)
 
 
 def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
@@ -109,14 +113,14 @@
             writing.request("GET", f"/{name}", [*headers, ("X-Trace-Id", name)])
             for name in ("one", "two", "three")
         ]
-        deployment.client.sendall(requests[0] + requests[1] + requests[2][:9])
+        deployment.client_socket.sendall(requests[0] + requests[1] + requests[2][:9])
         for name in ("one", "two", "three"):
-            deployment.script.put(answer(200, name))
-            deployment.hear()
+            deployment.script.put(http_response(200, name))
+            deployment.receive()
             if name == "two":
-                deployment.client.sendall(requests[2][9:])
+                deployment.client_socket.sendall(requests[2][9:])
     # Sorted by observer: the server may get the next request before the client has read the previous answer.
-    check_trace("together", sorted(deployment.lines, key=lambda line: line.startswith("client")))
+    check_trace("together", sorted(deployment.transcript, key=lambda line: line.startswith("client")))
 
 
 def test_malformed_requests_get_an_error_or_a_close_and_are_not_forwarded(tmp_path: Path) -> None:
@@ -135,50 +139,53 @@
         "60 MB": {"Content-Length": "60000000"},
     }
     with Deployment(tmp_path, 1).running() as deployment:
-        silent, half = (socket.create_connection(deployment.where) for _ in range(2))
+        silent, half = (socket.create_connection(deployment.address) for _ in range(2))
         half.sendall(b"POST /api HTTP/1.1\r\nHost: a")
         deployment.send("read")
-        assert deployment.servers[0].met.acquire(timeout=5)
+        assert deployment.servers[0].received_requests.acquire(timeout=5)
         for name, changed in odd.items():
-            deployment.lines.append(f"-- {name}")
-            with socket.create_connection(deployment.where) as sock:
+            deployment.transcript.append(f"-- {name}")
+            with socket.create_connection(deployment.address) as sock:
                 headers = [(name, value) for name, value in {**good, **changed}.items() if value is not None]
                 sock.sendall(writing.message("POST /api HTTP/1.1", headers, b""))
-                deployment.hear(sock, ResponseParser())
-        deployment.lines.append("-- the open one")
-        deployment.script.put(answer(200, "still waited for"))
-        deployment.hear()
-        deployment.number = 0
-        deployment.ask("read")
-        deployment.lines.append("-- three errors in a row")
-        with socket.create_connection(deployment.where) as sock:
+                deployment.receive(sock, ResponseParser())
+        deployment.transcript.append("-- the open one")
+        deployment.script.put(http_response(200, "still waited for"))
+        deployment.receive()
+        deployment.last_submission = 0
+        deployment.submit("read")
+        deployment.transcript.append("-- three errors in a row")
+        with socket.create_connection(deployment.address) as sock:
             parser = ResponseParser()
             for _ in range(3):
                 sock.sendall(writing.message("GET / HTTP/1.1", [("Host", "a")], b""))
-                deployment.hear(sock, parser)
-        deployment.lines.append("-- half a request, and silence")
-        deployment.hear(half, ResponseParser())
+                deployment.receive(sock, parser)
+        deployment.transcript.append("-- half a request, and silence")
+        deployment.receive(half, ResponseParser())
         assert silent.recv(1) == b""
-    check_trace("bad_clients", deployment.lines)
+    check_trace("bad_clients", deployment.transcript)
 
 
 def test_silent_connections_are_closed_for_new_ones(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 1, limits={"memory_mb": 192, "sockets": 60})
     with deployment.running():
-        silent = [socket.create_connection(deployment.where) for _ in range(40)]
-        deployment.ask("read", answer(200, "served among them"))
+        silent = [socket.create_connection(deployment.address) for _ in range(40)]
+        deployment.submit("read", http_response(200, "served among them"))
         assert [sock.recv(1) for sock in silent[:20]] == [b""] * 20
-        fresh = socket.create_connection(deployment.where)
-        deployment.script.put(answer(200, "and a new one"))
+        fresh = socket.create_connection(deployment.address)
+        deployment.script.put(http_response(200, "and a new one"))
         deployment.send("read", sock=fresh)
-        deployment.hear(fresh, ResponseParser())
-    assert deployment.lines[1::2] == ["client: 200 served among them", "client: 200 and a new one"]
+        deployment.receive(fresh, ResponseParser())
+    assert deployment.transcript[1::2] == ["client: 200 served among them", "client: 200 and a new one"]
 
 
 def test_at_the_limit_idle_connections_are_closed_and_busy_ones_are_not(tmp_path: Path) -> None:
     owner = FakeDispatcher()
     limits = {"memory_mb": 192, "sockets": 60}
-    owner.active_config = (config.decode_config({**Deployment(tmp_path, 0).told, "limits": limits}), ())
+    owner.active_config = (
+        config.decode_config({**Deployment(tmp_path, 0).configuration, "limits": limits}),
+        (),
+    )
     owner.dispatcher = owner
     all_clients = Clients(owner)
     states = [IDLE, FRESH, BUSY, IDLE, PARTIAL, IDLE, FRESH, BUSY, IDLE, IDLE, IDLE, PARTIAL, IDLE]
@@ -218,102 +225,116 @@
 
 def test_a_client_that_leaves_gets_nothing_and_others_are_served(tmp_path: Path) -> None:
     with Deployment(tmp_path, 1).running() as deployment:
-        other = socket.create_connection(deployment.where)
+        other = socket.create_connection(deployment.address)
         deployment.send("read", sock=other)
-        assert deployment.servers[0].met.acquire(timeout=5)
+        assert deployment.servers[0].received_requests.acquire(timeout=5)
         other.close()
-        deployment.script.put(answer(200, "for nobody"))
-        deployment.client.sendall(b"BAD\r\n\r\n")
-        deployment.hear()
-        assert deployment.client.recv(1) == b""
-        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
-        deployment.ask("read", answer(200, "for the next"))
-        deployment.ask("no such")
-    check_trace("left", deployment.lines)
+        deployment.script.put(http_response(200, "for nobody"))
+        deployment.client_socket.sendall(b"BAD\r\n\r\n")
+        deployment.receive()
+        assert deployment.client_socket.recv(1) == b""
+        deployment.client_socket, deployment.client_parser = (
+            socket.create_connection(deployment.address),
+            ResponseParser(),
+        )
+        deployment.submit("read", http_response(200, "for the next"))
+        deployment.submit("no such")
+    check_trace("left", deployment.transcript)
 
 
 def test_a_client_that_leaves_before_its_hop_fails_gets_no_further_hop_and_no_thread_stays(
     tmp_path: Path,
 ) -> None:
     with Deployment(tmp_path, 2).running() as deployment:
-        others = [socket.create_connection(deployment.where) for _ in range(3)]
+        others = [socket.create_connection(deployment.address) for _ in range(3)]
         for sock in others:
             deployment.send("read", sock=sock)
         for peer in deployment.servers:
-            peer.met.acquire(timeout=0.5) and peer.met.acquire(timeout=0.5) and peer.met.acquire(timeout=0.5)
+            peer.received_requests.acquire(timeout=0.5) and peer.received_requests.acquire(
+                timeout=0.5
+            ) and peer.received_requests.acquire(timeout=0.5)
         for sock in others:
             sock.close()
         for _ in others:
             deployment.script.put("reset")
         deployment.process.send_signal(signal.SIGTERM)
-        deployment.client.close()
-        stopped = deployment.event("stopped")
-    assert stopped["clients"] == 0 and len(deployment.lines) == 3, "no second hop, nobody left"
+        deployment.client_socket.close()
+        stopped = deployment.next_event("stopped")
+    assert stopped["clients"] == 0 and len(deployment.transcript) == 3, "no second hop, nobody left"
 
 
 def test_after_sigterm_admitted_and_still_arriving_requests_are_answered(tmp_path: Path) -> None:
     with Deployment(tmp_path, 1).running() as deployment:
-        idle = socket.create_connection(deployment.where)
+        idle = socket.create_connection(deployment.address)
         deployment.send("read")
-        assert deployment.servers[0].met.acquire(timeout=5)
+        assert deployment.servers[0].received_requests.acquire(timeout=5)
         deployment.process.send_signal(signal.SIGTERM)
-        deployment.event("draining")
-        deployment.script.put(answer(200, "taken before"))
-        deployment.hear()
-        late = socket.create_connection(deployment.where)
-        deployment.script.put(answer(200, "came later"))
+        deployment.next_event("draining")
+        deployment.script.put(http_response(200, "taken before"))
+        deployment.receive()
+        late = socket.create_connection(deployment.address)
+        deployment.script.put(http_response(200, "came later"))
         deployment.send("once", sock=late)
-        deployment.hear(late, ResponseParser())
+        deployment.receive(late, ResponseParser())
         assert idle.recv(1) == b""
         idle.close()
-        for sock in (deployment.client, late):
+        for sock in (deployment.client_socket, late):
             assert sock.recv(1) == b""
             sock.close()
-        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait() == 0
-    check_trace("drain", deployment.lines)
+        assert deployment.next_event("stopped")["broken"] == {} and deployment.process.wait() == 0
+    check_trace("drain", deployment.transcript)
 
 
 def test_the_watch_survives_failures_and_its_updates_apply_at_once(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 1)
-    deployment.lists.put((b"", "reset"))
-    deployment.lists.put(answer(200, json.dumps(deployment.listing(7, False, "active"))))
+    deployment.discovery_script.put((b"", "reset"))
+    deployment.discovery_script.put(
+        http_response(200, json.dumps(deployment.list_document(7, False, "active")))
+    )
     with deployment.running():
-        deployment.ask("read", answer(200, "active"))
-        deployment.lists.put(answer(200, json.dumps(deployment.listing(8, False, "leaving"))))
+        deployment.submit("read", http_response(200, "active"))
+        deployment.discovery_script.put(
+            http_response(200, json.dumps(deployment.list_document(8, False, "leaving")))
+        )
         for _ in range(4):
-            assert deployment.discovery.met.acquire(timeout=5)
-        deployment.ask("read")
-    check_trace("watched", deployment.discovery.lines + deployment.lines)
+            assert deployment.discovery.received_requests.acquire(timeout=5)
+        deployment.submit("read")
+    check_trace("watched", deployment.discovery.transcript + deployment.transcript)
 
 
 def test_sighup_switches_to_the_new_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 1)
-    elsewhere = Peer("elsewhere", queue.SimpleQueue(), deployment.discovery.lines)
-    deployment.discovery.lines.append("-- the file is replaced")
+    elsewhere = ScriptedServer("elsewhere", queue.SimpleQueue(), deployment.discovery.transcript)
+    deployment.discovery.transcript.append("-- the file is replaced")
     with deployment.running():
-        assert deployment.discovery.met.acquire(timeout=5)
+        assert deployment.discovery.received_requests.acquire(timeout=5)
         deployment.send("read")
-        assert deployment.servers[0].met.acquire(timeout=5)
-        for text in ("{", json.dumps({**deployment.told, "discovery": elsewhere.address, "seed": "2f"})):
-            deployment.config.write_text(text)
+        assert deployment.servers[0].received_requests.acquire(timeout=5)
+        for text in (
+            "{",
+            json.dumps({**deployment.configuration, "discovery": elsewhere.address, "seed": "2f"}),
+        ):
+            deployment.config_path.write_text(text)
             deployment.process.send_signal(signal.SIGHUP)
-            deployment.lines.append(
-                str(deployment.event("reload_failed" if text == "{" else "reloaded").get("text"))
+            deployment.transcript.append(
+                str(deployment.next_event("reload_failed" if text == "{" else "reloaded").get("text"))
             )
         elsewhere.script.put((b"", "reset"))
-        elsewhere.script.put(answer(200, json.dumps(deployment.listing(1, True, "leaving"))))
+        elsewhere.script.put(http_response(200, json.dumps(deployment.list_document(1, True, "leaving"))))
         for _ in range(3):
-            assert elsewhere.met.acquire(timeout=5)
-        deployment.script.put(answer(200, "taken before"))
-        deployment.hear()
-        deployment.ask("read")
-    lines = [line.replace(str(tmp_path), "") for line in deployment.discovery.lines + deployment.lines]
+            assert elsewhere.received_requests.acquire(timeout=5)
+        deployment.script.put(http_response(200, "taken before"))
+        deployment.receive()
+        deployment.submit("read")
+    lines = [
+        line.replace(str(tmp_path), "") for line in deployment.discovery.transcript + deployment.transcript
+    ]
     check_trace("reload", [line for line in lines if not line.startswith("discovery")])
 
 
 def test_the_delay_of_own_threads_rises_at_once_and_falls_slowly(tmp_path: Path) -> None:
     owner = FakeDispatcher()
-    monitor = DelayMonitor(owner, AdmissionGate(config.decode_config(Deployment(tmp_path, 0).told)))
+    monitor = DelayMonitor(owner, AdmissionGate(config.decode_config(Deployment(tmp_path, 0).configuration)))
     delays = []
     for late in (0, 0, 80_000, 0, 0, 100_000):
         monitor.on_timer(monitor.due_at + late)
@@ -379,8 +400,12 @@
 
 def test_a_silent_watch_is_restarted_at_once(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 1)
-    for step in (deployment.listing(7, False, "active"), None, deployment.listing(8, False, "leaving")):
-        deployment.lists.put("wait" if step is None else answer(200, json.dumps(step)))
+    for step in (
+        deployment.list_document(7, False, "active"),
+        None,
+        deployment.list_document(8, False, "leaving"),
+    ):
+        deployment.discovery_script.put("wait" if step is None else http_response(200, json.dumps(step)))
     discovery_address = parse_address(deployment.discovery.address)
     watcher = Watcher(Watch(ServerList(["a"], lambda born: 1), "d", 1, 1000), discovery_address)
     watcher.dispatcher = FakeDispatcher()
@@ -399,7 +424,7 @@
 
 
 def test_an_idle_connection_that_is_closed_or_has_unexpected_bytes_is_not_used(tmp_path: Path) -> None:
-    pool = Pool(FakeDispatcher(), config.decode_config(Deployment(tmp_path, 0).told), None)
+    pool = Pool(FakeDispatcher(), config.decode_config(Deployment(tmp_path, 0).configuration), None)
     pool.update_servers(ServerListUpdate(1, True, [make_entry(10)], [Address("127.0.0.1", 1)]))
     hop = Hop(Exchange(None, "t", None, 0, None), 0, 10, 0, 0)
     used = []
@@ -437,7 +462,7 @@
 def test_calls_made_while_the_lock_is_held_are_run_by_its_owner_and_followed_up_by_their_callers(
     tmp_path: Path,
 ) -> None:
-    dispatcher = Dispatcher(config.decode_config(Deployment(tmp_path, 0).told), Log("n0"), None)
+    dispatcher = Dispatcher(config.decode_config(Deployment(tmp_path, 0).configuration), Log("n0"), None)
     order: list = []
 
     def run(name: str) -> None:
@@ -472,20 +497,20 @@
     deployment = Deployment(tmp_path, 1)
     with deployment.running():
         # Only after the start: otherwise the event could precede `started` and be skipped.
-        deployment.lists.put(answer(200, "[" * 30_000 + "]" * 30_000))
-        assert "depth limit" in deployment.event("watch_failed")["text"]
-        deployment.ask("read", answer(200, "still there"))
-    assert deployment.lines[-1] == "client: 200 still there"
+        deployment.discovery_script.put(http_response(200, "[" * 30_000 + "]" * 30_000))
+        assert "depth limit" in deployment.next_event("watch_failed")["text"]
+        deployment.submit("read", http_response(200, "still there"))
+    assert deployment.transcript[-1] == "client: 200 still there"
 
 
 def test_servers_that_keep_no_idle_connections_do_not_block_the_timers(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 1)
-    deployment.told["settings"]["policyLimits"]["connIdleS"] = 0
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.configuration["settings"]["policyLimits"]["connIdleS"] = 0
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
     with deployment.running():
         for name in ("one", "two"):
-            deployment.ask("read", answer(200, name))
-    assert deployment.lines[1::2] == ["client: 200 one", "client: 200 two"]
+            deployment.submit("read", http_response(200, name))
+    assert deployment.transcript[1::2] == ["client: 200 one", "client: 200 two"]
 
 
 def test_at_the_connection_limit_requests_are_rejected_at_once_and_none_is_lost(
@@ -493,20 +518,20 @@
 ) -> None:
     deployment = Deployment(tmp_path, 1, limits={"memory_mb": 192, "sockets": 57})
     with deployment.running():
-        idle = [socket.create_connection(deployment.where) for _ in range(4)]
+        idle = [socket.create_connection(deployment.address) for _ in range(4)]
         for sock in idle:
             deployment.send("no such", sock=sock)
-            deployment.hear(sock, ResponseParser())
+            deployment.receive(sock, ResponseParser())
         deployment.send("read")
-        assert deployment.servers[0].met.acquire(timeout=5)
+        assert deployment.servers[0].received_requests.acquire(timeout=5)
         # Both are accepted beyond the limit, and the first is unused when the second sends its request.
-        beyond = [socket.create_connection(deployment.where) for _ in range(2)]
+        beyond = [socket.create_connection(deployment.address) for _ in range(2)]
         for sock in reversed(beyond):
             deployment.send("read", sock=sock)
-            deployment.hear(sock, ResponseParser())
-        deployment.script.put(answer(200, "room"))
-        deployment.hear()
-    check_trace("bound", [line for line in deployment.lines if line.startswith("client")])
+            deployment.receive(sock, ResponseParser())
+        deployment.script.put(http_response(200, "room"))
+        deployment.receive()
+    check_trace("bound", [line for line in deployment.transcript if line.startswith("client")])
 
 
 @pytest.mark.parametrize(
@@ -545,18 +570,18 @@
     """In the lab, after sidecars had been stopped, 74 submissions were sent and ran 2 s past the deadline."""
     deployment = Deployment(tmp_path, 1)
     with deployment.running():
-        deployment.ask("once", answer(200, "before"))
+        deployment.submit("once", http_response(200, "before"))
         deployment.process.send_signal(signal.SIGSTOP)
-        with socket.create_connection(deployment.where) as late:
+        with socket.create_connection(deployment.address) as late:
             started_at = time.monotonic()
             deployment.send("once", 200, sock=late)
             while time.monotonic() - started_at < 0.6:  # until well after the deadline
                 time.sleep(0.05)
             deployment.process.send_signal(signal.SIGCONT)
-            response = deployment.hear(late, ResponseParser())
-        assert response is not None and response.status != 200, deployment.lines
-        assert deployment.ask("once", answer(200, "after")) is not None
-    assert [line for line in deployment.lines if line.startswith("s-0")] == [
+            response = deployment.receive(late, ResponseParser())
+        assert response is not None and response.status != 200, deployment.transcript
+        assert deployment.submit("once", http_response(200, "after")) is not None
+    assert [line for line in deployment.transcript if line.startswith("s-0")] == [
         "s-0: GET /api?x=1 t1",
         "s-0: GET /api?x=1 t3",
-    ], deployment.lines
+    ], deployment.transcript
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -16,7 +16,7 @@
 from pumicepath.http1.messages import MalformedMessageError
 from pumicepath.http1.parsing import RequestParser, ResponseParser
 from pumicepath.interface import Effect, Outcome, RequestClass
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 from pumicepath.sidecar import upload
 
 from .helpers import (
@@ -37,14 +37,14 @@
     return b"".join(b"%x;note=1\r\n%b\r\n" % (len(part), part) for part in parts) + ending
 
 
-def deployment_of(folder: Path, *peers: Peer) -> Deployment:
+def deployment_of(folder: Path, *peers: ScriptedServer) -> Deployment:
     """A deployment whose servers are these peers; they write to the deployment's lines."""
     deployment = Deployment(folder, 0)
     deployment.servers = list(peers)
-    deployment.told["known"] = deployment.listing(1, True, "active")
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.configuration["known"] = deployment.list_document(1, True, "active")
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
     for peer in peers:
-        peer.lines = deployment.lines
+        peer.transcript = deployment.transcript
     return deployment
 
 
@@ -74,7 +74,7 @@
 def test_large_responses_are_streamed_in_all_framings(tmp_path: Path) -> None:
     head = b"HTTP/1.1 200 OK\r\n"
     steps = {
-        "with a length": [answer(200, "x" * 3_000_000)],
+        "with a length": [http_response(200, "x" * 3_000_000)],
         "in chunks, with extensions and trailers": [
             b"HTTP/1.1 100 Continue\r\n\r\n"
             + head
@@ -82,7 +82,7 @@
             + chunked(LONG_BODY, 70_001, b"0\r\nX-Sum: 1\r\n\r\n")
         ],
         "until the connection ends": [(head + b"Connection: close\r\n\r\n" + LONG_BODY, "end")],
-        "broken off": [(answer(200, "x" * 3_000_000)[:-9], "end")],
+        "broken off": [(http_response(200, "x" * 3_000_000)[:-9], "end")],
         "of an error": [
             (b"HTTP/1.1 500 No\r\nContent-Length: 3000000\r\n\r\n" + LONG_BODY[:3_000_000], "end")
         ],
@@ -92,38 +92,38 @@
         for name, script in steps.items():
             for step in script:
                 deployment.script.put(step)
-            with socket.create_connection(deployment.where) as sock:
+            with socket.create_connection(deployment.address) as sock:
                 deployment.send("once", method="GET", sock=sock)
-                deployment.lines.append(f"-- {name}: {read_all(sock, ResponseParser(9_000_000))}")
+                deployment.transcript.append(f"-- {name}: {read_all(sock, ResponseParser(9_000_000))}")
         deployment.script.put((head + b"Connection: close\r\n\r\n" + LONG_BODY, "end"))
-        with socket.create_connection(deployment.where) as sock:
+        with socket.create_connection(deployment.address) as sock:
             sock.sendall(b"GET /api HTTP/1.0\r\nX-Trace-Id: old\r\nX-Qos: once\r\n\r\n")
-            deployment.lines.append(f"-- to HTTP/1.0: {read_all(sock, ResponseParser(9_000_000))}")
-    check_trace("long_answers", [line for line in deployment.lines if line.startswith("--")])
+            deployment.transcript.append(f"-- to HTTP/1.0: {read_all(sock, ResponseParser(9_000_000))}")
+    check_trace("long_answers", [line for line in deployment.transcript if line.startswith("--")])
 
 
 def test_response_in_progress_is_not_cut_off_at_the_deadline(tmp_path: Path) -> None:
     resume = threading.Event()
 
-    class Pausing(Peer):
+    class Pausing(ScriptedServer):
         def serve(self, sock: socket.socket) -> None:
             with sock:
                 sock.recv(9999)
-                data, first = answer(200, "x" * 3_000_000), not self.lines
-                self.lines.append("met")
-                self.met.release()
+                data, first = http_response(200, "x" * 3_000_000), not self.transcript
+                self.transcript.append("met")
+                self.received_requests.release()
                 if first:
                     sock.sendall(data[:2_000_000])
                 resume.wait(10)
                 sock.sendall(data[2_000_000:])
 
     deployment = deployment_of(tmp_path, Pausing("h", queue.SimpleQueue(), []))
-    with deployment.running(), socket.create_connection(deployment.where) as sock:
-        deployment.send("read", expires=400, method="GET", sock=sock)
+    with deployment.running(), socket.create_connection(deployment.address) as sock:
+        deployment.send("read", expires_in_ms=400, method="GET", sock=sock)
         assert sock.recv(99).startswith(b"HTTP/1.1 200")
         # By the end of this one, the deadline of the other has passed.
-        deployment.send("read", expires=500, method="GET")
-        deployment.hear()
+        deployment.send("read", expires_in_ms=500, method="GET")
+        deployment.receive()
         resume.set()
         count = 0
         while count < 2_999_000 and (got := len(sock.recv(65536))):
@@ -131,16 +131,16 @@
         assert count >= 2_999_000
 
 
-class BodyEcho(Peer):
+class BodyEcho(ScriptedServer):
     """Reads whole request bodies and answers with the length and hash of each."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser(9_000_000)
         with sock:
-            while (request := next_of(sock, parser)) is not None:
-                self.lines.append(f"{request.header('X-Trace-Id')}: {digest(request.body)}")
-                self.met.release()
-                sock.sendall(answer(200, digest(request.body)))
+            while (request := read_message(sock, parser)) is not None:
+                self.transcript.append(f"{request.header('X-Trace-Id')}: {digest(request.body)}")
+                self.received_requests.release()
+                sock.sendall(http_response(200, digest(request.body)))
 
 
 def test_large_bodies_are_streamed_in_all_framings_and_the_connection_is_kept(tmp_path: Path) -> None:
@@ -150,12 +150,12 @@
     def send(name: str, *more: tuple[str, str], body: bytes, length: int) -> None:
         all_headers = [*headers, ("X-Trace-Id", name), *more]
         head = writing.request("POST", "http://api/up?x", all_headers, b"", length)
-        deployment.client.sendall(head)
+        deployment.client_socket.sendall(head)
         if more:
-            assert deployment.client.recv(99).startswith(b"HTTP/1.1 100")
+            assert deployment.client_socket.recv(99).startswith(b"HTTP/1.1 100")
         for at in range(0, len(body), 300_000):
-            deployment.client.sendall(body[at : at + 300_000])
-        deployment.hear()
+            deployment.client_socket.sendall(body[at : at + 300_000])
+        deployment.receive()
 
     with deployment.running():
         send("length", body=LONG_BODY, length=len(LONG_BODY))
@@ -163,18 +163,18 @@
         send("awaited", ("Expect", "100-continue"), body=LONG_BODY, length=len(LONG_BODY))
         send("short", body=b"lot", length=3)
         partial_head = writing.request("POST", "/up", [*headers, ("X-Trace-Id", "cut")], b"", len(LONG_BODY))
-        with socket.create_connection(deployment.where) as sock:
+        with socket.create_connection(deployment.address) as sock:
             sock.sendall(partial_head + LONG_BODY[:900_000])
-        deployment.client.sendall(
+        deployment.client_socket.sendall(
             partial_head.replace(b"cut", b"odd").replace(b"X-Qos: once", b"X-Qos: gold") + LONG_BODY
         )
-        deployment.hear()
+        deployment.receive()
         send("after", body=b"", length=writing.COMPLETE)
-    check_trace("long_bodies", deployment.lines)
+    check_trace("long_bodies", deployment.transcript)
 
 
 def test_body_cut_off_by_the_server_never_ran_and_the_client_may_retry(tmp_path: Path) -> None:
-    class Breaking(Peer):
+    class Breaking(ScriptedServer):
         def serve(self, sock: socket.socket) -> None:
             sock.recv(100_000)
             sock.close()
@@ -183,9 +183,9 @@
     with deployment.running():
         headers = [("Host", "a"), ("X-Qos", "once"), ("X-Trace-Id", "1")]
         head = writing.request("POST", "/up", headers, b"", len(LONG_BODY))
-        deployment.client.sendall(head + LONG_BODY)
-        assert deployment.hear().header("Retry-After")
-    check_trace("broken_body", deployment.lines)
+        deployment.client_socket.sendall(head + LONG_BODY)
+        assert deployment.receive().header("Retry-After")
+    check_trace("broken_body", deployment.transcript)
 
 
 def test_memory_stays_bounded_with_many_large_responses_and_slow_readers(tmp_path: Path) -> None:
@@ -193,7 +193,7 @@
     responses: list[str] = []
 
     def client(name: str) -> None:
-        with socket.create_connection(deployment.where) as sock:
+        with socket.create_connection(deployment.address) as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             sock.sendall(
                 writing.request(
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -14,7 +14,7 @@
 import pytest
 
 from pumicepath.balancer import SeededRandom
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response
 from pumicepath.sidecar import clock
 from pumicepath.sidecar.admission_gate import AdmissionGate
 from pumicepath.sidecar.servers import ServerConnection, start_thread
@@ -30,7 +30,7 @@
     """An endless script: every request is answered 200."""
 
     def get(self) -> bytes:
-        return answer(200, "served")
+        return http_response(200, "served")
 
 
 class RequestTimes(list):
@@ -61,11 +61,11 @@
 
 # What discovery does with the first requests; at the last of them it has the change and is reachable.
 DISCOVERY_FAULTS: dict[str, list] = {
-    "fails": [answer(503)],
+    "fails": [http_response(503)],
     "is reset": ["reset"] * 2,
-    "is cut": [(answer(200, "{}")[:-1], "end")] * 2,
+    "is cut": [(http_response(200, "{}")[:-1], "end")] * 2,
     "is silent": ["wait"] * 2,
-    "stops in an answer": [(answer(200, "{}")[:-1], "wait")] * 2,
+    "stops in an answer": [(http_response(200, "{}")[:-1], "wait")] * 2,
     "is refused": [],
 }
 # A seed with nearly the longest random pause of a sidecar.
@@ -77,16 +77,16 @@
 
     def __init__(self, folder: Path, mode: str, fault: str) -> None:
         self.deployment = deployment = Deployment(folder, 1)
-        self.request_times = deployment.servers[0].lines = RequestTimes()
+        self.request_times = deployment.servers[0].transcript = RequestTimes()
         deployment.servers[0].script = AlwaysServing()  # type: ignore[assignment]
-        deployment.told["settings"]["membershipMode"] = mode
-        deployment.told["seed"] = f"{SEED:x}"
+        deployment.configuration["settings"]["membershipMode"] = mode
+        deployment.configuration["seed"] = f"{SEED:x}"
         self.fault = fault
         self.listener = socket.socket()
         if fault == "is refused":
             self.listener.bind(("127.0.0.1", 0))  # does not listen yet
-            deployment.told["discovery"] = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        deployment.config.write_text(json.dumps(deployment.told))
+            deployment.configuration["discovery"] = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        deployment.config_path.write_text(json.dumps(deployment.configuration))
         self.started = threading.Event()
         self.status_before, self.last_sent_s, self.sent_after = 0, -1.0, 0
         self.finished = False
@@ -95,35 +95,35 @@
         """Play the fault, and report the drain from the next request to discovery on."""
         deployment, change = (
             self.deployment,
-            answer(200, json.dumps(self.deployment.listing(2, False, "leaving"))),
+            http_response(200, json.dumps(self.deployment.list_document(2, False, "leaving"))),
         )
         for step in DISCOVERY_FAULTS[self.fault]:
-            deployment.lists.put(step)
+            deployment.discovery_script.put(step)
         for _ in DISCOVERY_FAULTS[self.fault]:
-            assert deployment.discovery.met.acquire(timeout=20)
+            assert deployment.discovery.received_requests.acquire(timeout=20)
         if self.fault == "is refused":
-            peer = Peer.__new__(Peer)
-            peer.name, peer.script, peer.lines = "discovery", deployment.lists, []
-            peer.met, peer.closed = threading.Semaphore(0), threading.Semaphore(0)
+            peer = ScriptedServer.__new__(ScriptedServer)
+            peer.name, peer.script, peer.transcript = "discovery", deployment.discovery_script, []
+            peer.received_requests, peer.closed_connections = threading.Semaphore(0), threading.Semaphore(0)
             peer.listener = self.listener
             assert self.started.wait(20)  # the sidecar has been refused by then, most likely twice
             self.listener.listen()
             threading.Thread(target=peer.accept, daemon=True).start()
         self.changed_at = time.monotonic()
-        deployment.lists.put(change)
+        deployment.discovery_script.put(change)
 
     def run(self, stalls: StallMeter) -> None:
         fault_thread = threading.Thread(target=self.play_fault)
         fault_thread.start()
         with self.deployment.running():
             self.started.set()
-            if self.deployment.told["settings"]["membershipMode"] == "on_request":
-                response = self.deployment.ask("read")
+            if self.deployment.configuration["settings"]["membershipMode"] == "on_request":
+                response = self.deployment.submit("read")
                 self.status_before = response.status if response else 0
             fault_thread.join()
             stalled = stalls.total_s
             while time.monotonic() < self.changed_at + NOTIFY_LIMIT_S + 1.5:
-                response = self.deployment.ask("read")
+                response = self.deployment.submit("read")
                 if response is None or response.status != 200:
                     break
                 time.sleep(0.02)
@@ -132,7 +132,7 @@
             )
             served = len(self.request_times)
             for _ in range(5):
-                self.deployment.ask("read")
+                self.deployment.submit("read")
             self.sent_after = len(self.request_times) - served
         self.finished = True
 
@@ -217,7 +217,7 @@
             assert read_status(self.far) == 200
             self.far.close()
         wait_until(lambda: self.client not in self.rig.clients.open and not self.rig.dispatcher.exchanges)
-        return [line.split(" ", 1)[1] for line in self.rig.deployment.lines]
+        return [line.split(" ", 1)[1] for line in self.rig.deployment.transcript]
 
 
 @pytest.mark.parametrize("way", ["", *DEPARTURES])
@@ -228,13 +228,13 @@
     rig = Rig(tmp_path, 2)
     far, client = rig.connect()
     one = LeavingClient(rig, far, client)
-    first = answer(503, "", NEVER) if fault == "full" else "reset" if fault == "late dial" else fault
+    first = http_response(503, "", NEVER) if fault == "full" else "reset" if fault == "late dial" else fault
     with paused(monkeypatch, ServerConnection, "connect", before=False) as (came, go):
         far.sendall(rig.request("hangs", "read"))
         start_thread(client.run)
         assert came.acquire(timeout=20)
         go.release()
-        wait_until(lambda: rig.deployment.lines)  # the first hop hangs
+        wait_until(lambda: rig.deployment.transcript)  # the first hop hangs
         if fault == "late dial":
             rig.deployment.script.put(first)
             assert came.acquire(timeout=20)  # the retry is connected and not written yet
@@ -244,7 +244,7 @@
             rig.deployment.script.put(first)
         go.release(10)
         if not way:
-            rig.deployment.script.put(answer(200, "served"))
+            rig.deployment.script.put(http_response(200, "served"))
         assert one.requests_sent(way) == ["GET /hangs hangs"] * (1 if way else 2)
 
 
@@ -262,9 +262,9 @@
         far.sendall(rig.request(name, "read"))
     if where.startswith("behind"):
         start_thread(client.run)
-        wait_until(lambda: rig.deployment.lines)
+        wait_until(lambda: rig.deployment.transcript)
         one.leave(way)
-        rig.deployment.script.put(answer(200, "served"))
+        rig.deployment.script.put(http_response(200, "served"))
         if not way:
             assert read_status(far) == 200
     elif where.startswith("before"):
@@ -282,7 +282,7 @@
             one.leave(way)
             go.release(10)
     if not way:
-        rig.deployment.script.put(answer(200, "served"))
+        rig.deployment.script.put(http_response(200, "served"))
     sent = one.requests_sent(way)
     assert ("GET /second second" in sent) == (not way), sent
 
@@ -290,22 +290,22 @@
 @pytest.mark.parametrize("way", ["", "closes", "resets", "closes behind a whole one"])
 def test_the_sidecar_process_begins_no_retry_for_a_client_that_left(way: str, tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 2)
-    deployment.told["admin_addr"] = "127.0.0.1:0"
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.configuration["admin_addr"] = "127.0.0.1:0"
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
 
     def under_way() -> bool:
-        return any(value for name, value in deployment.figures().items() if "current" in name)
+        return any(value for name, value in deployment.metrics().items() if "current" in name)
 
     with deployment.running():
         deployment.send("read", 20_000)
-        wait_until(lambda: deployment.lines)
+        wait_until(lambda: deployment.transcript)
         if way:
-            DEPARTURES[way](deployment.client)
+            DEPARTURES[way](deployment.client_socket)
             gone = time.monotonic()
             wait_until(lambda: time.monotonic() - gone > 0.1)
         deployment.script.put("reset")
         if not way:
-            deployment.script.put(answer(200, "served"))
-            assert read_status(deployment.client) == 200
+            deployment.script.put(http_response(200, "served"))
+            assert read_status(deployment.client_socket) == 200
         wait_until(lambda: not under_way())
-        assert len(deployment.lines) == (1 if way else 2)
+        assert len(deployment.transcript) == (1 if way else 2)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -13,7 +13,7 @@
 
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 from pumicepath.settings import check_settings
 from pumicepath.sidecar import config
 
@@ -53,10 +53,12 @@
 
 
 def reload(deployment: Deployment, config_file: dict) -> str:
-    deployment.lists.put(answer(200, json.dumps(deployment.listing(2, True, "active"))))
-    deployment.config.write_text(json.dumps(config_file))
+    deployment.discovery_script.put(
+        http_response(200, json.dumps(deployment.list_document(2, True, "active")))
+    )
+    deployment.config_path.write_text(json.dumps(config_file))
     deployment.process.send_signal(signal.SIGHUP)
-    event = deployment.event("reloaded", "reload_failed")
+    event = deployment.next_event("reloaded", "reload_failed")
     return " ".join(
         str(event.get(key)) for key in ("event", "settings", "tariffs", "without_effect", "needs_restart")
     )
@@ -66,16 +68,20 @@
     tmp_path: Path,
 ) -> None:
     deployment = Deployment(tmp_path, 2)
-    old, new, lines = deployment.told, other_settings(deployment.told), deployment.lines
-    arrived = deployment.servers[0].met = deployment.servers[1].met
+    old, new, lines = (
+        deployment.configuration,
+        other_settings(deployment.configuration),
+        deployment.transcript,
+    )
+    arrived = deployment.servers[0].received_requests = deployment.servers[1].received_requests
     with deployment.running():
         deployment.send("read")
         assert arrived.acquire(timeout=5)
         lines.append(f"-- a hop out that the new file has no tariff for: {reload(deployment, new)}")
-        deployment.script.put(answer(200, "as taken before"))
-        deployment.hear()
-        deployment.ask("read")
-        deployment.ask("sign", answer(200, "signed"))
+        deployment.script.put(http_response(200, "as taken before"))
+        deployment.receive()
+        deployment.submit("read")
+        deployment.submit("sign", http_response(200, "signed"))
         assert arrived.acquire(timeout=5)
         deployment.send("once")
         assert arrived.acquire(timeout=5)
@@ -83,36 +89,36 @@
         lines.append(f"-- back, an unrepeatable hop out: {reload(deployment, old)}")
         lines.append(f"-- once more: {reload(deployment, old)}")
         deployment.script.put("reset")
-        deployment.hear()
-        deployment.ask("read", answer(500), answer(200, "read again elsewhere"))
+        deployment.receive()
+        deployment.submit("read", http_response(500), http_response(200, "read again elsewhere"))
         lines.append(
             f"-- there, with another address: {reload(deployment, {**new, 'listen': '127.0.0.1:1'})}"
         )
-        deployment.ask("view", answer(200, "viewed"))
+        deployment.submit("view", http_response(200, "viewed"))
         assert deployment.process.poll() is None
     check_trace("switch", [line.replace("s-0", "s").replace("s-1", "s") for line in lines])
 
 
-class Counting(Peer):
+class Counting(ScriptedServer):
     """Counts hops, and closes the connection unanswered at the first hop of each seventh submission."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
         with sock:
-            while (request := next_of(sock, parser)) is not None:
+            while (request := read_message(sock, parser)) is not None:
                 trace = request.header("X-Trace-Id")
-                self.lines.append(trace)
-                if int(trace) % 7 == 0 and self.lines.count(trace) == 1:
+                self.transcript.append(trace)
+                if int(trace) % 7 == 0 and self.transcript.count(trace) == 1:
                     return
-                sock.sendall(answer(200, trace))
+                sock.sendall(http_response(200, trace))
 
 
 def test_under_traffic_reloads_lose_no_submission_and_send_none_twice(tmp_path: Path) -> None:
     deployment, hops, results = Deployment(tmp_path, 0), [], []  # type: ignore[var-annotated]
     deployment.servers = [Counting(f"c-{at}", queue.SimpleQueue(), hops) for at in range(2)]
-    deployment.told["known"] = deployment.listing(1, True, "active")
-    deployment.told["settings"]["tariffs"][0]["name"] = "view"
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.configuration["known"] = deployment.list_document(1, True, "active")
+    deployment.configuration["settings"]["tariffs"][0]["name"] = "view"
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
 
     def client(first: int) -> None:
         for number in range(first, first + 150):
@@ -122,16 +128,24 @@
                 ("X-Object", f"lot {number % 40}"),
                 ("X-Qos", "once" if number % 2 else "view"),
             ]
-            with socket.create_connection(deployment.where) as sock:
+            with socket.create_connection(deployment.address) as sock:
                 sock.sendall(writing.request("POST", "/api", headers, b""))
-                response = next_of(sock, ResponseParser())
+                response = read_message(sock, ResponseParser())
             results.append(response is not None and (response.status != 200 or int(response.body) == number))
 
     with deployment.running():
         threads = [threading.Thread(target=client, args=(1000 * at,), daemon=True) for at in range(1, 5)]
         for thread in threads:
             thread.start()
-        files, events = (other_settings(deployment.told), {}, deployment.told, deployment.told), []
+        files, events = (
+            (
+                other_settings(deployment.configuration),
+                {},
+                deployment.configuration,
+                deployment.configuration,
+            ),
+            [],
+        )
         while any(thread.is_alive() for thread in threads) or len(events) < 4:
             events.append(reload(deployment, files[len(events) % 4]).split()[0])
         assert deployment.process.poll() is None
@@ -186,34 +200,36 @@
 
 def test_a_file_that_replaces_another_must_have_everything_that_is_read(tmp_path: Path) -> None:
     deployment, lines = Deployment(tmp_path, 1), []
-    before, text = config.read(str(deployment.config)), json.dumps(deployment.told)
+    before, text = config.read(str(deployment.config_path)), json.dumps(deployment.configuration)
 
     def check_file(what: str, data: str) -> None:
-        deployment.config.write_text(data)
+        deployment.config_path.write_text(data)
         try:
-            config.read_replacement(str(deployment.config), before)
+            config.read_replacement(str(deployment.config_path), before)
             lines.append(f"{what}: taken")
         except config.ConfigError as error:
-            lines.append(f"{what}: {str(error).replace(str(deployment.config), 'FILE')[:70]}")
+            lines.append(f"{what}: {str(error).replace(str(deployment.config_path), 'FILE')[:70]}")
 
     check_file("the same", text)
     check_file("empty", "")
     check_file("cut short", text[:-40])
     check_file("nested without end", "[" * 100_000)
     check_file("no object", "[1]")
-    for key in deployment.told:
-        remaining = {name: value for name, value in deployment.told.items() if name != key}
+    for key in deployment.configuration:
+        remaining = {name: value for name, value in deployment.configuration.items() if name != key}
         check_file(f"without {key}", json.dumps(remaining))
-    for key in deployment.told["settings"]:
-        remaining = {**deployment.told, "settings": {**deployment.told["settings"]}}
+    for key in deployment.configuration["settings"]:
+        remaining = {**deployment.configuration, "settings": {**deployment.configuration["settings"]}}
         del remaining["settings"][key]
         check_file(f"without settings.{key}", json.dumps(remaining))
     for part, index in (("policyLimits", None), ("rules", None), ("tariffs", 1)):
         whole = (
-            deployment.told["settings"][part] if index is None else deployment.told["settings"][part][index]
+            deployment.configuration["settings"][part]
+            if index is None
+            else deployment.configuration["settings"][part][index]
         )
         for key in list(whole):
             value = whole.pop(key)
-            check_file(f"without {part}.{key}", json.dumps(deployment.told))
+            check_file(f"without {part}.{key}", json.dumps(deployment.configuration))
             whole[key] = value
     check_trace("lacking", lines)
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -29,10 +29,10 @@
 )
 from pumicepath.fleet.trials import MAX_POSTPONED_US, RETENTION_US, VERSION_MASK, Trials, fanout
 from pumicepath.interface import Outcome
-from pumicepath.lab.faults.checks import one_holder
 from pumicepath.lab.loopback.scripted import Deployment
 from pumicepath.lab.model.servers import Job, Server
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble
+from pumicepath.lab.verification.checks import one_holder
 from pumicepath.lab.virtual.run import VirtualWorld
 from pumicepath.lab.virtual.sidecar import Sidecar
 
@@ -348,7 +348,7 @@
         sidecar = self.fleet.sidecars[number]
         while not self.over:
             asked_at = self.now()
-            view = await sidecar.asked("/peers", TIMEOUT_S) if sidecar.up else None
+            view = await sidecar.query_admin("/peers", TIMEOUT_S) if sidecar.up else None
             for held in view.get("holds", []) if view is not None else []:
                 duty, fence, instance_id = held["duty"], int(held["number"], 16), view["born"]  # type: ignore[index]
                 self.lines.append(
@@ -414,8 +414,8 @@
         one.start()
         await fleet.wait_until_started()
         fence, one = current(duties[0])
-        assert not await one.resigned("no duty of its")
-        while not await one.resigned(duties[0]):  # it may have released it by itself just now
+        assert not await one.resign_duty("no duty of its")
+        while not await one.resign_duty(duties[0]):  # it may have released it by itself just now
             await monitor.wait_for_holder(duties[0], fence)
             fence, one = current(duties[0])
         await monitor.wait_for_holder(duties[0], fence)
@@ -458,16 +458,18 @@
             cut_off.add(holder.number)
             began = time.monotonic()
             await fleet.wait_until(
-                lambda _: not any(each.refused & unhealthy for each in fleet.sidecars if each is not holder),
+                lambda _: (
+                    not any(each.open_breakers & unhealthy for each in fleet.sidecars if each is not holder)
+                ),
                 "in use by all others",
             )
             assert time.monotonic() - began < MAX_POSTPONED_US / SECOND, (
                 "sooner than the longest postponement"
             )
-            assert holder.refused & unhealthy, "it sees them fail itself"
+            assert holder.open_breakers & unhealthy, "it sees them fail itself"
             cut_off.add(-1)
             cut_off.discard(holder.number)
-            await fleet.wait_until(lambda _: not holder.refused & unhealthy, "the connection is back")
+            await fleet.wait_until(lambda _: not holder.open_breakers & unhealthy, "the connection is back")
         assert not monitor.violations(), monitor.violations()[:3]
 
     run_fleet(tmp_path, work, PLAN)
@@ -507,15 +509,15 @@
     around = Deployment(tmp_path, 1, admin_addr="127.0.0.1:0", peers=peers)
 
     def load(**changed: object) -> dict[str, Any]:
-        around.config.write_text(json.dumps({**around.told, "peers": {**peers, **changed}}))
+        around.config_path.write_text(json.dumps({**around.configuration, "peers": {**peers, **changed}}))
         around.process.send_signal(signal.SIGHUP)
-        waiting = around.event("reloaded")["needs_restart"]
-        response = around.call("GET", "/peers")
+        waiting = around.next_event("reloaded")["needs_restart"]
+        response = around.call_admin("GET", "/peers")
         assert response is not None
         return {"waiting": waiting, **json.loads(response.body)}
 
     with around.running():
-        own = json.loads(around.call("GET", "/peers").body)["address"]  # type: ignore[union-attr]
+        own = json.loads(around.call_admin("GET", "/peers").body)["address"]  # type: ignore[union-attr]
         view = load(voters=[own], leaseS=1, longestS=40, trials=True)
         assert view["waiting"] == [] and view["fit"] and view["holds"] == view["granted"] == []
         assert 30 < view["silent_s"] < 41, "a new voter does not know what was granted before"
@@ -525,10 +527,12 @@
         assert "granted" not in view and view["holds"] == []
         assert "holds" not in load()
         assert load(everyS=0.3)["waiting"] == ["peers"]
-        around.config.write_text(json.dumps({**around.told, "peers": {**peers, "voters": ["nobody"]}}))
+        around.config_path.write_text(
+            json.dumps({**around.configuration, "peers": {**peers, "voters": ["nobody"]}})
+        )
         around.process.send_signal(signal.SIGHUP)
-        assert "peers.voters[0]" in around.event("reload_failed")["text"]
-        refused = around.call("PUT", "/peers/duties/trial%20a%20s-0/resign")
+        assert "peers.voters[0]" in around.next_event("reload_failed")["text"]
+        refused = around.call_admin("PUT", "/peers/duties/trial%20a%20s-0/resign")
         assert refused is not None and refused.status == 404
 
 
