--- a/benchmarks/hearing.py
+++ b/benchmarks/list_updates.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from parts import PLAN, Nowhere
-from telling import Origin, answer, change, whole
+from parts import PLAN, NullCallbacks
+from telling import ListSource, http_response, list_change, full_list
 from trees import ROOT
 
 from pumicepath.discovery.roster import Roster
@@ -25,26 +25,26 @@
 from pumicepath.logic import Balancer
 from pumicepath.settings import decode
 
-NEAR = "zone-00"
+OWN_ZONE = "zone-00"
 
 
-class Hearing:
+class ListReceiver:
     """One sidecar's parts from an answer's bytes to what its balancer knows."""
 
     def __init__(self) -> None:
-        self.roster = Roster([NEAR], lambda born: max(0, born))
-        self.watch = Watch(self.roster, "127.0.0.1:1", -1, 20_000_000)
-        self.balancer = Balancer(decode(settings_of(PLAN, 0, 0)), 1, Nowhere())
+        self.server_list = Roster([OWN_ZONE], lambda born: max(0, born))
+        self.watch = Watch(self.server_list, "127.0.0.1:1", -1, 20_000_000)
+        self.balancer = Balancer(decode(settings_of(PLAN, 0, 0)), 1, NullCallbacks())
         self.now = 10**9
 
-    def hear(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         parser = self.watch.parser
         while data:
-            room = parser.ring.room()
-            some = data[: len(room)]
-            room[: len(some)] = some
-            parser.ring.wrote(len(some))
-            data = data[len(some) :]
+            free_space = parser.ring.room()
+            chunk = data[: len(free_space)]
+            free_space[: len(chunk)] = chunk
+            parser.ring.wrote(len(chunk))
+            data = data[len(chunk) :]
             response = parser.next()
         assert response is not None
         update = self.watch.update(response)
@@ -52,114 +52,116 @@
         self.balancer.listed(self.now, Listing.FULL if update.whole else Listing.CHANGES, update.entries)
 
 
-def heard(servers: int) -> dict[str, float]:
+def measure_list_updates(servers: int) -> dict[str, float]:
     """Microseconds for a whole list of that many at the start, the same again, and one change; and bytes."""
-    hearing = Hearing()
-    first = answer(whole(servers, 1))
+    receiver = ListReceiver()
+    first = http_response(full_list(servers, 1))
     began = time.process_time()
-    hearing.hear(first)
-    start = time.process_time() - began
-    times = max(2, 2000 // servers)
-    data = [answer(whole(servers, 2 + at)) for at in range(times)]
+    receiver.receive(first)
+    first_s = time.process_time() - began
+    repeats = max(2, 2000 // servers)
+    responses = [http_response(full_list(servers, 2 + at)) for at in range(repeats)]
     began = time.process_time()
-    for each in data:
-        hearing.hear(each)
-    again = (time.process_time() - began) / times
+    for each in responses:
+        receiver.receive(each)
+    repeated_s = (time.process_time() - began) / repeats
     changes = max(20, min(500, 200_000 // servers))
-    data = [answer(change(2 + times + at, at % servers)) for at in range(changes)]
+    responses = [http_response(list_change(2 + repeats + at, at % servers)) for at in range(changes)]
     began = time.process_time()
-    for each in data:
-        hearing.hear(each)
-    one = (time.process_time() - began) / changes
+    for each in responses:
+        receiver.receive(each)
+    change_s = (time.process_time() - began) / changes
     return {
-        "first_us": start * 1e6,
-        "whole_us": again * 1e6,
-        "change_us": one * 1e6,
+        "first_us": first_s * 1e6,
+        "whole_us": repeated_s * 1e6,
+        "change_us": change_s * 1e6,
         "list_bytes": len(first),
-        "change_bytes": len(data[-1]),
+        "change_bytes": len(responses[-1]),
     }
 
 
-def decided(servers: int, new: bool) -> float:
+def measure_decision(servers: int, new_keys: bool) -> float:
     """Microseconds for one call's decision and its end, all servers in the sidecar's own zone.
 
     The keys are `new`, or 50 that were all met before: what is drawn for a key is kept while it is met.
     """
-    hearing = Hearing()
-    told = whole(servers, 1)
-    for each in told["hosts"]:
-        each["site"] = NEAR
-    hearing.hear(answer(told))
-    balancer, state = hearing.balancer, [hearing.now, 0]
+    receiver = ListReceiver()
+    message = full_list(servers, 1)
+    for each in message["hosts"]:
+        each["site"] = OWN_ZONE
+    receiver.receive(http_response(message))
+    balancer, state = receiver.balancer, [receiver.now, 0]
 
     def decide() -> None:
         state[0] += 6_667  # microseconds: 150 calls a second
         state[1] += 1
-        key = 10**6 + state[1] if new else 1 + state[1] % 50
+        key = 10**6 + state[1] if new_keys else 1 + state[1] % 50
         one = balancer.take(state[0], state[1], 0, key, False, state[0] + 2_000_000)
         one.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
 
-    times = max(50, min(5000, 400_000 // servers))
+    repeats = max(50, min(5000, 400_000 // servers))
     for _ in range(50):
         decide()
     began = time.process_time()
-    for _ in range(times):
+    for _ in range(repeats):
         decide()
-    return (time.process_time() - began) / times * 1e6
+    return (time.process_time() - began) / repeats * 1e6
 
 
-def configuration(servers: int, where: tuple[str, int]) -> dict[str, Any]:
+def sidecar_config(servers: int, source_address: tuple[str, int]) -> dict[str, Any]:
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
-        "discovery": f"{where[0]}:{where[1]}",
+        "discovery": f"{source_address[0]}:{source_address[1]}",
         "seed": "1f",
         "limits": {"memory_mb": 192, "sockets": 1024},
-        "known": whole(servers),
+        "known": full_list(servers),
         "settings": settings_of(PLAN, 0, 0),
     }
 
 
-def rested(servers: int, changes_per_s: Sequence[float], seconds: float) -> list[dict[str, float]]:
+def measure_idle_sidecars(
+    servers: int, changes_per_s: Sequence[float], seconds: float
+) -> list[dict[str, float]]:
     """A real `serve` for each rate of changes, side by side: MB at rest, then CPU ms and bytes a second."""
-    origins = [Origin(servers) for _ in changes_per_s]
+    sources = [ListSource(servers) for _ in changes_per_s]
     sidecars: list[Sidecar] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
             sidecars = [
                 Sidecar(
-                    configuration(servers, origin.where),
+                    sidecar_config(servers, origin.address),
                     Path(folder) / str(at),
                     ROOT,
                     os.sched_getaffinity(0),
                 )
-                for at, origin in enumerate(origins)
+                for at, origin in enumerate(sources)
             ]
             for each in sidecars:
                 while each.address() is None:
                     time.sleep(0.02)
             time.sleep(2.0)
-            resting = [each.memory_mb() for each in sidecars]
-            for rate, origin in zip(changes_per_s, origins):
+            idle_mb = [each.memory_mb() for each in sidecars]
+            for rate, origin in zip(changes_per_s, sources):
                 if rate:
-                    origin.changes(10**9, 1 / rate)
+                    origin.make_changes(10**9, 1 / rate)
             time.sleep(1.0)
-            before = [(sum(each.cpu()), origin.figures()) for each, origin in zip(sidecars, origins)]
+            before = [(sum(each.cpu()), origin.read_counters()) for each, origin in zip(sidecars, sources)]
             began = time.monotonic()
             time.sleep(seconds)
-            after = [(sum(each.cpu()), origin.figures()) for each, origin in zip(sidecars, origins)]
-            lasted = time.monotonic() - began
+            after = [(sum(each.cpu()), origin.read_counters()) for each, origin in zip(sidecars, sources)]
+            elapsed_s = time.monotonic() - began
             return [
                 {
                     "mb": mb,
-                    "cpu_ms": (then[0] - first[0]) / lasted * 1000,
-                    "bytes": (then[1]["bytes"] - first[1]["bytes"]) / lasted,
-                    "changes": (then[1]["seq"] - first[1]["seq"]) / lasted,
+                    "cpu_ms": (then[0] - first[0]) / elapsed_s * 1000,
+                    "bytes": (then[1]["bytes"] - first[1]["bytes"]) / elapsed_s,
+                    "changes": (then[1]["seq"] - first[1]["seq"]) / elapsed_s,
                 }
-                for mb, first, then in zip(resting, before, after)
+                for mb, first, then in zip(idle_mb, before, after)
             ]
         finally:
             for each in sidecars:
                 each.end()
-            for origin in origins:
+            for origin in sources:
                 origin.end()
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -39,15 +39,15 @@
 )
 
 
-class Nowhere:
+class NullCallbacks:
     """An outlet that does nothing."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *_: None
 
 
-def parts() -> dict[str, Callable[[], object]]:
-    told = config.decode_config(
+def make_parts() -> dict[str, Callable[[], object]]:
+    sidecar_config = config.decode_config(
         {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings_of(PLAN, 0, 0)}
     )
     request, response = RequestParser(), ResponseParser(MOST_BODY)
@@ -68,37 +68,37 @@
 
     whole, answer = parse(request, REQUEST), parse(response, ANSWER)
 
-    def onward() -> bytes:
+    def write_hop() -> bytes:
         headers = [(name, value) for name, value in whole.passed_on() if name.lower() != "x-expires-in-ms"]
         return writing.request(whole.method, whole.target, [*headers, ("x-expires-in-ms", "5")], whole.body)
 
-    entrance = Entrance(told)
+    gate = Entrance(sidecar_config)
 
-    def through() -> None:
-        entrance.enter(10, 10**18, 0, False, 5000.0)
-        entrance.leave()
-        entrance.again()
-        entrance.leave(100)
+    def pass_gate() -> None:
+        gate.enter(10, 10**18, 0, False, 5000.0)
+        gate.leave()
+        gate.again()
+        gate.leave(100)
 
-    found: dict[str, Callable[[], object]] = {
+    parts: dict[str, Callable[[], object]] = {
         "read a request": lambda: parse(request, REQUEST),
-        "what it asks": lambda: asked(whole, told.request_classes, told.settings.tariffs),
-        "through the entrance, twice": through,
-        "write the hop": onward,
+        "what it asks": lambda: asked(whole, sidecar_config.request_classes, sidecar_config.settings.tariffs),
+        "through the entrance, twice": pass_gate,
+        "write the hop": write_hop,
         "read the answer": lambda: parse(response, ANSWER),
         "write the answer": lambda: writing.response(*answers.succeeded(answer), True),
         "glance at a request": glance,
     }
     for servers in (4, 9, 12):
-        balancer = Balancer(told.settings, 1, Nowhere())
+        balancer = Balancer(sidecar_config.settings, 1, NullCallbacks())
         balancer.listed(0, Listing.FULL, [Entry(at, 0, 0, Phase.READY, 1.0, 0) for at in range(servers)])
-        found[f"decide, {servers} servers"] = decisions(balancer)
-    return found
+        parts[f"decide, {servers} servers"] = decision_loop(balancer)
+    return parts
 
 
-def decisions(balancer: Balancer) -> Callable[[], None]:
-    chance = random.Random(1)
-    keys = [chance.randrange(1, 1500) for _ in range(5000)]
+def decision_loop(balancer: Balancer) -> Callable[[], None]:
+    rng = random.Random(1)
+    keys = [rng.randrange(1, 1500) for _ in range(5000)]
     state = [10**9, 0]
 
     def decide() -> None:
@@ -116,20 +116,20 @@
 @click.option("--as-json", is_flag=True)
 def main(runs: int, times: int, as_json: bool) -> None:
     """Microseconds a part, the middle of the runs."""
-    found: dict[str, list[float]] = {}
+    results: dict[str, list[float]] = {}
     for _ in range(runs):
-        for name, part in parts().items():
+        for name, part in make_parts().items():
             began = time.process_time()
             for _ in range(times):
                 part()
-            found.setdefault(name, []).append((time.process_time() - began) / times * 1e6)
-    middle = {name: statistics.median(values) for name, values in found.items()}
+            results.setdefault(name, []).append((time.process_time() - began) / times * 1e6)
+    middle = {name: statistics.median(values) for name, values in results.items()}
     if as_json:
         print(json.dumps({"form": FORM, **middle}))
         return
     print(FORM)
     for name, value in middle.items():
-        print(f"{name:28} {value:6.1f} us  ({min(found[name]):.1f} to {max(found[name]):.1f})")
+        print(f"{name:28} {value:6.1f} us  ({min(results[name]):.1f} to {max(results[name]):.1f})")
 
 
 if __name__ == "__main__":
