--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -67,8 +67,8 @@
             virtual = VirtualWorld(plan(faults), seed).run()
             try:
                 live = play(plan(faults), seed)
-            except Void as trouble:
-                print(f"{name:<20} seed {seed}: void, {trouble}")
+            except Void as error:
+                print(f"{name:<20} seed {seed}: void, {error}")
                 continue
             max_difference = max(max_difference, abs(virtual.service - live.service))
             print(
--- a/benchmarks/call_overhead.py
+++ b/benchmarks/call_overhead.py
@@ -25,9 +25,9 @@
 from pathlib import Path
 
 import numpy
-from hearing import sidecar_config
-from telling import ListSource, full_list
-from trees import ROOT
+from list_source import ListSource, full_list
+from list_updates import sidecar_config
+from worktrees import ROOT
 
 from pumicepath.interface import Outcome
 from pumicepath.lab.loopback.process import Sidecar
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -29,17 +29,17 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 
-from trees import ROOT  # noqa: E402
+from worktrees import ROOT  # noqa: E402
 
 sys.path.insert(0, str(ROOT))
 
-import calling  # noqa: E402
-import hearing  # noqa: E402
-import holding  # noqa: E402
-import hollow  # noqa: E402
+import call_overhead  # noqa: E402
+import fleet_cost  # noqa: E402
+import list_source  # noqa: E402
+import list_updates  # noqa: E402
 import peers  # noqa: E402
-import relaying  # noqa: E402
-import telling  # noqa: E402
+import relay_cost  # noqa: E402
+import scale_runs  # noqa: E402
 
 from pumicepath.compiled import FORM  # noqa: E402
 from pumicepath.lab.capacity import page, slopes  # noqa: E402
@@ -176,7 +176,7 @@
 def measure_list_updates() -> Measurements:
     results: Measurements = {}
     for servers in LIST_SIZES:
-        for name, value in hearing.measure_list_updates(servers).items():
+        for name, value in list_updates.measure_list_updates(servers).items():
             if name in SERIES:
                 results.setdefault(name, {})[servers] = value
     return results
@@ -184,7 +184,7 @@
 
 def measure_decisions() -> Measurements:
     return {
-        name: {servers: hearing.measure_decision(servers, new) for servers in LIST_SIZES}
+        name: {servers: list_updates.measure_decision(servers, new) for servers in LIST_SIZES}
         for name, new in (("met_us", False), ("new_us", True))
     }
 
@@ -192,30 +192,32 @@
 def measure_list_source() -> Measurements:
     results: Measurements = {}
     for count in (50, 200, 500, 1000, 2000):
-        change_costs = telling.measure_change(count)
+        change_costs = list_source.measure_change(count)
         for name, value in (
             ("told_us", change_costs["told_us"]),
             ("told_bytes", change_costs["told_bytes"]),
             ("last_ms", change_costs["last_s"] * 1000),
-            ("renewed_us", telling.measure_renewal(count)),
+            ("renewed_us", list_source.measure_renewal(count)),
         ):
             results.setdefault(name, {})[count] = value
     results["sent_many_us"] = {
-        count: telling.measure_full_list(1000, count)["whole_us"] for count in (20, 100, 500, 1000)
+        count: list_source.measure_full_list(1000, count)["whole_us"] for count in (20, 100, 500, 1000)
+    }
+    results["sent_us"] = {
+        servers: list_source.measure_full_list(servers)["whole_us"] for servers in LIST_SIZES
     }
-    results["sent_us"] = {servers: telling.measure_full_list(servers)["whole_us"] for servers in LIST_SIZES}
     return results
 
 
 def measure_idle_sidecars() -> Measurements:
     results: Measurements = {
         "rest_mb": {
-            servers: hearing.measure_idle_sidecars(servers, [0], 1.0)[0]["mb"]
+            servers: list_updates.measure_idle_sidecars(servers, [0], 1.0)[0]["mb"]
             for servers in (12, 1000, 5000, 20_000)
         }
     }
     rates = (1, 2, 5, 10, 20)
-    for rate, costs in zip(rates, hearing.measure_idle_sidecars(12, rates, 10.0)):
+    for rate, costs in zip(rates, list_updates.measure_idle_sidecars(12, rates, 10.0)):
         results.setdefault("rest_cpu_ms", {})[rate] = costs["cpu_ms"]
         results.setdefault("rest_bytes", {})[rate] = costs["bytes"]
     return results
@@ -239,7 +241,7 @@
 def measure_calls(seed: int) -> Measurements:
     results: Measurements = {}
     for servers in (4, 12, 100, 400, 1000):
-        for name, value in calling.measure_calls(servers, seed=seed).items():
+        for name, value in call_overhead.measure_calls(servers, seed=seed).items():
             # Wall time of a call says nothing of the sidecar while others have the cores.
             busy = os.getloadavg()[0] > (os.cpu_count() or 1) / 2
             if not name.startswith(("added", "passed", "plain")) or value > 0 and not busy:
@@ -250,26 +252,26 @@
 def measure_duties(seed: int) -> Measurements:
     results: Measurements = {}
     for count in (10, 30, 100, 300):
-        for name, value in holding.measure_voters(count, 200, seed).items():
+        for name, value in fleet_cost.measure_voters(count, 200, seed).items():
             results.setdefault(name, {})[count] = value
-    results["peer_kb"] = {count: holding.member_kb(count) for count in (50, 100, 200, 300)}
+    results["peer_kb"] = {count: fleet_cost.member_kb(count) for count in (50, 100, 200, 300)}
     return results
 
 
 def measure_voter_memory(seed: int) -> Measurements:
-    return {"voter_kb": {count: holding.voter_kb(count, 200, seed) for count in (10, 30, 100, 300)}}
+    return {"voter_kb": {count: fleet_cost.voter_kb(count, 200, seed) for count in (10, 30, 100, 300)}}
 
 
 def measure_relay() -> Measurements:
     results: Measurements = {}
     for count in (100, 500, 1000, 2000):
-        for name, value in relaying.measure_relay(count).items():
+        for name, value in relay_cost.measure_relay(count).items():
             results.setdefault(name, {})[count] = value
     return results
 
 
 def measure_relay_followers() -> Measurements:
-    results = relaying.measure_followers((12, 84, 1000, 2584))
+    results = relay_cost.measure_followers((12, 84, 1000, 2584))
     return {
         "followed_mb": {size: told[0] for size, told in results.items()},
         "followed_cpu_ms": {size: told[1] for size, told in results.items()},
@@ -279,7 +281,7 @@
 def measure_hollow_sidecars(seed: int) -> Measurements:
     results: Measurements = {}
     for sidecars in (500, 1000, 2000, 4000):
-        for name, value in hollow.run_relayed(sidecars, seed).items():
+        for name, value in scale_runs.run_relayed(sidecars, seed).items():
             results.setdefault(name, {})[sidecars] = value
     return results
 
@@ -330,7 +332,7 @@
 
 def series_of_files(paths: Sequence[Path]) -> dict[str, Any]:
     """Series of recorded runs of `lab scale`."""
-    runs = hollow.read_runs(paths)
+    runs = scale_runs.read_runs(paths)
     if not runs:
         raise click.BadParameter("no run that ended with a result", param_hint="--scale")
     results: dict[str, Any] = {}
@@ -341,7 +343,7 @@
         groups.setdefault((result["form"], played_in_part, *result["faults"]), []).append(one)
     for group in groups.values():
         results |= series_of_runs(group)
-    results |= series_of_comparisons(hollow.read_comparisons(paths))
+    results |= series_of_comparisons(scale_runs.read_comparisons(paths))
     return results
 
 
@@ -381,7 +383,7 @@
     }
     values: dict[str, dict[float, list[float]]] = {}
     for one in runs:
-        for name, value in hollow.series_values(one["result"]).items():
+        for name, value in scale_runs.series_values(one["result"]).items():
             if name not in SERIES:
                 continue
             sizes = values.setdefault(name, {})
@@ -469,8 +471,8 @@
     try:
         capacity = slopes.decode(json.loads(DATA_FILE.read_text()))
         PAGE_FILE.write_text(page.written(PAGE_FILE.read_text(), capacity))
-    except (slopes.BadCapacity, ValueError, OSError) as trouble:
-        print(f"{DATA_FILE.name}: {trouble}", file=sys.stderr)
+    except (slopes.BadCapacity, ValueError, OSError) as error:
+        print(f"{DATA_FILE.name}: {error}", file=sys.stderr)
         sys.exit(2)
 
 
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 
 import click
-from trees import ROOT, checked_out_trees
+from worktrees import ROOT, checked_out_trees
 
 sys.path.insert(0, str(ROOT))
 
--- a/benchmarks/list_updates.py
+++ b/benchmarks/list_updates.py
@@ -1,7 +1,7 @@
 """What a list costs the sidecar that hears of it: its CPU by part, a real `serve`'s memory and CPU at rest.
 
 `heard(servers)` and `decided(servers)` are the real parser, `Watch`, `Roster` and `Balancer` in this process;
-`rested(...)` are real processes behind the stand-in of `telling.py`.
+`rested(...)` are real processes behind the stand-in of `list_source.py`.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
+from list_source import ListSource, full_list, http_response, list_change
 from parts import PLAN, NullCallbacks
-from telling import ListSource, http_response, list_change, full_list
-from trees import ROOT
+from worktrees import ROOT
 
 from pumicepath.discovery.roster import Roster
 from pumicepath.discovery.watch import Watch
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 
 import click
-from trees import ROOT, checked_out_trees
+from worktrees import ROOT, checked_out_trees
 
 sys.path.insert(0, str(ROOT))
 
@@ -325,7 +325,7 @@
         for process in sidecar.busy_processes[1:]:
             process.terminate()
 
-    cases: dict[str, tuple[Plan, list, float, float]] = {}
+    cases: dict[str, tuple[Scenario, list, float, float]] = {}
     for times in (1.5, 2, 4, 10):
         for lasts in (1, 10):
             steps = plan((0, 0.5), (3, times), (3 + lasts, 0.5))
@@ -336,7 +336,12 @@
         3,
         4,
     )
-    cases["4 x, clients back at once"] = (plan((0, 0.5), (3, 4), (8, 0.5), heeds=False, retries=20), [], 3, 8)
+    cases["4 x, clients back at once"] = (
+        plan((0, 0.5), (3, 4), (8, 0.5), honours_retry_after=False, retries=20),
+        [],
+        3,
+        8,
+    )
     cases["core to a third at 0.7 x"] = (
         plan((0, 0.7), lasts=14),
         [(3, more_neighbours), (8, fewer_neighbours)],
@@ -350,7 +355,7 @@
         3,
         8,
     )
-    cases["bodies of 60 KB, 4 x for 5 s"] = (plan((0, 0.2), (3, 4), (8, 0.2), body=60_000), [], 3, 8)
+    cases["bodies of 60 KB, 4 x for 5 s"] = (plan((0, 0.2), (3, 4), (8, 0.2), body_bytes=60_000), [], 3, 8)
     cases["SIGHUP five times, 4 x for 5 s"] = (
         plan((0, 0.5), (3, 4), (8, 0.5)),
         [(3.5 + at, lambda: os.kill(pid, signal.SIGHUP)) for at in range(5)],
--- a/benchmarks/pacing.py
+++ b/benchmarks/pacing.py
@@ -57,7 +57,7 @@
     retries: list[tuple[float, Follower]] = []
     while len(took) < len(followers) and time.monotonic() - began < MAX_PHASE_S:
         for key, _ in selector.select(0.01):
-            response = key.data.hear()
+            response = key.data.receive()
             if response is None:
                 continue
             if response[0] == 200:
@@ -65,7 +65,7 @@
                     served.add(key.data)
                     took.append(time.monotonic() - began)
                     size += len(response[1])
-                key.data.ask(rng.uniform(MAX_WAIT_MS / 2, MAX_WAIT_MS))  # it follows from now on
+                key.data.send_request(rng.uniform(MAX_WAIT_MS / 2, MAX_WAIT_MS))  # it follows from now on
             else:
                 refused += 1
                 retries.append((time.monotonic() + rng.uniform(0.25, 0.5), key.data))
@@ -122,10 +122,10 @@
         timed = not waiting_for_list
         while time.monotonic() < until_s and (timed or waiting_for_list):
             for key, _ in self.selector.select(0.05):
-                response = key.data.hear()
+                response = key.data.receive()
                 if response is not None:
                     waiting_for_list.difference_update([key.data] if response[0] == 200 else [])
-                    key.data.ask(self.random_wait_ms() if response[0] == 200 else 1)
+                    key.data.send_request(self.random_wait_ms() if response[0] == 200 else 1)
 
     def measure_changes(self, stop_pipe: Connection | None, seconds: float) -> dict[str, float]:
         """Make changes until `over` has something to say: ms until followers concerned had them."""
@@ -148,7 +148,7 @@
                     outstanding[str(one["host"])] = (now, set(wanted), mark)
                 self.origin.put(one)
             for key, _ in self.selector.select(0.005):
-                response = key.data.hear()
+                response = key.data.receive()
                 if response is None:
                     continue
                 answers += 1
@@ -158,7 +158,7 @@
                         waiting.discard(key.data)
                         if not waiting:
                             del outstanding[name]
-                key.data.ask(self.random_wait_ms())
+                key.data.send_request(self.random_wait_ms())
             longest_turn_s = max(longest_turn_s, time.monotonic() - now)
         elapsed_s = time.monotonic() - began
         outstanding_ms = [
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -101,7 +101,7 @@
         answers: list[tuple[int, bytes]] = []
         while len(answers) < len(self.followers):
             for key, _ in self.selector.select(5):
-                response = key.data.hear()
+                response = key.data.receive()
                 if response is not None:
                     answers.append(response)
         return answers, self.cpu_s() - cpu, time.monotonic() - then
@@ -116,13 +116,13 @@
         last = 0.0
         while time.monotonic() - then < seconds:
             for key, _ in self.selector.select(0.02):
-                response = key.data.hear()
+                response = key.data.receive()
                 if response is not None:
                     answers += 1
                     if b'"host"' in response[1]:
                         changed += 1
                         last = time.monotonic() - then
-                    key.data.ask(self.random_wait_ms())
+                    key.data.send_request(self.random_wait_ms())
         return answers, changed, last, self.cpu_s() - cpu
 
 
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -17,9 +17,9 @@
 from random import Random
 from typing import Any
 
-from hearing import sidecar_config
-from telling import Followers, ListSource
-from trees import ROOT
+from list_source import Followers, ListSource
+from list_updates import sidecar_config
+from worktrees import ROOT
 
 from pumicepath.lab.loopback.process import Sidecar
 
--- a/benchmarks/scale_runs.py
+++ b/benchmarks/scale_runs.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from trees import ROOT
+from worktrees import ROOT
 
 SERVICES_PER_SIDECAR = 1900 / 20_000  # services by sidecars at the target
 
