--- a/setup.py
+++ b/setup.py
@@ -1,7 +1,8 @@
-"""Builds the pure modules as C by mypyc, where there is a compiler; without one the same files run.
+"""Builds the package and compiles its pure modules with mypyc if a C compiler is available.
 
-What was compiled is written down in the package with the hash of each file, so that a module that has been
-edited since is never run from an older build (see `pumicepath/compiled.py`).
+Without a compiler the same modules run interpreted.  The hash of each compiled file is recorded in
+`pumicepath/compiled.json`, so that a module edited after the build is not run from the older compiled form
+(see `pumicepath/compiled.py`).
 """
 
 import hashlib
@@ -28,14 +29,15 @@
 
 
 class OptionalBuildExt(build_ext):
-    """Compiles all or nothing: guards against a part that was built from other files than the rest."""
+    """Compiles all modules or none, so that a failed build does not leave modules of different versions."""
 
     def run(self) -> None:
+        """Build the extensions, then record the hashes of their sources; a failure only prints a message."""
         BUILD_RECORD.unlink(missing_ok=True)
         try:
             super().run()
-        except BaseException as trouble:  # no compiler, no headers, a refusal: setuptools exits as well
-            print(f"pumicepath is not compiled, and runs as it is: {trouble}", file=sys.stderr)
+        except BaseException as error:  # no compiler or headers, a compile error; setuptools may exit
+            print(f"pumicepath is not compiled and will run interpreted: {error}", file=sys.stderr)
             self.extensions = []
             return
         if self.extensions:
@@ -51,12 +53,13 @@
 
 
 def extensions() -> list:
+    """Return mypyc's extension modules, or an empty list if mypyc is missing or fails."""
     try:
         from mypyc.build import mypycify
 
         return mypycify(["--config-file=", *COMPILED_MODULES], opt_level="3", debug_level="0")
-    except BaseException as trouble:  # mypyc exits where it can't go on
-        print(f"pumicepath is not compiled, and runs as it is: {trouble}", file=sys.stderr)
+    except BaseException as error:  # mypyc raises SystemExit on an error
+        print(f"pumicepath is not compiled and will run interpreted: {error}", file=sys.stderr)
         return []
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: which runs it lets pass."""
+"""KNOWN-RED.txt: exactly the listed tests may fail, and malformed or outdated lists are rejected."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "red, ends, says",
+    "entries, exit_code, expected",
     [
         (None, 1, "2 failed, 1 passed, 1 error"),
         (ONE_ENTRY, 1, "known red: " + ONE_ENTRY),
@@ -52,13 +52,15 @@
         "no test",
     ],
 )
-def test_only_the_listed_failures_pass(red: str | None, ends: int, says: str, tmp_path: Path) -> None:
+def test_only_the_listed_failures_pass(
+    entries: str | None, exit_code: int, expected: str, tmp_path: Path
+) -> None:
     (tmp_path / "tests").mkdir()
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
     (tmp_path / "tests" / "test_one.py").write_text(TEST_MODULE)
     (tmp_path / "tests" / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
-    if red is not None:
-        (tmp_path / "KNOWN-RED.txt").write_text(red + "\n")
+    if entries is not None:
+        (tmp_path / "KNOWN-RED.txt").write_text(entries + "\n")
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
     result = subprocess.run(
         command,
@@ -68,4 +70,5 @@
         timeout=120,
         env={**os.environ, "PYTHONPATH": ""},
     )
-    assert result.returncode == ends and says in result.stdout + result.stderr, result.stdout + result.stderr
+    output = result.stdout + result.stderr
+    assert result.returncode == exit_code and expected in output, output
