--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,12 +1,13 @@
-"""Slopes for docs/CAPACITY.md: measured here, kept in docs/capacity.json, written into the page's tables.
+"""Measures how costs grow with size for docs/CAPACITY.md; keeps the values in docs/capacity.json.
 
-    .venv/bin/python benchmarks/capacity.py                    # all of it, and then the page: half an hour
+    .venv/bin/python benchmarks/capacity.py                    # all groups, then the page: half an hour
     .venv/bin/python benchmarks/capacity.py --only hearing --only telling --repeats 5
-    PUMICEPATH_INTERPRETED=1 .venv/bin/python benchmarks/capacity.py --only deciding   # beside compiled ones
-    .venv/bin/python benchmarks/capacity.py --write-page       # the tables from the file, nothing measured
+    PUMICEPATH_INTERPRETED=1 .venv/bin/python benchmarks/capacity.py --only deciding   # second form
+    .venv/bin/python benchmarks/capacity.py --write-page       # tables from the file, no measurement
 
-Each group measures its series at four sizes or more in one run; what it has measured takes the place of the
-same series in the file, and the rest stays.  Times are CPU time, as the machine may be shared.
+Each group measures its series at four or more sizes in one run.  Measured series replace those of the same
+name in the file; the others stay.  Times are CPU time unless a series says wall time, as the machine may be
+shared.
 """
 
 from __future__ import annotations
@@ -50,79 +51,75 @@
 
 
 class SeriesInfo(NamedTuple):
+    """What a series measures, its unit, and the quantity that its sizes count."""
+
     description: str
     unit: str
     size_unit: str
-    form: str = ""  # of what it times, where that is not this tree's
+    form: str = ""  # compiled or interpreted, if the timed process does not run in this one's form
 
 
 SERVERS, FOLLOWERS, CHANGES, PEERS = "servers in the list", "followers", "changes a second", "sidecars"
 INTERPRETED, NEITHER_FORM = "interpreted", "neither"
 SERIES = {
-    "first_us": SeriesInfo("a sidecar reads its first whole list", "us", SERVERS),
-    "whole_us": SeriesInfo("a sidecar reads a whole list again", "us", SERVERS),
+    "first_us": SeriesInfo("a sidecar reads its first full list", "us", SERVERS),
+    "whole_us": SeriesInfo("a sidecar reads a full list again", "us", SERVERS),
     "change_us": SeriesInfo("a sidecar reads one change", "us", SERVERS),
-    "list_bytes": SeriesInfo("a whole list", "bytes", SERVERS, NEITHER_FORM),
-    "met_us": SeriesInfo("one call's decision, its key met before", "us", SERVERS),
-    "new_us": SeriesInfo("one call's decision, its key new", "us", SERVERS),
+    "list_bytes": SeriesInfo("a full list", "bytes", SERVERS, NEITHER_FORM),
+    "met_us": SeriesInfo("one decision, for a known key", "us", SERVERS),
+    "new_us": SeriesInfo("one decision, for a new key", "us", SERVERS),
     "told_us": SeriesInfo("the source answers one watch with a change", "us", FOLLOWERS, INTERPRETED),
-    "told_bytes": SeriesInfo("that answer", "bytes", FOLLOWERS, NEITHER_FORM),
+    "told_bytes": SeriesInfo("that response", "bytes", FOLLOWERS, NEITHER_FORM),
     "renewed_us": SeriesInfo(
-        "the source ends a watch with nothing new, and takes the next", "us", FOLLOWERS, INTERPRETED
+        "the source ends a watch without a change, and accepts the next", "us", FOLLOWERS, INTERPRETED
     ),
     "last_ms": SeriesInfo(
         "wall time from one change until the last follower has it", "ms", FOLLOWERS, INTERPRETED
     ),
-    "sent_us": SeriesInfo("the source sends one whole list to one of 20", "us", SERVERS, INTERPRETED),
+    "sent_us": SeriesInfo("the source sends one full list to one of 20", "us", SERVERS, INTERPRETED),
     "sent_many_us": SeriesInfo(
-        "the source sends one whole list of 1,000 servers", "us", FOLLOWERS, INTERPRETED
+        "the source sends one full list of 1,000 servers", "us", FOLLOWERS, INTERPRETED
     ),
-    "rest_mb": SeriesInfo("memory of a `serve` at rest", "MB", SERVERS),
+    "rest_mb": SeriesInfo("memory of an idle `serve`", "MB", SERVERS),
     "rest_cpu_ms": SeriesInfo("CPU of a `serve` without calls, 12 servers", "ms a second", CHANGES),
     "rest_bytes": SeriesInfo(
         "bytes from discovery to a `serve`, 12 servers", "bytes a second", CHANGES, NEITHER_FORM
     ),
-    "call_cpu_ms": SeriesInfo("CPU of a call in a `serve`, 150 a second", "ms", SERVERS),
-    "added_p50_ms": SeriesInfo("added to a call at p50, 150 a second, wall time", "ms", SERVERS),
-    "added_p99_ms": SeriesInfo("added to a call at p99, 150 a second, wall time", "ms", SERVERS),
-    "passed_p50_ms": SeriesInfo(
-        "the same by a plain process in the way, which hands on bytes, at p50", "ms", SERVERS, INTERPRETED
-    ),
-    "passed_p99_ms": SeriesInfo(
-        "the same by a plain process in the way, which hands on bytes, at p99", "ms", SERVERS, INTERPRETED
-    ),
-    "plain_p99_ms": SeriesInfo("a call with nothing in the way, at p99", "ms", SERVERS, INTERPRETED),
+    "call_cpu_ms": SeriesInfo("CPU of one call in a `serve`, 150 a second", "ms", SERVERS),
+    "added_p50_ms": SeriesInfo("latency added to a call at p50, 150 a second, wall time", "ms", SERVERS),
+    "added_p99_ms": SeriesInfo("latency added to a call at p99, 150 a second, wall time", "ms", SERVERS),
+    "passed_p50_ms": SeriesInfo("latency added by a plain byte forwarder at p50", "ms", SERVERS, INTERPRETED),
+    "passed_p99_ms": SeriesInfo("latency added by a plain byte forwarder at p99", "ms", SERVERS, INTERPRETED),
+    "plain_p99_ms": SeriesInfo("latency of a direct call at p99", "ms", SERVERS, INTERPRETED),
     "calling_mb": SeriesInfo("memory of a `serve` after calls", "MB", SERVERS),
     "join_kb": SeriesInfo(
-        "sent by each until its views are right, all begin at once", "kB", PEERS, NEITHER_FORM
+        "sent by each sidecar until all views are correct, all started at once", "kB", PEERS, NEITHER_FORM
     ),
-    "join_s": SeriesInfo("until all views are right, all begin at once", "s", PEERS, NEITHER_FORM),
-    "restart_s": SeriesInfo("until all views are right, seven in ten restarted", "s", PEERS, NEITHER_FORM),
-    "peer_messages": SeriesInfo("messages a second of membership at rest", "a second", PEERS, NEITHER_FORM),
-    "peer_bytes": SeriesInfo("bytes a second of membership at rest", "bytes a second", PEERS, NEITHER_FORM),
-    "peer_cpu_us": SeriesInfo("CPU of membership at rest", "us a second", PEERS, INTERPRETED),
+    "join_s": SeriesInfo("until all views are correct, all started at once", "s", PEERS, NEITHER_FORM),
+    "restart_s": SeriesInfo("until all views are correct, seven in ten restarted", "s", PEERS, NEITHER_FORM),
+    "peer_messages": SeriesInfo("messages of idle membership", "a second", PEERS, NEITHER_FORM),
+    "peer_bytes": SeriesInfo("bytes of idle membership", "bytes a second", PEERS, NEITHER_FORM),
+    "peer_cpu_us": SeriesInfo("CPU of idle membership", "us a second", PEERS, INTERPRETED),
     "peer_kb": SeriesInfo("memory of the membership of one sidecar", "kB", PEERS, INTERPRETED),
-    "voter_messages": SeriesInfo(
-        "messages a second from a voter, 200 duties", "a second", PEERS, NEITHER_FORM
-    ),
-    "voter_bytes": SeriesInfo(
-        "bytes a second from a voter, 200 duties", "bytes a second", PEERS, NEITHER_FORM
-    ),
+    "voter_messages": SeriesInfo("messages from a voter, 200 duties", "a second", PEERS, NEITHER_FORM),
+    "voter_bytes": SeriesInfo("bytes from a voter, 200 duties", "bytes a second", PEERS, NEITHER_FORM),
     "voter_kb": SeriesInfo(
-        "memory of 200 duties in a fleet, a third for each voter", "kB", PEERS, INTERPRETED
+        "memory of 200 duties in a fleet, a third counted for each voter", "kB", PEERS, INTERPRETED
     ),
     "voter_cpu_us": SeriesInfo("CPU of a voter's decisions, 200 duties", "us a second", PEERS, INTERPRETED),
-    "followed_mb": SeriesInfo("memory of a `serve` at rest that follows a relay", "MB", SERVERS),
-    "followed_cpu_ms": SeriesInfo("CPU of a `serve` at rest that follows a relay", "ms a second", SERVERS),
+    "followed_mb": SeriesInfo("memory of an idle `serve` that follows a relay", "MB", SERVERS),
+    "followed_cpu_ms": SeriesInfo("CPU of an idle `serve` that follows a relay", "ms a second", SERVERS),
     "relay_mb": SeriesInfo("memory of a relay, 20,000 servers held", "MB", FOLLOWERS),
-    "relay_renewed_us": SeriesInfo("a relay ends a watch with nothing new, takes the next", "us", FOLLOWERS),
+    "relay_renewed_us": SeriesInfo(
+        "a relay ends a watch without a change, and accepts the next", "us", FOLLOWERS
+    ),
     "relay_change_us": SeriesInfo(
-        "a relay takes a change and tells whom it concerns, 8 of 1,900 services each", "us", FOLLOWERS
+        "a relay sends a change to the followers concerned, 8 of 1,900 services each", "us", FOLLOWERS
     ),
-    "relay_whole_us": SeriesInfo("a relay sends one whole list of 8 services", "us", FOLLOWERS),
+    "relay_whole_us": SeriesInfo("a relay sends one full list of 8 services", "us", FOLLOWERS),
     "relay_whole_bytes": SeriesInfo("that list", "bytes", FOLLOWERS, NEITHER_FORM),
     "relay_renewed_bytes": SeriesInfo(
-        "a relay's answer with nothing new, one region", "bytes", FOLLOWERS, NEITHER_FORM
+        "a relay's response without a change, one region", "bytes", FOLLOWERS, NEITHER_FORM
     ),
     "hollow_in_force_ms": SeriesInfo("hollow, relayed: a change in force, p99", "ms", PEERS),
     "hollow_bytes": SeriesInfo(
@@ -131,23 +128,25 @@
     "hollow_core": SeriesInfo("hollow, relayed: CPU of lists of one sidecar", "% of a core", PEERS),
     "hollow_mb": SeriesInfo("hollow, relayed: memory of lists of one sidecar", "MB", PEERS),
     **{
-        f"{fault}_s": SeriesInfo(f"hollow, relayed: {text}, from its end until all is in force", "s", PEERS)
+        f"{fault}_s": SeriesInfo(
+            f"hollow, relayed: {text}, from the end of the fault until all changes are in force", "s", PEERS
+        )
         for fault, text in (
             ("control-restarted", "all relays restarted"),
-            ("zone-lost", "a zone gone and back"),
+            ("zone-lost", "a zone lost and restored"),
             ("region-cut", "a region's discovery cut off from other regions' relays"),
         )
     },
     **{
         f"region-of-all-{fault}_s": SeriesInfo(
             f"a region's two relays and sidecars, hollow, of a fleet: {text}, "
-            "from its end until all is in force",
+            "from the end of the fault until all changes are in force",
             "s",
             "sidecars of the fleet",
         )
         for fault, text in (
             ("control-restarted", "both restarted"),
-            ("control-killed", "one killed, and back"),
+            ("control-killed", "one killed and restarted"),
         )
     },
     **{
@@ -155,16 +154,18 @@
         for side in ("real", "hollow")
         for name, text, unit, form in (
             ("list_mb", "memory of a sidecar", "MB", ""),
-            ("told_us", "CPU of a change told", "us", ""),
-            ("told_bytes", "bytes of a change told", "bytes", NEITHER_FORM),
+            ("told_us", "CPU of one change received", "us", ""),
+            ("told_bytes", "bytes of one change received", "bytes", NEITHER_FORM),
         )
     },
     "direct_in_force_ms": SeriesInfo("hollow, direct: a change in force, p99", "ms", PEERS),
     "direct_mb": SeriesInfo("hollow, direct: memory of lists of one sidecar", "MB", PEERS),
     "direct_core": SeriesInfo("hollow, direct: CPU of lists of one sidecar", "% of a core", PEERS),
-    "direct_origin_core": SeriesInfo("hollow, direct: the one discovery", "cores", PEERS, INTERPRETED),
-    "direct_lag_ms": SeriesInfo("hollow, direct: how late the rig's own loops were at most", "ms", PEERS),
-    "hollow_lag_ms": SeriesInfo("hollow, relayed: how late the rig's own loops were at most", "ms", PEERS),
+    "direct_origin_core": SeriesInfo(
+        "hollow, direct: the single discovery server", "cores", PEERS, INTERPRETED
+    ),
+    "direct_lag_ms": SeriesInfo("hollow, direct: largest delay of the rig's own loops", "ms", PEERS),
+    "hollow_lag_ms": SeriesInfo("hollow, relayed: largest delay of the rig's own loops", "ms", PEERS),
     "hollow_control_core": SeriesInfo("hollow, relayed: all relays together", "cores", PEERS),
     "hollow_control_mb": SeriesInfo("hollow, relayed: all relays together", "MB", PEERS),
     "hollow_control_bytes": SeriesInfo(
@@ -174,6 +175,7 @@
 
 
 def measure_list_updates() -> Measurements:
+    """Cost of a server list and of its changes in a sidecar, by servers in the list."""
     results: Measurements = {}
     for servers in LIST_SIZES:
         for name, value in list_updates.measure_list_updates(servers).items():
@@ -183,6 +185,7 @@
 
 
 def measure_decisions() -> Measurements:
+    """CPU of one decision, for known and for new keys, by servers in the list."""
     return {
         name: {servers: list_updates.measure_decision(servers, new) for servers in LIST_SIZES}
         for name, new in (("met_us", False), ("new_us", True))
@@ -190,6 +193,7 @@
 
 
 def measure_list_source() -> Measurements:
+    """Cost of lists and changes at their source, by followers and by servers in the list."""
     results: Measurements = {}
     for count in (50, 200, 500, 1000, 2000):
         change_costs = list_source.measure_change(count)
@@ -210,6 +214,7 @@
 
 
 def measure_idle_sidecars() -> Measurements:
+    """Memory of an idle `serve` by servers in the list; its CPU and bytes by the rate of changes."""
     results: Measurements = {
         "rest_mb": {
             servers: list_updates.measure_idle_sidecars(servers, [0], 1.0)[0]["mb"]
@@ -224,6 +229,7 @@
 
 
 def measure_membership(seed: int) -> Measurements:
+    """Cost and convergence time of membership on simulated links, by sidecars."""
     sizes = (10, 30, 100, 300, 1000)
     names = {
         "join_kb": "join_kb",
@@ -239,10 +245,11 @@
 
 
 def measure_calls(seed: int) -> Measurements:
+    """Latency and CPU that a sidecar adds to a call, by servers in the list."""
     results: Measurements = {}
     for servers in (4, 12, 100, 400, 1000):
         for name, value in call_overhead.measure_calls(servers, seed=seed).items():
-            # Wall time of a call says nothing of the sidecar while others have the cores.
+            # Wall times are meaningless while other processes occupy the cores.
             busy = os.getloadavg()[0] > (os.cpu_count() or 1) / 2
             if not name.startswith(("added", "passed", "plain")) or value > 0 and not busy:
                 results.setdefault(name, {})[servers] = value
@@ -250,6 +257,7 @@
 
 
 def measure_duties(seed: int) -> Measurements:
+    """Cost of duties for the busiest voter, and memory of membership, by sidecars."""
     results: Measurements = {}
     for count in (10, 30, 100, 300):
         for name, value in fleet_cost.measure_voters(count, 200, seed).items():
@@ -259,10 +267,12 @@
 
 
 def measure_voter_memory(seed: int) -> Measurements:
+    """Memory of duties for each voter, by sidecars."""
     return {"voter_kb": {count: fleet_cost.voter_kb(count, 200, seed) for count in (10, 30, 100, 300)}}
 
 
 def measure_relay() -> Measurements:
+    """Costs of a relay process, by followers."""
     results: Measurements = {}
     for count in (100, 500, 1000, 2000):
         for name, value in relay_cost.measure_relay(count).items():
@@ -271,14 +281,16 @@
 
 
 def measure_relay_followers() -> Measurements:
+    """Memory and CPU of an idle `serve` that follows a relay, by servers in its list."""
     results = relay_cost.measure_followers((12, 84, 1000, 2584))
     return {
-        "followed_mb": {size: told[0] for size, told in results.items()},
-        "followed_cpu_ms": {size: told[1] for size, told in results.items()},
+        "followed_mb": {size: costs[0] for size, costs in results.items()},
+        "followed_cpu_ms": {size: costs[1] for size, costs in results.items()},
     }
 
 
 def measure_hollow_sidecars(seed: int) -> Measurements:
+    """Values of `lab scale` with relays, by hollow sidecars."""
     results: Measurements = {}
     for sidecars in (500, 1000, 2000, 4000):
         for name, value in scale_runs.run_relayed(sidecars, seed).items():
@@ -302,6 +314,7 @@
 
 
 def describe_machine() -> dict[str, Any]:
+    """Hardware and versions, as stored in the data file."""
     models = [
         line.partition(":")[2].strip()
         for line in Path("/proc/cpuinfo").read_text().splitlines()
@@ -320,10 +333,10 @@
 
 
 def measured_commit() -> str:
-    """The commit that the measured tree stands on; with a plus where files differ from it."""
+    """Short hash of the measured tree's commit, with `+` if tracked files in pumicepath/ differ from it."""
 
-    def git(*words: str) -> str:
-        command = ["git", "-C", str(ROOT), *words]
+    def git(*arguments: str) -> str:
+        command = ["git", "-C", str(ROOT), *arguments]
         return subprocess.run(command, check=True, capture_output=True, text=True).stdout
 
     changed = git("status", "--porcelain", "--untracked-files=no", "--", "pumicepath")
@@ -331,16 +344,19 @@
 
 
 def series_of_files(paths: Sequence[Path]) -> dict[str, Any]:
-    """Series of recorded runs of `lab scale`."""
+    """Series of recorded runs of `lab scale`, and of comparisons of hollow with real sidecars.
+
+    Raises click.BadParameter if the files contain no run with a result.
+    """
     runs = scale_runs.read_runs(paths)
     if not runs:
-        raise click.BadParameter("no run that ended with a result", param_hint="--scale")
+        raise click.BadParameter("the files contain no run with a result", param_hint="--scale")
     results: dict[str, Any] = {}
     groups: dict[tuple[Any, ...], list[dict[str, Any]]] = {}
-    for one in runs:
-        result = one["result"]
+    for run in runs:
+        result = run["result"]
         played_in_part = result.get("played", result["sidecars"]) < result["sidecars"]
-        groups.setdefault((result["form"], played_in_part, *result["faults"]), []).append(one)
+        groups.setdefault((result["form"], played_in_part, *result["faults"]), []).append(run)
     for group in groups.values():
         results |= series_of_runs(group)
     results |= series_of_comparisons(scale_runs.read_comparisons(paths))
@@ -348,7 +364,7 @@
 
 
 def series_of_comparisons(pairs: list[dict[str, Any]]) -> dict[str, Any]:
-    """Hollow sidecars beside real ones, as benchmarks/hollow_against_real.py tells of them."""
+    """Series of hollow and real sidecars side by side, from lines of benchmarks/hollow_against_real.py."""
     if len({one["servers"] for one in pairs}) < slopes.FEWEST:
         return {}
     run = {
@@ -373,6 +389,7 @@
 
 
 def series_of_runs(runs: list[dict[str, Any]]) -> dict[str, Any]:
+    """Series of `lab scale` runs of one kind; empty if they have fewer sizes than a slope needs."""
     if len({one["result"]["sidecars"] for one in runs}) < slopes.FEWEST:
         return {}
     run = {
@@ -392,6 +409,7 @@
 
 
 def series_record(name: str, sizes: dict[float, list[float]], run: dict[str, Any]) -> dict[str, Any]:
+    """One series as it is stored in the data file."""
     info = SERIES[name]
     return {
         "what": info.description,
@@ -404,6 +422,7 @@
 
 
 def measure_group(group: str, repeats: int) -> dict[str, Any]:
+    """Measure a group `repeats` times, printing each value, and return its series."""
     run = {
         "date": datetime.now(UTC).strftime("%Y-%m-%d %H:%M"),
         "commit": measured_commit(),
@@ -416,8 +435,8 @@
             for size, value in sizes.items():
                 values.setdefault(name, {}).setdefault(size, []).append(float(f"{value:.4g}"))
                 print(
-                    f"{group} {repeat + 1}: {SERIES[name].description}, {size:,} {SERIES[name].size_unit}: {value:.4g} "
-                    f"{SERIES[name].unit}",
+                    f"{group} {repeat + 1}: {SERIES[name].description}, {size:,} {SERIES[name].size_unit}: "
+                    f"{value:.4g} {SERIES[name].unit}",
                     flush=True,
                 )
     results = {
@@ -425,11 +444,12 @@
     }
     if FORM == "compiled":
         return results
-    # With PUMICEPATH_INTERPRETED=1 what has a compiled form stands beside that, and the rest is as it was.
+    # With PUMICEPATH_INTERPRETED=1, series with a compiled form get a second name; the others are dropped.
     return {f"{name}_interpreted": one for name, one in results.items() if not SERIES[name].form}
 
 
 def save(results: dict[str, Any]) -> None:
+    """Replace the given series in the data file; if the result would be invalid, raise and leave the file."""
     data = json.loads(DATA_FILE.read_text()) if DATA_FILE.exists() else {"machine": {}, "series": {}}
     data["machine"] = describe_machine()
     data["series"] = dict(sorted({**data["series"], **results}.items()))
@@ -440,12 +460,11 @@
 
 
 def join_point_lines(text: str) -> str:
-    """A size with its repeats on one line."""
-
+    """Put each point of the indented JSON, a size and its repeats, on one line."""
     return (
         re.sub(
             r"\[\s+([\d.e+-]+),\s+\[([^\]]*)\]\s+\]",
-            lambda found: f"[{found[1]}, [{', '.join(found[2].split()).replace(',,', ',')}]]",
+            lambda match: f"[{match[1]}, [{', '.join(match[2].split()).replace(',,', ',')}]]",
             text,
         )
         + "\n"
@@ -453,16 +472,21 @@
 
 
 @click.command()
-@click.option("--only", multiple=True, type=click.Choice(list(GROUPS)), help="These groups; else all.")
-@click.option("--repeats", default=3, show_default=True, help="Of each group; tables go by the middle.")
+@click.option("--only", multiple=True, type=click.Choice(list(GROUPS)), help="Measure only these groups.")
+@click.option(
+    "--repeats", default=3, show_default=True, help="Runs of each group; the tables use the median."
+)
 @click.option(
     "--scale",
     multiple=True,
     type=click.Path(exists=True, path_type=Path),
-    help="Runs of `lab scale --json`, one a line, in place of the group hollow; measures nothing.",
+    help="Recorded runs of `lab scale --json`, one a line, instead of the group hollow; measures nothing.",
+)
+@click.option(
+    "--write-page", is_flag=True, help="Write the page's tables from the data file without measuring."
 )
-@click.option("--write-page", is_flag=True, help="Write the page's tables from the file and measure nothing.")
 def main(only: tuple[str, ...], repeats: int, scale: tuple[Path, ...], write_page: bool) -> None:
+    """Measure how costs grow with size, and write the tables of docs/CAPACITY.md."""
     if scale:
         save(series_of_files(scale))
     elif not write_page:
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -1,9 +1,10 @@
-"""CPU for a submission on real sockets, old against new in turns, and taken apart by system call and by part.
+"""CPU time of a submission on real sockets: two versions in alternation, in total and by system call.
 
     python benchmarks/cost.py --old HEAD~1 --runs 5 --cores 1,2,3
 
-The sidecar has the first core to itself, the stand-in servers the second, the clients the third: closed
-loops on 8 connections, one submission in four with a body.  Servers are the lab's, and answer at once.
+The sidecar has the first core to itself, the simulated servers the second, the clients the third.  Clients
+are closed loops on 8 connections; one submission in four has a body.  Servers are the lab's, and answer at
+once.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 def plan(servers: int) -> Plan:
-    """Servers that are never short of cores, and answer within a tenth of a millisecond."""
+    """A plan whose servers always have a free core and answer within a tenth of a millisecond."""
     durations = {"agreed_ms": 600, "patience_ms": 2500}
     return Plan(
         lasts_s=3600,
@@ -48,6 +49,7 @@
 
 
 def run_servers(pipe, core: int, servers: int, folder: str) -> None:
+    """Serve on one core until terminated; sends the sidecar's configuration through `pipe` first."""
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
@@ -59,7 +61,10 @@
 
 
 class ClosedLoopClient(asyncio.Protocol):
-    """One connection that asks again as soon as it is answered."""
+    """One connection that sends the next request as soon as it has the response.
+
+    `tally` counts responses by status.
+    """
 
     def __init__(self, number: int, tally: dict[int, int]) -> None:
         self.number, self.tally = number << 32, tally
@@ -91,6 +96,7 @@
 
 
 def run_clients(address: tuple[str, int], core: int, connections: int, pipe) -> None:
+    """Run the clients on one core; each message on `pipe` is answered with the responses so far by status."""
     os.sched_setaffinity(0, {core})
     tally: dict[int, int] = {}
 
@@ -108,6 +114,7 @@
 
 
 def context_switches(pid: int) -> int:
+    """Voluntary and involuntary context switches of all threads of a process."""
     total = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
         total += sum(map(int, re.findall(r"ctxt_switches:\s+(\d+)", (task / "status").read_text())))
@@ -115,6 +122,7 @@
 
 
 def measure(root: Path, cores: list[int], connections: int, seconds: float, trace: bool) -> dict:
+    """Costs of one submission over `seconds`, for a sidecar of the tree at `root`; times in milliseconds."""
     context = multiprocessing.get_context("spawn")
     here, there = context.Pipe()
     with tempfile.TemporaryDirectory() as folder:
@@ -137,11 +145,8 @@
                 return parent_pipe.recv()
 
             time.sleep(1.5)
-            before, (own, system), switches_before = (
-                served(),
-                sidecar.cpu(),
-                context_switches(sidecar.process.pid),
-            )
+            before, (own, system) = served(), sidecar.cpu()
+            switches_before = context_switches(sidecar.process.pid)
             trace_output = ""
             if trace:
                 command = f"timeout -s INT {seconds} strace -c -f -p {sidecar.process.pid}"
@@ -164,7 +169,7 @@
             if trace:
                 lines = re.findall(r"^ *[\d.]+ +[\d.]+ +\d+ +(\d+) +(?:\d+ +)?(\w+)$", trace_output, re.M)
                 result["calls"] = {
-                    name: round(int(found) / count, 2) for found, name in lines if int(found) > count / 50
+                    name: round(int(calls) / count, 2) for calls, name in lines if int(calls) > count / 50
                 }
             clients.terminate()
             return result
@@ -174,13 +179,20 @@
 
 
 @click.command()
-@click.option("--old", default="", help="A commit to measure against, in turns with the tree as it is.")
+@click.option(
+    "--old", default="", help="A commit to compare with, measured in alternation with the working tree."
+)
 @click.option("--runs", default=5, show_default=True)
 @click.option("--seconds", default=4.0, show_default=True)
 @click.option("--connections", default=8, show_default=True)
-@click.option("--cores", default="1,2,3", show_default=True, help="Sidecar's, servers' and clients' core.")
-@click.option("--trace", is_flag=True, help="Count system calls with strace; times are then of no use.")
+@click.option(
+    "--cores", default="1,2,3", show_default=True, help="Cores of the sidecar, the servers and the clients."
+)
+@click.option(
+    "--trace", is_flag=True, help="Count system calls with strace, which makes the times meaningless."
+)
 def main(old: str, runs: int, seconds: float, connections: int, cores: str, trace: bool) -> None:
+    """Measure the CPU time of a submission in the sidecar."""
     core_numbers = [int(core) for core in cores.split(",")]
     results: dict[str, list[dict]] = {}
     with checked_out_trees(old) as roots:
@@ -201,7 +213,7 @@
     for name, each in results.items():
         values = sorted(one["ms"] for one in each)
         print(
-            f"{name}: {statistics.median(values):.3f} ms a submission in the median "
+            f"{name}: {statistics.median(values):.3f} ms a submission, median "
             f"({values[0]:.3f} to {values[-1]:.3f}, {len(values)} runs), "
             f"{statistics.median(one['switches'] for one in each):.1f} context switches"
         )
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -1,12 +1,13 @@
-"""Duties: random faults among real processes, hand-over times against the lease, messages by size.
+"""Duties: random faults among real processes, hand-over times by lease, cost by size of the fleet.
 
     .venv/bin/python benchmarks/duties.py soak [--count 15] [--minutes 5] [--seed 1]
     .venv/bin/python benchmarks/duties.py handover [--runs 40]
     .venv/bin/python benchmarks/duties.py size [--duties 1000]
 
-`soak` has three servers fail all along, whose trials are duties, kills, stops, ends, replaces and cuts
-sidecars by chance, and judges the history: it ends with 1 if anything was broken.  `handover` and `size` play
-real decisions and datagrams on simulated links of 0.3 ms.
+`soak` runs with three servers that fail throughout, so that their trials are duties.  It randomly kills,
+pauses, stops, replaces and disconnects sidecars, then checks the history, and exits with 1 if any rule was
+violated.
+`handover` and `size` run the real decisions and datagrams on simulated links of 0.3 ms.
 """
 
 from __future__ import annotations
@@ -31,10 +32,11 @@
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble  # noqa: E402
 from pumicepath.lab.virtual.peers import Peering, address  # noqa: E402
 
-QUIET_S = 20.0  # at the end of the soak
+QUIET_S = 20.0  # without new faults, at the end of the soak
 
 
 def soak_plan(count: int, seconds: float, seed: int) -> Plan:
+    """A plan of random faults for that many sidecars."""
     rng = Random(seed)
     faults = [Trouble(kind="fail-quickly", at_s=3, for_s=seconds - 3, servers=(0, 1, 2), value=1.0)]
     at = 8.0
@@ -101,20 +103,21 @@
 
 
 def soak(count: int, seconds: float, seed: int) -> int:
+    """Run the soak and print what its check found; return the exit status."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "history"
         result = play(soak_plan(count, seconds, seed), seed, history=path)
-        found = judged(path)
+        report = judged(path)
     print(
-        f"{count} real sidecars for {seconds:g} s, seed {seed}: {found.handovers} hand-overs, "
-        f"service {result.service:.4f}, {sum(result.rules.values())} rules broken"
+        f"{count} real sidecars for {seconds:g} s, seed {seed}: {report.handovers} hand-overs, "
+        f"service {result.service:.4f}, {sum(result.rules.values())} rules violated"
     )
-    print("\n".join(found.lines()))
-    return 1 if found.violations or any(result.rules.values()) else 0
+    print("\n".join(report.lines()))
+    return 1 if report.violations or any(result.rules.values()) else 0
 
 
 class DutyFleet:
-    """A fleet that wants some duties, whoever has the highest rank for each; no submissions."""
+    """A simulated fleet without submissions in which every sidecar wants the given duties."""
 
     def __init__(self, count: int, lease_s: float, duties: list[str], seed: int) -> None:
         self.time = Virtual()
@@ -128,6 +131,7 @@
         self.time.at(0, self.want_duties)
 
     def want_duties(self) -> None:
+        """Have every sidecar ask for the duties; repeated each second."""
         for node in self.peering.nodes:
             if node.fellow is not None and node.fellow.duties is not None:
                 node.fellow.duties.want(node.clock(), self.duties)
@@ -135,6 +139,7 @@
         self.time.at(self.time.now + SECOND, self.want_duties)
 
     def holder(self, duty: str) -> int:
+        """Number of the running sidecar that holds the duty, or -1."""
         for node in self.peering.nodes:
             fellow = node.fellow
             if (
@@ -147,6 +152,7 @@
         return -1
 
     def seconds_until_held(self, duty: str, previous: int = -1) -> float:
+        """Run until a sidecar other than `previous` holds the duty; return the seconds that it took."""
         began = self.time.now
         while self.holder(duty) in (-1, previous):
             self.time.run(self.time.now + 5_000)
@@ -155,6 +161,7 @@
 
 
 def measure_hand_over(lease_s: float, how: str, seed: int) -> float:
+    """Seconds without a holder after the holder is killed, stopped, cut off, or resigns."""
     fleet = DutyFleet(8, lease_s, ["d"], seed)
     fleet.seconds_until_held("d")
     fleet.time.run(fleet.time.now + round(Random(seed).uniform(1, 2) * lease_s * SECOND))
@@ -180,20 +187,21 @@
 
 
 def seconds_without_holder(fleet: DutyFleet, number: int) -> float:
-    """From when the holder counts its time as over, which it does by itself, to the next one's."""
+    """Seconds from when the cut-off holder gives the duty up by itself until another sidecar holds it."""
     while fleet.holder("d") == number:
         fleet.time.run(fleet.time.now + 5_000)
     return fleet.seconds_until_held("d", number)
 
 
 def print_hand_overs(runs: int) -> None:
+    """Print a Markdown table of the time without a holder by kind of failure and by lease."""
     print(f"| {runs} runs, virtual time; s without a holder, median (worst) | 2 s | 5 s | 10 s | 30 s |")
     print("| --- | --- | --- | --- | --- |")
     for how, text in (
         ("kill", "killed"),
         ("stop", "stopped"),
         ("cut", "cut off, from when it stops acting"),
-        ("resign", "ends or gives up"),
+        ("resign", "shuts down or resigns"),
     ):
         cells = []
         for lease_s in (2.0, 5.0, 10.0, 30.0):
@@ -203,13 +211,14 @@
 
 
 def print_sizes(duties: int) -> None:
+    """Print a Markdown table of the cost of duties for fleets of 10, 100 and 1,000 sidecars."""
     print(f"| {duties} duties, lease 10 s, virtual time | 10 | 100 | 1,000 |\n| --- | --- | --- | --- |")
     rows: dict[str, list[str]] = {
-        "messages a second and sidecar": [],
-        "a voter's": [],
-        "bytes a second each": [],
-        "the most duties of one sidecar": [],
-        "CPU us a second each": [],
+        "messages a second for each sidecar": [],
+        "messages a second, busiest voter": [],
+        "bytes a second for each sidecar": [],
+        "most duties held by one sidecar": [],
+        "CPU us a second for each sidecar": [],
     }
     for count in (10, 100, 1000):
         fleet = DutyFleet(count, 10.0, [], 1)
@@ -219,21 +228,24 @@
         for name in names:
             wanted_duties.setdefault(rng.randrange(count), []).append(name)
 
-        def want(
-            fellow: Fellow, number: int, fleet: DutyFleet = fleet, mine: dict[int, list[str]] = wanted_duties
+        def make_request(
+            fellow: Fellow,
+            number: int,
+            fleet: DutyFleet = fleet,
+            wanted: dict[int, list[str]] = wanted_duties,
         ) -> Callable[[], None]:
-            def call() -> None:
+            def request_duties() -> None:
                 if fellow.duties is not None:
-                    fellow.duties.want(fleet.peering.nodes[number].clock(), mine.get(number, []))
+                    fellow.duties.want(fleet.peering.nodes[number].clock(), wanted.get(number, []))
                     fleet.peering.nodes[number].wake()
 
-            return call
+            return request_duties
 
         fleet.time.run(40 * SECOND)
         fleet.want_duties = lambda: None  # type: ignore[method-assign]
         for node in fleet.peering.nodes:
             if node.fellow is not None:
-                fleet.time.at(fleet.time.now, want(node.fellow, node.number))
+                fleet.time.at(fleet.time.now, make_request(node.fellow, node.number))
         fleet.time.run(fleet.time.now + 20 * SECOND)
         fleet.links.sent.clear()
         fleet.links.bytes.clear()
@@ -245,16 +257,21 @@
             if node.fellow is not None and node.fellow.duties is not None
         ]
         assert sum(held) == duties, sum(held)
-        rows["messages a second and sidecar"].append(f"{fleet.links.sent.total() / count / 20:.2f}")
-        rows["a voter's"].append(f"{max(fleet.links.sent[each] for each in range(3)) / 20:.1f}")
-        rows["bytes a second each"].append(f"{fleet.links.bytes.total() / count / 20:.0f}")
-        rows["the most duties of one sidecar"].append(str(max(held)))
-        rows["CPU us a second each"].append(f"{(time.process_time() - cpu) / count / 20 * 1e6:.0f}")
+        rows["messages a second for each sidecar"].append(f"{fleet.links.sent.total() / count / 20:.2f}")
+        rows["messages a second, busiest voter"].append(
+            f"{max(fleet.links.sent[each] for each in range(3)) / 20:.1f}"
+        )
+        rows["bytes a second for each sidecar"].append(f"{fleet.links.bytes.total() / count / 20:.0f}")
+        rows["most duties held by one sidecar"].append(str(max(held)))
+        rows["CPU us a second for each sidecar"].append(
+            f"{(time.process_time() - cpu) / count / 20 * 1e6:.0f}"
+        )
     for text, cells in rows.items():
         print(f"| {text} | " + " | ".join(cells) + " |")
 
 
 def main() -> None:
+    """Run the chosen measurement."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,12 +1,13 @@
-"""Goodput of one sidecar against offered load, and how it comes through steps, stalls and rushes.
+"""Goodput of one sidecar by offered load, and its recovery from load steps, stalls and bursts.
 
     python benchmarks/overload.py curve --old HEAD~1 --plot docs/overload.png
     python benchmarks/overload.py cases
 
-The sidecar shares one core with a process that spins (half a core for each); stand-in servers, which answer
-after 5 ms, and clients have cores of their own.  Load is given in multiples of what the sidecar serves in a
-closed loop on 64 connections, measured first in the same run.  Clients hold 300 connections at most, have an
-agreed time of 150 ms and a patience of 600 ms, and come back once after a deferral, when they are told to.
+The sidecar shares one core with a busy loop (half a core each); the simulated servers, which answer after
+5 ms, and the clients have cores of their own.  Load is given in multiples of the sidecar's capacity: what it
+serves in a closed loop on 64 connections, measured first in the same run.  Clients hold at most 300
+connections, have a latency target of 150 ms and a deadline of 600 ms, and retry a rejected submission once,
+at the time that the rejection gives.
 """
 
 from __future__ import annotations
@@ -37,27 +38,27 @@
 CONTEXT = multiprocessing.get_context("spawn")
 LOADS = (0.2, 0.5, 0.8, 1.0, 1.5, 2.0, 4.0, 10.0)
 
-
-# More cores than are ever used: the servers answer after 5 ms, give or take half of it, whatever comes.
+# More cores than are ever used: the servers answer after 5 ms, with a spread of half of it, at any load.
 FLEET = Fleet(halls=1, servers=4, cores=1000, queue=1, work_ms=5, spread=0.5, miss=1.0, near_ms=0.01)
-MAX_CLIENT_DELAY_MS = 50.0  # of the clients' own ticks, above which a run says nothing
-CLOSED_LOOP_RATE = 30_000.0  # offered a second where all connections are to be busy
+MAX_CLIENT_DELAY_MS = 50.0  # delay of the clients' own timer ticks, above which a run is void
+CLOSED_LOOP_RATE = 30_000.0  # submissions a second offered to keep all connections busy
 
 
 @dataclass
 class Scenario:
-    """What clients do; rates are submissions a second, times seconds."""
+    """Behaviour of the clients; rates are submissions a second, times seconds."""
 
-    steps: list[tuple[float, float]]  # from when, at what rate
+    steps: list[tuple[float, float]]  # start and rate of each step
     duration_s: float
     deadline_s: float = 0.6
     connections: int = 300
     body_bytes: int = 200
-    retries: int = 1  # that a client makes after a deferral
-    honours_retry_after: bool = True  # the time it is told to come back at
+    retries: int = 1  # by the client, after a rejection
+    honours_retry_after: bool = True  # else clients retry at once
     seed: int = 1
 
     def plan(self, parts: int = 1) -> Plan:
+        """The plan of one of `parts` client processes, which share the rate."""
         first = self.steps[0][1]
 
         def tariff(name: str, effect: str, share: float, gain: float) -> Tariff:
@@ -84,6 +85,11 @@
 
 
 def run_servers(pipe, core: int, folder: str) -> None:
+    """Serve on one core until terminated; sends the sidecar's configuration through `pipe` first.
+
+    A set of submissions from `pipe` is answered with how many of them ran more than once; any other message
+    is the new speed of the servers.
+    """
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
@@ -104,45 +110,50 @@
 def run_clients(
     plan: Plan, seed: int, address: tuple[str, int], number: int, max_connections: int, core: int, pipe
 ) -> None:
+    """Run one client process on one core and send its results."""
     os.sched_setaffinity(0, {core})
     pipe.send(clients(plan, seed, address, number, max_connections))
 
 
 def spin(core: int) -> None:
+    """Keep a core busy until terminated."""
     os.sched_setaffinity(0, {core})
     while True:
         pass
 
 
 class SharedCoreSidecar:
-    """A sidecar from one tree with its servers, and a neighbour on its core."""
+    """A sidecar of one source tree with its servers, and a busy process on the sidecar's core."""
 
     def __init__(self, root: Path, cores: list[int], folder: Path) -> None:
         self.cores = cores
-        self.pipe, theirs = CONTEXT.Pipe()
-        self.fleet = CONTEXT.Process(target=run_servers, args=(theirs, cores[1], str(folder)), daemon=True)
+        self.pipe, child_pipe = CONTEXT.Pipe()
+        self.fleet = CONTEXT.Process(
+            target=run_servers, args=(child_pipe, cores[1], str(folder)), daemon=True
+        )
         self.fleet.start()
         self.sidecar = Sidecar(self.pipe.recv(), folder, root, {cores[0]})
         self.busy_processes = [self.start_busy_process()]
-        while (where := self.sidecar.address()) is None:
+        while (address := self.sidecar.address()) is None:
             time.sleep(0.02)
-        self.address = where
+        self.address = address
         self.peaks: dict[str, float] = {}
         self.non_idempotent: set[int] = set()
-        self.client_processes = 0  # of clients so far; each has numbers of its own
+        self.client_processes = 0  # started so far; each numbers its submissions from a range of its own
 
     def start_busy_process(self):
+        """Start another process that competes for the sidecar's core."""
         process = CONTEXT.Process(target=spin, args=(self.cores[0],), daemon=True)
         process.start()
         return process
 
     def run(self, scenario: Scenario, actions: list[tuple[float, Callable[[], None]]] = ()) -> Met:
-        """Run the plan in as many processes as there are cores for clients, with acts at their times."""
+        """Run a scenario in one client process for each client core, and the actions at their times (s)."""
         parts = self.cores[2:]
         pipes = []
         for core in parts:
             here, there = CONTEXT.Pipe()
-            plan, most = scenario.plan(len(parts)), scenario.connections // len(parts)
+            plan, max_connections = scenario.plan(len(parts)), scenario.connections // len(parts)
             process = CONTEXT.Process(
                 target=run_clients,
                 daemon=True,
@@ -151,7 +162,7 @@
                     scenario.seed + self.client_processes,
                     self.address,
                     self.client_processes,
-                    most,
+                    max_connections,
                     core,
                     there,
                 ),
@@ -159,8 +170,8 @@
             process.start()
             pipes.append(here)
             self.client_processes += 1
-        began = time.monotonic() + 0.25  # about when the clients begin
-        waiting = sorted(actions, key=lambda act: act[0])
+        began = time.monotonic() + 0.25  # approximate start of the clients
+        waiting = sorted(actions, key=lambda action: action[0])
         while not all(pipe.poll() for pipe in pipes):
             time.sleep(0.02)
             if waiting and time.monotonic() - began >= waiting[0][0]:
@@ -172,23 +183,25 @@
                     ("threads", self.sidecar.threads()),
                 ):
                     self.peaks[name] = max(self.peaks.get(name, 0), value)
-        met = pipes[0].recv()
+        outcome = pipes[0].recv()
         for pipe in pipes[1:]:
-            met.merge(pipe.recv())
-        self.non_idempotent |= met.once
-        return met
+            outcome.merge(pipe.recv())
+        self.non_idempotent |= outcome.once
+        return outcome
 
     def capacity(self) -> float:
-        """Submissions a second in a closed loop on 64 connections."""
-        met = self.run(
+        """Submissions served a second in a closed loop on 64 connections."""
+        outcome = self.run(
             Scenario([(0.0, CLOSED_LOOP_RATE)], 4.0, connections=64, deadline_s=2.5, retries=0, seed=99)
         )
-        return sum(met.columns["good"][1:4] + met.columns["late"][1:4]) / 3
+        return sum(outcome.columns["good"][1:4] + outcome.columns["late"][1:4]) / 3
 
     def describe_peaks(self) -> str:
+        """Peak resource use of the sidecar so far."""
         return ", ".join(f"{value:.0f} {name}" for name, value in self.peaks.items())
 
     def count_duplicates(self) -> int:
+        """Non-idempotent submissions that ran more than once on the servers."""
         self.pipe.send(self.non_idempotent)
         return self.pipe.recv()
 
@@ -200,6 +213,7 @@
 
 @contextmanager
 def shared_core_sidecar(root: Path, cores: list[int]) -> Iterator[SharedCoreSidecar]:
+    """A sidecar in a temporary folder, stopped with all its processes at the end."""
     with tempfile.TemporaryDirectory() as folder:
         sidecar = SharedCoreSidecar(root, cores, Path(folder))
         try:
@@ -209,42 +223,52 @@
 
 
 def parse_cores(text: str) -> list[int]:
+    """Core numbers from a list separated by commas."""
     return [int(core) for core in text.split(",")]
 
 
 def quantile_ms(values: list[int], fraction: float) -> float:
-    """Of microseconds, in milliseconds."""
+    """Quantile in milliseconds of times in microseconds; 0 without any."""
     return sorted(values)[min(len(values) - 1, int(len(values) * fraction))] / 1e3 if values else 0.0
 
 
 @click.group()
 def main() -> None:
-    """Overload of one sidecar on a part of a core, among stand-ins on loopback."""
+    """Overload of one sidecar on half a core, with simulated servers on loopback."""
 
 
-CORES = click.option("--cores", default="1,2,3,4,5", show_default=True, help="Of sidecar, servers, clients.")
+CORES = click.option(
+    "--cores",
+    default="1,2,3,4,5",
+    show_default=True,
+    help="Cores of the sidecar, the servers and the clients.",
+)
 
 
 @main.command()
 @CORES
-@click.option("--old", default="", help="A commit to measure against, in turns with the tree as it is.")
+@click.option(
+    "--old", default="", help="A commit to compare with, measured in alternation with the working tree."
+)
 @click.option("--runs", default=5, show_default=True)
 @click.option("--seconds", default=5, show_default=True)
 @click.option("--loads", default=",".join(map(str, LOADS)), show_default=True)
-@click.option("--at-once", is_flag=True, help="Clients come back at once, ten times, whatever they are told.")
-@click.option("--plot", default="", help="Where to write the picture (needs the extra plots).")
+@click.option(
+    "--at-once", is_flag=True, help="Clients retry at once, up to ten times, and ignore Retry-After."
+)
+@click.option("--plot", default="", help="File for the plot (needs the extra `plots`).")
 def curve(cores: str, old: str, runs: int, seconds: int, loads: str, at_once: bool, plot: str) -> None:
-    """Goodput against offered load, each in its own sidecar."""
-    multiples = [float(sidecar) for sidecar in loads.split(",")]
+    """Goodput by offered load, each load on a sidecar of its own."""
+    multiples = [float(text) for text in loads.split(",")]
     results: dict[str, dict[float, list[float]]] = {}
     with checked_out_trees(old) as roots:
         for run in range(runs):
-            with shared_core_sidecar(ROOT, parse_cores(cores)) as one:
-                capacity = one.capacity()
+            with shared_core_sidecar(ROOT, parse_cores(cores)) as sidecar:
+                capacity = sidecar.capacity()
             for name, root in roots.items():
                 for times in multiples:
-                    with shared_core_sidecar(root, parse_cores(cores)) as one:
-                        met = one.run(
+                    with shared_core_sidecar(root, parse_cores(cores)) as sidecar:
+                        outcome = sidecar.run(
                             Scenario(
                                 [(0.0, times * capacity)],
                                 seconds,
@@ -253,19 +277,23 @@
                                 honours_retry_after=not at_once,
                             )
                         )
-                        columns = met.columns
+                        columns = outcome.columns
                         good = sum(columns["good"][1:seconds]) / (seconds - 1)
                         results.setdefault(name, {}).setdefault(times, []).append(good / capacity)
                         print(
                             f"{name} run {run} load {times:4.1f} x {capacity:5.0f}/s: good {good:6.0f}/s "
-                            f"({good / capacity:.2f}), p99 {quantile_ms(met.times, 0.99):4.0f} ms, "
-                            f"deferred {sum(columns['deferred'])}, "
-                            f"refusal p50 {quantile_ms(met.deferrals, 0.5):.1f} ms, "
+                            f"({good / capacity:.2f}), p99 {quantile_ms(outcome.times, 0.99):4.0f} ms, "
+                            f"rejected {sum(columns['deferred'])}, "
+                            f"rejection p50 {quantile_ms(outcome.deferrals, 0.5):.1f} ms, "
                             f"unanswered {sum(columns['lost'])}, "
-                            f"forfeited {sum(columns['forfeited'])}, "
+                            f"failed {sum(columns['forfeited'])}, "
                             f"no connection {sum(columns['refused'])}, "
-                            f"doubled {one.count_duplicates()}, {one.describe_peaks()}"
-                            f"{', VOID: clients were late' if met.behind_ms > MAX_CLIENT_DELAY_MS else ''}",
+                            f"duplicated {sidecar.count_duplicates()}, {sidecar.describe_peaks()}"
+                            + (
+                                ", VOID: clients were delayed"
+                                if outcome.behind_ms > MAX_CLIENT_DELAY_MS
+                                else ""
+                            ),
                             flush=True,
                         )
     for name, loads_of in results.items():
@@ -284,6 +312,7 @@
 
 
 def plot_curves(results: dict[str, dict[float, list[float]]], path: str) -> None:
+    """Draw the median and the range of the goodput by offered load."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -296,8 +325,8 @@
         axes.fill_between(at, [min(loads_of[t]) for t in at], [max(loads_of[t]) for t in at], alpha=0.2)
     axes.set_xscale("log")
     axes.set_xticks(at, [f"{times:g}" for times in at])
-    axes.set_xlabel("offered load, multiples of what the sidecar serves in a closed loop")
-    axes.set_ylabel("answered within the agreed time, same unit")
+    axes.set_xlabel("offered load, multiples of the capacity in a closed loop")
+    axes.set_ylabel("answered within the latency target, same unit")
     axes.set_ylim(bottom=0)
     axes.grid(alpha=0.3)
     axes.legend()
@@ -306,7 +335,7 @@
 
 
 def make_cases(sidecar: SharedCoreSidecar, capacity: float) -> dict[str, tuple[Scenario, list, float, float]]:
-    """Name: plan, acts, and from when to when the trouble lasts."""
+    """Each case by name: its scenario, actions, and the start and end of the disturbance in seconds."""
     pid = sidecar.sidecar.process.pid
 
     def plan(*steps: tuple[float, float], **more) -> Scenario:
@@ -318,10 +347,10 @@
         time.sleep(0.3)
         os.kill(pid, signal.SIGCONT)
 
-    def more_neighbours() -> None:
+    def add_busy_processes() -> None:
         sidecar.busy_processes.extend([sidecar.start_busy_process(), sidecar.start_busy_process()])
 
-    def fewer_neighbours() -> None:
+    def remove_busy_processes() -> None:
         for process in sidecar.busy_processes[1:]:
             process.terminate()
 
@@ -344,7 +373,7 @@
     )
     cases["core to a third at 0.7 x"] = (
         plan((0, 0.7), lasts=14),
-        [(3, more_neighbours), (8, fewer_neighbours)],
+        [(3, add_busy_processes), (8, remove_busy_processes)],
         3,
         8,
     )
@@ -373,10 +402,10 @@
 
 @main.command()
 @CORES
-@click.option("--only", default="", help="Part of a case's name.")
-@click.option("--old", default="", help="Play the cases on this commit instead.")
+@click.option("--only", default="", help="Run only the cases whose name contains this text.")
+@click.option("--old", default="", help="Run the cases on this commit instead of the working tree.")
 def cases(cores: str, only: str, old: str) -> None:
-    """Steps up and back, a core that shrinks or stops, rushes, bodies, signals: each in its own sidecar."""
+    """Load steps, a core that is shared or paused, bursts, large bodies, signals; a sidecar for each case."""
     with checked_out_trees(old) as roots:
         root = roots["old"] if old else ROOT
         with shared_core_sidecar(root, parse_cores(cores)) as sidecar:
@@ -401,9 +430,9 @@
                     None,
                 )
                 print(
-                    f"{name:34} good {good / capacity:.2f} of capacity, {fraction:.2f} of offered; back after "
-                    f"{recovered_after} s; doubled {sidecar.count_duplicates()}, unanswered {sum(columns['lost'])}, "
-                    f"no connection {sum(columns['refused'])}; "
+                    f"{name:34} good {good / capacity:.2f} of capacity, {fraction:.2f} of offered; "
+                    f"recovered after {recovered_after} s; duplicated {sidecar.count_duplicates()}, "
+                    f"unanswered {sum(columns['lost'])}, no connection {sum(columns['refused'])}; "
                     f"{json.dumps({key: round(value) for key, value in sidecar.peaks.items()})}",
                     flush=True,
                 )
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,12 +1,12 @@
-"""What membership takes and how soon it knows: in virtual time by size, and with real processes.
+"""Cost and convergence time of membership: by size in virtual time, and with real processes.
 
     .venv/bin/python benchmarks/peers.py virtual [--seeds 5] [--sizes 10 100 1000] [--plot FILE]
     .venv/bin/python benchmarks/peers.py real [--count 50] [--runs 3]
     .venv/bin/python benchmarks/peers.py start OTHER_TREE [--runs 7]
 
-`virtual` plays the real decisions and datagrams on simulated links; `real` starts that many sidecars on
-loopback behind the lab's relays, kills seven in ten at once and starts them again; `start` holds the start
-and rest of `serve` without peers against those of another checkout, in turns.
+`virtual` runs the real decisions and datagrams on simulated links.  `real` starts that many sidecars on
+loopback behind the lab's datagram proxies, kills seven in ten at once and starts them again.  `start`
+compares start time, memory and idle CPU of `serve` with those of another checkout, in alternation.
 """
 
 from __future__ import annotations
@@ -30,11 +30,12 @@
 
 CHECK_INTERVAL_US = 250_000
 MAX_WAIT_US = 300 * SECOND
-# How long lossy links and stops are played at each size, in virtual seconds: false deaths are rare.
+# Virtual seconds of lossy links at each size, long because false deaths are rare.
 FAULT_DURATION_S = {10: 3600, 100: 600, 1000: 20}
 
 
 def seconds_until_correct(peering: Peering, time_: Virtual) -> float:
+    """Run until all members' views are correct, at most MAX_WAIT_US; return the seconds that it took."""
     began = time_.now
     while peering.wrong(50) and time_.now - began < MAX_WAIT_US:
         time_.run(time_.now + CHECK_INTERVAL_US)
@@ -42,7 +43,7 @@
 
 
 def measure_virtual(count: int, seed: int) -> dict[str, float]:
-    """One fleet of that size through all that is measured; seconds, and figures a sidecar a second."""
+    """Measure one fleet of that size: durations in seconds, costs for each sidecar and second."""
     time_ = Virtual()
     links = Links(time_, seed, 300)
     peering = Peering(time_, links, seed, count)
@@ -94,21 +95,22 @@
 
 
 ROWS = (
-    ("join", "all begin at once, views right after, s"),
-    ("join_kb", "sent for that by each, kB"),
+    ("join", "all start at once, views correct after, s"),
+    ("join_kb", "sent for that by each sidecar, kB"),
     ("death", "one killed, all know after, s"),
-    ("restart", "seven in ten restarted, views right after, s"),
-    ("messages", "at rest, messages a second each"),
-    ("busiest", "the busiest one's"),
-    ("bytes", "at rest, bytes a second each"),
-    ("cpu_us", "at rest, CPU us a second each"),
-    ("suspicions_loss", "suspicions an hour of one with 20% loss"),
-    ("false_loss", "false deaths an hour of one with 20% loss"),
-    ("false_stop", "false deaths a stop of 1 s"),
+    ("restart", "seven in ten restarted, views correct after, s"),
+    ("messages", "idle, messages a second each"),
+    ("busiest", "the same for the busiest sidecar"),
+    ("bytes", "idle, bytes a second each"),
+    ("cpu_us", "idle, CPU us a second each"),
+    ("suspicions_loss", "suspicions an hour of a sidecar with 20% loss"),
+    ("false_loss", "false deaths an hour of a sidecar with 20% loss"),
+    ("false_stop", "false deaths for each pause of 1 s"),
 )
 
 
 def print_by_size(sizes: list[int], seeds: int, plot: Path | None) -> None:
+    """Measure each size with each seed, print the medians as a Markdown table; draw them into `plot`."""
     with ProcessPoolExecutor(max(1, (os.cpu_count() or 2) - 1)) as pool:
         jobs = {
             (count, seed): pool.submit(measure_virtual, count, seed)
@@ -117,7 +119,7 @@
         }
         results = {key: job.result() for key, job in jobs.items()}
     print(
-        f"| {seeds} seeds, virtual time: middle (least to most) | "
+        f"| {seeds} seeds, virtual time: median (minimum to maximum) | "
         + " | ".join(f"{count:,}" for count in sizes)
         + " |\n| --- |"
         + " --- |" * len(sizes)
@@ -135,6 +137,7 @@
 def draw_plot(
     sizes: list[int], seeds: int, results: dict[tuple[int, int], dict[str, float]], path: Path
 ) -> None:
+    """Draw convergence times and message rates by the number of sidecars."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -142,8 +145,8 @@
 
     figure, both = pyplot.subplots(1, 2, figsize=(9, 3.4))
     for axes, keys, label in (
-        (both[0], ("death", "restart", "join"), "seconds until all views are right"),
-        (both[1], ("messages", "busiest"), "messages a second at rest"),
+        (both[0], ("death", "restart", "join"), "seconds until all views are correct"),
+        (both[1], ("messages", "busiest"), "messages a second, idle"),
     ):
         for key in keys:
             middle = [median(results[count, seed][key] for seed in range(1, seeds + 1)) for count in sizes]
@@ -163,7 +166,7 @@
 
 
 async def measure_real(count: int, folder: Path) -> dict[str, float]:
-    """Real processes, no load: start, rest, a mass restart; seconds, and figures a sidecar a second."""
+    """Measure real processes without load: durations in seconds, costs for each sidecar and second."""
     from pumicepath.lab.loopback.world import LiveWorld
     from pumicepath.lab.model.views import wrong
     from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
@@ -172,15 +175,17 @@
         lasts_s=3600, fleet=Fleet(servers=2), load=Load(rate=1), sidecars=Sidecars(count=count, peers=True)
     )
     world = LiveWorld(plan, 1, folder)
-    names = [one.name for one in world.sidecars]
+    names = [sidecar.name for sidecar in world.sidecars]
 
-    async def until_right() -> float:
+    async def until_correct() -> float:
         began = time.monotonic()
         while True:
-            told = await asyncio.gather(*(one.asked("/peers", 10.0) for one in world.sidecars if one.up))
+            answers = await asyncio.gather(
+                *(sidecar.asked("/peers", 10.0) for sidecar in world.sidecars if sidecar.up)
+            )
             views = {
-                view["name"]: [(one["name"], one["state"]) for one in view["peers"]]
-                for view in told
+                view["name"]: [(peer["name"], peer["state"]) for peer in view["peers"]]
+                for view in answers
                 if view is not None
             }
             if not wrong(views, names) or time.monotonic() - began > 300:
@@ -189,9 +194,9 @@
 
     def cpu() -> list[float]:
         stats = [
-            Path(f"/proc/{one.process.pid}/stat").read_text().rpartition(")")[2].split()
-            for one in world.sidecars
-            if one.process is not None
+            Path(f"/proc/{sidecar.process.pid}/stat").read_text().rpartition(")")[2].split()
+            for sidecar in world.sidecars
+            if sidecar.process is not None
         ]
         return [(int(stat[11]) + int(stat[12])) / os.sysconf("SC_CLK_TCK") for stat in stats]
 
@@ -199,12 +204,12 @@
         assert world.links is not None
         await world.relays.open(count)
         began = time.monotonic()
-        for one in world.sidecars:
-            one.start()
-        for one in world.sidecars:
-            await one.ready.wait()
+        for sidecar in world.sidecars:
+            sidecar.start()
+        for sidecar in world.sidecars:
+            await sidecar.ready.wait()
         up = time.monotonic() - began
-        results = {"up": up, "join": await until_right()}
+        results = {"up": up, "join": await until_correct()}
         await asyncio.sleep(10)
         sent, size, before = world.links.sent.total(), world.links.bytes.total(), cpu()
         await asyncio.sleep(30)
@@ -213,23 +218,23 @@
             "messages": (world.links.sent.total() - sent) / 30 / count,
             "bytes": (world.links.bytes.total() - size) / 30 / count,
             "mb": median(
-                int(Path(f"/proc/{one.process.pid}/statm").read_text().split()[1])
-                for one in world.sidecars
-                if one.process is not None
+                int(Path(f"/proc/{sidecar.process.pid}/statm").read_text().split()[1])
+                for sidecar in world.sidecars
+                if sidecar.process is not None
             )
             * os.sysconf("SC_PAGE_SIZE")
             / 1e6,
         }
-        for one in world.sidecars[: count * 7 // 10]:
-            one.kill()
+        for sidecar in world.sidecars[: count * 7 // 10]:
+            sidecar.kill()
         began = time.monotonic()
-        for one in world.sidecars[: count * 7 // 10]:
-            one.ready.clear()
-            one.start()
-        for one in world.sidecars[: count * 7 // 10]:
-            await one.ready.wait()
+        for sidecar in world.sidecars[: count * 7 // 10]:
+            sidecar.ready.clear()
+            sidecar.start()
+        for sidecar in world.sidecars[: count * 7 // 10]:
+            await sidecar.ready.wait()
         results["restart_up"] = time.monotonic() - began
-        await until_right()
+        await until_correct()
         results["restart"] = time.monotonic() - began
         return results
     finally:
@@ -237,18 +242,21 @@
 
 
 def print_real(count: int, runs: int) -> None:
+    """Measure real sidecars several times and print the medians."""
     results = []
     for _ in range(runs):
         with tempfile.TemporaryDirectory() as folder:
             results.append(asyncio.run(measure_real(count, Path(folder))))
-    print(f"{count} real sidecars on loopback, {os.cpu_count()} cores, {runs} runs: middle (least to most)")
+    print(
+        f"{count} real sidecars on loopback, {os.cpu_count()} cores, {runs} runs: median (minimum to maximum)"
+    )
     for key in results[0]:
         values = sorted(run[key] for run in results)
         print(f"  {key:<12} {median(values):8.3f}  ({values[0]:.3f} to {values[-1]:.3f})")
 
 
 def compare_starts(other: Path, runs: int) -> None:
-    """Until it listens, memory then, and CPU a second at rest: this tree and the other, in turns."""
+    """Start time, memory and idle CPU of `serve` in this tree and the other one, in alternation."""
     from pumicepath.lab.loopback.process import Sidecar
 
     here = Path(__file__).parent.parent
@@ -286,7 +294,7 @@
                     time.sleep(1)
                     memory, before = sidecar.memory_mb(), sum(sidecar.cpu())
                     time.sleep(5)
-                    if run:  # the first warms the files
+                    if run:  # the first run only fills the page cache
                         results.setdefault(name, []).append(
                             (start_s, memory, 200 * (sum(sidecar.cpu()) - before))
                         )
@@ -295,12 +303,13 @@
     for name, values in results.items():
         start_s, memory, cpu = (sorted(column) for column in zip(*values))
         print(
-            f"{name:<18} up {median(start_s):.3f} s ({start_s[0]:.3f} to {start_s[-1]:.3f})  {median(memory):.1f} MB  "
-            f"at rest {median(cpu):.1f} ms CPU a second ({cpu[0]:.1f} to {cpu[-1]:.1f})"
+            f"{name:<18} started in {median(start_s):.3f} s ({start_s[0]:.3f} to {start_s[-1]:.3f})  "
+            f"{median(memory):.1f} MB  idle {median(cpu):.1f} ms CPU a second ({cpu[0]:.1f} to {cpu[-1]:.1f})"
         )
 
 
 def main() -> None:
+    """Run the chosen measurement."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("what", choices=("virtual", "real", "start"))
     parser.add_argument("other", nargs="?", type=Path)
@@ -315,7 +324,7 @@
     elif options.what == "real":
         print_real(options.count, options.runs)
     elif options.other is None:
-        parser.error("start needs the other tree")
+        parser.error("start needs the path of the other tree")
     else:
         compare_starts(options.other, options.runs)
 
