--- a/benchmarks/call_overhead.py
+++ b/benchmarks/call_overhead.py
@@ -1,12 +1,12 @@
-"""What a sidecar adds to a call when many servers are listed: a real `serve`, a light open loop, stand-ins.
+"""Latency and CPU that a real `serve` adds to a call, by servers in its list, under a light open-loop load.
 
-`called(servers)` gives p50 and p99 through the sidecar less those of the same calls without it, in ms, and
-the CPU of a call in the sidecar.  All listed servers are one stand-in process, behind one address; the
-sidecar takes each for its own and keeps connections to each apart.
+`measure_calls(servers)` gives p50 and p99 through the sidecar minus those of the same direct calls, in ms,
+and the CPU of a call in the sidecar.  All listed servers are one process at one address; the sidecar treats
+them as different servers and keeps separate connections to each.
 
-The same calls go through a plain process as well, which hands on bytes and does nothing else: what that adds
-is the rig's and the machine's part of what anything in the way costs.  All three are measured in turns of
-`SLICE_S`, as a machine that is itself a guest is not the same from one minute to the next.
+The same calls also go through a plain byte forwarder.  What it adds is the share of the test rig and the
+machine in the cost of any process between client and server.  The three paths are measured in alternating
+slices of `SLICE_S` seconds, because the speed of a virtual machine varies from minute to minute.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def run_servers(pipe: Connection) -> None:
-    """All servers: answer each request at once."""
+    """Entry point of the process that stands for all servers: answers each request at once."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
     listener.setblocking(False)
     selector = selectors.EpollSelector()
@@ -63,14 +63,14 @@
             except OSError:
                 data = b""
             if data:
-                sock.send(answer)  # no request of this loop comes in two parts
+                sock.send(answer)  # the clients' requests are short enough to arrive in one piece
             else:
                 selector.unregister(sock)
                 sock.close()
 
 
 def run_forwarder(pipe: Connection, server_address: tuple[str, int]) -> None:
-    """A plain process in the way: bytes both ways, a connection to the server for each of a client."""
+    """Entry point of a plain byte forwarder, which opens a server connection for each client connection."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
     listener.setblocking(False)
     selector = selectors.EpollSelector()
@@ -89,7 +89,7 @@
                 continue
             assert isinstance(sock, socket.socket)
             if sock not in others:
-                continue  # ended with the other one, in this very turn
+                continue  # closed together with its other side, in this same round
             data = sock.recv(65_536)
             if data:
                 others[sock].send(data)
@@ -100,7 +100,7 @@
 
 
 class OpenLoopClient:
-    """An open loop: calls begin when they are due, on an idle connection or a new one."""
+    """An open-loop client: calls start at random times, on an idle connection or a new one."""
 
     def __init__(self, address: tuple[str, int], seed: int) -> None:
         self.address = address
@@ -113,6 +113,7 @@
         self.number = 0
 
     def run(self, seconds: float) -> None:
+        """Make calls for that long; those without a response 3 s later count as failed."""
         next_call_at, end = time.perf_counter(), time.perf_counter() + seconds
         while next_call_at < end or self.started_at:
             now = time.perf_counter()
@@ -128,6 +129,7 @@
                 self.on_readable(key.fileobj)  # type: ignore[arg-type]
 
     def start_call(self) -> None:
+        """Send one request."""
         if self.idle:
             sock = self.idle.pop()
         else:
@@ -148,6 +150,7 @@
         sock.send(data)
 
     def on_readable(self, sock: socket.socket) -> None:
+        """Record a response; keep the connection for later calls unless it closes."""
         data = sock.recv(65_536)
         began = self.started_at.pop(sock, None)
         if not data.startswith(b"HTTP/1.1 200"):
@@ -157,13 +160,14 @@
         if data and b"onnection: close" not in data:
             self.idle.append(sock)
         else:
-            if sock in self.idle:  # ended by the other side while nothing was asked on it
+            if sock in self.idle:  # closed by the other side while idle
                 self.idle.remove(sock)
             self.selector.unregister(sock)
             sock.close()
 
 
 def run_calls(address: tuple[str, int], seconds: float, seed: int) -> OpenLoopClient:
+    """Make calls to one address for that long."""
     calls = OpenLoopClient(address, seed)
     calls.run(seconds)
     return calls
@@ -172,7 +176,7 @@
 def start_process(
     context: BaseContext, run: Callable[..., None], *given: object
 ) -> tuple[BaseProcess, tuple[str, int]]:
-    """It, and where it listens."""
+    """Start a process; return it and the address that it listens on."""
     pipe, theirs = context.Pipe()
     started = context.Process(target=run, args=(theirs, *given), daemon=True)  # type: ignore[attr-defined]
     started.start()
@@ -180,6 +184,7 @@
 
 
 def measure_calls(servers: int, seconds: float = 8.0, seed: int = 1) -> dict[str, float]:
+    """Latencies (ms), CPU of a call (ms) and memory (MB) of a sidecar with that many servers in its list."""
     context = multiprocessing.get_context("spawn")
     servers_process, (host, port) = start_process(context, run_servers)
     forwarder, forwarder_address = start_process(context, run_forwarder, (host, port))
@@ -204,7 +209,7 @@
                 through_sidecar.run(SLICE_S)
                 cpu_s += sum(sidecar.cpu()) - before
             count = len(through_sidecar.latencies_s) + through_sidecar.failed
-            # One that was refused, or never answered, took all the time that it had.
+            # A call that was rejected or never answered counts with its whole deadline.
             through_sidecar.latencies_s += [DEADLINE_S] * through_sidecar.failed
 
             def quantile_ms(calls: OpenLoopClient, fraction: float) -> float:
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,4 +1,4 @@
-"""What duties and membership hold, by the size of the fleet: the real decisions on simulated links."""
+"""Memory and cost of duties and membership by size of the fleet: the real decisions on simulated links."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def count_cpu(node: Node, cpu_s: dict[int, float]) -> None:
-    """Add up the CPU seconds of all that one sidecar's part of the fleet decides, membership with it."""
+    """Count the CPU seconds of one sidecar's membership and duties in `cpu_s`, by its number."""
 
     def wrapped(call: Callable[..., None]) -> Callable[..., None]:
         def timing(*given: Any) -> None:
@@ -36,7 +36,7 @@
 
 
 def fleet_with_duties(count: int, duties: int, seed: int) -> DutyFleet:
-    """A fleet 60 s after its start, its duties wanted for the last 20 of them."""
+    """A fleet 60 virtual seconds after its start; its duties have been asked for since second 40."""
     fleet = DutyFleet(count, LEASE_S, [], seed)
     rng = Random(seed)
     wanted_duties: dict[int, list[str]] = {}
@@ -44,22 +44,22 @@
         wanted_duties.setdefault(rng.randrange(count), []).append(f"trial a s-{number}")
     fleet.time.run(40 * SECOND)
 
-    def want() -> None:
+    def want_duties() -> None:
         for node in fleet.peering.nodes:
             if node.fellow is not None and node.fellow.duties is not None:
                 node.fellow.duties.want(node.clock(), wanted_duties.get(node.number, []))
                 node.wake()
 
-    fleet.want_duties = want  # type: ignore[method-assign]
-    want()
+    fleet.want_duties = want_duties  # type: ignore[method-assign]
+    want_duties()
     fleet.time.run(fleet.time.now + 20 * SECOND)
     return fleet
 
 
 def measure_voters(count: int, duties: int, seed: int) -> dict[str, float]:
-    """Messages, bytes and us of CPU a second of the busiest voter, each duty wanted by one.
+    """Messages, bytes and microseconds of CPU a second of the busiest voter, each duty wanted by one sidecar.
 
-    RuntimeError if any is free then.
+    Raises RuntimeError if a duty is without a holder at the end.
     """
     fleet = fleet_with_duties(count, duties, seed)
     fleet.links.sent.clear()
@@ -74,7 +74,7 @@
         if node.fellow is not None and node.fellow.duties is not None
     )
     if held_duties != duties:
-        raise RuntimeError(f"{held_duties} of {duties} duties are held")
+        raise RuntimeError(f"{held_duties} of {duties} duties have a holder")
     return {
         "voter_messages": max(fleet.links.sent[each] for each in range(VOTERS)) / 20,
         "voter_bytes": max(fleet.links.bytes[each] for each in range(VOTERS)) / 20,
@@ -83,10 +83,12 @@
 
 
 def resident_kb() -> float:
+    """Resident memory of this process."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1000
 
 
 def send_member_kb(pipe: Connection, count: int) -> None:
+    """Send the growth of resident memory for each member of a simulated fleet."""
     time_ = Virtual()
     peering = Peering(time_, Links(time_, 1, 300), 1, count)
     before = resident_kb()
@@ -97,13 +99,14 @@
 
 
 def send_fleet_kb(pipe: Connection, count: int, duties: int, seed: int) -> None:
+    """Send the resident memory of a simulated fleet with duties."""
     fleet = fleet_with_duties(count, duties, seed)
     pipe.send(resident_kb())
     del fleet
 
 
 def run_in_own_process(run: Callable[..., None], *given: Any) -> float:
-    """What it sends, from a process of its own."""
+    """Run a function in a new process and return the value that it sends."""
     context = multiprocessing.get_context("spawn")
     pipe, theirs = context.Pipe()
     process = context.Process(target=run, args=(theirs, *given))
@@ -114,12 +117,12 @@
 
 
 def member_kb(count: int) -> float:
-    """Memory of each sidecar's membership once all know each other."""
+    """Memory of one sidecar's membership once all members know each other."""
     return run_in_own_process(send_member_kb, count)
 
 
 def voter_kb(count: int, duties: int, seed: int) -> float:
-    """Memory that duties take in a fleet, all of it put down to its voters: more than one of them has."""
+    """Memory of the duties of a fleet divided by its voters: an upper bound on what one voter holds."""
     return (
         run_in_own_process(send_fleet_kb, count, duties, seed)
         - run_in_own_process(send_fleet_kb, count, 0, seed)
--- a/benchmarks/list_source.py
+++ b/benchmarks/list_source.py
@@ -1,9 +1,9 @@
-"""The least discovery that there can be, and followers of it: what telling of a list costs its source.
+"""A minimal discovery server and its followers: what publishing a server list costs the source.
 
-`Origin(servers)` is a process of its own: one thread, one selector loop, the protocol of
-`discovery/watch.py`, each answer encoded once for all who are to get it.  A real one does more, so its
-figures are a floor.
-`Followers(where, count)` are that many connections from this process, which hold a watch each.
+`ListSource(servers)` is a process of its own: one thread, one selector loop, the protocol of
+`discovery/watch.py`, each response encoded once for all its recipients.  A real discovery server does
+more, so the costs measured here are a lower bound.
+`Followers(address, count)` are that many connections from this process, each with a watch.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 REQUEST_LINE = re.compile(rb"GET /discovery/hosts(?:\?since=(\d+)&timeout_ms=(\d+))?")
 ZONES = 34
-SERVERS_PER_ZONE = 590  # a zone at the target: 20,000 servers in 34
+SERVERS_PER_ZONE = 590  # of the target fleet: 20,000 servers in 34 zones
 
 
 def host_entry(
-    number: int, started_at: int = 0, health: str = "active", address: str = "", services: int = 0
+    number: int, started_at_ms: int = 0, health: str = "active", address: str = "", services: int = 0
 ) -> dict[str, Any]:
-    """One server of a list, names as long as those in the protocol's page; of a service if there are any."""
+    """One server of a list, with names as long as those in the protocol's page; without a service for 0."""
     service = {"service": f"service-{number % services:04d}"} if services else {}
     return {
         **service,
@@ -41,17 +41,18 @@
         "block": number % 97,
         "health": health,
         "share": 1.0,
-        "born_ms": started_at,
+        "born_ms": started_at_ms,
     }
 
 
 def full_list(servers: int, seq: int = 1, address: str = "", services: int = 0) -> dict[str, Any]:
+    """A full list as discovery sends it."""
     hosts = [host_entry(number, 0, "active", address, services) for number in range(servers)]
     return {"seq": seq, "whole": True, "hosts": hosts}
 
 
 def list_change(seq: int, number: int, address: str = "", services: int = 0) -> dict[str, Any]:
-    """One server's new start, which takes its place in the list."""
+    """A change: one server has restarted, and its new entry replaces the old one."""
     return {
         "seq": seq,
         "whole": False,
@@ -60,13 +61,14 @@
 
 
 def http_response(message: dict[str, Any]) -> bytes:
+    """The bytes of a 200 response with a JSON body."""
     body = orjson.dumps(message)
     head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body)
     return head + body
 
 
 class Watcher:
-    """One connection at the stand-in; `due` is when its watch ends, 0 while none is out."""
+    """One connection at the source; its watch ends at `ends_at` (monotonic seconds, 0 without a watch)."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -75,7 +77,10 @@
 
 
 class SourceLoop:
-    """The stand-in's one thread; `pipe` brings ("changes", how many, pause in s), ("figures",), ("end",)."""
+    """The source's only thread.
+
+    Commands come from `pipe`: ("changes", count, pause in seconds), ("counters",), ("end",).
+    """
 
     def __init__(self, pipe: Connection, servers: int, server_address: str, services: int) -> None:
         self.pipe, self.servers, self.server_address, self.services = pipe, servers, server_address, services
@@ -86,15 +91,16 @@
         self.selector.register(pipe, selectors.EVENT_READ, pipe)
         self.watchers: set[Watcher] = set()
         self.seq = 1
-        self.changed_hosts: list[dict[str, Any]] = []  # of each change
+        self.changed_hosts: list[dict[str, Any]] = []  # the entry of each change, in order
         self.full_response = http_response(full_list(servers, 1, server_address, services))
-        self.counters = {"told": 0, "renewed": 0, "wholes": 0, "bytes": 0}
+        self.counters = {"changes": 0, "renewals": 0, "full_lists": 0, "bytes": 0}
         self.pending_changes = 0
         self.pause_s = 0.0
         self.next_change_at = 0.0
         self.last_sweep_at = 0.0
 
     def run(self) -> None:
+        """Send the listening address through the pipe, then serve until the command to end."""
         self.pipe.send(self.listener.getsockname())
         while True:
             for key, mask in self.selector.select(0.005):
@@ -109,13 +115,13 @@
             if self.pending_changes and now >= self.next_change_at:
                 self.make_change()
                 self.next_change_at = now + self.pause_s
-            if (
-                now - self.last_sweep_at >= 0.05
-            ):  # a real one has a wheel of timers; a sweep this seldom costs less
+            # A real server has a timer wheel; a sweep every 50 ms costs less than that.
+            if now - self.last_sweep_at >= 0.05:
                 self.last_sweep_at = now
                 self.end_expired_watches(now)
 
     def accept(self) -> None:
+        """Accept all pending connections."""
         while True:
             try:
                 sock, _ = self.listener.accept()
@@ -128,9 +134,10 @@
             self.selector.register(sock, selectors.EVENT_READ, watcher)
 
     def handle_command(self, command: tuple) -> bool:
+        """Carry out a command; False if it ends the source."""
         if command[0] == "changes":
             self.pending_changes, self.pause_s, self.next_change_at = command[1], command[2], 0.0
-        elif command[0] == "figures":
+        elif command[0] == "counters":
             pages = int(Path("/proc/self/statm").read_text().split()[1])
             self.pipe.send(
                 {
@@ -145,6 +152,7 @@
         return command[0] != "end"
 
     def on_ready(self, watcher: Watcher, mask: int) -> None:
+        """Send what is left to send; read a request and answer it, or start its watch."""
         if mask & selectors.EVENT_WRITE:
             self.send(watcher, b"")
         if mask & selectors.EVENT_READ:
@@ -158,16 +166,17 @@
                 watcher.sock.close()
                 self.watchers.discard(watcher)
             elif match[1] is None:
-                self.counters["wholes"] += 1
+                self.counters["full_lists"] += 1
                 self.send(watcher, self.full_response)
             elif int(match[1]) < self.seq:
-                self.counters["told"] += 1
+                self.counters["changes"] += 1
                 missed = self.changed_hosts[int(match[1]) - 1 :]
                 self.send(watcher, http_response({"seq": self.seq, "whole": False, "hosts": missed}))
             else:
                 watcher.ends_at = time.monotonic() + int(match[2]) / 1000
 
     def send(self, watcher: Watcher, data: bytes) -> None:
+        """Send as much as the socket takes and keep the rest for later."""
         watcher.unsent += data
         try:
             sent = watcher.sock.send(watcher.unsent)
@@ -183,6 +192,7 @@
         )
 
     def make_change(self) -> None:
+        """Change one server and answer all watches with it."""
         self.pending_changes -= 1
         self.seq += 1
         message = list_change(self.seq, self.seq % self.servers, self.server_address, self.services)
@@ -191,24 +201,26 @@
         for watcher in self.watchers:
             if watcher.ends_at:
                 watcher.ends_at = 0.0
-                self.counters["told"] += 1
+                self.counters["changes"] += 1
                 self.send(watcher, response)
 
     def end_expired_watches(self, now: float) -> None:
+        """Answer watches whose time is over with an empty change."""
         response = http_response({"seq": self.seq, "whole": False, "hosts": []})
         for watcher in self.watchers:
             if 0 < watcher.ends_at <= now:
                 watcher.ends_at = 0.0
-                self.counters["renewed"] += 1
+                self.counters["renewals"] += 1
                 self.send(watcher, response)
 
 
 def run_source(pipe: Connection, servers: int, server_address: str, services: int) -> None:
+    """Entry point of the source's process."""
     SourceLoop(pipe, servers, server_address, services).run()
 
 
 class ListSource:
-    """The stand-in as a process; `figures` are its own, `cpu` among them in seconds of its processor time."""
+    """The source as a process, listening at `address`."""
 
     def __init__(self, servers: int, server_address: str = "", services: int = 0) -> None:
         context = multiprocessing.get_context("spawn")
@@ -220,19 +232,25 @@
         self.address: tuple[str, int] = self.pipe.recv()
 
     def read_counters(self) -> dict[str, float]:
-        self.pipe.send(("figures",))
+        """Counters of the process: responses by kind, bytes sent, CPU seconds (`cpu`), memory (`kb`)."""
+        self.pipe.send(("counters",))
         return self.pipe.recv()
 
     def make_changes(self, count: int, pause_s: float = 0.0) -> None:
+        """Have the source make changes, with a pause before each further one; returns at once."""
         self.pipe.send(("changes", count, pause_s))
 
     def end(self) -> None:
+        """Stop the process."""
         self.pipe.send(("end",))
         self.process.join(10)
 
 
 class Followers:
-    """Connections that hold a watch each, read in this process by one selector loop."""
+    """Connections with a watch each, read in this process by one selector loop.
+
+    `seq` is the version that the first watch starts from; 0 sends no request yet.
+    """
 
     def __init__(
         self,
@@ -244,11 +262,11 @@
     ) -> None:
         self.selector = selectors.EpollSelector()
         self.wait_ms = wait_ms
-        self.answers = self.replies = self.bytes = 0  # replies: refused ones, too
-        self.answers_by_version: Counter[int] = Counter()  # answers by their version
+        self.answers = self.replies = self.bytes = 0  # replies include rejections
+        self.answers_by_version: Counter[int] = Counter()  # count of responses by list version
         self.socks: list[socket.socket] = []
-        self.missing_bytes: dict[socket.socket, int] = {}  # bytes of an answer that are still to come
-        self.services_query: dict[Any, bytes] = {}  # what each asks for
+        self.missing_bytes: dict[socket.socket, int] = {}  # bytes of a response not yet received
+        self.services_query: dict[Any, bytes] = {}  # query parameter of each connection
         for number in range(count):
             sock = socket.create_connection(address)
             sock.setblocking(False)
@@ -262,21 +280,26 @@
                 self.send_request(sock, seq)
 
     def send_request(self, sock: socket.socket, seq: int) -> None:
+        """Ask for changes after version `seq`, or for a full list if it is 0."""
         parts = [b"since=%d&timeout_ms=%d" % (seq, self.wait_ms)] if seq else []
         parts += [self.services_query[sock]] if self.services_query[sock] else []
-        what = b"?" + b"&".join(parts) if parts else b""
-        sock.send(b"GET /discovery/hosts" + what + b" HTTP/1.1\r\nHost: d\r\n\r\n")
+        query = b"?" + b"&".join(parts) if parts else b""
+        sock.send(b"GET /discovery/hosts" + query + b" HTTP/1.1\r\nHost: d\r\n\r\n")
 
     def run(self, until: Callable[[], bool], watch_again: bool = True) -> None:
-        """Read answers and, if `again`, ask anew for what comes after; raises TimeoutError after a minute."""
+        """Read responses until `until()` holds, sending a new watch after each if `watch_again`.
+
+        Raises TimeoutError after a minute.
+        """
         end = time.monotonic() + 60
         while not until():
             if time.monotonic() > end:
-                raise TimeoutError("followers are still without an answer")
+                raise TimeoutError("followers did not get the expected responses within 60 s")
             for key, _ in self.selector.select(0.01):
                 self.on_readable(key.fileobj, watch_again)
 
     def on_readable(self, sock: Any, watch_again: bool) -> None:
+        """Read part of a response; at its end count it and, if `watch_again`, send the next watch."""
         data = sock.recv(1 << 20)
         self.bytes += len(data)
         if not data:
@@ -302,23 +325,24 @@
                 self.send_request(sock, self.seq)
 
     def close(self) -> None:
+        """Close all connections."""
         for sock in self.socks:
             sock.close()
 
 
 def wait_until_watching(source: ListSource, count: int) -> None:
-    """Wait until all watches are out; raises TimeoutError after a minute."""
+    """Wait until the source holds a watch of each follower; raises TimeoutError after a minute."""
     end = time.monotonic() + 60
     while source.read_counters()["waiting"] < count:
         if time.monotonic() > end:
-            raise TimeoutError("not all followers watch")
+            raise TimeoutError(f"fewer than {count} followers have a watch after 60 s")
         time.sleep(0.1)
 
 
 def measure_change(count: int) -> dict[str, float]:
-    """One size of following: microseconds for each answer with a change, seconds until the last has one.
+    """Cost of a change: microseconds and bytes a response, seconds until the last follower has it.
 
-    What the loop spends while nothing comes is no cost of an answer, and is taken off.
+    The CPU time of the idle loop is subtracted, as it is not a cost of the responses.
     """
     changes = max(5, 10_000 // count)
     source = ListSource(1000)
@@ -341,7 +365,7 @@
         single_change_s = time.monotonic() - single_change_s
         followers.close()
         cpu = after["cpu"] - before["cpu"] - (before["cpu"] - first["cpu"]) * elapsed_s
-        answers = after["told"] - before["told"]
+        answers = after["changes"] - before["changes"]
         return {
             "told_us": cpu / answers * 1e6,
             "told_bytes": (after["bytes"] - before["bytes"]) / answers,
@@ -353,7 +377,7 @@
 
 
 def measure_renewal(count: int) -> float:
-    """Microseconds for each watch that ends with nothing new and is begun again."""
+    """Microseconds of the source for each watch that ends without a change and is started again."""
     source = ListSource(1000)
     try:
         followers = Followers(source.address, count, max(200, count))
@@ -363,13 +387,13 @@
         followers.run(lambda: time.monotonic() > end)
         after = source.read_counters()
         followers.close()
-        return (after["cpu"] - before["cpu"]) / (after["renewed"] - before["renewed"]) * 1e6
+        return (after["cpu"] - before["cpu"]) / (after["renewals"] - before["renewals"]) * 1e6
     finally:
         source.end()
 
 
 def measure_full_list(servers: int, count: int = 20) -> dict[str, float]:
-    """Whole lists of one size to some followers: microseconds and bytes each at the source."""
+    """Microseconds of the source and bytes for each full list of that size, sent to some followers."""
     source = ListSource(servers)
     try:
         before = source.read_counters()
@@ -381,7 +405,7 @@
             followers.run(lambda wanted=expected_answers: followers.answers >= wanted, watch_again=False)  # type: ignore[misc]
         after = source.read_counters()
         followers.close()
-        sent_lists = after["wholes"] - before["wholes"]
+        sent_lists = after["full_lists"] - before["full_lists"]
         return {
             "whole_us": (after["cpu"] - before["cpu"]) / sent_lists * 1e6,
             "whole_bytes": (after["bytes"] - before["bytes"]) / sent_lists,
--- a/benchmarks/list_updates.py
+++ b/benchmarks/list_updates.py
@@ -1,7 +1,7 @@
-"""What a list costs the sidecar that hears of it: its CPU by part, a real `serve`'s memory and CPU at rest.
+"""Cost of a server list in a sidecar: CPU of lists, changes and decisions; memory and CPU of an idle `serve`.
 
-`heard(servers)` and `decided(servers)` are the real parser, `Watch`, `Roster` and `Balancer` in this process;
-`rested(...)` are real processes behind the stand-in of `list_source.py`.
+`measure_list_updates` and `measure_decision` run the real parser, `Watch`, `Roster` and `Balancer` in this
+process; `measure_idle_sidecars` runs real processes that follow the source of `list_source.py`.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class ListReceiver:
-    """One sidecar's parts from an answer's bytes to what its balancer knows."""
+    """The parts of a sidecar from the bytes of a response to the state of its balancer."""
 
     def __init__(self) -> None:
         self.server_list = Roster([OWN_ZONE], lambda born: max(0, born))
@@ -38,6 +38,7 @@
         self.now = 10**9
 
     def receive(self, data: bytes) -> None:
+        """Parse one response and apply it to the balancer."""
         parser = self.watch.parser
         while data:
             free_space = parser.ring.room()
@@ -53,7 +54,7 @@
 
 
 def measure_list_updates(servers: int) -> dict[str, float]:
-    """Microseconds for a whole list of that many at the start, the same again, and one change; and bytes."""
+    """Microseconds for a first full list of that size, for a repeated one and for one change; their bytes."""
     receiver = ListReceiver()
     first = http_response(full_list(servers, 1))
     began = time.process_time()
@@ -81,9 +82,9 @@
 
 
 def measure_decision(servers: int, new_keys: bool) -> float:
-    """Microseconds for one call's decision and its end, all servers in the sidecar's own zone.
+    """Microseconds to decide on one submission and record its end, all servers in the sidecar's own zone.
 
-    The keys are `new`, or 50 that were all met before: what is drawn for a key is kept while it is met.
+    Each key is new if `new_keys`; else 50 known keys recur, whose random draws the balancer has cached.
     """
     receiver = ListReceiver()
     message = full_list(servers, 1)
@@ -96,8 +97,8 @@
         state[0] += 6_667  # microseconds: 150 calls a second
         state[1] += 1
         key = 10**6 + state[1] if new_keys else 1 + state[1] % 50
-        one = balancer.take(state[0], state[1], 0, key, False, state[0] + 2_000_000)
-        one.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
+        submission = balancer.take(state[0], state[1], 0, key, False, state[0] + 2_000_000)
+        submission.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
 
     repeats = max(50, min(5000, 400_000 // servers))
     for _ in range(50):
@@ -109,6 +110,7 @@
 
 
 def sidecar_config(servers: int, source_address: tuple[str, int]) -> dict[str, Any]:
+    """Configuration of a `serve` that follows the source and knows its list from the start."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -123,45 +125,49 @@
 def measure_idle_sidecars(
     servers: int, changes_per_s: Sequence[float], seconds: float
 ) -> list[dict[str, float]]:
-    """A real `serve` for each rate of changes, side by side: MB at rest, then CPU ms and bytes a second."""
+    """A real `serve` for each rate of changes, side by side: MB when idle, then CPU ms and bytes a second."""
     sources = [ListSource(servers) for _ in changes_per_s]
     sidecars: list[Sidecar] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
             sidecars = [
                 Sidecar(
-                    sidecar_config(servers, origin.address),
+                    sidecar_config(servers, source.address),
                     Path(folder) / str(at),
                     ROOT,
                     os.sched_getaffinity(0),
                 )
-                for at, origin in enumerate(sources)
+                for at, source in enumerate(sources)
             ]
-            for each in sidecars:
-                while each.address() is None:
+            for sidecar in sidecars:
+                while sidecar.address() is None:
                     time.sleep(0.02)
             time.sleep(2.0)
-            idle_mb = [each.memory_mb() for each in sidecars]
-            for rate, origin in zip(changes_per_s, sources):
+            idle_mb = [sidecar.memory_mb() for sidecar in sidecars]
+            for rate, source in zip(changes_per_s, sources):
                 if rate:
-                    origin.make_changes(10**9, 1 / rate)
+                    source.make_changes(10**9, 1 / rate)
             time.sleep(1.0)
-            before = [(sum(each.cpu()), origin.read_counters()) for each, origin in zip(sidecars, sources)]
+            before = [
+                (sum(sidecar.cpu()), source.read_counters()) for sidecar, source in zip(sidecars, sources)
+            ]
             began = time.monotonic()
             time.sleep(seconds)
-            after = [(sum(each.cpu()), origin.read_counters()) for each, origin in zip(sidecars, sources)]
+            after = [
+                (sum(sidecar.cpu()), source.read_counters()) for sidecar, source in zip(sidecars, sources)
+            ]
             elapsed_s = time.monotonic() - began
             return [
                 {
                     "mb": mb,
-                    "cpu_ms": (then[0] - first[0]) / elapsed_s * 1000,
-                    "bytes": (then[1]["bytes"] - first[1]["bytes"]) / elapsed_s,
-                    "changes": (then[1]["seq"] - first[1]["seq"]) / elapsed_s,
+                    "cpu_ms": (end[0] - start[0]) / elapsed_s * 1000,
+                    "bytes": (end[1]["bytes"] - start[1]["bytes"]) / elapsed_s,
+                    "changes": (end[1]["seq"] - start[1]["seq"]) / elapsed_s,
                 }
-                for mb, first, then in zip(idle_mb, before, after)
+                for mb, start, end in zip(idle_mb, before, after)
             ]
         finally:
-            for each in sidecars:
-                each.end()
-            for origin in sources:
-                origin.end()
+            for sidecar in sidecars:
+                sidecar.end()
+            for source in sources:
+                source.end()
--- a/benchmarks/scale_runs.py
+++ b/benchmarks/scale_runs.py
@@ -1,4 +1,4 @@
-"""What `lab scale` finds of lists by the number of hollow sidecars, with real relays and balancers."""
+"""Runs of `lab scale`: costs of server lists by hollow sidecars, with real relays and balancers."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 
 from worktrees import ROOT
 
-SERVICES_PER_SIDECAR = 1900 / 20_000  # services by sidecars at the target
+SERVICES_PER_SIDECAR = 1900 / 20_000  # of the target fleet
 
 
 def run_relayed(sidecars: int, seed: int, seconds: float = 30.0) -> dict[str, float]:
-    """Raises RuntimeError for a run that failed, or in which anything was violated."""
+    """Values of one run; raises RuntimeError if it failed or violated a rule."""
     with tempfile.TemporaryDirectory() as folder:
-        words = f"""lab scale --sidecars {sidecars} --services {round(sidecars * SERVICES_PER_SIDECAR)} --regions 10
+        services = round(sidecars * SERVICES_PER_SIDECAR)
+        arguments = f"""lab scale --sidecars {sidecars} --services {services} --regions 10
                     --zones 34 --changes-per-s 0.76 --for {seconds:g} --seed {seed} --form relayed --calls 8
                     --json --report {folder}/report"""
-        command = [sys.executable, "-m", "pumicepath", *words.split()]
+        command = [sys.executable, "-m", "pumicepath", *arguments.split()]
         run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     if run.returncode:
         raise RuntimeError(f"lab scale ended with {run.returncode}: {run.stdout[-300:]} {run.stderr[-300:]}")
@@ -29,7 +30,7 @@
 
 
 def series_values(result: dict[str, Any]) -> dict[str, float]:
-    """Of one run's result, by the names of our series."""
+    """The values of a run's result, by the names of the capacity series."""
     if result["faults"]:
         prefix = "" if result.get("played", result["sidecars"]) == result["sidecars"] else "region-of-all-"
         return (
@@ -57,9 +58,9 @@
 
 
 def read_runs(paths: Iterable[Path]) -> list[dict[str, Any]]:
-    """Runs that were recorded, one a line with command, exit and result: without faults, or with one.
+    """Recorded runs with a result, one a line with command, exit status and result, with at most one fault.
 
-    Those that ended badly are among them: what was measured is not chosen by whether it is liked.
+    Runs with a bad exit status are included, so that values are not selected by outcome.
     """
     runs = [json.loads(line) for path in paths for line in path.read_text().splitlines() if line.strip()]
     return [run for run in runs if "result" in run and len(run["result"]["faults"]) < 2]
--- a/benchmarks/worktrees.py
+++ b/benchmarks/worktrees.py
@@ -1,4 +1,4 @@
-"""Two trees of this repository, to be measured in turns: an older commit and the files as they are."""
+"""Two source trees of this repository to measure in alternation: an older commit and the working tree."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 
 def git(*arguments: str) -> None:
+    """Run git in the repository; raises CalledProcessError if it fails."""
     subprocess.run(["git", "-C", str(ROOT), *arguments], check=True)
 
 
 @contextmanager
 def checked_out_trees(old: str) -> Iterator[dict[str, Path]]:
-    """`old`, if one is named, and `new`; the older one is gone afterwards.
+    """The trees by name: `old`, if a commit is given, and `new`; the old one is removed at the end.
 
-    The older one is not compiled: against a commit that could be, set PUMICEPATH_INTERPRETED=1 for both.
+    The old tree is not compiled: to compare it with a compiled one, set PUMICEPATH_INTERPRETED=1 for both.
     """
     with tempfile.TemporaryDirectory() as folder:
         tree = Path(folder) / "old"
