--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,10 +1,11 @@
-"""The same days in virtual time and on loopback: service, latency and rules of either, side by side.
+"""The same scenarios in virtual time and on loopback: service, latency and rule violations side by side.
 
     .venv/bin/python benchmarks/agreement.py [--seeds 1 2] [--only NAME]
 
-Eight days of 12 s on one plan (two halls, eight simulated servers, three sidecars); on loopback the sidecars
-are real processes, and a day takes about a core and a half.  A day on which the stand-ins were too slow is
-void and said to be.
+Eight scenarios of 12 s on one plan (two zones, eight simulated servers, three sidecars).  On loopback the
+sidecars are real processes, and a scenario takes about one and a half cores.  A scenario during which the
+simulated servers or clients were too slow is reported as void.  Exits with 1 if the services of any pair
+differ by more than MAX_SERVICE_DIFFERENCE.
 """
 
 from __future__ import annotations
@@ -37,6 +38,7 @@
 
 
 def plan(faults: tuple[dict[str, Any], ...]) -> Plan:
+    """A run with the given faults, which start after 3 s and last 3 s unless they say otherwise."""
     return Plan(
         lasts_s=12,
         fleet=Fleet(halls=2, servers=8, work_ms=20, cold_s=5),
@@ -46,19 +48,21 @@
 
 
 def summary_line(result: Result) -> str:
+    """Service and latency of a run, and the rules that it violated."""
     values = summary(result)
-    broken = [rule for rule, count in result.rules.items() if count]
+    violated = [rule for rule, count in result.rules.items() if count]
     return f"service {values['service']:.3f}  p50 {values['p50_ms']:5.1f}  p99 {values['p99_ms']:6.1f} ms" + (
-        f"  BROKEN {broken}" if broken else ""
+        f"  VIOLATED {violated}" if violated else ""
     )
 
 
 def main() -> int:
+    """Run the scenarios in pairs; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, nargs="+", default=[1])
     parser.add_argument("--only", choices=list(SCENARIOS))
     options = parser.parse_args()
-    print(f"{os.cpu_count()} cores, Python {platform.python_version()}; servers simulated in both")
+    print(f"{os.cpu_count()} cores, Python {platform.python_version()}; servers are simulated in both")
     max_difference = 0.0
     for name, faults in SCENARIOS.items():
         if options.only not in (None, name):
@@ -72,11 +76,12 @@
                 continue
             max_difference = max(max_difference, abs(virtual.service - live.service))
             print(
-                f"{name:<20} seed {seed}\n    virtual   {summary_line(virtual)}\n    loopback  {summary_line(live)}"
-                f"   apart {live.service - virtual.service:+.3f}",
+                f"{name:<20} seed {seed}\n    virtual   {summary_line(virtual)}\n"
+                f"    loopback  {summary_line(live)}"
+                f"   difference {live.service - virtual.service:+.3f}",
                 flush=True,
             )
-    print(f"furthest apart {max_difference:.3f}")
+    print(f"largest difference {max_difference:.3f}")
     return 0 if max_difference <= MAX_SERVICE_DIFFERENCE else 1
 
 
--- a/benchmarks/call_overhead.py
+++ b/benchmarks/call_overhead.py
@@ -174,11 +174,11 @@
 
 
 def start_process(
-    context: BaseContext, run: Callable[..., None], *given: object
+    context: BaseContext, run: Callable[..., None], *arguments: object
 ) -> tuple[BaseProcess, tuple[str, int]]:
     """Start a process; return it and the address that it listens on."""
-    pipe, theirs = context.Pipe()
-    started = context.Process(target=run, args=(theirs, *given), daemon=True)  # type: ignore[attr-defined]
+    pipe, child_pipe = context.Pipe()
+    started = context.Process(target=run, args=(child_pipe, *arguments), daemon=True)  # type: ignore[attr-defined]
     started.start()
     return started, pipe.recv()
 
@@ -194,12 +194,12 @@
         config = {**sidecar_config(servers, source.address), "known": full_list(servers, 1, server_address)}
         sidecar = Sidecar(config, Path(folder), ROOT, os.sched_getaffinity(0))
         try:
-            while (where := sidecar.address()) is None:
+            while (sidecar_address := sidecar.address()) is None:
                 time.sleep(0.02)
             time.sleep(1.0)
-            run_calls(where, WARM_S, seed)
+            run_calls(sidecar_address, WARM_S, seed)
             direct, forwarded, through_sidecar = (
-                OpenLoopClient(each, seed) for each in ((host, port), forwarder_address, where)
+                OpenLoopClient(each, seed) for each in ((host, port), forwarder_address, sidecar_address)
             )
             cpu_s = 0.0
             for _ in range(round(seconds / SLICE_S)):
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -365,12 +365,12 @@
 
 def series_of_comparisons(pairs: list[dict[str, Any]]) -> dict[str, Any]:
     """Series of hollow and real sidecars side by side, from lines of benchmarks/hollow_against_real.py."""
-    if len({one["servers"] for one in pairs}) < slopes.FEWEST:
+    if len({pair["servers"] for pair in pairs}) < slopes.FEWEST:
         return {}
     run = {
         "date": datetime.now(UTC).strftime("%Y-%m-%d %H:%M"),
         "commit": "as recorded",
-        "load": max(one["load_average"] for one in pairs),
+        "load": max(pair["load_average"] for pair in pairs),
         "command": "benchmarks/hollow_against_real.py",
     }
     names = {
@@ -383,28 +383,28 @@
         )
     }
     return {
-        name: series_record(name, {one["servers"]: [float(f"{one[side][key]:.4g}")] for one in pairs}, run)
+        name: series_record(name, {pair["servers"]: [float(f"{pair[side][key]:.4g}")] for pair in pairs}, run)
         for name, (side, key) in names.items()
     }
 
 
 def series_of_runs(runs: list[dict[str, Any]]) -> dict[str, Any]:
     """Series of `lab scale` runs of one kind; empty if they have fewer sizes than a slope needs."""
-    if len({one["result"]["sidecars"] for one in runs}) < slopes.FEWEST:
+    if len({record["result"]["sidecars"] for record in runs}) < slopes.FEWEST:
         return {}
     run = {
-        "date": datetime.now(UTC).strftime("%Y-%m-%d ") + max(one["at"][:5] for one in runs),
+        "date": datetime.now(UTC).strftime("%Y-%m-%d ") + max(record["at"][:5] for record in runs),
         "commit": "as recorded",
-        "load": max(one["result"]["load_average"] for one in runs),
-        "command": max(runs, key=lambda one: one["result"]["sidecars"])["command"],
+        "load": max(record["result"]["load_average"] for record in runs),
+        "command": max(runs, key=lambda record: record["result"]["sidecars"])["command"],
     }
     values: dict[str, dict[float, list[float]]] = {}
-    for one in runs:
-        for name, value in scale_runs.series_values(one["result"]).items():
+    for record in runs:
+        for name, value in scale_runs.series_values(record["result"]).items():
             if name not in SERIES:
                 continue
             sizes = values.setdefault(name, {})
-            sizes.setdefault(one["result"]["sidecars"], []).append(float(f"{value:.4g}"))
+            sizes.setdefault(record["result"]["sidecars"], []).append(float(f"{value:.4g}"))
     return {name: series_record(name, sizes, run) for name, sizes in values.items()}
 
 
@@ -417,7 +417,7 @@
         "by": info.size_unit,
         "run": run,
         "form": info.form or FORM.partition(":")[0],
-        "points": [[size, found] for size, found in sorted(sizes.items())],
+        "points": [[size, values] for size, values in sorted(sizes.items())],
     }
 
 
@@ -445,7 +445,7 @@
     if FORM == "compiled":
         return results
     # With PUMICEPATH_INTERPRETED=1, series with a compiled form get a second name; the others are dropped.
-    return {f"{name}_interpreted": one for name, one in results.items() if not SERIES[name].form}
+    return {f"{name}_interpreted": record for name, record in results.items() if not SERIES[name].form}
 
 
 def save(results: dict[str, Any]) -> None:
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -53,8 +53,8 @@
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
-        async with serving(plan(servers), 7, Path(folder)) as stand:
-            pipe.send(stand.told)
+        async with serving(plan(servers), 7, Path(folder)) as fleet:
+            pipe.send(fleet.told)
             await asyncio.Event().wait()
 
     asyncio.run(run())
@@ -124,11 +124,11 @@
 def measure(root: Path, cores: list[int], connections: int, seconds: float, trace: bool) -> dict:
     """Costs of one submission over `seconds`, for a sidecar of the tree at `root`; times in milliseconds."""
     context = multiprocessing.get_context("spawn")
-    here, there = context.Pipe()
+    fleet_pipe, fleet_child_pipe = context.Pipe()
     with tempfile.TemporaryDirectory() as folder:
-        fleet = context.Process(target=run_servers, args=(there, cores[1], 4, folder), daemon=True)
+        fleet = context.Process(target=run_servers, args=(fleet_child_pipe, cores[1], 4, folder), daemon=True)
         fleet.start()
-        config = here.recv()
+        config = fleet_pipe.recv()
         sidecar = Sidecar(config, Path(folder), root, {cores[0]})
         try:
             while (address := sidecar.address()) is None:
@@ -198,24 +198,24 @@
     with checked_out_trees(old) as roots:
         for _ in range(runs):
             for name, root in roots.items():
-                one = measure(root, core_numbers, connections, seconds, trace)
-                results.setdefault(name, []).append(one)
+                result = measure(root, core_numbers, connections, seconds, trace)
+                results.setdefault(name, []).append(result)
                 print(
                     name,
                     json.dumps(
                         {
                             key: round(value, 3) if isinstance(value, float) else value
-                            for key, value in one.items()
+                            for key, value in result.items()
                         }
                     ),
                     flush=True,
                 )
-    for name, each in results.items():
-        values = sorted(one["ms"] for one in each)
+    for name, runs_of in results.items():
+        values = sorted(result["ms"] for result in runs_of)
         print(
             f"{name}: {statistics.median(values):.3f} ms a submission, median "
             f"({values[0]:.3f} to {values[-1]:.3f}, {len(values)} runs), "
-            f"{statistics.median(one['switches'] for one in each):.1f} context switches"
+            f"{statistics.median(result['switches'] for result in runs_of):.1f} context switches"
         )
     if old:
         ratio = [b["ms"] / a["ms"] for a, b in zip(results["old"], results["new"])]
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -25,9 +25,9 @@
     """Count the CPU seconds of one sidecar's membership and duties in `cpu_s`, by its number."""
 
     def wrapped(call: Callable[..., None]) -> Callable[..., None]:
-        def timing(*given: Any) -> None:
+        def timing(*arguments: Any) -> None:
             began = time.thread_time()
-            call(*given)
+            call(*arguments)
             cpu_s[node.number] += time.thread_time() - began
 
         return timing
@@ -105,11 +105,11 @@
     del fleet
 
 
-def run_in_own_process(run: Callable[..., None], *given: Any) -> float:
+def run_in_own_process(run: Callable[..., None], *arguments: Any) -> float:
     """Run a function in a new process and return the value that it sends."""
     context = multiprocessing.get_context("spawn")
-    pipe, theirs = context.Pipe()
-    process = context.Process(target=run, args=(theirs, *given))
+    pipe, child_pipe = context.Pipe()
+    process = context.Process(target=run, args=(child_pipe, *arguments))
     process.start()
     result: float = pipe.recv()
     process.join()
--- a/benchmarks/hollow_against_real.py
+++ b/benchmarks/hollow_against_real.py
@@ -1,11 +1,12 @@
-"""Hollow sidecars against real ones at the same work: how far figures of `lab scale` can be trusted.
+"""Hollow sidecars against real ones at the same work: how accurate the values of `lab scale` are.
 
     python benchmarks/hollow_against_real.py --each 100 --sizes 100,500,1000,2000 --rest 15 --rate 10
 
-At each size of the list, `--each` real `serve` processes (no clients) and as many hollow sidecars in one
-process follow one origin at the same time.  First nothing changes, then `--rate` changes a second.  One JSON
-line a size: memory, CPU at rest and for a change, bytes, and how long after a change the origin has the next
-call of each, which is when it has been applied at the latest.  The last lines are slopes over the sizes.
+At each size of the list, `--each` real `serve` processes (without clients) and as many hollow sidecars in
+one process follow one origin at the same time, first without changes, then with `--rate` changes a second.
+Prints one JSON line for each size: memory, CPU when idle and for a change, bytes, and the time from a change
+until the origin gets the next call of each sidecar, by which the change has been applied.  The last lines are
+slopes over the sizes.
 """
 
 from __future__ import annotations
@@ -31,11 +32,11 @@
 from pumicepath.lab.hollow.processes import Child  # noqa: E402
 from pumicepath.lab.hollow.sidecar import told  # noqa: E402
 
-START_BATCH = 10  # real processes that start together
+START_BATCH = 10  # real processes that are started at the same time
 
 
 def start_real(plan: Plan, number: int, origin_address: str, folder: Path) -> Child:
-    """One `serve` without clients; its log is read as what a child says."""
+    """Start a `serve` without clients; its log events are read like the messages of a lab process."""
     path = folder / f"real-{number}.json"
     path.write_text(
         json.dumps(
@@ -54,19 +55,21 @@
 
 
 def wait_until_connected(origin: Child, count: int) -> None:
+    """Wait until the origin has that many connections; raises SystemExit after 300 s."""
     end = time.monotonic() + 300
     while origin.ask({"do": "figures"}, "figures")["connections"] < count:
         if time.monotonic() > end:
-            raise SystemExit("not all of them came")
+            raise SystemExit(f"fewer than {count} sidecars connected within 300 s")
         time.sleep(0.2)
 
 
 def total_cpu_s(children: list[Child]) -> float:
+    """CPU seconds of all the processes so far."""
     return sum(processes.cpu(child.process.pid) for child in children)
 
 
 def measure_phase(origin: Child, sides: dict[str, list[Child]], seconds: float, rate: bool) -> dict[str, Any]:
-    """CPU and bytes of both sides over a time, and delays of changes; changes are made if `rate`."""
+    """CPU, bytes and delays of changes on both sides over that time, with changes only if `rate` is set."""
     before = {name: total_cpu_s(children) for name, children in sides.items()}
     first, bytes_then = origin.ask({"do": "figures"}, "figures"), origin.ask({"do": "peers"}, "peers")
     sides["hollow"][0].tell({"do": "measure"})
@@ -94,6 +97,7 @@
 
 
 def measure_size(servers: int, each: int, rest_s: float, changing_s: float, rate: float) -> dict[str, Any]:
+    """Compare both sides at one size of the list; the result is one line of the output."""
     ask = Ask(servers, max(1, servers // 10), 1, 4, changes_per_s=rate)
     plan = Plan(ask)
     children: list[Child] = []
@@ -155,7 +159,7 @@
 
 
 def fit_line(points: list[tuple[float, float]]) -> dict[str, float]:
-    """Least squares, and the largest residual as a part of the largest value."""
+    """Fit a line by least squares; the largest residual is a fraction of the largest value."""
     fit = statistics.linear_regression([x for x, _ in points], [y for _, y in points])
     worst = max(abs(y - fit.intercept - fit.slope * x) for x, y in points)
     return {
@@ -172,6 +176,7 @@
 @click.option("--changing", "changing_s", type=float, default=20.0)
 @click.option("--rate", type=float, default=10.0)
 def main(each: int, sizes: str, rest_s: float, changing_s: float, rate: float) -> None:
+    """Compare both sides at each size and print the slopes."""
     rows = []
     for servers in map(int, sizes.split(",")):
         rows.append(measure_size(servers, each, rest_s, changing_s, rate))
--- a/benchmarks/list_source.py
+++ b/benchmarks/list_source.py
@@ -144,7 +144,7 @@
                     **self.counters,
                     "cpu": time.process_time(),
                     "seq": self.seq,
-                    "waiting": sum(one.ends_at > 0 for one in self.watchers),
+                    "waiting": sum(watcher.ends_at > 0 for watcher in self.watchers),
                     "pending": self.pending_changes,
                     "kb": pages * os.sysconf("SC_PAGE_SIZE") / 1000,
                 }
@@ -224,9 +224,9 @@
 
     def __init__(self, servers: int, server_address: str = "", services: int = 0) -> None:
         context = multiprocessing.get_context("spawn")
-        self.pipe, theirs = context.Pipe()
+        self.pipe, child_pipe = context.Pipe()
         self.process = context.Process(
-            target=run_source, args=(theirs, servers, server_address, services), daemon=True
+            target=run_source, args=(child_pipe, servers, server_address, services), daemon=True
         )
         self.process.start()
         self.address: tuple[str, int] = self.pipe.recv()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -93,16 +93,16 @@
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
-        async with serving(Scenario([(0.0, 1.0)], 3600).plan(), 7, Path(folder)) as stand:
-            pipe.send(stand.told)
+        async with serving(Scenario([(0.0, 1.0)], 3600).plan(), 7, Path(folder)) as fleet:
+            pipe.send(fleet.told)
             while True:
                 await asyncio.sleep(0.01)
                 if pipe.poll():
                     command = pipe.recv()
                     if isinstance(command, set):
-                        pipe.send(sum(stand.ran()[ask] > 1 for ask in command))
+                        pipe.send(sum(fleet.ran()[ask] > 1 for ask in command))
                     else:
-                        stand.slowed(command)
+                        fleet.slowed(command)
 
     asyncio.run(run())
 
@@ -152,7 +152,7 @@
         parts = self.cores[2:]
         pipes = []
         for core in parts:
-            here, there = CONTEXT.Pipe()
+            pipe, child_pipe = CONTEXT.Pipe()
             plan, max_connections = scenario.plan(len(parts)), scenario.connections // len(parts)
             process = CONTEXT.Process(
                 target=run_clients,
@@ -164,11 +164,11 @@
                     self.client_processes,
                     max_connections,
                     core,
-                    there,
+                    child_pipe,
                 ),
             )
             process.start()
-            pipes.append(here)
+            pipes.append(pipe)
             self.client_processes += 1
         began = time.monotonic() + 0.25  # approximate start of the clients
         waiting = sorted(actions, key=lambda action: action[0])
@@ -339,8 +339,8 @@
     pid = sidecar.sidecar.process.pid
 
     def plan(*steps: tuple[float, float], **more) -> Scenario:
-        lasts = more.pop("lasts", steps[-1][0] + 5)
-        return Scenario([(at, times * capacity) for at, times in steps], lasts, **more)
+        duration_s = more.pop("duration_s", steps[-1][0] + 5)
+        return Scenario([(at, times * capacity) for at, times in steps], duration_s, **more)
 
     def stop() -> None:
         os.kill(pid, signal.SIGSTOP)
@@ -356,9 +356,9 @@
 
     cases: dict[str, tuple[Scenario, list, float, float]] = {}
     for times in (1.5, 2, 4, 10):
-        for lasts in (1, 10):
-            steps = plan((0, 0.5), (3, times), (3 + lasts, 0.5))
-            cases[f"{times} x for {lasts} s"] = (steps, [], 3, 3 + lasts)
+        for duration_s in (1, 10):
+            steps = plan((0, 0.5), (3, times), (3 + duration_s, 0.5))
+            cases[f"{times} x for {duration_s} s"] = (steps, [], 3, 3 + duration_s)
     cases["rush: 10 x for 0.2 s on 1,500 connections"] = (
         plan((0, 0.5), (3, 10), (3.2, 0.5), connections=1500),
         [],
@@ -372,14 +372,14 @@
         8,
     )
     cases["core to a third at 0.7 x"] = (
-        plan((0, 0.7), lasts=14),
+        plan((0, 0.7), duration_s=14),
         [(3, add_busy_processes), (8, remove_busy_processes)],
         3,
         8,
     )
-    cases["stopped for 300 ms at 0.7 x"] = (plan((0, 0.7), lasts=9), [(3, stop)], 3, 4)
+    cases["stopped for 300 ms at 0.7 x"] = (plan((0, 0.7), duration_s=9), [(3, stop)], 3, 4)
     cases["servers 10 times slower at 0.7 x"] = (
-        plan((0, 0.7), lasts=13),
+        plan((0, 0.7), duration_s=13),
         [(3, lambda: sidecar.pipe.send(0.1)), (8, lambda: sidecar.pipe.send(1.0))],
         3,
         8,
@@ -392,7 +392,7 @@
         8,
     )
     cases["SIGTERM at 4 x"] = (
-        plan((0, 0.5), (3, 4), lasts=6),
+        plan((0, 0.5), (3, 4), duration_s=6),
         [(4, lambda: os.kill(pid, signal.SIGTERM))],
         3,
         6,
--- a/benchmarks/pacing.py
+++ b/benchmarks/pacing.py
@@ -1,13 +1,14 @@
-"""What the pace of whole lists does to followers at rest: a relay's others come, as when their relay died.
+"""Effect of a relay's rate limit for full lists on its followers while many new ones arrive at once.
 
     .venv/bin/python benchmarks/pacing.py [--paces 4000000 16000000 64000000] [--runs 3]
                                           [--rest 1000] [--coming 1000]
 
-One relay as loaded as at the target: 20,000 servers in 1,900 services with a long tail, each follower calls
-8, drawn so that about one in ten calls the largest.  Followers at rest wait for changes; 20 changes a second
-are made, each timed until each follower that it concerns has it: alone, and while as many others come from a
-process of their own, ask for whole lists all at once, and again 0.25 to 0.5 s after each 503.  All is real
-time on loopback.  One JSON line a play.
+New followers arrive together when their own relay has failed.  One relay carries the load of the target
+fleet: 20,000 servers in 1,900 services with a long-tailed distribution; each follower calls 8, drawn so that
+about one in ten calls the largest.  Existing followers wait for changes.  20 changes a second are made, and
+each is timed until every follower concerned has it: first without new followers, then while `--coming` new
+ones connect from a process of their own, ask for full lists all at once, and retry 0.25 to 0.5 s after each
+503.  Everything runs in real time on loopback.  Prints one JSON line for each run.
 """
 
 from __future__ import annotations
@@ -33,26 +34,31 @@
 from tests.relay_rig import Origin, Relay, line, until  # noqa: E402
 
 MAX_WAIT_MS = 3000
-CHANGE_INTERVAL_S = 0.05  # between two changes
+CHANGE_INTERVAL_S = 0.05  # between changes
 ALONE_S = 8.0
 MAX_PHASE_S = 60.0
 
 
 def services_of_follower(plan: Plan, number: int) -> str:
+    """The services that a follower calls, as a query value."""
     return ",".join(sorted(plan.service_name(service) for service in plan.calls[number]))
 
 
 def run_newcomers(address: tuple[str, int], plan: Plan, numbers: range, pipe: Connection) -> None:
-    """Connect; when told, ask for whole lists all at once; then how long each took, and how many were 503."""
+    """Entry point of the process of new followers.
+
+    Connects, and after a message on `pipe` asks for all full lists at once; then sends how long they took and
+    how many responses were 503.
+    """
     selector, rng = selectors.DefaultSelector(), random.Random(1)
     followers = [Follower(address, services_of_follower(plan, number)) for number in numbers]
-    for asker in followers:
-        selector.register(asker.sock, selectors.EVENT_READ, asker)
+    for follower in followers:
+        selector.register(follower.sock, selectors.EVENT_READ, follower)
     pipe.send("there")
     pipe.recv()
     began = time.monotonic()
-    for asker in followers:
-        asker.send_request(1)
+    for follower in followers:
+        follower.send_request(1)
     took, refused, size, served = [], 0, 0, set[Follower]()
     retries: list[tuple[float, Follower]] = []
     while len(took) < len(followers) and time.monotonic() - began < MAX_PHASE_S:
@@ -65,13 +71,13 @@
                     served.add(key.data)
                     took.append(time.monotonic() - began)
                     size += len(response[1])
-                key.data.send_request(rng.uniform(MAX_WAIT_MS / 2, MAX_WAIT_MS))  # it follows from now on
+                key.data.send_request(rng.uniform(MAX_WAIT_MS / 2, MAX_WAIT_MS))  # an ordinary watch
             else:
                 refused += 1
                 retries.append((time.monotonic() + rng.uniform(0.25, 0.5), key.data))
-        for at, asker in [one for one in retries if one[0] <= time.monotonic()]:
-            asker.send_request(1)
-            retries.remove((at, asker))
+        for at, follower in [retry for retry in retries if retry[0] <= time.monotonic()]:
+            follower.send_request(1)
+            retries.remove((at, follower))
     pipe.send(
         {
             "served": len(took),
@@ -86,6 +92,8 @@
 
 
 class RelayLoad:
+    """A relay with its origin and the existing followers, all in this process except the relay."""
+
     def __init__(self, options: argparse.Namespace, rate_limit: int) -> None:
         self.plan = Plan(Ask(20_000, 1_900, 10, 34, calls=8, popular=0.5))
         plan = self.plan
@@ -100,13 +108,15 @@
         self.followers_by_service: dict[str, set[Follower]] = {}
         for first in range(0, options.rest, 50):
             self.add_followers(range(first, min(options.rest, first + 50)))
-        self.follow_until(time.monotonic() + 1.2, set())  # the region's being in touch is told
+        # Meanwhile the relay reports to all followers that it has contact with the region.
+        self.follow_until(time.monotonic() + 1.2, set())
 
     def random_wait_ms(self) -> float:
+        """Duration of a watch, as a sidecar draws it."""
         return MAX_WAIT_MS * (0.5 + 0.5 * self.rng.random())
 
     def add_followers(self, numbers: range) -> None:
-        """Some more, up to their first list; those that are there wait and ask anew."""
+        """Connect further followers and run all until these have their first list."""
         new_followers = set()
         for number in numbers:
             follower = Follower(self.relay.where, services_of_follower(self.plan, number))
@@ -118,7 +128,7 @@
         self.follow_until(time.monotonic() + MAX_PHASE_S, new_followers)
 
     def follow_until(self, until_s: float, waiting_for_list: set[Follower]) -> None:
-        """Until all of `fresh` have a list, or with none until that time."""
+        """Run the followers until all of `waiting_for_list` have a list, or until the time if it is empty."""
         timed = not waiting_for_list
         while time.monotonic() < until_s and (timed or waiting_for_list):
             for key, _ in self.selector.select(0.05):
@@ -128,25 +138,23 @@
                     key.data.send_request(self.random_wait_ms() if response[0] == 200 else 1)
 
     def measure_changes(self, stop_pipe: Connection | None, seconds: float) -> dict[str, float]:
-        """Make changes until `over` has something to say: ms until followers concerned had them."""
+        """Make changes for that long or until `stop_pipe` is readable; return delays and the relay's load."""
         began = time.monotonic()
-        next_change_at, delays_ms, outstanding = (
-            began,
-            list[float](),
-            dict[str, tuple[float, set[Follower], bytes]](),
-        )
+        next_change_at = began
+        delays_ms: list[float] = []
+        outstanding: dict[str, tuple[float, set[Follower], bytes]] = {}
         cpu, answers, longest_turn_s = self.cpu_s(), 0, 0.0
         while time.monotonic() - began < seconds and not (stop_pipe is not None and stop_pipe.poll()):
             now = time.monotonic()
             if now >= next_change_at:
                 next_change_at = now + CHANGE_INTERVAL_S
                 at = self.rng.randrange(20_000)
-                one = {**self.origin.lines[self.plan.server_name(at)], "block": int(1e6 * (now - began))}
+                host = {**self.origin.lines[self.plan.server_name(at)], "block": int(1e6 * (now - began))}
                 wanted = self.followers_by_service.get(self.service_names[at], set())
-                if wanted and one["host"] not in outstanding:
-                    mark = b'"host":"%b"' % str(one["host"]).encode()
-                    outstanding[str(one["host"])] = (now, set(wanted), mark)
-                self.origin.put(one)
+                if wanted and host["host"] not in outstanding:
+                    mark = b'"host":"%b"' % str(host["host"]).encode()
+                    outstanding[str(host["host"])] = (now, set(wanted), mark)
+                self.origin.put(host)
             for key, _ in self.selector.select(0.005):
                 response = key.data.receive()
                 if response is None:
@@ -177,23 +185,25 @@
         }
 
     def cpu_s(self) -> float:
+        """CPU seconds of the relay so far."""
         with open(f"/proc/{self.relay.process.pid}/schedstat") as file:
             return int(file.read().split()[0]) / 1e9
 
 
 def measure(options: argparse.Namespace, rate_limit: int) -> dict[str, object]:
+    """Delays of changes without and with new followers, at one rate limit (bytes a second)."""
     load = RelayLoad(options, rate_limit)
     alone = load.measure_changes(None, ALONE_S)
-    near, far = multiprocessing.Pipe()
+    pipe, child_pipe = multiprocessing.Pipe()
     numbers = range(options.rest, options.rest + options.coming)
     newcomer_process = multiprocessing.Process(
-        target=run_newcomers, args=(load.relay.where, load.plan, numbers, far)
+        target=run_newcomers, args=(load.relay.where, load.plan, numbers, child_pipe)
     )
     newcomer_process.start()
-    near.recv()
-    near.send("go")
-    meanwhile = load.measure_changes(near, MAX_PHASE_S)
-    newcomers = near.recv() if near.poll(MAX_PHASE_S) else {}
+    pipe.recv()
+    pipe.send("go")
+    meanwhile = load.measure_changes(pipe, MAX_PHASE_S)
+    newcomers = pipe.recv() if pipe.poll(MAX_PHASE_S) else {}
     newcomer_process.kill()
     newcomer_process.join()
     load.relay.kill()
@@ -208,6 +218,7 @@
 
 
 def main() -> None:
+    """Measure each rate limit the given number of times."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--paces", type=int, nargs="+", default=[4_000_000, 16_000_000, 64_000_000])
     parser.add_argument("--rest", type=int, default=1000)
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,4 +1,4 @@
-"""CPU of the parts of a submission that need no socket, each alone in a loop.
+"""CPU time of the parts of a submission that need no socket, each measured alone in a loop.
 
 python benchmarks/parts.py                           # compiled, if the tree is
 PUMICEPATH_INTERPRETED=1 python benchmarks/parts.py
@@ -40,21 +40,22 @@
 
 
 class NullCallbacks:
-    """An outlet that does nothing."""
+    """Callbacks of a balancer that do nothing."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *_: None
 
 
 def make_parts() -> dict[str, Callable[[], object]]:
+    """The measured parts by their labels in the output."""
     sidecar_config = config.decode_config(
         {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings_of(PLAN, 0, 0)}
     )
     request, response = RequestParser(), ResponseParser(MOST_BODY)
 
     def feed(parser, data: bytes):
-        room = parser.ring.room()
-        room[: len(data)] = data
+        free_space = parser.ring.room()
+        free_space[: len(data)] = data
         parser.ring.wrote(len(data))
 
     def parse(parser, data: bytes):
@@ -97,6 +98,7 @@
 
 
 def decision_loop(balancer: Balancer) -> Callable[[], None]:
+    """A function that decides on one submission and records its end, for keys drawn at random."""
     rng = random.Random(1)
     keys = [rng.randrange(1, 1500) for _ in range(5000)]
     state = [10**9, 0]
@@ -104,8 +106,8 @@
     def decide() -> None:
         state[0] += 800
         state[1] += 1
-        one = balancer.take(state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000)
-        one.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
+        submission = balancer.take(state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000)
+        submission.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
 
     return decide
 
@@ -115,7 +117,7 @@
 @click.option("--times", default=20_000, show_default=True)
 @click.option("--as-json", is_flag=True)
 def main(runs: int, times: int, as_json: bool) -> None:
-    """Microseconds a part, the middle of the runs."""
+    """Microseconds for each part, median of the runs."""
     results: dict[str, list[float]] = {}
     for _ in range(runs):
         for name, part in make_parts().items():
@@ -123,12 +125,12 @@
             for _ in range(times):
                 part()
             results.setdefault(name, []).append((time.process_time() - began) / times * 1e6)
-    middle = {name: statistics.median(values) for name, values in results.items()}
+    medians = {name: statistics.median(values) for name, values in results.items()}
     if as_json:
-        print(json.dumps({"form": FORM, **middle}))
+        print(json.dumps({"form": FORM, **medians}))
         return
     print(FORM)
-    for name, value in middle.items():
+    for name, value in medians.items():
         print(f"{name:28} {value:6.1f} us  ({min(results[name]):.1f} to {max(results[name]):.1f})")
 
 
--- a/benchmarks/ranking.py
+++ b/benchmarks/ranking.py
@@ -1,8 +1,8 @@
-"""How the lab ranks states of the decisions and the textbook balancers: mean service over nine days.
+"""Mean service of the balancer, of its older revisions and of textbook policies over the lab's scenarios.
 
     .venv/bin/python benchmarks/ranking.py [--revisions REV ...] [--seeds N] [--workers N]
 
-Each revision's logic.py is taken from git and runs interpreted beside the present one, on the same seeds.
+The module of each revision is read from git and runs interpreted beside the present one, with the same seeds.
 Servers are simulated.
 """
 
@@ -39,7 +39,7 @@
 
 
 def load_balancer(revision: str) -> Any:
-    """The balancer of a revision, as a module beside ours."""
+    """The balancer class of a revision, loaded as a module beside the present one."""
     text = subprocess.run(
         ["git", "show", f"{revision}:pumicepath/logic.py"],
         cwd=ROOT,
@@ -57,6 +57,7 @@
 
 
 def run_job(job: tuple[str, str, int]) -> float:
+    """Service of one policy in one scenario with one seed."""
     arm, scenario, seed = job
     plan = files.read(ROOT / "experiments" / f"{scenario}.toml", 1).plan
     policy = arm if arm in TEXTBOOK or arm in ("pumicepath", "oracle") else load_balancer(arm)
@@ -64,6 +65,7 @@
 
 
 def main() -> None:
+    """Run all combinations and print a table of mean services."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--revisions", nargs="*", default=[])
     parser.add_argument("--days", nargs="+", default=list(SCENARIOS))
@@ -74,7 +76,7 @@
     jobs = [(arm, day, seed) for arm in arms for day in options.days for seed in range(1, options.seeds + 1)]
     with ProcessPoolExecutor(options.workers) as pool:
         service = dict(zip(jobs, pool.map(run_job, jobs)))
-    print(f"{'':<18}" + "".join(f"{day:>13}" for day in options.days) + "   mean over days by seed")
+    print(f"{'':<18}" + "".join(f"{day:>13}" for day in options.days) + "   mean of all scenarios by seed")
     for arm in arms:
         seeds = range(1, options.seeds + 1)
         means = [sum(service[arm, day, seed] for seed in seeds) / options.seeds for day in options.days]
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,11 +1,11 @@
-"""What one relay process takes: processor time a renewal, change and whole list, and memory a follower.
+"""Cost of one relay process: CPU time for a renewed watch, a change and a full list; memory for a follower.
 
     .venv/bin/python benchmarks/relay.py [--followers 1000 2000] [--services 200] [--each 10] [--servers 2000]
                                          [--runs 5] [--rest 10]
 
-Followers are raw sockets of this process, each with services drawn by a seed; the origin is the tests' own.
-All is real time on loopback: the processor time is the relay's own, as the kernel counts it, and a busy
-machine shows in it.  One JSON line a size.
+Followers are raw sockets of this process, each with services drawn at random; the origin is that of the
+tests.  Everything runs in real time on loopback.  CPU time is that of the relay as the kernel counts it, and
+is affected by other load on the machine.  Prints one JSON line for each number of followers.
 """
 
 from __future__ import annotations
@@ -34,6 +34,8 @@
 
 
 class Follower:
+    """One connection to the relay that asks for some services; `seq` is the newest version it has, or -1."""
+
     def __init__(self, address: tuple[str, int], services: str) -> None:
         self.services = services
         self.seq = -1
@@ -41,6 +43,7 @@
         self.sock = socket.create_connection(address)
 
     def send_request(self, wait_ms: float) -> None:
+        """Ask for changes, waiting at most `wait_ms` for one; for a full list if there is no version yet."""
         since = f"since={self.seq}&timeout_ms={int(wait_ms)}&" if self.seq >= 0 else ""
         self.sock.sendall(
             b"GET /discovery/hosts?%bservices=%b HTTP/1.1\r\nHost: r\r\n\r\n"
@@ -48,9 +51,10 @@
         )
 
     def receive(self) -> tuple[int, bytes] | None:
+        """Read; status and body of a complete response, or None.  Raises ConnectionResetError at the end."""
         data = self.sock.recv(1 << 20)
         if not data:
-            raise ConnectionResetError("the relay has closed a connection")
+            raise ConnectionResetError("the relay closed a connection")
         self.buffer += data
         head = RESPONSE_HEAD.match(self.buffer)
         if head is None or len(self.buffer) < head.end() + int(head[2]):
@@ -64,6 +68,8 @@
 
 
 class RelayLoad:
+    """A relay with its origin and the followers of this process."""
+
     def __init__(self, folder: Path, followers: int, options: argparse.Namespace, rate: int) -> None:
         self.rng = random.Random(options.seed)
         names = [f"service-{at:04}" for at in range(options.services)]
@@ -79,54 +85,62 @@
         self.selector = selectors.DefaultSelector()
         self.followers = []
         for _ in range(followers):
-            asker = Follower(self.relay.where, ",".join(sorted(self.rng.sample(names, options.each))))
-            self.selector.register(asker.sock, selectors.EVENT_READ, asker)
-            self.followers.append(asker)
+            follower = Follower(self.relay.where, ",".join(sorted(self.rng.sample(names, options.each))))
+            self.selector.register(follower.sock, selectors.EVENT_READ, follower)
+            self.followers.append(follower)
 
     def cpu_s(self) -> float:
+        """CPU seconds of the relay so far."""
         with open(f"/proc/{self.relay.process.pid}/schedstat") as file:
             return int(file.read().split()[0]) / 1e9
 
     def memory_kb(self) -> int:
+        """Resident memory of the relay."""
         with open(f"/proc/{self.relay.process.pid}/status") as file:
-            found = re.search(r"VmRSS:\s+(\d+)", file.read())
-        assert found is not None
-        return int(found[1])
+            match = re.search(r"VmRSS:\s+(\d+)", file.read())
+        assert match is not None
+        return int(match[1])
 
     def ask_all(self, wait_ms: float = 1) -> tuple[list[tuple[int, bytes]], float, float]:
-        """Everyone asks and is answered: the answers, the relay's processor time, and the time."""
-        cpu, then = self.cpu_s(), time.monotonic()
-        for asker in self.followers:
-            asker.ask(wait_ms)
+        """Have all followers ask once; return the responses, the relay's CPU seconds and the time taken."""
+        cpu, began = self.cpu_s(), time.monotonic()
+        for follower in self.followers:
+            follower.send_request(wait_ms)
         answers: list[tuple[int, bytes]] = []
         while len(answers) < len(self.followers):
             for key, _ in self.selector.select(5):
                 response = key.data.receive()
                 if response is not None:
                     answers.append(response)
-        return answers, self.cpu_s() - cpu, time.monotonic() - then
+        return answers, self.cpu_s() - cpu, time.monotonic() - began
 
     def random_wait_ms(self) -> float:
+        """Duration of a watch, as a sidecar draws it."""
         return MAX_WAIT_MS * (0.5 + 0.5 * self.rng.random())
 
     def follow(self, seconds: float) -> tuple[int, int, float, float]:
-        """All wait and ask anew: answers, those with a change, when the last such came, processor time."""
-        cpu, then = self.cpu_s(), time.monotonic()
+        """Receive and send new watches for that long.
+
+        Returns how many responses arrived and how many had a change, when the last of these arrived, and the
+        relay's CPU seconds.
+        """
+        cpu, began = self.cpu_s(), time.monotonic()
         answers = changed = 0
         last = 0.0
-        while time.monotonic() - then < seconds:
+        while time.monotonic() - began < seconds:
             for key, _ in self.selector.select(0.02):
                 response = key.data.receive()
                 if response is not None:
                     answers += 1
                     if b'"host"' in response[1]:
                         changed += 1
-                        last = time.monotonic() - then
+                        last = time.monotonic() - began
                     key.data.send_request(self.random_wait_ms())
         return answers, changed, last, self.cpu_s() - cpu
 
 
 def measure(followers: int, options: argparse.Namespace) -> dict[str, object]:
+    """Costs of a relay with that many followers."""
     folder = Path(tempfile.mkdtemp())
     load = RelayLoad(folder, followers, options, rate=10**9)
     answers, cpu, took = load.ask_all()
@@ -137,15 +151,15 @@
         "whole_a_second": round(followers / took),
         "whole_bytes": round(sum(len(body) for _, body in answers) / followers),
     }
-    time.sleep(1.2)  # the region's coming into touch is told
+    time.sleep(1.2)  # the relay reports to its followers that it has contact with the region
     load.ask_all()
     results["memory_kb"] = round((load.memory_kb() - load.before_kb) / followers, 2)
     results["memory_mb_all"] = round(load.memory_kb() / 1024, 1)
     results["renewal_at_once_us"] = sorted(
         round(1e6 * load.ask_all()[1] / followers) for _ in range(options.runs)
     )
-    for asker in load.followers:
-        asker.ask(load.random_wait_ms())
+    for follower in load.followers:
+        follower.send_request(load.random_wait_ms())
     count, _, _, cpu = load.follow(options.rest)
     idle_cpu_per_s = cpu / options.rest
     results |= {
@@ -180,6 +194,7 @@
 
 
 def main() -> None:
+    """Measure a relay for each number of followers."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--followers", type=int, nargs="+", default=[1000, 2000])
     parser.add_argument("--services", type=int, default=200)
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -1,7 +1,8 @@
-"""What a relay costs by its followers: a real `pumicepath relay` behind the stand-in for discovery.
+"""Cost of a real `pumicepath relay` by its followers, and of a `serve` that follows one.
 
-`relayed(count)`: microseconds of its CPU for each renewal, each change and each whole list, its memory, and
-the bytes of its answers.  Each follower asks for 8 of 1,900 services; 20,000 servers are held.
+`measure_relay(count)` gives microseconds of CPU for each renewed watch, each change and each full list, the
+relay's memory, and the bytes of its responses.  The relay holds 20,000 servers from the source of
+`list_source.py`; each follower asks for 8 of 1,900 services.
 """
 
 from __future__ import annotations
@@ -24,12 +25,14 @@
 from pumicepath.lab.loopback.process import Sidecar
 
 SERVERS, SERVICES, SERVICES_PER_FOLLOWER = 20_000, 1_900, 8
-WAIT_MS = 2250  # a sidecar's at a relay: 3 s, half to all
+WAIT_MS = 2250  # mean of a sidecar's watch at a relay, which it draws from half of 3 s to all of it
 CHANGES_PER_S = 50.0
 TICKS_PER_S, PAGE_BYTES = os.sysconf("SC_CLK_TCK"), os.sysconf("SC_PAGE_SIZE")
 
 
 class RelayProcess:
+    """A relay that follows the source, started on creation."""
+
     def __init__(self, folder: Path, source: ListSource) -> None:
         path = folder / "relay.json"
         path.write_text(
@@ -49,58 +52,64 @@
             self.process = subprocess.Popen(command, cwd=ROOT, stdout=log)
 
     def events(self, name: str) -> list[dict[str, Any]]:
+        """Log events of that name so far."""
         lines = self.log.read_bytes().split(b"\n")[:-1]
         return [event for event in map(json.loads, lines) if event["event"] == name]
 
     def wait_for_address(self) -> tuple[str, int]:
-        """Raises TimeoutError after 20 s."""
+        """Wait until the relay listens; raises TimeoutError after 20 s or if it has exited."""
         end = time.monotonic() + 20
         while not self.events("started"):
             if time.monotonic() > end or self.process.poll() is not None:
-                raise TimeoutError("the relay has not started")
+                raise TimeoutError("the relay exited or did not start within 20 s")
             time.sleep(0.02)
         host, _, port = self.events("started")[0]["listen"].rpartition(":")
         return host, int(port)
 
     def cpu_s(self) -> float:
+        """CPU seconds of the process so far."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     def memory_mb(self) -> float:
+        """Resident memory of the process."""
         return int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
     def end(self) -> None:
+        """Kill the process and wait for it."""
         self.process.kill()
         self.process.wait()
 
 
 def follow_for(followers: Followers, seconds: float) -> tuple[int, int]:
-    """Answers and their bytes meanwhile."""
+    """Run the followers for that long; return the number of responses and their bytes."""
     answers, size, end = followers.answers, followers.bytes, time.monotonic() + seconds
     followers.run(lambda: time.monotonic() > end)
     return followers.answers - answers, followers.bytes - size
 
 
 def services_of_follower(number: int) -> str:
-    picked = Random(number).sample(range(SERVICES), SERVICES_PER_FOLLOWER)
-    return ",".join(f"service-{service:04d}" for service in sorted(picked))
+    """The services that a follower asks for, drawn by its number, as a query value."""
+    chosen = Random(number).sample(range(SERVICES), SERVICES_PER_FOLLOWER)
+    return ",".join(f"service-{service:04d}" for service in sorted(chosen))
 
 
 def wait_for_list(address: tuple[str, int]) -> None:
-    """Until the relay has the list; before, it answers 503."""
+    """Wait until the relay has the list, before which it answers 503; raises TimeoutError after 20 s."""
     end = time.monotonic() + 20
     while time.monotonic() < end:
         followers = Followers(address, 1, WAIT_MS, 0, services_of_follower)
         followers.send_request(followers.socks[0], 0)
-        followers.run(lambda one=followers: one.replies > 0, watch_again=False)  # type: ignore[misc]
+        followers.run(lambda followers=followers: followers.replies > 0, watch_again=False)  # type: ignore[misc]
         followers.close()
         if followers.answers_by_version or followers.missing_bytes:
             return
         time.sleep(0.1)
-    raise TimeoutError("the relay has no list")
+    raise TimeoutError("the relay did not get the list within 20 s")
 
 
 def measure_relay(count: int) -> dict[str, float]:
+    """Costs of a relay with that many followers, by the names of the capacity series."""
     source = ListSource(SERVERS, services=SERVICES)
     with tempfile.TemporaryDirectory() as folder:
         relay = RelayProcess(Path(folder), source)
@@ -116,7 +125,7 @@
             full_lists_cpu_s, whole_bytes = relay.cpu_s() - before, followers.bytes / count
             for sock in followers.socks:
                 followers.send_request(sock, followers.seq)
-            follow_for(followers, 3.0)  # until their waits no longer end together
+            follow_for(followers, 3.0)  # until the watches no longer end at the same time
             before, began = relay.cpu_s(), time.monotonic()
             answers, size = follow_for(followers, 6.0)
             idle_cpu_per_s = (relay.cpu_s() - before) / (time.monotonic() - began)
@@ -142,19 +151,19 @@
 
 
 def measure_followers(sizes: Sequence[int], seconds: float = 10.0) -> dict[int, tuple[float, float]]:
-    """Real `serve` processes without calls, each at its own relay: MB and CPU ms a second, by servers listed.
+    """Real `serve` processes without calls, each with its own relay: MB and CPU ms a second by list size.
 
-    The servers are of no service, so each sidecar has all of them, as if it called that many.
+    The servers belong to no service, so that each sidecar gets all of them, as if it called that many.
     """
     sources = [ListSource(size) for size in sizes]
     relays: list[RelayProcess] = []
     sidecars: list[Sidecar] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
-            for size, origin in zip(sizes, sources):
+            for size, source in zip(sizes, sources):
                 relay_folder = Path(folder) / str(size)
                 relay_folder.mkdir()
-                relays.append(RelayProcess(relay_folder, origin))
+                relays.append(RelayProcess(relay_folder, source))
             for size, relay in zip(sizes, relays):
                 host, port = relay.wait_for_address()
                 wait_for_list((host, port))
@@ -172,9 +181,9 @@
             time.sleep(seconds)
             elapsed_s = time.monotonic() - began
             return {
-                size: (each.memory_mb(), (sum(each.cpu()) - spent) / elapsed_s * 1000)
-                for size, each, spent in zip(sizes, sidecars, before)
+                size: (each.memory_mb(), (sum(each.cpu()) - cpu_before) / elapsed_s * 1000)
+                for size, each, cpu_before in zip(sizes, sidecars, before)
             }
         finally:
-            for one in [*sidecars, *relays, *sources]:
-                one.end()
+            for process in [*sidecars, *relays, *sources]:
+                process.end()
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -1,10 +1,10 @@
-"""What the lab's virtual time costs: CPU an event and a submission, memory, and how far beyond real time.
+"""Cost of the lab's virtual time: CPU for an event and a submission, memory, and speed against real time.
 
     .venv/bin/python benchmarks/size.py [--runs N]
 
-Each size plays 20 s of a day at 1,000 submissions a second in a process of its own, with our decisions and
-with random ones, whose difference is what decisions cost.  The last is a minute of 1,000 sidecars and 100
-servers.
+Each size runs 20 virtual seconds at 1,000 submissions a second in a process of its own, with the balancer and
+with random choices; the difference is the cost of the decisions.  The last size is a minute of 1,000 sidecars
+and 100 servers.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def run_size(sidecars: int, servers: int, duration_s: int, policy: str) -> None:
-    """One size in this process: events, submissions, CPU seconds, MB."""
+    """Run one size here; print events, submissions, CPU seconds, MB, and 1 if a rule was violated."""
     from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble
     from pumicepath.lab.virtual.run import VirtualWorld
 
@@ -47,6 +47,7 @@
 
 
 def main() -> None:
+    """Run each size in processes of their own and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=5)
     parser.add_argument("--play", nargs=4)
@@ -85,7 +86,7 @@
                 f"{sidecars:8d} {servers:7d}  {policy:<11} {events / cpu:9.0f} {1e6 * cpu / events:10.1f} "
                 f"{1e6 * cpu / offered:14.1f}  {duration_s / cpu:5.1f} ({times[0]:.1f} to {times[-1]:.1f})  "
                 f"{max(each[3] for each in runs):6.0f}"
-                + ("  a rule was broken" if any(each[4] for each in runs) else ""),
+                + ("  a rule was violated" if any(each[4] for each in runs) else ""),
                 flush=True,
             )
 
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -1,12 +1,12 @@
-"""Trials of sick servers, each sidecar alone against together, in pairs by seed.
+"""Trials of failing servers: by each sidecar on its own against shared by all, in pairs with the same seed.
 
     .venv/bin/python benchmarks/trials.py virtual [--sizes 10 100 1000] [--seeds 10] [--restart]
     .venv/bin/python benchmarks/trials.py real [--count 20] [--runs 3]
 
-Three servers fail everything for 45 s and serve again; with `--restart` seven in ten sidecars are killed in
-the middle of it and come back a second later, with nothing remembered.  `virtual` plays the real decisions
-and datagrams on simulated servers and links, `real` starts that many sidecars on loopback; there, too,
-servers are the lab's.  Sidecars speak with each other in both, so that the difference is that of the trials.
+Three servers fail all requests for 45 s and then recover.  With `--restart` seven in ten sidecars are killed
+halfway through and restarted a second later without stored state.  `virtual` runs the real decisions and
+datagrams on simulated servers and links; `real` starts that many sidecars on loopback, with the lab's
+servers.  The sidecars exchange membership messages in both arms, so that the arms differ in the trials alone.
 """
 
 from __future__ import annotations
@@ -30,10 +30,11 @@
 
 FAULT_START_S, FAULT_DURATION_S, RUN_DURATION_S = 15, 45, 100
 FAILING_SERVERS = 3
-RECOVERED_FRACTION = 0.05  # of the open breakers, below which servers count as in use again
+RECOVERED_FRACTION = 0.05  # of breakers open, below which servers count as in use again
 
 
 def plan(count: int, shared_trials: bool, restart: bool, servers: int, load: Load) -> Plan:
+    """A run with failing servers, and a mass restart of sidecars if `restart` is set."""
     faults = [
         Trouble(
             kind="fail-quickly", at_s=FAULT_START_S, for_s=FAULT_DURATION_S, count=FAILING_SERVERS, value=1.0
@@ -53,7 +54,7 @@
 
 
 def recovery_s(result: Result) -> float:
-    """Seconds from the end of the trouble until nearly nobody refuses the servers; what is left if never."""
+    """Seconds from the end of the fault until few breakers are open; all the rest of the run if never."""
     rows = [sum(row) / FAILING_SERVERS for row in result.breakers]
     return float(
         next(
@@ -68,6 +69,7 @@
 
 
 def measure_virtual(count: int, seed: int, shared_trials: bool, restart: bool) -> dict[str, float]:
+    """One run in virtual time, by the keys of ROWS."""
     servers = 100 if count >= 1000 else 20
     world = VirtualWorld(plan(count, shared_trials, restart, servers, Load(part=0.4)), seed, trace=10_000_000)
     result = world.run()
@@ -84,6 +86,7 @@
 
 
 def measure_real(count: int, seed: int, shared_trials: bool, restart: bool) -> dict[str, float]:
+    """One run with real sidecars, by the keys of ROWS."""
     with tempfile.TemporaryDirectory() as folder:
         history = Path(folder) / "history"
         scenario = plan(count, shared_trials, restart, 12, Load(rate=15 * count))
@@ -106,13 +109,14 @@
     ("wasted", "hops that servers failed"),
     ("back", "servers in use again after, s"),
     ("service", "service"),
-    ("messages", "messages a second and sidecar"),
-    ("busiest", "the busiest one's"),
-    ("broken", "rules broken"),
+    ("messages", "messages a second for each sidecar"),
+    ("busiest", "the same for the busiest sidecar"),
+    ("broken", "rules violated"),
 )
 
 
 def print_table(name: str, results: dict[tuple[int, bool], dict[str, float]], seeds: list[int]) -> None:
+    """Print medians of both arms and the difference of the pairs as a Markdown table."""
     print(f"\n| {name}, {len(seeds)} pairs | alone | together | difference, 95% |\n| --- | --- | --- | --- |")
     for key, text in ROWS:
         cells = []
@@ -127,6 +131,7 @@
 
 
 def main() -> None:
+    """Run all pairs and print a table for each size."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -36,6 +36,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
+    """Mark the listed tests as strict expected failures; raise UsageError if a line names no test."""
     known = read_known_failures(config.rootpath / FILE_NAME)
     named = {item.nodeid: item for item in items if item.nodeid in known}
     missing = sorted(set(known) - set(named))
@@ -47,5 +48,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
+    """Print the listed tests."""
     for name, cause in read_known_failures(config.rootpath / FILE_NAME).items():
         terminalreporter.write_line(f"known red: {name}: {cause}")
