--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -152,7 +152,7 @@
         parts = self.cores[2:]
         pipes = []
         for core in parts:
-            pipe, child_pipe = CONTEXT.Pipe()
+            parent_pipe, child_pipe = CONTEXT.Pipe()
             plan, max_connections = scenario.plan(len(parts)), scenario.connections // len(parts)
             process = CONTEXT.Process(
                 target=run_clients,
@@ -168,7 +168,7 @@
                 ),
             )
             process.start()
-            pipes.append(pipe)
+            pipes.append(parent_pipe)
             self.client_processes += 1
         began = time.monotonic() + 0.25  # approximate start of the clients
         waiting = sorted(actions, key=lambda action: action[0])
