--- a/benchmarks/call_overhead.py
+++ b/benchmarks/call_overhead.py
@@ -34,7 +34,7 @@
 from pumicepath.lab.loopback.servers import ANSWERS
 from pumicepath.lab.loopback.wires import asked
 
-CALLS_PER_S = 150.0  # calls a second
+CALLS_PER_S = 150.0
 KEYS = 1500
 WARM_S = 3.0
 DEADLINE_S = 2.0
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -61,9 +61,9 @@
         """The plan of one of `parts` client processes, which share the rate."""
         first = self.steps[0][1]
 
-        def tariff(name: str, effect: str, share: float, gain: float) -> Tariff:
+        def request_class(name: str, effect: str, fraction: float, value: float) -> Tariff:
             return Tariff(
-                name=name, effect=effect, share=share, gain=gain, patience_ms=self.deadline_s * 1000
+                name=name, effect=effect, share=fraction, gain=value, patience_ms=self.deadline_s * 1000
             )
 
         return Plan(
@@ -79,7 +79,10 @@
                 back_off_ms=0.01,
                 heeds=self.honours_retry_after,
                 body=self.body_bytes,
-                tariffs=(tariff("read", "idempotent", 0.75, 1.0), tariff("once", "at_most_once", 0.25, 3.0)),
+                tariffs=(
+                    request_class("read", "idempotent", 0.75, 1.0),
+                    request_class("once", "at_most_once", 0.25, 3.0),
+                ),
             ),
         )
 
--- a/benchmarks/pacing.py
+++ b/benchmarks/pacing.py
@@ -34,7 +34,7 @@
 from tests.relay_rig import Origin, Relay, line, until  # noqa: E402
 
 MAX_WAIT_MS = 3000
-CHANGE_INTERVAL_S = 0.05  # between changes
+CHANGE_INTERVAL_S = 0.05
 ALONE_S = 8.0
 MAX_PHASE_S = 60.0
 
@@ -71,7 +71,8 @@
                     served.add(key.data)
                     took.append(time.monotonic() - began)
                     size += len(response[1])
-                key.data.send_request(rng.uniform(MAX_WAIT_MS / 2, MAX_WAIT_MS))  # an ordinary watch
+                # From now on with ordinary watches.
+                key.data.send_request(rng.uniform(MAX_WAIT_MS / 2, MAX_WAIT_MS))
             else:
                 refused += 1
                 retries.append((time.monotonic() + rng.uniform(0.25, 0.5), key.data))
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -25,7 +25,7 @@
 from pumicepath.lab.loopback.process import Sidecar
 
 SERVERS, SERVICES, SERVICES_PER_FOLLOWER = 20_000, 1_900, 8
-WAIT_MS = 2250  # mean of a sidecar's watch at a relay, which it draws from half of 3 s to all of it
+WAIT_MS = 2250  # mean duration of a sidecar's watch at a relay, drawn between 1.5 and 3 s
 CHANGES_PER_S = 50.0
 TICKS_PER_S, PAGE_BYTES = os.sysconf("SC_CLK_TCK"), os.sysconf("SC_PAGE_SIZE")
 
