--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.lab.loopback.world import Void, play  # noqa: E402
+from pumicepath.lab.loopback.world import InvalidRunError, play  # noqa: E402
 from pumicepath.lab.model.result import Result, summary  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Trouble  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
@@ -71,7 +71,7 @@
             virtual = VirtualWorld(plan(faults), seed).run()
             try:
                 live = play(plan(faults), seed)
-            except Void as error:
+            except InvalidRunError as error:
                 print(f"{name:<20} seed {seed}: void, {error}")
                 continue
             max_difference = max(max_difference, abs(virtual.service - live.service))
--- a/benchmarks/call_overhead.py
+++ b/benchmarks/call_overhead.py
@@ -30,9 +30,9 @@
 from worktrees import ROOT
 
 from pumicepath.interface import Outcome
-from pumicepath.lab.loopback.process import Sidecar
-from pumicepath.lab.loopback.servers import ANSWERS
-from pumicepath.lab.loopback.wires import asked
+from pumicepath.lab.loopback.client_connections import encode_request
+from pumicepath.lab.loopback.process import SidecarProcess
+from pumicepath.lab.loopback.servers import RESPONSES
 
 CALLS_PER_S = 150.0
 KEYS = 1500
@@ -48,7 +48,7 @@
     selector = selectors.EpollSelector()
     selector.register(listener, selectors.EVENT_READ)
     pipe.send(listener.getsockname())
-    answer = ANSWERS[Outcome.OK]
+    answer = RESPONSES[Outcome.OK]
     while True:
         for key, _ in selector.select():
             sock = key.fileobj
@@ -137,7 +137,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.selector.register(sock, selectors.EVENT_READ)
         self.number += 1
-        data = asked(
+        data = encode_request(
             "read",
             True,
             f"{self.number:x}-1",
@@ -192,7 +192,7 @@
     source = ListSource(servers, server_address)
     with tempfile.TemporaryDirectory() as folder:
         config = {**sidecar_config(servers, source.address), "known": full_list(servers, 1, server_address)}
-        sidecar = Sidecar(config, Path(folder), ROOT, os.sched_getaffinity(0))
+        sidecar = SidecarProcess(config, Path(folder), ROOT, os.sched_getaffinity(0))
         try:
             while (sidecar_address := sidecar.address()) is None:
                 time.sleep(0.02)
@@ -205,9 +205,9 @@
             for _ in range(round(seconds / SLICE_S)):
                 direct.run(SLICE_S)
                 forwarded.run(SLICE_S)
-                before = sum(sidecar.cpu())
+                before = sum(sidecar.cpu_seconds())
                 through_sidecar.run(SLICE_S)
-                cpu_s += sum(sidecar.cpu()) - before
+                cpu_s += sum(sidecar.cpu_seconds()) - before
             count = len(through_sidecar.latencies_s) + through_sidecar.failed
             # A call that was rejected or never answered counts with its whole deadline.
             through_sidecar.latencies_s += [DEADLINE_S] * through_sidecar.failed
@@ -225,7 +225,7 @@
                 "calling_mb": sidecar.memory_mb(),
             }
         finally:
-            sidecar.end()
+            sidecar.kill()
             source.end()
             for each in (servers_process, forwarder):
                 each.terminate()
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -43,7 +43,7 @@
 import scale_runs  # noqa: E402
 
 from pumicepath.compiled import FORM  # noqa: E402
-from pumicepath.lab.capacity import page, slopes  # noqa: E402
+from pumicepath.lab.capacity import measurements, page  # noqa: E402
 
 DATA_FILE, PAGE_FILE = ROOT / "docs" / "capacity.json", ROOT / "docs" / "CAPACITY.md"
 LIST_SIZES = (12, 100, 1000, 5000, 20_000)
@@ -365,7 +365,7 @@
 
 def series_of_comparisons(pairs: list[dict[str, Any]]) -> dict[str, Any]:
     """Series of hollow and real sidecars side by side, from lines of benchmarks/hollow_against_real.py."""
-    if len({pair["servers"] for pair in pairs}) < slopes.FEWEST:
+    if len({pair["servers"] for pair in pairs}) < measurements.MIN_SIZES:
         return {}
     run = {
         "date": datetime.now(UTC).strftime("%Y-%m-%d %H:%M"),
@@ -390,7 +390,7 @@
 
 def series_of_runs(runs: list[dict[str, Any]]) -> dict[str, Any]:
     """Series of `lab scale` runs of one kind; empty if they have fewer sizes than a slope needs."""
-    if len({record["result"]["sidecars"] for record in runs}) < slopes.FEWEST:
+    if len({record["result"]["sidecars"] for record in runs}) < measurements.MIN_SIZES:
         return {}
     run = {
         "date": datetime.now(UTC).strftime("%Y-%m-%d ") + max(record["at"][:5] for record in runs),
@@ -440,7 +440,9 @@
                     flush=True,
                 )
     results = {
-        name: series_record(name, sizes, run) for name, sizes in values.items() if len(sizes) >= slopes.FEWEST
+        name: series_record(name, sizes, run)
+        for name, sizes in values.items()
+        if len(sizes) >= measurements.MIN_SIZES
     }
     if FORM == "compiled":
         return results
@@ -453,7 +455,7 @@
     data = json.loads(DATA_FILE.read_text()) if DATA_FILE.exists() else {"machine": {}, "series": {}}
     data["machine"] = describe_machine()
     data["series"] = dict(sorted({**data["series"], **results}.items()))
-    slopes.decode(data)
+    measurements.decode(data)
     options = orjson.OPT_INDENT_2
     text = orjson.dumps(data, option=options).decode()
     DATA_FILE.write_text(join_point_lines(text))
@@ -493,9 +495,9 @@
         for group in only or tuple(GROUPS):
             save(measure_group(group, repeats))
     try:
-        capacity = slopes.decode(json.loads(DATA_FILE.read_text()))
-        PAGE_FILE.write_text(page.written(PAGE_FILE.read_text(), capacity))
-    except (slopes.BadCapacity, ValueError, OSError) as error:
+        capacity = measurements.decode(json.loads(DATA_FILE.read_text()))
+        PAGE_FILE.write_text(page.render_page(PAGE_FILE.read_text(), capacity))
+    except (measurements.CapacityError, ValueError, OSError) as error:
         print(f"{DATA_FILE.name}: {error}", file=sys.stderr)
         sys.exit(2)
 
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -26,9 +26,9 @@
 
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.loopback.apart import serving  # noqa: E402
-from pumicepath.lab.loopback.process import Sidecar  # noqa: E402
-from pumicepath.lab.loopback.wires import asked  # noqa: E402
+from pumicepath.lab.loopback.client_connections import encode_request  # noqa: E402
+from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
+from pumicepath.lab.loopback.separate_processes import run_servers  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Tariff  # noqa: E402
 
 
@@ -53,8 +53,8 @@
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
-        async with serving(plan(servers), 7, Path(folder)) as fleet:
-            pipe.send(fleet.told)
+        async with run_servers(plan(servers), 7, Path(folder)) as fleet:
+            pipe.send(fleet.configuration)
             await asyncio.Event().wait()
 
     asyncio.run(run())
@@ -78,7 +78,7 @@
         non_idempotent = self.number % 4 == 0
         key = hash(self.number * 2654435761) % 2000 + 1
         self.transport.write(
-            asked(
+            encode_request(
                 "once" if non_idempotent else "read",
                 not non_idempotent,
                 f"{self.number:x}-1",
@@ -129,7 +129,7 @@
         fleet = context.Process(target=run_servers, args=(fleet_child_pipe, cores[1], 4, folder), daemon=True)
         fleet.start()
         config = fleet_pipe.recv()
-        sidecar = Sidecar(config, Path(folder), root, {cores[0]})
+        sidecar = SidecarProcess(config, Path(folder), root, {cores[0]})
         try:
             while (address := sidecar.address()) is None:
                 time.sleep(0.02)
@@ -145,7 +145,7 @@
                 return parent_pipe.recv()
 
             time.sleep(1.5)
-            before, (own, system) = served(), sidecar.cpu()
+            before, (own, system) = served(), sidecar.cpu_seconds()
             switches_before = context_switches(sidecar.process.pid)
             trace_output = ""
             if trace:
@@ -153,7 +153,7 @@
                 trace_output = subprocess.run(command.split(), capture_output=True, text=True).stderr
             else:
                 time.sleep(seconds)
-            after, (own_then, system_then) = served(), sidecar.cpu()
+            after, (own_then, system_then) = served(), sidecar.cpu_seconds()
             count = after.get(200, 0) - before.get(200, 0)
             result = {
                 "submissions": count,
@@ -164,7 +164,7 @@
                 "switches": (context_switches(sidecar.process.pid) - switches_before) / count,
                 "per_s": count / seconds,
                 "memory_mb": sidecar.memory_mb(),
-                "threads": sidecar.threads(),
+                "threads": sidecar.thread_count(),
             }
             if trace:
                 lines = re.findall(r"^ *[\d.]+ +[\d.]+ +\d+ +(\d+) +(?:\d+ +)?(\w+)$", trace_output, re.M)
@@ -174,7 +174,7 @@
             clients.terminate()
             return result
         finally:
-            sidecar.end()
+            sidecar.kill()
             fleet.terminate()
 
 
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -23,9 +23,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.fleet.fellow import Fellow  # noqa: E402
+from pumicepath.fleet.node import FleetNode  # noqa: E402
 from pumicepath.fleet.settings import Voting  # noqa: E402
-from pumicepath.lab.experiments.fleet import judged  # noqa: E402
+from pumicepath.lab.experiments.fleet_report import check_history  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.links import Links  # noqa: E402
 from pumicepath.lab.model.timeline import SECOND, Virtual  # noqa: E402
@@ -107,12 +107,12 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "history"
         result = play(soak_plan(count, seconds, seed), seed, history=path)
-        report = judged(path)
+        report = check_history(path)
     print(
         f"{count} real sidecars for {seconds:g} s, seed {seed}: {report.handovers} hand-overs, "
         f"service {result.service:.4f}, {sum(result.rules.values())} rules violated"
     )
-    print("\n".join(report.lines()))
+    print("\n".join(report.summary_lines()))
     return 1 if report.violations or any(result.rules.values()) else 0
 
 
@@ -134,7 +134,7 @@
         """Have every sidecar ask for the duties; repeated each second."""
         for node in self.peering.nodes:
             if node.fellow is not None and node.fellow.duties is not None:
-                node.fellow.duties.want(node.clock(), self.duties)
+                node.fellow.duties.set_wanted(node.clock(), self.duties)
                 node.wake()
         self.time.at(self.time.now + SECOND, self.want_duties)
 
@@ -146,7 +146,7 @@
                 not node.stopped
                 and fellow is not None
                 and fellow.duties is not None
-                and fellow.duties.number(node.clock(), duty)
+                and fellow.duties.fencing_number(node.clock(), duty)
             ):
                 return node.number
         return -1
@@ -178,7 +178,7 @@
             fleet.links.cut({number}, all_sidecars - {number})
         case "resign":
             assert node.fellow is not None
-            node.fellow.end(node.clock())
+            node.fellow.stop(node.clock())
     return (
         fleet.seconds_until_held("d", number if how != "cut" else -1)
         if how != "cut"
@@ -229,14 +229,14 @@
             wanted_duties.setdefault(rng.randrange(count), []).append(name)
 
         def make_request(
-            fellow: Fellow,
+            fellow: FleetNode,
             number: int,
             fleet: DutyFleet = fleet,
             wanted: dict[int, list[str]] = wanted_duties,
         ) -> Callable[[], None]:
             def request_duties() -> None:
                 if fellow.duties is not None:
-                    fellow.duties.want(fleet.peering.nodes[number].clock(), wanted.get(number, []))
+                    fellow.duties.set_wanted(fleet.peering.nodes[number].clock(), wanted.get(number, []))
                     fleet.peering.nodes[number].wake()
 
             return request_duties
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -47,7 +47,7 @@
     def want_duties() -> None:
         for node in fleet.peering.nodes:
             if node.fellow is not None and node.fellow.duties is not None:
-                node.fellow.duties.want(node.clock(), wanted_duties.get(node.number, []))
+                node.fellow.duties.set_wanted(node.clock(), wanted_duties.get(node.number, []))
                 node.wake()
 
     fleet.want_duties = want_duties  # type: ignore[method-assign]
--- a/benchmarks/hollow_against_real.py
+++ b/benchmarks/hollow_against_real.py
@@ -28,14 +28,14 @@
 
 from pumicepath import compiled  # noqa: E402
 from pumicepath.lab.hollow import processes  # noqa: E402
-from pumicepath.lab.hollow.plan import Ask, Plan  # noqa: E402
-from pumicepath.lab.hollow.processes import Child  # noqa: E402
-from pumicepath.lab.hollow.sidecar import told  # noqa: E402
+from pumicepath.lab.hollow.plan import Plan, RunOptions  # noqa: E402
+from pumicepath.lab.hollow.processes import ChildProcess  # noqa: E402
+from pumicepath.lab.hollow.sidecar import sidecar_settings  # noqa: E402
 
 START_BATCH = 10  # real processes that are started at the same time
 
 
-def start_real(plan: Plan, number: int, origin_address: str, folder: Path) -> Child:
+def start_real(plan: Plan, number: int, origin_address: str, folder: Path) -> ChildProcess:
     """Start a `serve` without clients; its log events are read like the messages of a lab process."""
     path = folder / f"real-{number}.json"
     path.write_text(
@@ -46,39 +46,41 @@
                 "discovery": origin_address,
                 "seed": f"{number + 1:x}",
                 "limits": {"memory_mb": 192, "sockets": 1024},
-                "settings": told(plan, number),
+                "settings": sidecar_settings(plan, number),
             }
         )
     )
     os.environ["GW_CONFIG"] = str(path)
-    return Child(["-m", "pumicepath", "serve"], folder, f"real-{number}")
+    return ChildProcess(["-m", "pumicepath", "serve"], folder, f"real-{number}")
 
 
-def wait_until_connected(origin: Child, count: int) -> None:
+def wait_until_connected(origin: ChildProcess, count: int) -> None:
     """Wait until the origin has that many connections; raises SystemExit after 300 s."""
     end = time.monotonic() + 300
-    while origin.ask({"do": "figures"}, "figures")["connections"] < count:
+    while origin.request({"do": "figures"}, "figures")["connections"] < count:
         if time.monotonic() > end:
             raise SystemExit(f"fewer than {count} sidecars connected within 300 s")
         time.sleep(0.2)
 
 
-def total_cpu_s(children: list[Child]) -> float:
+def total_cpu_s(children: list[ChildProcess]) -> float:
     """CPU seconds of all the processes so far."""
-    return sum(processes.cpu(child.process.pid) for child in children)
+    return sum(processes.cpu_seconds(child.process.pid) for child in children)
 
 
-def measure_phase(origin: Child, sides: dict[str, list[Child]], seconds: float, rate: bool) -> dict[str, Any]:
+def measure_phase(
+    origin: ChildProcess, sides: dict[str, list[ChildProcess]], seconds: float, rate: bool
+) -> dict[str, Any]:
     """CPU, bytes and delays of changes on both sides over that time, with changes only if `rate` is set."""
     before = {name: total_cpu_s(children) for name, children in sides.items()}
-    first, bytes_then = origin.ask({"do": "figures"}, "figures"), origin.ask({"do": "peers"}, "peers")
-    sides["hollow"][0].tell({"do": "measure"})
-    origin.tell({"do": "go" if rate else "rest"})
+    first, bytes_then = origin.request({"do": "figures"}, "figures"), origin.request({"do": "peers"}, "peers")
+    sides["hollow"][0].send({"do": "measure"})
+    origin.send({"do": "go" if rate else "rest"})
     time.sleep(seconds)
-    origin.tell({"do": "rest"})
+    origin.send({"do": "rest"})
     time.sleep(1.0)
-    check_cpu_s = sides["hollow"][0].ask({"do": "measured"}, "measured")["judged_s"]
-    last, bytes_now = origin.ask({"do": "figures"}, "figures"), origin.ask({"do": "peers"}, "peers")
+    check_cpu_s = sides["hollow"][0].request({"do": "measured"}, "measured")["judged_s"]
+    last, bytes_now = origin.request({"do": "figures"}, "figures"), origin.request({"do": "peers"}, "peers")
     results: dict[str, Any] = {"changes": last["seq"] - first["seq"]}
     for name, peer in (("real", "127.0.0.1"), ("hollow", "others")):
         cpu_s = total_cpu_s(sides[name]) - before[name] - (check_cpu_s if name == "hollow" else 0.0)
@@ -98,24 +100,24 @@
 
 def measure_size(servers: int, each: int, rest_s: float, changing_s: float, rate: float) -> dict[str, Any]:
     """Compare both sides at one size of the list; the result is one line of the output."""
-    ask = Ask(servers, max(1, servers // 10), 1, 4, changes_per_s=rate)
+    ask = RunOptions(servers, max(1, servers // 10), 1, 4, changes_per_s=rate)
     plan = Plan(ask)
-    children: list[Child] = []
+    children: list[ChildProcess] = []
     with tempfile.TemporaryDirectory() as at:
         folder = Path(at)
-        (folder / "ask.json").write_text(json.dumps(ask.told()))
+        (folder / "ask.json").write_text(json.dumps(ask.as_dict()))
         try:
-            origin = Child(
+            origin = ChildProcess(
                 ["-m", "pumicepath.lab.hollow.origin", at, "0", "127.0.0.1", "0"], folder, "origin"
             )
             children.append(origin)
-            origin_address = origin.event("started")["listen"]
-            hollow = Child(
+            origin_address = origin.wait_for("started")["listen"]
+            hollow = ChildProcess(
                 ["-m", "pumicepath.lab.hollow.host", at, "0", str(each), origin_address], folder, "hollow"
             )
             children.append(hollow)
-            ready = hollow.event("ready", 300)
-            reals: list[Child] = []
+            ready = hollow.wait_for("ready", 300)
+            reals: list[ChildProcess] = []
             for first in range(0, each, START_BATCH):
                 batch = [
                     start_real(plan, number, origin_address, folder)
@@ -124,14 +126,14 @@
                 children += batch
                 reals += batch
                 for child in batch:
-                    child.event("started", 300)
+                    child.wait_for("started", 300)
             wait_until_connected(origin, 2 * each)
             time.sleep(3.0)
             sides = {"real": reals, "hollow": [hollow]}
             rest = measure_phase(origin, sides, rest_s, False)
             mb = {
-                "real": statistics.mean(processes.mb(child.process.pid) for child in reals),
-                "hollow": (processes.mb(hollow.process.pid) - ready["base_mb"]) / each,
+                "real": statistics.mean(processes.resident_mb(child.process.pid) for child in reals),
+                "hollow": (processes.resident_mb(hollow.process.pid) - ready["base_mb"]) / each,
             }
             changing = measure_phase(origin, sides, changing_s, True)
         finally:
--- a/benchmarks/list_updates.py
+++ b/benchmarks/list_updates.py
@@ -17,13 +17,13 @@
 from parts import PLAN, NullCallbacks
 from worktrees import ROOT
 
-from pumicepath.discovery.roster import Roster
+from pumicepath.balancer import Balancer
+from pumicepath.discovery.server_list import ServerList
 from pumicepath.discovery.watch import Watch
-from pumicepath.interface import Listing, Outcome
-from pumicepath.lab.loopback.process import Sidecar
+from pumicepath.interface import ListKind, Outcome
+from pumicepath.lab.loopback.process import SidecarProcess
 from pumicepath.lab.spec import told as settings_of
-from pumicepath.logic import Balancer
-from pumicepath.settings import decode
+from pumicepath.settings import decode_settings
 
 OWN_ZONE = "zone-00"
 
@@ -32,25 +32,27 @@
     """The parts of a sidecar from the bytes of a response to the state of its balancer."""
 
     def __init__(self) -> None:
-        self.server_list = Roster([OWN_ZONE], lambda born: max(0, born))
+        self.server_list = ServerList([OWN_ZONE], lambda born: max(0, born))
         self.watch = Watch(self.server_list, "127.0.0.1:1", -1, 20_000_000)
-        self.balancer = Balancer(decode(settings_of(PLAN, 0, 0)), 1, NullCallbacks())
+        self.balancer = Balancer(decode_settings(settings_of(PLAN, 0, 0)), 1, NullCallbacks())
         self.now = 10**9
 
     def receive(self, data: bytes) -> None:
         """Parse one response and apply it to the balancer."""
         parser = self.watch.parser
         while data:
-            free_space = parser.ring.room()
+            free_space = parser.ring.writable()
             chunk = data[: len(free_space)]
             free_space[: len(chunk)] = chunk
-            parser.ring.wrote(len(chunk))
+            parser.ring.commit(len(chunk))
             data = data[len(chunk) :]
             response = parser.next()
         assert response is not None
-        update = self.watch.update(response)
+        update = self.watch.handle_response(response)
         self.now += 1_000
-        self.balancer.listed(self.now, Listing.FULL if update.whole else Listing.CHANGES, update.entries)
+        self.balancer.update_servers(
+            self.now, ListKind.FULL if update.whole else ListKind.CHANGES, update.entries
+        )
 
 
 def measure_list_updates(servers: int) -> dict[str, float]:
@@ -97,8 +99,8 @@
         state[0] += 6_667  # microseconds: 150 calls a second
         state[1] += 1
         key = 10**6 + state[1] if new_keys else 1 + state[1] % 50
-        submission = balancer.take(state[0], state[1], 0, key, False, state[0] + 2_000_000)
-        submission.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
+        submission = balancer.submit(state[0], state[1], 0, key, False, state[0] + 2_000_000)
+        submission.hop_finished(state[0] + 5000, 0, Outcome.OK, 5000, True)
 
     repeats = max(50, min(5000, 400_000 // servers))
     for _ in range(50):
@@ -127,11 +129,11 @@
 ) -> list[dict[str, float]]:
     """A real `serve` for each rate of changes, side by side: MB when idle, then CPU ms and bytes a second."""
     sources = [ListSource(servers) for _ in changes_per_s]
-    sidecars: list[Sidecar] = []
+    sidecars: list[SidecarProcess] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
             sidecars = [
-                Sidecar(
+                SidecarProcess(
                     sidecar_config(servers, source.address),
                     Path(folder) / str(at),
                     ROOT,
@@ -149,12 +151,14 @@
                     source.make_changes(10**9, 1 / rate)
             time.sleep(1.0)
             before = [
-                (sum(sidecar.cpu()), source.read_counters()) for sidecar, source in zip(sidecars, sources)
+                (sum(sidecar.cpu_seconds()), source.read_counters())
+                for sidecar, source in zip(sidecars, sources)
             ]
             began = time.monotonic()
             time.sleep(seconds)
             after = [
-                (sum(sidecar.cpu()), source.read_counters()) for sidecar, source in zip(sidecars, sources)
+                (sum(sidecar.cpu_seconds()), source.read_counters())
+                for sidecar, source in zip(sidecars, sources)
             ]
             elapsed_s = time.monotonic() - began
             return [
@@ -168,6 +172,6 @@
             ]
         finally:
             for sidecar in sidecars:
-                sidecar.end()
+                sidecar.kill()
             for source in sources:
                 source.end()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -31,8 +31,8 @@
 
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.loopback.apart import Met, clients, serving  # noqa: E402
-from pumicepath.lab.loopback.process import Sidecar  # noqa: E402
+from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
+from pumicepath.lab.loopback.separate_processes import ClientResults, run_clients, run_servers  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Tariff  # noqa: E402
 
 CONTEXT = multiprocessing.get_context("spawn")
@@ -96,16 +96,16 @@
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
-        async with serving(Scenario([(0.0, 1.0)], 3600).plan(), 7, Path(folder)) as fleet:
-            pipe.send(fleet.told)
+        async with run_servers(Scenario([(0.0, 1.0)], 3600).plan(), 7, Path(folder)) as fleet:
+            pipe.send(fleet.configuration)
             while True:
                 await asyncio.sleep(0.01)
                 if pipe.poll():
                     command = pipe.recv()
                     if isinstance(command, set):
-                        pipe.send(sum(fleet.ran()[ask] > 1 for ask in command))
+                        pipe.send(sum(fleet.run_counts()[ask] > 1 for ask in command))
                     else:
-                        fleet.slowed(command)
+                        fleet.set_speed(command)
 
     asyncio.run(run())
 
@@ -115,7 +115,7 @@
 ) -> None:
     """Run one client process on one core and send its results."""
     os.sched_setaffinity(0, {core})
-    pipe.send(clients(plan, seed, address, number, max_connections))
+    pipe.send(run_clients(plan, seed, address, number, max_connections))
 
 
 def spin(core: int) -> None:
@@ -135,7 +135,7 @@
             target=run_servers, args=(child_pipe, cores[1], str(folder)), daemon=True
         )
         self.fleet.start()
-        self.sidecar = Sidecar(self.pipe.recv(), folder, root, {cores[0]})
+        self.sidecar = SidecarProcess(self.pipe.recv(), folder, root, {cores[0]})
         self.busy_processes = [self.start_busy_process()]
         while (address := self.sidecar.address()) is None:
             time.sleep(0.02)
@@ -150,7 +150,7 @@
         process.start()
         return process
 
-    def run(self, scenario: Scenario, actions: list[tuple[float, Callable[[], None]]] = ()) -> Met:
+    def run(self, scenario: Scenario, actions: list[tuple[float, Callable[[], None]]] = ()) -> ClientResults:
         """Run a scenario in one client process for each client core, and the actions at their times (s)."""
         parts = self.cores[2:]
         pipes = []
@@ -182,8 +182,8 @@
             if self.sidecar.process.poll() is None:
                 for name, value in (
                     ("memory_mb", self.sidecar.memory_mb()),
-                    ("descriptors", self.sidecar.descriptors()),
-                    ("threads", self.sidecar.threads()),
+                    ("descriptors", self.sidecar.descriptor_count()),
+                    ("threads", self.sidecar.thread_count()),
                 ):
                     self.peaks[name] = max(self.peaks.get(name, 0), value)
         outcome = pipes[0].recv()
@@ -209,7 +209,7 @@
         return self.pipe.recv()
 
     def end(self) -> None:
-        self.sidecar.end()
+        self.sidecar.kill()
         for process in (self.fleet, *self.busy_processes):
             process.terminate()
 
@@ -285,16 +285,16 @@
                         results.setdefault(name, {}).setdefault(times, []).append(good / capacity)
                         print(
                             f"{name} run {run} load {times:4.1f} x {capacity:5.0f}/s: good {good:6.0f}/s "
-                            f"({good / capacity:.2f}), p99 {quantile_ms(outcome.times, 0.99):4.0f} ms, "
+                            f"({good / capacity:.2f}), p99 {quantile_ms(outcome.latencies_us, 0.99):4.0f} ms, "
                             f"rejected {sum(columns['deferred'])}, "
-                            f"rejection p50 {quantile_ms(outcome.deferrals, 0.5):.1f} ms, "
+                            f"rejection p50 {quantile_ms(outcome.rejection_times_us, 0.5):.1f} ms, "
                             f"unanswered {sum(columns['lost'])}, "
                             f"failed {sum(columns['forfeited'])}, "
                             f"no connection {sum(columns['refused'])}, "
                             f"duplicated {sidecar.count_duplicates()}, {sidecar.describe_peaks()}"
                             + (
                                 ", VOID: clients were delayed"
-                                if outcome.behind_ms > MAX_CLIENT_DELAY_MS
+                                if outcome.tick_delay_ms > MAX_CLIENT_DELAY_MS
                                 else ""
                             ),
                             flush=True,
--- a/benchmarks/pacing.py
+++ b/benchmarks/pacing.py
@@ -30,8 +30,8 @@
 from relay import Follower  # noqa: E402
 
 from pumicepath.compiled import FORM  # noqa: E402
-from pumicepath.lab.hollow.plan import Ask, Plan  # noqa: E402
-from tests.relay_rig import Origin, Relay, line, until  # noqa: E402
+from pumicepath.lab.hollow.plan import Plan, RunOptions  # noqa: E402
+from tests.relay_rig import Origin, RelayProcess, list_line, wait_until  # noqa: E402
 
 MAX_WAIT_MS = 3000
 CHANGE_INTERVAL_S = 0.05
@@ -41,7 +41,7 @@
 
 def services_of_follower(plan: Plan, number: int) -> str:
     """The services that a follower calls, as a query value."""
-    return ",".join(sorted(plan.service_name(service) for service in plan.calls[number]))
+    return ",".join(sorted(plan.service_name(service) for service in plan.called_services[number]))
 
 
 def run_newcomers(address: tuple[str, int], plan: Plan, numbers: range, pipe: Connection) -> None:
@@ -96,15 +96,17 @@
     """A relay with its origin and the existing followers, all in this process except the relay."""
 
     def __init__(self, options: argparse.Namespace, rate_limit: int) -> None:
-        self.plan = Plan(Ask(20_000, 1_900, 10, 34, calls=8, popular=0.5))
+        self.plan = Plan(RunOptions(20_000, 1_900, 10, 34, calls=8, popular=0.5))
         plan = self.plan
         self.rng = random.Random(options.seed)
         self.service_names = [plan.service_name(service) for service in plan.service_of]
-        self.origin = Origin([line(plan.server_name(at), self.service_names[at]) for at in range(20_000)])
-        self.relay = Relay(
+        self.origin = Origin(
+            [list_line(plan.server_name(at), self.service_names[at]) for at in range(20_000)]
+        )
+        self.relay = RelayProcess(
             Path(tempfile.mkdtemp()), {"eu": self.origin}, mostFollowers=100_000, wholeBytesPerS=rate_limit
         )
-        until(lambda: self.relay.stats()["servers"] == 20_000, 60)
+        wait_until(lambda: self.relay.stats()["servers"] == 20_000, 60)
         self.selector = selectors.DefaultSelector()
         self.followers_by_service: dict[str, set[Follower]] = {}
         for first in range(0, options.rest, 50):
@@ -120,7 +122,7 @@
         """Connect further followers and run all until these have their first list."""
         new_followers = set()
         for number in numbers:
-            follower = Follower(self.relay.where, services_of_follower(self.plan, number))
+            follower = Follower(self.relay.socket_address, services_of_follower(self.plan, number))
             self.selector.register(follower.sock, selectors.EVENT_READ, follower)
             for name in follower.services.split(","):
                 self.followers_by_service.setdefault(name, set()).add(follower)
@@ -198,7 +200,7 @@
     pipe, child_pipe = multiprocessing.Pipe()
     numbers = range(options.rest, options.rest + options.coming)
     newcomer_process = multiprocessing.Process(
-        target=run_newcomers, args=(load.relay.where, load.plan, numbers, child_pipe)
+        target=run_newcomers, args=(load.relay.socket_address, load.plan, numbers, child_pipe)
     )
     newcomer_process.start()
     pipe.recv()
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -18,21 +18,21 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
+from pumicepath.balancer import Balancer  # noqa: E402
 from pumicepath.compiled import FORM  # noqa: E402
 from pumicepath.http1 import writing  # noqa: E402
-from pumicepath.http1.parsing import MOST_BODY, RequestParser, ResponseParser  # noqa: E402
-from pumicepath.interface import Entry, Listing, Outcome, Phase  # noqa: E402
-from pumicepath.lab.loopback.servers import ANSWERS  # noqa: E402
-from pumicepath.lab.loopback.wires import asked as request_of  # noqa: E402
+from pumicepath.http1.parsing import MAX_BODY_BYTES, RequestParser, ResponseParser  # noqa: E402
+from pumicepath.interface import ListKind, Outcome, ServerEntry, ServerState  # noqa: E402
+from pumicepath.lab.loopback.client_connections import encode_request as request_of  # noqa: E402
+from pumicepath.lab.loopback.servers import RESPONSES  # noqa: E402
 from pumicepath.lab.spec import Load, Plan, Sidecars, Tariff  # noqa: E402
 from pumicepath.lab.spec import told as settings_of
-from pumicepath.logic import Balancer  # noqa: E402
 from pumicepath.sidecar import answers, config  # noqa: E402
-from pumicepath.sidecar.entrance import Entrance  # noqa: E402
-from pumicepath.sidecar.submissions import asked  # noqa: E402
+from pumicepath.sidecar.admission_gate import AdmissionGate  # noqa: E402
+from pumicepath.sidecar.submissions import parse_submission  # noqa: E402
 
 REQUEST = request_of("read", True, "12d687-1", 77, 2000, False, 0)
-ANSWER = ANSWERS[Outcome.OK]
+ANSWER = RESPONSES[Outcome.OK]
 PLAN = Plan(
     sidecars=Sidecars(count=1),
     load=Load(tariffs=(Tariff(name="read"), Tariff(name="once", effect="at_most_once", gain=3.0))),
@@ -51,12 +51,12 @@
     sidecar_config = config.decode_config(
         {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings_of(PLAN, 0, 0)}
     )
-    request, response = RequestParser(), ResponseParser(MOST_BODY)
+    request, response = RequestParser(), ResponseParser(MAX_BODY_BYTES)
 
     def feed(parser, data: bytes):
-        free_space = parser.ring.room()
+        free_space = parser.ring.writable()
         free_space[: len(data)] = data
-        parser.ring.wrote(len(data))
+        parser.ring.commit(len(data))
 
     def parse(parser, data: bytes):
         feed(parser, data)
@@ -64,26 +64,30 @@
 
     def glance() -> None:
         feed(request, REQUEST)
-        seen = request.glance()
-        request.ring.drop(seen[0])
+        seen = request.peek_request()
+        request.ring.consume(seen[0])
 
     whole, answer = parse(request, REQUEST), parse(response, ANSWER)
 
     def write_hop() -> bytes:
-        headers = [(name, value) for name, value in whole.passed_on() if name.lower() != "x-expires-in-ms"]
+        headers = [
+            (name, value) for name, value in whole.end_to_end_headers() if name.lower() != "x-expires-in-ms"
+        ]
         return writing.request(whole.method, whole.target, [*headers, ("x-expires-in-ms", "5")], whole.body)
 
-    gate = Entrance(sidecar_config)
+    gate = AdmissionGate(sidecar_config)
 
     def pass_gate() -> None:
         gate.enter(10, 10**18, 0, False, 5000.0)
         gate.leave()
-        gate.again()
+        gate.reenter()
         gate.leave(100)
 
     parts: dict[str, Callable[[], object]] = {
         "read a request": lambda: parse(request, REQUEST),
-        "what it asks": lambda: asked(whole, sidecar_config.request_classes, sidecar_config.settings.tariffs),
+        "what it asks": lambda: parse_submission(
+            whole, sidecar_config.request_classes, sidecar_config.settings.request_classes
+        ),
         "through the entrance, twice": pass_gate,
         "write the hop": write_hop,
         "read the answer": lambda: parse(response, ANSWER),
@@ -92,7 +96,9 @@
     }
     for servers in (4, 9, 12):
         balancer = Balancer(sidecar_config.settings, 1, NullCallbacks())
-        balancer.listed(0, Listing.FULL, [Entry(at, 0, 0, Phase.READY, 1.0, 0) for at in range(servers)])
+        balancer.update_servers(
+            0, ListKind.FULL, [ServerEntry(at, 0, 0, ServerState.READY, 1.0, 0) for at in range(servers)]
+        )
         parts[f"decide, {servers} servers"] = decision_loop(balancer)
     return parts
 
@@ -106,8 +112,10 @@
     def decide() -> None:
         state[0] += 800
         state[1] += 1
-        submission = balancer.take(state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000)
-        submission.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
+        submission = balancer.submit(
+            state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000
+        )
+        submission.hop_finished(state[0] + 5000, 0, Outcome.OK, 5000, True)
 
     return decide
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -167,21 +167,21 @@
 
 async def measure_real(count: int, folder: Path) -> dict[str, float]:
     """Measure real processes without load: durations in seconds, costs for each sidecar and second."""
-    from pumicepath.lab.loopback.world import LiveWorld
+    from pumicepath.lab.loopback.world import LoopbackWorld
     from pumicepath.lab.model.views import wrong
     from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
     plan = Plan(
         lasts_s=3600, fleet=Fleet(servers=2), load=Load(rate=1), sidecars=Sidecars(count=count, peers=True)
     )
-    world = LiveWorld(plan, 1, folder)
+    world = LoopbackWorld(plan, 1, folder)
     names = [sidecar.name for sidecar in world.sidecars]
 
     async def until_correct() -> float:
         began = time.monotonic()
         while True:
             answers = await asyncio.gather(
-                *(sidecar.asked("/peers", 10.0) for sidecar in world.sidecars if sidecar.up)
+                *(sidecar.query_admin("/peers", 10.0) for sidecar in world.sidecars if sidecar.up)
             )
             views = {
                 view["name"]: [(peer["name"], peer["state"]) for peer in view["peers"]]
@@ -202,7 +202,7 @@
 
     try:
         assert world.links is not None
-        await world.relays.open(count)
+        await world.datagram_proxies.open(count)
         began = time.monotonic()
         for sidecar in world.sidecars:
             sidecar.start()
@@ -238,7 +238,7 @@
         results["restart"] = time.monotonic() - began
         return results
     finally:
-        await world.end()
+        await world.close()
 
 
 def print_real(count: int, runs: int) -> None:
@@ -257,7 +257,7 @@
 
 def compare_starts(other: Path, runs: int) -> None:
     """Start time, memory and idle CPU of `serve` in this tree and the other one, in alternation."""
-    from pumicepath.lab.loopback.process import Sidecar
+    from pumicepath.lab.loopback.process import SidecarProcess
 
     here = Path(__file__).parent.parent
     config: dict[str, Any] = {
@@ -286,20 +286,20 @@
         ):
             with tempfile.TemporaryDirectory() as folder:
                 began = time.monotonic()
-                sidecar = Sidecar(given, Path(folder), root, {0, 1})
+                sidecar = SidecarProcess(given, Path(folder), root, {0, 1})
                 try:
                     while sidecar.address() is None:
                         time.sleep(0.001)
                     start_s = time.monotonic() - began
                     time.sleep(1)
-                    memory, before = sidecar.memory_mb(), sum(sidecar.cpu())
+                    memory, before = sidecar.memory_mb(), sum(sidecar.cpu_seconds())
                     time.sleep(5)
                     if run:  # the first run only fills the page cache
                         results.setdefault(name, []).append(
-                            (start_s, memory, 200 * (sum(sidecar.cpu()) - before))
+                            (start_s, memory, 200 * (sum(sidecar.cpu_seconds()) - before))
                         )
                 finally:
-                    sidecar.end()
+                    sidecar.kill()
     for name, values in results.items():
         start_s, memory, cpu = (sorted(column) for column in zip(*values))
         print(
--- a/benchmarks/ranking.py
+++ b/benchmarks/ranking.py
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.experiments import figures, files  # noqa: E402
+from pumicepath.lab.experiments import files, statistics  # noqa: E402
 from pumicepath.lab.virtual.baselines import TEXTBOOK  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
@@ -41,25 +41,25 @@
 def load_balancer(revision: str) -> Any:
     """The balancer class of a revision, loaded as a module beside the present one."""
     text = subprocess.run(
-        ["git", "show", f"{revision}:pumicepath/logic.py"],
+        ["git", "show", f"{revision}:pumicepath/balancer.py"],
         cwd=ROOT,
         check=True,
         capture_output=True,
         text=True,
     ).stdout
-    spec = importlib.util.spec_from_loader(f"pumicepath.logic_{revision}", None)
+    spec = importlib.util.spec_from_loader(f"pumicepath.balancer_{revision}", None)
     assert spec is not None
     module = importlib.util.module_from_spec(spec)
     module.__package__ = "pumicepath"
     sys.modules[spec.name] = module
-    exec(compile(text, f"{revision}:logic.py", "exec"), module.__dict__)
+    exec(compile(text, f"{revision}:balancer.py", "exec"), module.__dict__)
     return module.Balancer
 
 
 def run_job(job: tuple[str, str, int]) -> float:
     """Service of one policy in one scenario with one seed."""
     arm, scenario, seed = job
-    plan = files.read(ROOT / "experiments" / f"{scenario}.toml", 1).plan
+    plan = files.load_experiment(ROOT / "experiments" / f"{scenario}.toml", 1).plan
     policy = arm if arm in TEXTBOOK or arm in ("pumicepath", "oracle") else load_balancer(arm)
     return VirtualWorld(plan, seed, policy).run().service
 
@@ -83,7 +83,7 @@
         means_by_seed = [
             sum(service[arm, day, seed] for day in options.days) / len(options.days) for seed in seeds
         ]
-        spread = figures.interval(means_by_seed)
+        spread = statistics.bootstrap_interval(means_by_seed)
         print(f"{arm:<18}" + "".join(f"{mean:13.3f}" for mean in means) + f"   {spread}")
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -25,7 +25,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from pumicepath.compiled import FORM  # noqa: E402
-from tests.relay_rig import Origin, Relay, line, until  # noqa: E402
+from tests.relay_rig import Origin, RelayProcess, list_line, wait_until  # noqa: E402
 
 RESPONSE_HEAD = re.compile(rb"HTTP/1.1 (\d+) .*?\r\nContent-Length: (\d+)(?:\r\n[^\r]+)*\r\n\r\n", re.S)
 LIST_VERSION = re.compile(rb'{"seq":(\d+)')
@@ -75,17 +75,19 @@
         names = [f"service-{at:04}" for at in range(options.services)]
         self.origin = Origin(
             [
-                line(f"srv-{at:06}", names[at % options.services], port=9000 + at % 1000)
+                list_line(f"srv-{at:06}", names[at % options.services], port=9000 + at % 1000)
                 for at in range(options.servers)
             ]
         )
-        self.relay = Relay(folder, {"eu": self.origin}, mostFollowers=100_000, wholeBytesPerS=rate)
-        until(lambda: self.relay.stats()["servers"] == options.servers)
+        self.relay = RelayProcess(folder, {"eu": self.origin}, mostFollowers=100_000, wholeBytesPerS=rate)
+        wait_until(lambda: self.relay.stats()["servers"] == options.servers)
         self.before_kb = self.memory_kb()
         self.selector = selectors.DefaultSelector()
         self.followers = []
         for _ in range(followers):
-            follower = Follower(self.relay.where, ",".join(sorted(self.rng.sample(names, options.each))))
+            follower = Follower(
+                self.relay.socket_address, ",".join(sorted(self.rng.sample(names, options.each)))
+            )
             self.selector.register(follower.sock, selectors.EVENT_READ, follower)
             self.followers.append(follower)
 
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -22,7 +22,7 @@
 from list_updates import sidecar_config
 from worktrees import ROOT
 
-from pumicepath.lab.loopback.process import Sidecar
+from pumicepath.lab.loopback.process import SidecarProcess
 
 SERVERS, SERVICES, SERVICES_PER_FOLLOWER = 20_000, 1_900, 8
 WAIT_MS = 2250  # mean duration of a sidecar's watch at a relay, drawn between 1.5 and 3 s
@@ -157,7 +157,7 @@
     """
     sources = [ListSource(size) for size in sizes]
     relays: list[RelayProcess] = []
-    sidecars: list[Sidecar] = []
+    sidecars: list[SidecarProcess] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
             for size, source in zip(sizes, sources):
@@ -172,16 +172,18 @@
                     "relays": [f"{host}:{port}"],
                     "services": services_of_follower(1).split(","),
                 }
-                sidecars.append(Sidecar(config, Path(folder) / f"s{size}", ROOT, os.sched_getaffinity(0)))
+                sidecars.append(
+                    SidecarProcess(config, Path(folder) / f"s{size}", ROOT, os.sched_getaffinity(0))
+                )
             for each in sidecars:
                 while each.address() is None:
                     time.sleep(0.02)
             time.sleep(3.0)
-            before, began = [sum(each.cpu()) for each in sidecars], time.monotonic()
+            before, began = [sum(each.cpu_seconds()) for each in sidecars], time.monotonic()
             time.sleep(seconds)
             elapsed_s = time.monotonic() - began
             return {
-                size: (each.memory_mb(), (sum(each.cpu()) - cpu_before) / elapsed_s * 1000)
+                size: (each.memory_mb(), (sum(each.cpu_seconds()) - cpu_before) / elapsed_s * 1000)
                 for size, each, cpu_before in zip(sizes, sidecars, before)
             }
         finally:
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -21,11 +21,11 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.lab.experiments.figures import difference  # noqa: E402
-from pumicepath.lab.faults.history import read  # noqa: E402
+from pumicepath.lab.experiments.statistics import paired_difference  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.result import Result  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble  # noqa: E402
+from pumicepath.lab.verification.history import read  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
 FAULT_START_S, FAULT_DURATION_S, RUN_DURATION_S = 15, 45, 100
@@ -123,7 +123,7 @@
         for together in (False, True):
             values = sorted(results[seed, together][key] for seed in seeds)
             cells.append(f"{median(values):.4g} ({values[0]:.4g} to {values[-1]:.4g})")
-        pair = difference(
+        pair = paired_difference(
             {seed: results[seed, True][key] for seed in seeds},
             {seed: results[seed, False][key] for seed in seeds},
         )
--- a/pumicepath/lab/model/clients.py
+++ b/pumicepath/lab/model/clients.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Protocol
 
-from ...interface import Tariff
+from ...interface import RequestClass
 from .judge import Judge
 from .timeline import SECOND, Timeline, chance
 
@@ -101,7 +101,7 @@
 
     timeline: Timeline
     habits: Habits
-    tariffs: Sequence[Tariff]
+    tariffs: Sequence[RequestClass]
     keys: Keys
     moods: Moods
     judge: Judge
@@ -170,13 +170,13 @@
         if self.moods.hot > 0.0 and self.pauses.random() < self.moods.hot:
             key = self.moods.hot_key
         self.count += 1
-        until = due + self.tariffs[tariff].patience
+        until = due + self.tariffs[tariff].deadline
         ask = Ask(self, (self.number << 32) + self.count, tariff, key, due, until)
         self.open[ask.number] = ask
         second = due // SECOND
         self.tally.offered[second] += 1
         if due >= self.tally.warm:
-            self.tally.could += self.tariffs[tariff].gain
+            self.tally.could += self.tariffs[tariff].value
         if by.random() < self.habits.leaves:
             self.timeline.at(due + int(by.random() * (ask.until - due)), self.leave, ask)
         self.timeline.at(ask.until, self.patience_over, ask)
@@ -216,10 +216,10 @@
             return
         now, tariff = self.timeline.now, self.tariffs[ask.tariff]
         spent = now - ask.due
-        in_time = spent <= tariff.agreed
+        in_time = spent <= tariff.latency_target
         if ask.due >= self.tally.warm:
             self.tally.times[ask.tariff].append(spent)
-            self.tally.gained += tariff.gain if in_time else tariff.late_gain
+            self.tally.gained += tariff.value if in_time else tariff.late_value
         self.end(ask, self.tally.good if in_time else self.tally.late)
 
     def deferred(self, ask: Ask, turn: int, advice: int) -> None:
@@ -261,7 +261,7 @@
 
     def end(self, ask: Ask, column: list[int]) -> None:
         ask.over = True
-        second, gain = ask.due // SECOND, self.tariffs[ask.tariff].gain
+        second, gain = ask.due // SECOND, self.tariffs[ask.tariff].value
         column[second] += 1
         self.tally.wanted[second] += gain
         if column is self.tally.good:
--- a/pumicepath/lab/model/judge.py
+++ b/pumicepath/lab/model/judge.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ...interface import Effect, Group, Tariff
+from ...interface import DedupGroup, Effect, RequestClass
 from .listing import Registry
 from .servers import Job, Server
 from .timeline import Timeline
@@ -40,7 +40,7 @@
         "began",
     )
 
-    def __init__(self, tariff: Tariff) -> None:
+    def __init__(self, tariff: RequestClass) -> None:
         self.tariff = tariff
         self.until = 0
         self.ended_at = 0  # when the present try had its final answer
@@ -59,7 +59,7 @@
     def __init__(
         self,
         timeline: Timeline,
-        tariffs: tuple[Tariff, ...],
+        tariffs: tuple[RequestClass, ...],
         registry: Registry,
         grace: int,
         slack: int = SLACK,
@@ -112,9 +112,9 @@
             what == "deferred"
             and (case.may_run or case.jobs > 0)
             and (
-                case.tariff.effect == Effect.UNREPEATABLE
+                case.tariff.effect == Effect.NON_IDEMPOTENT
                 or case.tariff.effect == Effect.DEDUPLICATED
-                and case.tariff.group != Group.ALL
+                and case.tariff.dedup_group != DedupGroup.ALL
             )
         ):
             self.breach("deferred_may_run", f"submission {ask} deferred, and may have run")
@@ -207,12 +207,12 @@
         for at, hall, cell in case.effects:
             if (
                 tariff.effect == Effect.DEDUPLICATED
-                and now <= at + tariff.window
+                and now <= at + tariff.dedup_window
                 and (
-                    tariff.group == Group.ALL
-                    or tariff.group == Group.ZONE
+                    tariff.dedup_group == DedupGroup.ALL
+                    or tariff.dedup_group == DedupGroup.ZONE
                     and hall == server.hall
-                    or tariff.group == Group.CELL
+                    or tariff.dedup_group == DedupGroup.CELL
                     and cell == server.cell
                 )
             ):
--- a/pumicepath/lab/model/listing.py
+++ b/pumicepath/lab/model/listing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ...interface import Entry, Listing, Phase
+from ...interface import ListKind, ServerEntry, ServerState
 from .timeline import Timeline, chance
 
 TWIN = 1 << 20  # added to the number of a sidecar whose process is being replaced: the new one's
@@ -15,7 +15,7 @@
 class Reader(Protocol):
     """A sidecar, as the list meets it."""
 
-    def listed(self, kind: Listing, entries: list[Entry]) -> None: ...
+    def listed(self, kind: ListKind, entries: list[ServerEntry]) -> None: ...
 
 
 @dataclass(frozen=True)
@@ -51,30 +51,30 @@
         self.manner = manner
         self.chance = chance(seed, "list")
         self.seq = 0
-        self.truth: dict[int, Entry] = {}
+        self.truth: dict[int, ServerEntry] = {}
         self.since: dict[int, int] = {}  # when each came to drain or to be gone
-        self.lies: dict[int, Phase] = {}  # phases shown instead of the true ones
+        self.lies: dict[int, ServerState] = {}  # phases shown instead of the true ones
         self.down = False
         self.cut_off: set[int] = set()  # sidecars that can't reach it
         self.followers: dict[int, Following] = {}
 
     # -- the truth
 
-    def put(self, *entries: Entry) -> None:
+    def put(self, *entries: ServerEntry) -> None:
         """Servers begin, change or, with phase GONE, end."""
         now = self.timeline.now
         for entry in entries:
             self.truth[entry.server] = entry
-            if entry.phase == Phase.READY:
+            if entry.state == ServerState.READY:
                 self.since.pop(entry.server, None)
             else:
                 self.since.setdefault(entry.server, now)
         self.show(entry.server for entry in entries)
 
-    def drained(self, server: int, phase: Phase = Phase.DRAINING) -> None:
+    def drained(self, server: int, phase: ServerState = ServerState.DRAINING) -> None:
         self.put(self.truth[server]._replace(phase=phase))
 
-    def lie(self, server: int, phase: Phase | None) -> None:
+    def lie(self, server: int, phase: ServerState | None) -> None:
         """Show a phase that is not so; None ends the lie."""
         if phase is None:
             self.lies.pop(server, None)
@@ -82,13 +82,13 @@
             self.lies[server] = phase
         self.show([server])
 
-    def shown(self, server: int) -> Entry:
+    def shown(self, server: int) -> ServerEntry:
         entry = self.truth[server]
         lie = self.lies.get(server)
         return entry if lie is None else entry._replace(phase=lie)
 
-    def whole(self) -> list[Entry]:
-        return [entry for entry in map(self.shown, self.truth) if entry.phase != Phase.GONE]
+    def whole(self) -> list[ServerEntry]:
+        return [entry for entry in map(self.shown, self.truth) if entry.state != ServerState.GONE]
 
     def show(self, servers: Iterable[int]) -> None:
         self.seq += 1
@@ -102,7 +102,7 @@
                         number,
                         following,
                         self.seq,
-                        Listing.CHANGES,
+                        ListKind.CHANGES,
                         changes,
                     )
 
@@ -115,7 +115,7 @@
         """A sidecar begins with a copy of the list, which counts as told, and may ask to follow it."""
         following = self.followers[number] = Following(reader)
         following.asked_at = self.timeline.now
-        self.tell(number, following, self.seq, Listing.CACHED, self.whole())
+        self.tell(number, following, self.seq, ListKind.CACHED, self.whole())
 
     def leave(self, number: int) -> None:
         self.followers.pop(number, None)
@@ -130,34 +130,36 @@
         following.failed = self.off(number)
         if following.failed:
             if self.followers.get(number) is following:
-                following.reader.listed(Listing.FAILED, [])
+                following.reader.listed(ListKind.FAILED, [])
         else:
             following.follows = True
-            self.tell(number, following, self.seq, Listing.FULL, self.whole())
+            self.tell(number, following, self.seq, ListKind.FULL, self.whole())
 
-    def tell(self, number: int, following: Following, seq: int, kind: Listing, entries: list[Entry]) -> None:
+    def tell(
+        self, number: int, following: Following, seq: int, kind: ListKind, entries: list[ServerEntry]
+    ) -> None:
         """Changes that overtook each other are not used: the whole list is asked for instead."""
-        if self.followers.get(number) is not following or kind == Listing.CHANGES and self.off(number):
+        if self.followers.get(number) is not following or kind == ListKind.CHANGES and self.off(number):
             return
-        if kind == Listing.CHANGES and seq != following.seq + 1:
+        if kind == ListKind.CHANGES and seq != following.seq + 1:
             if seq > following.seq:
                 following.follows = False
                 self.follow(number)
             return
         following.seq = seq
         now = self.timeline.now
-        if kind != Listing.CHANGES:
+        if kind != ListKind.CHANGES:
             named = {entry.server for entry in entries}
             for server in self.since:
                 if server not in named:
                     following.told.setdefault(server, now)
         for entry in entries:
-            if entry.phase == Phase.READY:
+            if entry.state == ServerState.READY:
                 following.told.pop(entry.server, None)
             else:
                 following.told.setdefault(entry.server, now)
-            if entry.came_up:
-                following.started[entry.server] = entry.came_up
+            if entry.started_at:
+                following.started[entry.server] = entry.started_at
         following.reader.listed(kind, entries)
 
     def off(self, number: int) -> bool:
--- a/pumicepath/lab/model/world.py
+++ b/pumicepath/lab/model/world.py
@@ -7,8 +7,8 @@
 from random import Random
 from typing import Any, Protocol
 
-from ...interface import Entry, Phase, Settings
-from ...settings import decode
+from ...interface import ServerEntry, ServerState, Settings
+from ...settings import decode_settings
 from ..spec import Plan, micros, told
 from .clients import Clients, Habits, Keys, Moods, Tally
 from .judge import SLACK, Judge
@@ -127,8 +127,8 @@
         self.network = Network(
             timeline, fleet.halls, micros(fleet.near_ms / 1e3), micros(fleet.far_ms / 1e3), seed
         )
-        self.settings: list[Settings] = [decode(told(plan, 0, hall)) for hall in range(fleet.halls)]
-        self.tariffs = self.settings[0].tariffs
+        self.settings: list[Settings] = [decode_settings(told(plan, 0, hall)) for hall in range(fleet.halls)]
+        self.tariffs = self.settings[0].request_classes
         self.judge = judging(timeline, self.tariffs, self.registry, micros(plan.list.grace_s), slack)
         self.moods = Moods()
         self.tally = Tally(self.lasts // SECOND + 1, len(self.tariffs), micros(plan.warm_s))
@@ -165,8 +165,8 @@
         self.list(server)
         return server
 
-    def list(self, server: Server, phase: Phase = Phase.READY) -> None:
-        self.registry.put(Entry(server.number, server.hall, server.cell, phase, 1.0, server.came_up))
+    def list(self, server: Server, phase: ServerState = ServerState.READY) -> None:
+        self.registry.put(ServerEntry(server.number, server.hall, server.cell, phase, 1.0, server.came_up))
 
     def at_place(self, place: int) -> Server:
         return self.servers[self.places[place]]
--- a/pumicepath/lab/troubles/drain.py
+++ b/pumicepath/lab/troubles/drain.py
@@ -1,6 +1,6 @@
 """Servers drain: the list says so, they serve on for a while and end; later they come back cold."""
 
-from ...interface import Phase
+from ...interface import ServerState
 from .trouble import Trouble, named
 
 
@@ -12,14 +12,14 @@
     def begin(self) -> str:
         self.hit = self.servers()
         for server in self.hit:
-            self.world.list(server, Phase.DRAINING)
+            self.world.list(server, ServerState.DRAINING)
         self.world.timeline.at(self.world.timeline.now + round(self.value * 1e6), self.stop)
         return named(self.hit)
 
     def stop(self) -> None:
         for server in self.hit:
             server.kill()
-            self.world.list(server, Phase.GONE)
+            self.world.list(server, ServerState.GONE)
 
     def end(self) -> None:
         for server in self.hit:
--- a/pumicepath/lab/troubles/list_lies.py
+++ b/pumicepath/lab/troubles/list_lies.py
@@ -1,6 +1,6 @@
 """The server list leaves out servers that are well."""
 
-from ...interface import Phase
+from ...interface import ServerState
 from .trouble import Trouble, named
 
 
@@ -10,7 +10,9 @@
     def begin(self) -> str:
         self.hit = self.servers()
         for server in self.hit:
-            self.world.registry.lie(server.number, Phase.GONE if self.value == 2 else Phase.DRAINING)
+            self.world.registry.lie(
+                server.number, ServerState.GONE if self.value == 2 else ServerState.DRAINING
+            )
         return named(self.hit)
 
     def end(self) -> None:
--- a/pumicepath/lab/troubles/new_id.py
+++ b/pumicepath/lab/troubles/new_id.py
@@ -1,6 +1,6 @@
 """Servers go for good, and new ones with new ids come up at their old addresses."""
 
-from ...interface import Phase
+from ...interface import ServerState
 from .trouble import Trouble, named
 
 
@@ -14,6 +14,6 @@
         old = [self.world.at_place(place) for place in places]
         for place, server in zip(places, old):
             server.kill()
-            self.world.list(server, Phase.GONE)
+            self.world.list(server, ServerState.GONE)
             self.world.begin(place, cold=True)
         return f"{named(old)} replaced"
--- a/pumicepath/lab/troubles/rolling_release.py
+++ b/pumicepath/lab/troubles/rolling_release.py
@@ -1,6 +1,6 @@
 """All servers are renewed one after the other: each drains, ends, and comes back cold."""
 
-from ...interface import Phase
+from ...interface import ServerState
 from ..model.servers import Server
 from ..model.timeline import SECOND
 from .trouble import Trouble
@@ -23,7 +23,7 @@
 
     def renew(self, place: int) -> None:
         server = self.world.at_place(place)
-        self.world.list(server, Phase.DRAINING)
+        self.world.list(server, ServerState.DRAINING)
         self.world.timeline.at(self.world.timeline.now + SECOND, self.stop, server)
 
     def stop(self, server: Server) -> None:
--- a/pumicepath/lab/faults/recording.py
+++ b/pumicepath/lab/verification/recording.py
@@ -9,8 +9,8 @@
 from types import SimpleNamespace
 from typing import Any
 
-from ...interface import Tariff
-from ...settings import decode
+from ...interface import RequestClass
+from ...settings import decode_settings
 from ..model.judge import Judge
 from ..model.listing import Registry
 from ..model.servers import Job, Server
@@ -19,11 +19,11 @@
 from .history import History, Line
 
 
-class Recorded(Judge):
+class RecordingRuleChecker(Judge):
     def __init__(
         self,
         timeline: Timeline,
-        tariffs: tuple[Tariff, ...],
+        tariffs: tuple[RequestClass, ...],
         registry: Registry,
         grace: int,
         slack: int,
@@ -94,30 +94,30 @@
         super().stop(sidecar, stopped)
 
 
-class Told:
+class ReplayedRegistry:
     """A registry that knows what was written beside each hop."""
 
     def __init__(self) -> None:
-        self.since: int | None = None
+        self.known_since: int | None = None
 
     def knows_since(self, sidecar: int, server: int) -> int | None:
-        return self.since
+        return self.known_since
 
 
-def replayed(lines: Sequence[Line]) -> Judge:
+def replay(lines: Sequence[Line]) -> Judge:
     """The judge as it stood at the end of a history, by what clients and servers saw in it."""
     head = lines[0]
     plan = Plan(**head["plan"])
-    tariffs = decode(told(plan, 0, 0)).tariffs
-    timeline, registry = Virtual(), Told()
+    tariffs = decode_settings(told(plan, 0, 0)).request_classes
+    timeline, registry = Virtual(), ReplayedRegistry()
     judge = Judge(timeline, tariffs, registry, micros(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
     for line in lines:
         timeline.run(line["at"])
-        tell(judge, registry, line)
+        replay_line(judge, registry, line)
     return judge
 
 
-def tell(judge: Judge, registry: Told, line: Line) -> None:
+def replay_line(judge: Judge, registry: ReplayedRegistry, line: Line) -> None:
     what: Any = line["what"]
     if what == "tried":
         judge.tried(line["ask"], line["tariff"], line["until"])
@@ -130,7 +130,7 @@
     elif what == "closed":
         judge.closed(line["ask"])
     elif what == "sent":
-        registry.since = line["told"]
+        registry.known_since = line["told"]
         judge.sent(line["sidecar"], line["server"], line["ask"])
     elif what == "returned":
         judge.returned(line["ask"])
--- a/pumicepath/lab/virtual/baselines.py
+++ b/pumicepath/lab/virtual/baselines.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable, Sequence
 
-from ...interface import Effect, Entry, Listing, Outcome, Outlet, Phase, Settings
+from ...interface import Callbacks, Effect, ListKind, Outcome, ServerEntry, ServerState, Settings
 from ..model.timeline import chance
 
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED)
@@ -20,32 +20,32 @@
 
     kind: type[Handle]  # of its submissions
 
-    def __init__(self, settings: Settings, seed: int, outlet: Outlet) -> None:
+    def __init__(self, settings: Settings, seed: int, outlet: Callbacks) -> None:
         self.settings = settings
-        self.outlet = outlet
+        self.callbacks = outlet
         self.chance = chance(seed, "baseline")
-        self.phases: dict[int, Phase] = {}
+        self.phases: dict[int, ServerState] = {}
         self.ready: list[int] = []
         self.out: dict[int, int] = {}
         self.turn = self.chance.randrange(1 << 16)
 
-    def listed(self, now: int, kind: Listing, entries: Sequence[Entry]) -> None:
-        if kind == Listing.FAILED:
-            self.outlet.wake(now + 1_000_000, self)
+    def update_servers(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
+        if kind == ListKind.FAILED:
+            self.callbacks.set_timer(now + 1_000_000, self)
             return
-        if kind == Listing.CACHED and self.settings.must_ask:
-            self.outlet.follow()
-        if kind != Listing.CHANGES:
+        if kind == ListKind.CACHED and self.settings.polls_list:
+            self.callbacks.request_server_list()
+        if kind != ListKind.CHANGES:
             self.phases.clear()
         for entry in entries:
-            self.phases[entry.server] = entry.phase
-        self.ready = [server for server, phase in self.phases.items() if phase == Phase.READY]
+            self.phases[entry.server] = entry.state
+        self.ready = [server for server, phase in self.phases.items() if phase == ServerState.READY]
         self.out = {server: out for server, out in self.out.items() if server in self.phases or out}
 
-    def woke(self, now: int) -> None:
-        self.outlet.follow()
+    def on_timer(self, now: int) -> None:
+        self.callbacks.request_server_list()
 
-    def take(self, now: int, name: int, tariff: int, key: int, retry: bool, until: int) -> Handle:
+    def submit(self, now: int, name: int, tariff: int, key: int, retry: bool, until: int) -> Handle:
         one = self.kind(self, name, tariff, key, until)
         one.go_on(now)
         return one
@@ -65,16 +65,16 @@
         self.tried: list[int] = []
         self.out = self.done = False
 
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         return self.done and not self.out
 
-    def started(self, now: int, number: int) -> None:
+    def response_started(self, now: int, number: int) -> None:
         """None of them goes by how an answer comes."""
 
-    def left(self, now: int) -> None:
+    def client_left(self, now: int) -> None:
         self.done = True
 
-    def ended(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None:
+    def hop_finished(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None:
         balancer = self.balancer
         self.out = False
         balancer.out[self.tried[number]] -= 1
@@ -84,33 +84,33 @@
             self.go_on(now)
         else:
             self.done = True
-            balancer.outlet.forfeit(self.name)
+            balancer.callbacks.fail(self.name)
 
     def may_repeat(self, outcome: Outcome) -> bool:
-        effect = self.balancer.settings.tariffs[self.tariff].effect
+        effect = self.balancer.settings.request_classes[self.tariff].effect
         return outcome in NEVER_RAN or effect == Effect.IDEMPOTENT
 
     def go_on(self, now: int) -> None:
         balancer = self.balancer
         among = [server for server in balancer.ready if server not in self.tried]
-        if len(self.tried) >= balancer.settings.most_hops or not among or now >= self.until:
+        if len(self.tried) >= balancer.settings.max_hops or not among or now >= self.until:
             self.done = True
-            effect = balancer.settings.tariffs[self.tariff].effect
+            effect = balancer.settings.request_classes[self.tariff].effect
             # Every earlier hop of what may not be repeated never ran, or it would not have come here.
-            if effect == Effect.IDEMPOTENT or not self.tried or effect == Effect.UNREPEATABLE:
-                balancer.outlet.defer(self.name, 0)
+            if effect == Effect.IDEMPOTENT or not self.tried or effect == Effect.NON_IDEMPOTENT:
+                balancer.callbacks.reject(self.name, 0)
             else:
-                balancer.outlet.forfeit(self.name)
+                balancer.callbacks.fail(self.name)
             return
         server = balancer.choose(self, among)
         if server < 0:
             self.done = True
-            balancer.outlet.defer(self.name, balancer.settings.most_retry_in // 8)
+            balancer.callbacks.reject(self.name, balancer.settings.max_retry_after // 8)
             return
         self.tried.append(server)
         self.out = True
         balancer.out[server] = balancer.out.get(server, 0) + 1
-        balancer.outlet.send(self.name, server, 0)
+        balancer.callbacks.send(self.name, server, 0)
 
 
 Plain.kind = Handle
@@ -140,7 +140,7 @@
         return min(pair, key=lambda server: self.out.get(server, 0))
 
 
-def oracle(expected: Callable[[int, int, Plain], float]) -> Callable[[Settings, int, Outlet], Plain]:
+def oracle(expected: Callable[[int, int, Plain], float]) -> Callable[[Settings, int, Callbacks], Plain]:
     """One that knows what no sidecar can: for each server (and key) how long a hop would take there now.
 
     It turns away what no server could answer within the agreed time.
@@ -150,7 +150,11 @@
         def choose(self, one: Handle, among: list[int]) -> int:
             times = [(expected(server, one.key, self), server) for server in among]
             least, server = min(times)
-            return server if least <= self.settings.tariffs[one.tariff].agreed or one.tried else -1
+            return (
+                server
+                if least <= self.settings.request_classes[one.tariff].latency_target or one.tried
+                else -1
+            )
 
     return Oracle
 
--- a/pumicepath/lab/virtual/holders.py
+++ b/pumicepath/lab/virtual/holders.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from ...fleet import messages
-from ...fleet.duties import Claim, Duties, Given
-from ...fleet.leases import Answer, Fence, Verdict, Voter
-from ...fleet.messages import Claimed, Claims, Granted, Grants, Record
+from ...fleet.duties import Claim, Duties, LeaseSettings
+from ...fleet.leases import ClaimAnswer, ClaimResult, Fence, Voter
+from ...fleet.messages import ClaimEntry, Claims, GrantEntry, Grants, Record
 from ..model.links import Links, Noise
 from ..model.timeline import SECOND, Virtual, chance
 from .peers import address
@@ -80,21 +80,25 @@
         self.life = Record(f"n{self.number}", (self.number + 1) * 1_000_000 + self.starts, self.address, "")
         self.file = self.given_file
         self.duties = Duties(
-            self.life.born, self.given(), holders.seed * 1000 + self.number * 10 + self.starts, self, now
+            self.life.instance_id,
+            self.given(),
+            holders.seed * 1000 + self.number * 10 + self.starts,
+            self,
+            now,
         )
-        self.duties.want(now, holders.names)
+        self.duties.set_wanted(now, holders.names)
         self.voter = None
         self.vote(now)
         if self.voter is not None and self.starts == 1:
             self.voter.silent_until = now
         holders.time.at(holders.time.now, self.tick, self.starts)
 
-    def given(self) -> Given:
+    def given(self) -> LeaseSettings:
         return self.holders.files[self.file]
 
     def vote(self, now: int) -> None:
         """Be a voter if the file says so; one that becomes it knows nothing of what was granted."""
-        names = sorted(self.given().names())
+        names = sorted(self.given().voter_set_ids())
         if self.address not in self.given().voters():
             self.voter = None
         elif self.voter is None:
@@ -102,13 +106,13 @@
             if not self.holders.planted.silent:
                 self.voter.silent_until = now
         else:
-            self.voter.adopt(names)
+            self.voter.apply_voter_sets(names)
 
     def hang_up(self) -> None:
         """SIGHUP, or what of it was pending."""
         if self.up and not self.stopped and self.file != self.given_file:
             self.file = self.given_file
-            self.duties.adopt(self.clock(), self.given())
+            self.duties.apply_settings(self.clock(), self.given())
             self.vote(self.clock())
 
     def kill(self) -> None:
@@ -119,7 +123,7 @@
         if not self.up or starts != self.starts:
             return
         if not self.stopped:
-            self.duties.woke(self.clock(), self.wall())
+            self.duties.on_timer(self.clock(), self.wall())
         self.holders.time.at(self.holders.time.now + TICK, self.tick, starts)
 
     def go_on(self) -> None:
@@ -131,12 +135,14 @@
 
     # -- the outlet of its duties
 
-    def claim(self, voter: str, round_: int, claims: Sequence[Claim]) -> None:
+    def send_claims(self, voter: str, round_: int, claims: Sequence[Claim]) -> None:
         given = self.given()
-        told = [Claimed(one.duty, one.number, one.release) for one in claims]
-        self.holders.send(self, voter, Claims(self.life, 0, round_, given.lease, sorted(given.names()), told))
+        told = [ClaimEntry(one.duty, one.number, one.release) for one in claims]
+        self.holders.send(
+            self, voter, Claims(self.life, 0, round_, given.lease, sorted(given.voter_set_ids()), told)
+        )
 
-    def holds(self, duty: str, number: int, why: str) -> None:
+    def duty_changed(self, duty: str, number: int, why: str) -> None:
         self.holders.changed(self, duty, number)
 
     # -- what comes
@@ -148,8 +154,8 @@
             self.queue.append((source, data))
             return
         try:
-            message = messages.unpacked(data, 0)
-        except (messages.Noise, messages.Foreign):
+            message = messages.decode_message(data, 0)
+        except (messages.MalformedMessageError, messages.VersionMismatchError):
             return
         now, sender = self.clock(), message.sender
         match message:
@@ -157,25 +163,32 @@
                 answers = []
                 for one in message.claims:
                     if one.release:
-                        self.voter.released(one.duty, sender.born, one.number)
+                        self.voter.release(one.duty, sender.instance_id, one.number)
                         continue
                     if not self.holders.planted.remembers:
                         self.voter.grants.pop(one.duty, None)
-                    told = self.voter.asked(
-                        now, one.duty, sender.born, one.number, message.lease, frozenset(message.sets)
+                    told = self.voter.answer_claim(
+                        now,
+                        one.duty,
+                        sender.instance_id,
+                        one.number,
+                        message.lease,
+                        frozenset(message.voter_set_ids),
+                    )
+                    answers.append(
+                        GrantEntry(one.duty, one.number, told.result, told.wait, told.highest_number)
                     )
-                    answers.append(Granted(one.duty, one.number, told.verdict, told.wait, told.highest))
                 if answers:
                     self.holders.send(self, address(source), Grants(self.life, 0, message.round, answers))
             case Grants():
                 for each in message.grants:
-                    self.duties.answered(
+                    self.duties.receive_answer(
                         now,
                         sender.address,
                         message.round,
                         each.duty,
                         each.number,
-                        Answer(Verdict(each.verdict), each.wait, each.highest),
+                        ClaimAnswer(ClaimResult(each.result), each.wait, each.highest_number),
                     )
 
 
@@ -193,7 +206,7 @@
         before = tuple(address(number) for number in range(voters))
         after = tuple(address(number) for number in range(count - voters, count))
         both = (before, after) if planted.both else (after,)
-        self.files = [Given(sets, LEASE, DRIFT) for sets in ((before,), both, (after,))]
+        self.files = [LeaseSettings(sets, LEASE, DRIFT) for sets in ((before,), both, (after,))]
         self.members = [
             Member(self, number, 1.0 + self.chance.choice((-worst, 0.0, worst))) for number in range(count)
         ]
@@ -206,11 +219,14 @@
             one.start()
         self.time.at(0, self.act)
 
-    def send(self, one: Member, to: str, message: messages.Any) -> None:
+    def send(self, one: Member, to: str, message: messages.AnyMessage) -> None:
         other = self.by_address[to]
         self.found.messages += 1
         self.links.carry(
-            one.number, other.number, messages.packed(message, 0), lambda data: other.came(one.number, data)
+            one.number,
+            other.number,
+            messages.encode_message(message, 0),
+            lambda data: other.came(one.number, data),
         )
 
     def changed(self, one: Member, duty: str, number: int) -> None:
@@ -223,10 +239,10 @@
     def may(self, one: Member, duty: str) -> int:
         if self.planted.held_for is not None:
             mine = one.duties.duties[duty]
-            until = mine.asked_at + self.planted.held_for(LEASE)
-            if mine.until and one.duties.won(mine) and one.clock() < until:
+            until = mine.claimed_at + self.planted.held_for(LEASE)
+            if mine.expires_at and one.duties.has_majority(mine) and one.clock() < until:
                 return mine.number
-        return one.duties.number(one.clock(), duty)
+        return one.duties.fencing_number(one.clock(), duty)
 
     def act(self) -> None:
         """Each that may act does at once; some acts come late as well, to a place with a fence."""
@@ -240,7 +256,7 @@
                 if not number:
                     continue
                 acting += 1
-                self.note(one.life.born, "place", duty, number, True)
+                self.note(one.life.instance_id, "place", duty, number, True)
                 if self.chance.random() < 0.05:
                     self.time.at(
                         now + round(3 * SECOND * self.chance.random()),
@@ -248,7 +264,7 @@
                         one,
                         duty,
                         number,
-                        one.life.born,
+                        one.life.instance_id,
                     )
             if acting and duty in self.since:
                 self.found.gaps.append(now - self.since.pop(duty))
@@ -261,9 +277,9 @@
         if not self.planted.checked_late:
             self.note(holder, "place", duty, number, True)
         at = self.chance.randrange(len(self.fences))
-        accepted = self.fences[at].admits(duty, number) or not self.planted.fenced
+        accepted = self.fences[at].accept(duty, number) or not self.planted.fenced
         if not accepted and one.up:
-            one.duties.outbid(one.clock(), duty, self.fences[at].highest[duty])
+            one.duties.reclaim_above(one.clock(), duty, self.fences[at].highest_numbers[duty])
         self.note(holder, f"fence-{at}", f"{duty} at fence {at}", number, accepted)
 
     def note(self, holder: int, who: str, duty: str, number: int, accepted: bool) -> None:
--- a/pumicepath/lab/virtual/peers.py
+++ b/pumicepath/lab/virtual/peers.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from typing import Any
 
+from ...balancer import Balancer
 from ...fleet import messages
-from ...fleet.fellow import Fellow
 from ...fleet.membership import Membership
 from ...fleet.messages import STATES, Record
+from ...fleet.node import FleetNode
 from ...fleet.settings import PeerSettings, Voting
-from ...logic import Balancer
 from ..model.links import Links
 from ..model.timeline import Timeline, chance
 from ..model.views import right
@@ -37,7 +37,7 @@
         self.name = f"sidecar-{number}"
         self.address = address(number)
         self.starts = 0
-        self.fellow: Fellow | None = None
+        self.fellow: FleetNode | None = None
         self.stopped = False
         self.queue: list[tuple[str, bytes]] = []
         self.wake_at = -1
@@ -55,25 +55,25 @@
         settings = PeerSettings(
             self.address,
             seeds,
-            every=peering.every,
-            timeout=peering.timeout,
-            most=peering.most,
+            probe_interval=peering.every,
+            probe_timeout=peering.timeout,
+            max_peers=peering.most,
             voting=peering.voting,
         )
         me = Record(self.name, own.getrandbits(62) | 1, self.address, peering.zone(self.number))
-        self.fellow = Fellow(me, settings, own.getrandbits(63), self, self.clock())
+        self.fellow = FleetNode(me, settings, own.getrandbits(63), self, self.clock())
         self.wake()
 
     def clock(self) -> int:
         return self.peering.timeline.now + ORIGIN
 
-    def post(self, address: str, message: messages.Any) -> None:
-        self.peering.send(self, address, messages.packed(message, 0))
+    def send_message(self, address: str, message: messages.AnyMessage) -> None:
+        self.peering.send(self, address, messages.encode_message(message, 0))
 
-    def changed(self, record: Record, by: str) -> None:
+    def peer_changed(self, record: Record, by: str) -> None:
         self.peering.changed(self, record)
 
-    def twice(self, record: Record) -> None:
+    def duplicate_name(self, record: Record) -> None:
         self.peering.counts["name twice"] += 1
 
     def came(self, source: str, data: bytes) -> None:
@@ -82,18 +82,18 @@
                 self.queue.append((source, data))
         elif self.fellow is not None:
             try:
-                message = messages.unpacked(data, 0)
-            except (messages.Foreign, messages.Noise):
+                message = messages.decode_message(data, 0)
+            except (messages.VersionMismatchError, messages.MalformedMessageError):
                 self.peering.counts["noise"] += 1
                 return
-            self.fellow.heard(self.clock(), source, message)
+            self.fellow.receive(self.clock(), source, message)
             self.wake()
 
     def wake(self) -> None:
         """Have `woke` called when it is due, once."""
         if self.fellow is None:
             return
-        due = self.fellow.due() - ORIGIN
+        due = self.fellow.next_timer() - ORIGIN
         if self.wake_at < 0 or due < self.wake_at:
             self.wake_at = due
             self.peering.timeline.at(due, self.woke, self.starts, due)
@@ -103,7 +103,7 @@
             return
         self.wake_at = -1
         if not self.stopped:
-            self.fellow.woke(self.clock(), self.wall_ms())
+            self.fellow.on_timer(self.clock(), self.wall_ms())
             self.wake()
 
     def go_on(self) -> None:
@@ -112,7 +112,7 @@
         for source, data in queue:
             self.came(source, data)
         if self.fellow is not None:
-            self.fellow.woke(self.clock(), self.wall_ms())
+            self.fellow.on_timer(self.clock(), self.wall_ms())
             self.wake_at = -1
             self.wake()
 
@@ -121,31 +121,31 @@
     def wall_ms(self) -> int:
         return 1_800_000_000_000 + self.peering.timeline.now // 1000
 
-    def holds(self, duty: str, number: int, why: str) -> None:
+    def duty_changed(self, duty: str, number: int, why: str) -> None:
         self.peering.counts["duties won" if number else "duties lost"] += 1
 
-    def put_off(self, server: str, wait: int) -> None:
+    def postpone_trial(self, server: str, wait: int) -> None:
         self.peering.counts["put off" if wait else "brought forward"] += 1
         self.told(int(server), wait)
 
-    def turn(self, name: str) -> bool:
+    def may_try(self, name: str) -> bool:
         fellow = self.fellow
         return (
             fellow is not None
             and fellow.trials is not None
             and fellow.duties is not None
-            and bool(fellow.duties.number(self.clock(), fellow.trials.duty(name)))
+            and bool(fellow.duties.fencing_number(self.clock(), fellow.trials.duty_name(name)))
         )
 
-    def opened(self, name: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, name: str, cooldown: int, often: bool) -> None:
         if self.fellow is not None and self.fellow.trials is not None:
-            self.fellow.trials.opened(self.clock(), name, cooldown, often)
+            self.fellow.trials.breaker_opened(self.clock(), name, cooldown, often)
             self.wake()
 
-    def tried(self, name: str, failed: bool) -> None:
+    def trial_finished(self, name: str, failed: bool) -> None:
         self.peering.counts["trials failed" if failed else "trials served"] += 1
         if self.fellow is not None and self.fellow.trials is not None:
-            self.fellow.trials.tried(self.clock(), name, failed)
+            self.fellow.trials.trial_finished(self.clock(), name, failed)
             self.wake()
 
 
@@ -185,7 +185,7 @@
         what = STATES[record.state]
         self.counts[what] += 1
         other = self.by_address[record.address].membership
-        if what == "dead" and other is not None and other.me.born == record.born:
+        if what == "dead" and other is not None and other.own_record.instance_id == record.instance_id:
             self.counts["false deaths"] += 1
 
     def start(self, number: int) -> None:
@@ -193,10 +193,10 @@
 
     def accompany(self, number: int, decisions: Any) -> None:
         """Have the trials of these decisions agreed on, where the fleet does so."""
-        if self.voting is not None and self.voting.trials and isinstance(decisions, Balancer):
+        if self.voting is not None and self.voting.shared_trials and isinstance(decisions, Balancer):
             node = self.nodes[number]
-            decisions.companions = node
-            node.told = lambda server, wait: decisions.put_off(self.timeline.now, server, wait)
+            decisions.peer_trials = node
+            node.told = lambda server, wait: decisions.postpone_trial(self.timeline.now, server, wait)
 
     def kill(self, number: int) -> None:
         node = self.nodes[number]
--- a/pumicepath/lab/virtual/run.py
+++ b/pumicepath/lab/virtual/run.py
@@ -6,9 +6,9 @@
 from collections import deque
 from collections.abc import Callable
 
-from ...fleet.settings import TIMEOUT_PART, Voting
+from ...balancer import Balancer
+from ...fleet.settings import TIMEOUT_FRACTION, Voting
 from ...interface import Settings
-from ...logic import Balancer
 from ..model.links import Links
 from ..model.result import Result, result
 from ..model.timeline import SECOND, Virtual
@@ -49,7 +49,7 @@
                 seed,
                 plan.sidecars.count,
                 every,
-                round(every * TIMEOUT_PART),
+                round(every * TIMEOUT_FRACTION),
                 voting=self.voting(),
                 zones=plan.fleet.halls,
             )
@@ -84,7 +84,7 @@
             (tuple(address(each) for each in range(VOTERS if asked.count >= VOTERS else 1)),),
             lease,
             lease,
-            trials=True,
+            shared_trials=True,
         )
 
     def decisions(self, policy: str) -> Maker:
@@ -115,8 +115,8 @@
         for decisions in looked:
             if isinstance(decisions, Balancer):
                 for place, number in enumerate(self.places):
-                    at = decisions.index.get(number)
-                    refused[place] += at is not None and decisions.state[at] != 0
+                    at = decisions.index_by_id.get(number)
+                    refused[place] += at is not None and decisions.breaker_states[at] != 0
         self.breakers.append([count / max(1, len(looked)) for count in refused])
 
     def run(self, told: Callable[[float], None] | None = None) -> Result:
@@ -128,7 +128,7 @@
             if told is not None:
                 told(second / self.lasts)
             second += SECOND
-        self.timeline.run(self.lasts + max(tariff.patience for tariff in self.tariffs) + LAST_WORDS)
+        self.timeline.run(self.lasts + max(tariff.deadline for tariff in self.tariffs) + LAST_WORDS)
         return result(
             self,
             self.policy if isinstance(self.policy, str) else "other",
--- a/pumicepath/lab/virtual/sidecar.py
+++ b/pumicepath/lab/virtual/sidecar.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from ...interface import Entry, Listing, Outcome, Outlet, Settings, Wakeable
+from ...interface import Callbacks, ListKind, Outcome, ServerEntry, Settings, TimerHandler
 from ..model.clients import Ask
 from ..model.judge import Judge
 from ..model.listing import Registry
@@ -21,24 +21,24 @@
 class Handle(Protocol):
     """What decisions give back for a submission; `logic.Submission` is one."""
 
-    def ended(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None: ...
+    def hop_finished(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None: ...
 
-    def started(self, now: int, number: int) -> None: ...
+    def response_started(self, now: int, number: int) -> None: ...
 
-    def left(self, now: int) -> None: ...
+    def client_left(self, now: int) -> None: ...
 
-    def over(self) -> bool: ...
+    def is_finished(self) -> bool: ...
 
 
 class Decisions(Protocol):
     """What decides in a sidecar; `logic.Balancer` is one, baselines are others."""
 
-    def listed(self, now: int, kind: Listing, entries: Sequence[Entry]) -> None: ...
+    def update_servers(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None: ...
 
-    def take(self, now: int, name: int, tariff: int, key: int, retry: bool, until: int) -> Handle: ...
+    def submit(self, now: int, name: int, tariff: int, key: int, retry: bool, until: int) -> Handle: ...
 
 
-Maker = Callable[[Settings, int, Outlet], Any]
+Maker = Callable[[Settings, int, Callbacks], Any]
 
 
 class Hop:
@@ -140,10 +140,10 @@
                 self.give_up(hop)
             if not one.answered:
                 one.answered = True
-                one.ask.clients.cut(one.ask, self.settings.tariffs[one.ask.tariff].effect != 0)
+                one.ask.clients.cut(one.ask, self.settings.request_classes[one.ask.tariff].effect != 0)
 
-    def listed(self, kind: Listing, entries: list[Entry]) -> None:
-        self.decisions.listed(self.world.timeline.now, kind, entries)
+    def listed(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+        self.decisions.update_servers(self.world.timeline.now, kind, entries)
 
     # -- clients
 
@@ -158,7 +158,7 @@
         one = self.opens[name] = Open(ask, ask.until)
         until = ask.until - MARGIN
         timeline.at(until, self.patience_over, name, one)
-        handle = self.decisions.take(now, name, ask.tariff, ask.key, ask.tries > 1, until)
+        handle = self.decisions.submit(now, name, ask.tariff, ask.key, ask.tries > 1, until)
         one.handle = handle
         self.forget(name, one)
         return True
@@ -170,7 +170,7 @@
         if one is not None and not one.answered:
             one.answered = True
             if one.handle is not None:
-                one.handle.left(self.world.timeline.now)
+                one.handle.client_left(self.world.timeline.now)
             self.forget(name, one)
 
     def patience_over(self, name: int, one: Open) -> None:
@@ -206,7 +206,7 @@
             self.note(self.number, f"submission {ask.number} answered again")
 
     def forget(self, name: int, one: Open) -> None:
-        if one.handle is not None and one.handle.over() and one.answered:
+        if one.handle is not None and one.handle.is_finished() and one.answered:
             self.opens.pop(name, None)
             if self.names.get(one.ask.number) == name:
                 del self.names[one.ask.number]
@@ -275,7 +275,7 @@
     def begun(self, name: int, hop: Hop, outcome: Outcome) -> None:
         """Part of its answer has come, and no more will."""
         if not hop.ended and hop.open.handle is not None:
-            hop.open.handle.started(self.world.timeline.now, hop.number)
+            hop.open.handle.response_started(self.world.timeline.now, hop.number)
 
     def finish(self, name: int, hop: Hop, outcome: Outcome) -> None:
         """What its server said of a hop has come here."""
@@ -298,7 +298,7 @@
         hop.ended = True
         one, now = hop.open, self.world.timeline.now
         if one.handle is not None:
-            one.handle.ended(now, hop.number, outcome, now - hop.at, one.answered)
+            one.handle.hop_finished(now, hop.number, outcome, now - hop.at, one.answered)
         self.forget(name, one)
 
     def give_up(self, hop: Hop) -> None:
@@ -334,10 +334,10 @@
     def send(self, submission: int, server: int, timeout: int) -> None:
         self.sidecar.send(submission, server)
 
-    def defer(self, submission: int, retry_in: int) -> None:
+    def reject(self, submission: int, retry_in: int) -> None:
         self.sidecar.say(submission, "deferred", retry_in)
 
-    def forfeit(self, submission: int) -> None:
+    def fail(self, submission: int) -> None:
         self.sidecar.say(submission, "forfeited")
 
     def cancel(self, submission: int, hop: int) -> None:
@@ -346,22 +346,22 @@
     def probe(self, server: int) -> None:
         """No decision asks for probes."""
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Sidecars of this model don't hear each other."""
 
-    def free_links(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         """Connections of this model rest unharmed, so that nothing is to be gained here."""
 
-    def follow(self) -> None:
+    def request_server_list(self) -> None:
         if self.alive():
             self.sidecar.world.registry.follow(self.sidecar.number)
 
-    def wake(self, at: int, whom: Wakeable) -> None:
+    def set_timer(self, at: int, whom: TimerHandler) -> None:
         self.sidecar.world.timeline.at(at, self.ring, whom)
 
-    def ring(self, whom: Wakeable) -> None:
+    def ring(self, whom: TimerHandler) -> None:
         if self.alive():
-            whom.woke(self.sidecar.world.timeline.now)
+            whom.on_timer(self.sidecar.world.timeline.now)
 
     def log(self, text: str) -> None:
         self.sidecar.note(self.sidecar.number, text)
--- a/setup.py
+++ b/setup.py
@@ -15,7 +15,7 @@
 
 HERE = Path(__file__).resolve().parent
 COMPILED_MODULES = [
-    "pumicepath/logic.py",
+    "pumicepath/balancer.py",
     "pumicepath/interface.py",
     "pumicepath/settings.py",
     "pumicepath/invariants.py",
@@ -23,7 +23,7 @@
     "pumicepath/http1/messages.py",
     "pumicepath/http1/parsing.py",
     "pumicepath/http1/writing.py",
-    "pumicepath/intake/queue.py",
+    "pumicepath/admission/queue.py",
 ]
 BUILD_RECORD = HERE / "pumicepath" / "compiled.json"
 
--- a/tests/bad_balancers.py
+++ b/tests/bad_balancers.py
@@ -6,87 +6,87 @@
 from pumicepath.lab.virtual.baselines import Handle, Plain, Random, RoundRobin
 
 
-class SilentHandle(Handle):
-    def ended(self, now, number, outcome, spent, finished):
+class NeverAnswersHandle(Handle):
+    def hop_finished(self, now, number, outcome, spent, finished):
         self.out = False
         self.done = self.done or finished
 
-    def over(self):
+    def is_finished(self):
         return self.done and not self.out
 
 
-class Silent(Random):
+class NeverAnswers(Random):
     """Never answers a submission whose first hop failed."""
 
-    kind = SilentHandle
+    kind = NeverAnswersHandle
 
 
-class Twice(Random):
+class RejectsTwice(Random):
     """Defers what it has sent, and says so once more."""
 
-    def take(self, now, name, tariff, key, retry, until):
-        one = super().take(now, name, tariff, key, retry, until)
-        if self.settings.tariffs[tariff].effect == Effect.IDEMPOTENT:
-            self.outlet.defer(name, 0)
-            self.outlet.defer(name, 0)
+    def submit(self, now, name, tariff, key, retry, until):
+        one = super().submit(now, name, tariff, key, retry, until)
+        if self.settings.request_classes[tariff].effect == Effect.IDEMPOTENT:
+            self.callbacks.reject(name, 0)
+            self.callbacks.reject(name, 0)
         return one
 
 
-class AfterHandle(Handle):
-    def ended(self, now, number, outcome, spent, finished):
-        super().ended(now, number, outcome, spent, finished)
+class SendsAfterAnswerHandle(Handle):
+    def hop_finished(self, now, number, outcome, spent, finished):
+        super().hop_finished(now, number, outcome, spent, finished)
         if finished and len(self.tried) < 2:
             self.done = False
             self.go_on(now)
 
 
-class After(Random):
+class SendsAfterAnswer(Random):
     """Sends once more after the final answer."""
 
-    kind = AfterHandle
+    kind = SendsAfterAnswerHandle
 
 
-class RepeatsHandle(Handle):
+class RetriesNonIdempotentHandle(Handle):
     def may_repeat(self, outcome):
         return True
 
 
-class Repeats(Random):
+class RetriesNonIdempotent(Random):
     """Sends what may not be repeated again after an error, as if it had not run."""
 
-    kind = RepeatsHandle
+    kind = RetriesNonIdempotentHandle
 
 
-class PromisesHandle(Handle):
-    def ended(self, now, number, outcome, spent, finished):
+class RejectsPossiblyRunHandle(Handle):
+    def hop_finished(self, now, number, outcome, spent, finished):
         self.out = False
         if not finished and not self.done and outcome != Outcome.OK:
             self.done = True
-            self.balancer.outlet.defer(self.name, 0)
+            self.balancer.callbacks.reject(self.name, 0)
         self.done = True
 
 
-class Promises(Random):
+class RejectsPossiblyRun(Random):
     """Defers what may have run, as if trying again were harmless."""
 
-    kind = PromisesHandle
+    kind = RejectsPossiblyRunHandle
 
 
-class Deaf(RoundRobin):
+class IgnoresListUpdates(RoundRobin):
     """Does not heed the list once it has one."""
 
-    def listed(self, now, kind, entries):
+    def update_servers(self, now, kind, entries):
         if not self.ready:
-            super().listed(now, kind, entries)
+            super().update_servers(now, kind, entries)
 
 
-class Rush(Plain):
+class FloodsNewestServer(Plain):
     """Sends everything to the server that came up last."""
 
-    def listed(self, now, kind, entries):
-        super().listed(now, kind, entries)
+    def update_servers(self, now, kind, entries):
+        super().update_servers(now, kind, entries)
         for entry in entries:
-            if entry.came_up:
+            if entry.started_at:
                 self.newest = entry.server
 
     def choose(self, one, among):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 from pumicepath.lab.virtual.run import POLICIES, VirtualWorld
 from pumicepath.lab.virtual.sidecar import Open, Sidecar
 from tests import bad_balancers as bad
-from tests.helpers import compare
+from tests.helpers import check_trace
 
 SMALL = Plan(lasts_s=8, warm_s=1, fleet=Fleet(halls=2, servers=6, cold_s=4, fall_s=1), load=Load(part=0.3))
 BUILD = Build(
@@ -115,7 +115,7 @@
     yard.until(9)
     one.silence()
     yard.send("lost")
-    compare("lab-server", yard.until(20).lines)
+    check_trace("lab-server", yard.until(20).lines)
 
 
 def test_cold_server_sent_too_much_over_any_window_falls_and_stays_down() -> None:
@@ -123,7 +123,7 @@
     yard.until(1).servers[0].start()
     for step in range(12):  # twice what it can do, in a second, is 1.0 and more of work
         yard.until(1.01 + step * 0.09).send(f"{step}", work=110_000)
-    compare("lab-fall", yard.until(9).lines + yard.witness.pushed)
+    check_trace("lab-fall", yard.until(9).lines + yard.witness.pushed)
 
 
 def test_group_shares_a_limit_and_a_dead_server_leaves_its_places_to_the_others() -> None:
@@ -131,7 +131,7 @@
     for at in range(3):
         yard.send(f"server {at}", at)
     yard.until(0.05).servers[0].kill()
-    compare("lab-limit", yard.until(1).lines)
+    check_trace("lab-limit", yard.until(1).lines)
 
 
 def test_jam_lasts_until_the_server_is_nearly_idle() -> None:
@@ -143,14 +143,14 @@
             Job(0, 0, 1, 100_000, lambda outcome, name=name: lines.append(f"{time.now / 1e6:.3f}  {name}"))
         )
     time.run(2_000_000)
-    compare("lab-jam", lines)
+    check_trace("lab-jam", lines)
 
 
 def test_same_seed_gives_the_same_run_and_another_one_another() -> None:
     plan = with_trouble("vanish", for_s=4)
     runs = [VirtualWorld(plan, seed, "pumicepath", 1000).run() for seed in (3, 3, 4)]
     assert runs[0] == runs[1] and runs[0].columns != runs[2].columns
-    compare("lab-run", runs[0].log[:40] + [line(plan, "pumicepath", 3)])
+    check_trace("lab-run", runs[0].log[:40] + [line(plan, "pumicepath", 3)])
 
 
 def test_pairs_of_policies_meet_the_same_submissions() -> None:
@@ -179,7 +179,7 @@
         for server, since in sorted(world.registry.followers[0].told.items())
     ]
     assert calm.events != met.events
-    compare(f"lab-trouble-{kind}", shown + told)
+    check_trace(f"lab-trouble-{kind}", shown + told)
 
 
 EFFECTS = Load(
@@ -196,13 +196,13 @@
 @pytest.mark.parametrize(
     "maker, kind, cause",
     [
-        (bad.Silent, "fail-quickly", None),
-        (bad.Twice, "pause", "answered_twice"),
-        (bad.After, "pause", "sent_after_answer"),
-        (bad.Repeats, "fail-quickly", "ran_twice"),
-        (bad.Promises, "fail-quickly", "deferred_may_run"),
-        (bad.Deaf, "drain", "late_sends"),
-        (bad.Rush, "die", "pushed_over"),
+        (bad.NeverAnswers, "fail-quickly", None),
+        (bad.RejectsTwice, "pause", "answered_twice"),
+        (bad.SendsAfterAnswer, "pause", "sent_after_answer"),
+        (bad.RetriesNonIdempotent, "fail-quickly", "ran_twice"),
+        (bad.RejectsPossiblyRun, "fail-quickly", "deferred_may_run"),
+        (bad.IgnoresListUpdates, "drain", "late_sends"),
+        (bad.FloodsNewestServer, "die", "pushed_over"),
     ],
 )
 def test_judge_catches_a_balancer_that_breaks_the_rule(maker: type, kind: str, cause: str | None) -> None:
@@ -231,7 +231,7 @@
     if after is not None:  # its client waits on, or nobody would see the late one
         monkeypatch.setattr(Clients, "given_up", lambda *_: None)
     plan = with_trouble("fail-quickly", SMALL.model_copy(update={"load": EFFECTS}))
-    found = VirtualWorld(plan, 1, bad.Silent).run()
+    found = VirtualWorld(plan, 1, bad.NeverAnswers).run()
     assert found.rules[cause] > 0, found.rules
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from itertools import takewhile
 
-from pumicepath.interface import Effect, Entry, Group, Listing, Phase, Tariff
+from pumicepath.interface import DedupGroup, Effect, ListKind, RequestClass, ServerEntry, ServerState
 from pumicepath.lab.model.clients import Clients, Habits, Keys, Moods, Tally
 from pumicepath.lab.model.judge import Judge
 from pumicepath.lab.model.listing import Manner, Registry
@@ -13,11 +13,11 @@
 from pumicepath.lab.model.servers import Build, Job, Server
 from pumicepath.lab.model.timeline import SECOND, Virtual, chance
 
-from .helpers import compare
+from .helpers import check_trace
 
-READ = Tariff(150_000, 600_000, 1.0, 0.0, Effect.IDEMPOTENT, Group.ALL, 0)
-ONCE = Tariff(150_000, 600_000, 3.0, 0.0, Effect.UNREPEATABLE, Group.ALL, 0)
-CELL = Tariff(150_000, 600_000, 2.0, 0.0, Effect.DEDUPLICATED, Group.CELL, SECOND)
+READ = RequestClass(150_000, 600_000, 1.0, 0.0, Effect.IDEMPOTENT, DedupGroup.ALL, 0)
+ONCE = RequestClass(150_000, 600_000, 3.0, 0.0, Effect.NON_IDEMPOTENT, DedupGroup.ALL, 0)
+CELL = RequestClass(150_000, 600_000, 2.0, 0.0, Effect.DEDUPLICATED, DedupGroup.CELL, SECOND)
 BUILD = Build(1, 10, 10, 1.0, 0.5, SECOND, 2.0, SECOND, 9.0, 1.0, False)
 
 
@@ -27,8 +27,8 @@
     def __init__(self, time: Virtual, lines: list[str]) -> None:
         self.time, self.lines = time, lines
 
-    def listed(self, kind: Listing, entries: list[Entry]) -> None:
-        shown = " ".join(f"{entry.server}:{entry.phase.name.lower()}" for entry in entries)
+    def listed(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+        shown = " ".join(f"{entry.server}:{entry.state.name.lower()}" for entry in entries)
         self.lines.append(f"{self.time.now / 1e6:.3f}  {kind.name.lower()} {shown}".rstrip())
 
 
@@ -99,7 +99,7 @@
     for now in (0, 5 * SECOND):
         drawn = Counter(Keys(1000, 1.0, 10 * SECOND).draw(now, by) for _ in range(5000))
         lines.append(f"keys at {now // SECOND} s: {drawn.most_common(4)}, {len(drawn)} different")
-    compare("model-clients", lines)
+    check_trace("model-clients", lines)
 
 
 def test_client_nobody_takes_tries_again_and_is_given_up_once() -> None:
@@ -112,30 +112,30 @@
 def test_list_lags_fails_lies_and_changes_that_overtake_are_not_used() -> None:
     time, registry, _ = yard(lag_to=900_000)
     lines: list[str] = []
-    registry.put(*(Entry(server, 0, 0, Phase.READY, 1.0, 0) for server in range(3)))
+    registry.put(*(ServerEntry(server, 0, 0, ServerState.READY, 1.0, 0) for server in range(3)))
     registry.join(0, Reader(time, lines))
     registry.follow(0)
     time.run(SECOND)
     for step in range(4):  # faster than the lag: some overtake others
-        registry.drained(step % 3, Phase.DRAINING if step < 3 else Phase.GONE)
+        registry.drained(step % 3, ServerState.DRAINING if step < 3 else ServerState.GONE)
     time.run(4 * SECOND)
-    registry.lie(1, Phase.READY)
+    registry.lie(1, ServerState.READY)
     time.run(5 * SECOND)
     registry.break_off()
-    registry.drained(2, Phase.GONE)
+    registry.drained(2, ServerState.GONE)
     time.run(7 * SECOND)
     registry.follow(0)
     time.run(8 * SECOND)
     registry.come_back()
     registry.follow(0)
     time.run(9 * SECOND)
-    compare("model-list", lines)
+    check_trace("model-list", lines)
 
 
 def test_told_and_deemed_told_and_the_grace_to_the_microsecond() -> None:
     time, registry, judge = yard()
     for server in range(2):
-        registry.put(Entry(server, 0, 0, Phase.READY, 1.0, 0))
+        registry.put(ServerEntry(server, 0, 0, ServerState.READY, 1.0, 0))
     registry.join(0, Reader(time, []))  # follows, and is told
     registry.follow(0)
     registry.join(1, Reader(time, []))  # never asks
@@ -161,10 +161,10 @@
     send(1, 10 * SECOND)  # deemed told of it 10 s after it was listed
     send(1, 11 * SECOND + 500_000)
     send(1, 11 * SECOND + 500_001)
-    registry.put(Entry(1, 0, 0, Phase.READY, 1.0, 0))
+    registry.put(ServerEntry(1, 0, 0, ServerState.READY, 1.0, 0))
     time.run(12 * SECOND)
     send(0, 12 * SECOND)
-    compare("model-told", lines)
+    check_trace("model-told", lines)
 
 
 def test_effects_count_over_tries_groups_and_windows() -> None:
@@ -194,7 +194,7 @@
     run(4, 0, "another one")
     time.run(SECOND + 1)
     run(4, 1, "again in its cell, after the window")
-    compare("model-effects", lines)
+    check_trace("model-effects", lines)
 
 
 def test_cut_hall_drops_without_a_word_and_near_is_nearer_than_far() -> None:
