--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -1,9 +1,10 @@
-"""CPU for a submission on real sockets, old against new in turns, and taken apart by system call and by part.
+"""CPU time of a submission on real sockets: two versions in alternation, in total and by system call.
 
     python benchmarks/cost.py --old HEAD~1 --runs 5 --cores 1,2,3
 
-The sidecar has the first core to itself, the stand-in servers the second, the clients the third: closed
-loops on 8 connections, one submission in four with a body.  Servers are the lab's, and answer at once.
+The sidecar has the first core to itself, the simulated servers the second, the clients the third.  Clients
+are closed loops on 8 connections; one submission in four has a body.  Servers are the lab's, and answer at
+once.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from pathlib import Path
 
 import click
-from trees import ROOT, trees
+from worktrees import ROOT, checked_out_trees
 
 sys.path.insert(0, str(ROOT))
 
@@ -32,64 +33,77 @@
 
 
 def plan(servers: int) -> Plan:
-    """Servers that are never short of cores, and answer within a tenth of a millisecond."""
-    long = {"agreed_ms": 600, "patience_ms": 2500}
+    """A plan whose servers always have a free core and answer within a tenth of a millisecond."""
+    durations = {"agreed_ms": 600, "patience_ms": 2500}
     return Plan(
         lasts_s=3600,
         fleet=Fleet(halls=1, servers=servers, cores=1000, work_ms=0.01, near_ms=0.01, miss=1.0),
         sidecars=Sidecars(count=1),
         load=Load(
             tariffs=(
-                Tariff(name="read", **long),
-                Tariff(name="once", effect="at_most_once", gain=3.0, **long),
+                Tariff(name="read", **durations),
+                Tariff(name="once", effect="at_most_once", gain=3.0, **durations),
             )
         ),
     )
 
 
-def serve(pipe, core: int, servers: int, folder: str) -> None:
+def servers_process(pipe, core: int, servers: int, folder: str) -> None:
+    """Serve on one core until terminated; sends the sidecar's configuration through `pipe` first."""
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
-        async with run_servers(plan(servers), 7, Path(folder)) as stand:
-            pipe.send(stand.configuration)
+        async with run_servers(plan(servers), 7, Path(folder)) as fleet:
+            pipe.send(fleet.configuration)
             await asyncio.Event().wait()
 
     asyncio.run(run())
 
 
-class Loop(asyncio.Protocol):
-    """One connection that asks again as soon as it is answered."""
+class ClosedLoopClient(asyncio.Protocol):
+    """One connection that sends the next request as soon as it has the response.
+
+    `tally` counts responses by status.
+    """
 
     def __init__(self, number: int, tally: dict[int, int]) -> None:
         self.number, self.tally = number << 32, tally
 
     def connection_made(self, transport) -> None:
         self.transport = transport
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.number += 1
-        once = self.number % 4 == 0
+        non_idempotent = self.number % 4 == 0
         key = hash(self.number * 2654435761) % 2000 + 1
         self.transport.write(
-            encode_request("once" if once else "read", not once, f"{self.number:x}-1", key, 2000, False, 200)
+            encode_request(
+                "once" if non_idempotent else "read",
+                not non_idempotent,
+                f"{self.number:x}-1",
+                key,
+                2000,
+                False,
+                200,
+            )
         )
 
     def data_received(self, data: bytes) -> None:
         status = int(data[9:12])
         self.tally[status] = self.tally.get(status, 0) + 1
-        self.ask()
+        self.send_request()
 
 
-def load(where: tuple[str, int], core: int, connections: int, pipe) -> None:
+def clients_process(address: tuple[str, int], core: int, connections: int, pipe) -> None:
+    """Run the clients on one core; each message on `pipe` is answered with the responses so far by status."""
     os.sched_setaffinity(0, {core})
     tally: dict[int, int] = {}
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
         for number in range(connections):
-            await loop.create_connection(lambda number=number: Loop(number + 1, tally), *where)
+            await loop.create_connection(lambda number=number: ClosedLoopClient(number + 1, tally), *address)
         while True:
             await asyncio.sleep(0.02)
             while pipe.poll():
@@ -99,7 +113,8 @@
     asyncio.run(run())
 
 
-def switches(pid: int) -> int:
+def context_switches(pid: int) -> int:
+    """Voluntary and involuntary context switches of all threads of a process."""
     total = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
         total += sum(map(int, re.findall(r"ctxt_switches:\s+(\d+)", (task / "status").read_text())))
@@ -107,31 +122,37 @@
 
 
 def measure(root: Path, cores: list[int], connections: int, seconds: float, trace: bool) -> dict:
+    """Costs of one submission over `seconds`, for a sidecar of the tree at `root`; times in milliseconds."""
     context = multiprocessing.get_context("spawn")
-    here, there = context.Pipe()
+    fleet_pipe, fleet_child_pipe = context.Pipe()
     with tempfile.TemporaryDirectory() as folder:
-        fleet = context.Process(target=serve, args=(there, cores[1], 4, folder), daemon=True)
+        fleet = context.Process(
+            target=servers_process, args=(fleet_child_pipe, cores[1], 4, folder), daemon=True
+        )
         fleet.start()
-        told = here.recv()
-        sidecar = SidecarProcess(told, Path(folder), root, {cores[0]})
+        config = fleet_pipe.recv()
+        sidecar = SidecarProcess(config, Path(folder), root, {cores[0]})
         try:
-            while (where := sidecar.address()) is None:
+            while (address := sidecar.address()) is None:
                 time.sleep(0.02)
             time.sleep(0.3)
-            ours, theirs = context.Pipe()
-            clients = context.Process(target=load, args=(where, cores[2], connections, theirs), daemon=True)
+            parent_pipe, child_pipe = context.Pipe()
+            clients = context.Process(
+                target=clients_process, args=(address, cores[2], connections, child_pipe), daemon=True
+            )
             clients.start()
 
             def served() -> dict[int, int]:
-                ours.send(None)
-                return ours.recv()
+                parent_pipe.send(None)
+                return parent_pipe.recv()
 
             time.sleep(1.5)
-            before, (own, system), turns = served(), sidecar.cpu_seconds(), switches(sidecar.process.pid)
-            calls = ""
+            before, (own, system) = served(), sidecar.cpu_seconds()
+            switches_before = context_switches(sidecar.process.pid)
+            trace_output = ""
             if trace:
                 command = f"timeout -s INT {seconds} strace -c -f -p {sidecar.process.pid}"
-                calls = subprocess.run(command.split(), capture_output=True, text=True).stderr
+                trace_output = subprocess.run(command.split(), capture_output=True, text=True).stderr
             else:
                 time.sleep(seconds)
             after, (own_then, system_then) = served(), sidecar.cpu_seconds()
@@ -142,15 +163,15 @@
                 "ms": (own_then + system_then - own - system) * 1e3 / count,
                 "own_ms": (own_then - own) * 1e3 / count,
                 "system_ms": (system_then - system) * 1e3 / count,
-                "switches": (switches(sidecar.process.pid) - turns) / count,
+                "switches": (context_switches(sidecar.process.pid) - switches_before) / count,
                 "per_s": count / seconds,
                 "memory_mb": sidecar.memory_mb(),
                 "threads": sidecar.thread_count(),
             }
             if trace:
-                lines = re.findall(r"^ *[\d.]+ +[\d.]+ +\d+ +(\d+) +(?:\d+ +)?(\w+)$", calls, re.M)
+                lines = re.findall(r"^ *[\d.]+ +[\d.]+ +\d+ +(\d+) +(?:\d+ +)?(\w+)$", trace_output, re.M)
                 result["calls"] = {
-                    name: round(int(found) / count, 2) for found, name in lines if int(found) > count / 50
+                    name: round(int(calls) / count, 2) for calls, name in lines if int(calls) > count / 50
                 }
             clients.terminate()
             return result
@@ -160,39 +181,46 @@
 
 
 @click.command()
-@click.option("--old", default="", help="A commit to measure against, in turns with the tree as it is.")
+@click.option(
+    "--old", default="", help="A commit to compare with, measured in alternation with the working tree."
+)
 @click.option("--runs", default=5, show_default=True)
 @click.option("--seconds", default=4.0, show_default=True)
 @click.option("--connections", default=8, show_default=True)
-@click.option("--cores", default="1,2,3", show_default=True, help="Sidecar's, servers' and clients' core.")
-@click.option("--trace", is_flag=True, help="Count system calls with strace; times are then of no use.")
+@click.option(
+    "--cores", default="1,2,3", show_default=True, help="Cores of the sidecar, the servers and the clients."
+)
+@click.option(
+    "--trace", is_flag=True, help="Count system calls with strace, which makes the times meaningless."
+)
 def main(old: str, runs: int, seconds: float, connections: int, cores: str, trace: bool) -> None:
-    places = [int(core) for core in cores.split(",")]
-    found: dict[str, list[dict]] = {}
-    with trees(old) as roots:
+    """Measure the CPU time of a submission in the sidecar."""
+    core_numbers = [int(core) for core in cores.split(",")]
+    results: dict[str, list[dict]] = {}
+    with checked_out_trees(old) as roots:
         for _ in range(runs):
             for name, root in roots.items():
-                one = measure(root, places, connections, seconds, trace)
-                found.setdefault(name, []).append(one)
+                result = measure(root, core_numbers, connections, seconds, trace)
+                results.setdefault(name, []).append(result)
                 print(
                     name,
                     json.dumps(
                         {
                             key: round(value, 3) if isinstance(value, float) else value
-                            for key, value in one.items()
+                            for key, value in result.items()
                         }
                     ),
                     flush=True,
                 )
-    for name, each in found.items():
-        values = sorted(one["ms"] for one in each)
+    for name, runs_of in results.items():
+        values = sorted(result["ms"] for result in runs_of)
         print(
-            f"{name}: {statistics.median(values):.3f} ms a submission in the median "
+            f"{name}: {statistics.median(values):.3f} ms a submission, median "
             f"({values[0]:.3f} to {values[-1]:.3f}, {len(values)} runs), "
-            f"{statistics.median(one['switches'] for one in each):.1f} context switches"
+            f"{statistics.median(result['switches'] for result in runs_of):.1f} context switches"
         )
     if old:
-        ratio = [b["ms"] / a["ms"] for a, b in zip(found["old"], found["new"])]
+        ratio = [b["ms"] / a["ms"] for a, b in zip(results["old"], results["new"])]
         print(f"new / old: {statistics.median(ratio):.2f} ({min(ratio):.2f} to {max(ratio):.2f})")
 
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,4 +1,4 @@
-"""CPU of the parts of a submission that need no socket, each alone in a loop.
+"""CPU time of the parts of a submission that need no socket, each measured alone in a loop.
 
 python benchmarks/parts.py                           # compiled, if the tree is
 PUMICEPATH_INTERPRETED=1 python benchmarks/parts.py
@@ -39,22 +39,23 @@
 )
 
 
-class Nowhere:
-    """An outlet that does nothing."""
+class NullCallbacks:
+    """Callbacks of a balancer that do nothing."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *_: None
 
 
-def parts() -> dict[str, Callable[[], object]]:
-    told = config.decode_config(
+def make_parts() -> dict[str, Callable[[], object]]:
+    """The measured parts by their labels in the output."""
+    sidecar_config = config.decode_config(
         {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings_of(PLAN, 0, 0)}
     )
     request, response = RequestParser(), ResponseParser(MAX_BODY_BYTES)
 
     def feed(parser, data: bytes):
-        room = parser.ring.writable()
-        room[: len(data)] = data
+        free_space = parser.ring.writable()
+        free_space[: len(data)] = data
         parser.ring.commit(len(data))
 
     def parse(parser, data: bytes):
@@ -68,48 +69,53 @@
 
     whole, answer = parse(request, REQUEST), parse(response, ANSWER)
 
-    def onward() -> bytes:
+    def write_hop() -> bytes:
         headers = [
             (name, value) for name, value in whole.end_to_end_headers() if name.lower() != "x-expires-in-ms"
         ]
         return writing.request(whole.method, whole.target, [*headers, ("x-expires-in-ms", "5")], whole.body)
 
-    entrance = AdmissionGate(told)
+    gate = AdmissionGate(sidecar_config)
 
-    def through() -> None:
-        entrance.enter(10, 10**18, 0, False, 5000.0)
-        entrance.leave()
-        entrance.reenter()
-        entrance.leave(100)
+    def pass_gate() -> None:
+        gate.enter(10, 10**18, 0, False, 5000.0)
+        gate.leave()
+        gate.reenter()
+        gate.leave(100)
 
-    found: dict[str, Callable[[], object]] = {
+    parts: dict[str, Callable[[], object]] = {
         "read a request": lambda: parse(request, REQUEST),
-        "what it asks": lambda: parse_submission(whole, told.request_classes, told.settings.request_classes),
-        "through the entrance, twice": through,
-        "write the hop": onward,
+        "what it asks": lambda: parse_submission(
+            whole, sidecar_config.request_classes, sidecar_config.settings.request_classes
+        ),
+        "through the entrance, twice": pass_gate,
+        "write the hop": write_hop,
         "read the answer": lambda: parse(response, ANSWER),
         "write the answer": lambda: writing.response(*answers.succeeded(answer), True),
         "glance at a request": glance,
     }
     for servers in (4, 9, 12):
-        balancer = Balancer(told.settings, 1, Nowhere())
+        balancer = Balancer(sidecar_config.settings, 1, NullCallbacks())
         balancer.update_servers(
             0, ListKind.FULL, [ServerEntry(at, 0, 0, ServerState.READY, 1.0, 0) for at in range(servers)]
         )
-        found[f"decide, {servers} servers"] = decisions(balancer)
-    return found
+        parts[f"decide, {servers} servers"] = decision_loop(balancer)
+    return parts
 
 
-def decisions(balancer: Balancer) -> Callable[[], None]:
-    chance = random.Random(1)
-    keys = [chance.randrange(1, 1500) for _ in range(5000)]
+def decision_loop(balancer: Balancer) -> Callable[[], None]:
+    """A function that decides on one submission and records its end, for keys drawn at random."""
+    rng = random.Random(1)
+    keys = [rng.randrange(1, 1500) for _ in range(5000)]
     state = [10**9, 0]
 
     def decide() -> None:
         state[0] += 800
         state[1] += 1
-        one = balancer.submit(state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000)
-        one.hop_finished(state[0] + 5000, 0, Outcome.OK, 5000, True)
+        submission = balancer.submit(
+            state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000
+        )
+        submission.hop_finished(state[0] + 5000, 0, Outcome.OK, 5000, True)
 
     return decide
 
@@ -119,21 +125,21 @@
 @click.option("--times", default=20_000, show_default=True)
 @click.option("--as-json", is_flag=True)
 def main(runs: int, times: int, as_json: bool) -> None:
-    """Microseconds a part, the middle of the runs."""
-    found: dict[str, list[float]] = {}
+    """Microseconds for each part, median of the runs."""
+    results: dict[str, list[float]] = {}
     for _ in range(runs):
-        for name, part in parts().items():
+        for name, part in make_parts().items():
             began = time.process_time()
             for _ in range(times):
                 part()
-            found.setdefault(name, []).append((time.process_time() - began) / times * 1e6)
-    middle = {name: statistics.median(values) for name, values in found.items()}
+            results.setdefault(name, []).append((time.process_time() - began) / times * 1e6)
+    medians = {name: statistics.median(values) for name, values in results.items()}
     if as_json:
-        print(json.dumps({"form": FORM, **middle}))
+        print(json.dumps({"form": FORM, **medians}))
         return
     print(FORM)
-    for name, value in middle.items():
-        print(f"{name:28} {value:6.1f} us  ({min(found[name]):.1f} to {max(found[name]):.1f})")
+    for name, value in medians.items():
+        print(f"{name:28} {value:6.1f} us  ({min(results[name]):.1f} to {max(results[name]):.1f})")
 
 
 if __name__ == "__main__":
--- a/setup.py
+++ b/setup.py
@@ -1,7 +1,8 @@
-"""Builds the pure modules as C by mypyc, where there is a compiler; without one the same files run.
+"""Builds the package and compiles its pure modules with mypyc if a C compiler is available.
 
-What was compiled is written down in the package with the hash of each file, so that a module that has been
-edited since is never run from an older build (see `pumicepath/compiled.py`).
+Without a compiler the same modules run interpreted.  The hash of each compiled file is recorded in
+`pumicepath/compiled.json`, so that a module edited after the build is not run from the older compiled form
+(see `pumicepath/compiled.py`).
 """
 
 import hashlib
@@ -13,7 +14,7 @@
 from setuptools.command.build_ext import build_ext
 
 HERE = Path(__file__).resolve().parent
-MODULES = [
+COMPILED_MODULES = [
     "pumicepath/balancer.py",
     "pumicepath/interface.py",
     "pumicepath/settings.py",
@@ -24,38 +25,42 @@
     "pumicepath/http1/writing.py",
     "pumicepath/admission/queue.py",
 ]
-BUILT = HERE / "pumicepath" / "compiled.json"
+BUILD_RECORD = HERE / "pumicepath" / "compiled.json"
 
 
-class WhereItWorks(build_ext):
-    """Compiles all or nothing: guards against a part that was built from other files than the rest."""
+class OptionalBuildExt(build_ext):
+    """Compiles all modules or none, so that a failed build does not leave modules of different versions."""
 
     def run(self) -> None:
-        BUILT.unlink(missing_ok=True)
+        """Build the extensions, then record the hashes of their sources; a failure only prints a message."""
+        BUILD_RECORD.unlink(missing_ok=True)
         try:
             super().run()
-        except BaseException as trouble:  # no compiler, no headers, a refusal: setuptools exits as well
-            print(f"pumicepath is not compiled, and runs as it is: {trouble}", file=sys.stderr)
+        except BaseException as error:  # no compiler or headers, a compile error; setuptools may exit
+            print(f"pumicepath is not compiled and will run interpreted: {error}", file=sys.stderr)
             self.extensions = []
             return
         if self.extensions:
-            hashes = {name: hashlib.sha256((HERE / name).read_bytes()).hexdigest() for name in MODULES}
+            hashes = {
+                name: hashlib.sha256((HERE / name).read_bytes()).hexdigest() for name in COMPILED_MODULES
+            }
             built = sorted(
                 str(file.relative_to(HERE))
                 for where in (HERE, HERE / "pumicepath")
                 for file in (where.glob("*.so") if where == HERE else where.rglob("*.so"))
             )
-            BUILT.write_text(json.dumps({"files": hashes, "built": built}, indent=1) + "\n")
+            BUILD_RECORD.write_text(json.dumps({"files": hashes, "built": built}, indent=1) + "\n")
 
 
 def extensions() -> list:
+    """Return mypyc's extension modules, or an empty list if mypyc is missing or fails."""
     try:
         from mypyc.build import mypycify
 
-        return mypycify(["--config-file=", *MODULES], opt_level="3", debug_level="0")
-    except BaseException as trouble:  # mypyc exits where it can't go on
-        print(f"pumicepath is not compiled, and runs as it is: {trouble}", file=sys.stderr)
+        return mypycify(["--config-file=", *COMPILED_MODULES], opt_level="3", debug_level="0")
+    except BaseException as error:  # mypyc raises SystemExit on an error
+        print(f"pumicepath is not compiled and will run interpreted: {error}", file=sys.stderr)
         return []
 
 
-setup(ext_modules=extensions(), cmdclass={"build_ext": WhereItWorks})
+setup(ext_modules=extensions(), cmdclass={"build_ext": OptionalBuildExt})
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("kind", [0, -1])
 def test_keys_stay_while_live_weights_fall_and_rise_or_are_not_finite(kind: int) -> None:
-    bench = ScriptedHost(make_settings(live=True), live_entries(2.0, 2.0, 2.0, 2.0, kind=kind))
+    bench = ScriptedHost(make_settings(live_weights=True), live_entries(2.0, 2.0, 2.0, 2.0, kind=kind))
     before = targets_of(bench, 40, 2)
     for scales in ((1.0, 2.0, 1.3, 2.0), (2.0, 0.4, 2.0, 1.0), (math.nan, -1.0, math.inf, 0.0)):
         bench.balancer.update_servers(bench.now, ListKind.CHANGES, live_entries(*scales, kind=kind))
@@ -46,7 +46,7 @@
     counts = []
     for scale in (2.0, 0.5):  # the other servers are idle, then loaded
         bench = ScriptedHost(
-            make_settings(live=True, cold_for=1000 * SECOND), live_entries(2.0, 2.0, 2.0, 2.0)
+            make_settings(live_weights=True, cold_duration=1000 * SECOND), live_entries(2.0, 2.0, 2.0, 2.0)
         )
         bench.balancer.update_servers(0, ListKind.CHANGES, live_entries(scale, scale, scale))
         bench.balancer.update_servers(
@@ -57,11 +57,12 @@
     servers = [make_entry(at) for at in range(1, 10)] + [make_entry(10, started_at=1)]
     for fleet in (20, 200):  # all sidecars restarted together, at four times the quota of the tenants
         benches = (
-            ScriptedHost(make_settings(me=me, fleet=fleet, quotas=(100.0,)), servers) for me in range(fleet)
+            ScriptedHost(make_settings(sidecar_index=me, fleet_size=fleet, tenant_quotas=(100.0,)), servers)
+            for me in range(fleet)
         )
         assert 0 < sum(targets_of(bench, 1200 // fleet, 400 / fleet).count(10) for bench in benches) < 27
-    without_quotas = make_settings(fleet=1, cold_for=1000 * SECOND, cold_from=0.5)
-    quotas, changed = dataclasses.replace(without_quotas, quotas=(40.0,)), []
+    without_quotas = make_settings(fleet_size=1, cold_duration=1000 * SECOND, cold_fraction=0.5)
+    quotas, changed = dataclasses.replace(without_quotas, tenant_quotas=(40.0,)), []
     for first, then in (
         (without_quotas, without_quotas),
         (without_quotas, quotas),
@@ -98,7 +99,7 @@
 
 
 def test_full_servers_cause_rejections_and_open_no_breaker() -> None:
-    bench = ScriptedHost(make_settings(live=True), live_entries(1.0, 1.0, 1.0))
+    bench = ScriptedHost(make_settings(live_weights=True), live_entries(1.0, 1.0, 1.0))
     for step in range(40):
         one = bench.advance_to(step / 4).submit(step, step + 1)
         while one.hops_in_flight:
