--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -19,8 +19,8 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from pumicepath.lab.loopback.world import Void, play  # noqa: E402
-from pumicepath.lab.model.result import Result, summary  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Trouble  # noqa: E402
+from pumicepath.lab.model.result import Result, summarize  # noqa: E402
+from pumicepath.lab.spec import Fleet, Load, Plan, FaultSpec  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
 DAYS: dict[str, tuple[dict[str, Any], ...]] = {
@@ -41,13 +41,13 @@
         lasts_s=12,
         fleet=Fleet(halls=2, servers=8, work_ms=20, cold_s=5),
         load=Load(rate=300),
-        troubles=tuple(Trouble(**{"at_s": 3, "for_s": 3, **each}) for each in troubles),
+        troubles=tuple(FaultSpec(**{"at_s": 3, "for_s": 3, **each}) for each in troubles),
     )
 
 
 def line(result: Result) -> str:
-    told = summary(result)
-    broken = [rule for rule, count in result.rules.items() if count]
+    told = summarize(result)
+    broken = [rule for rule, count in result.violations.items() if count]
     return f"service {told['service']:.3f}  p50 {told['p50_ms']:5.1f}  p99 {told['p99_ms']:6.1f} ms" + (
         f"  BROKEN {broken}" if broken else ""
     )
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -28,7 +28,7 @@
 from pumicepath.lab.loopback.apart import serving  # noqa: E402
 from pumicepath.lab.loopback.process import Sidecar  # noqa: E402
 from pumicepath.lab.loopback.wires import asked  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Tariff  # noqa: E402
+from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, RequestClassSpec  # noqa: E402
 
 
 def plan(servers: int) -> Plan:
@@ -40,8 +40,8 @@
         sidecars=Sidecars(count=1),
         load=Load(
             tariffs=(
-                Tariff(name="read", **long),
-                Tariff(name="once", effect="at_most_once", gain=3.0, **long),
+                RequestClassSpec(name="read", **long),
+                RequestClassSpec(name="once", effect="at_most_once", gain=3.0, **long),
             )
         ),
     )
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -27,16 +27,16 @@
 from pumicepath.lab.experiments.fleet import judged  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.links import Links  # noqa: E402
-from pumicepath.lab.model.timeline import SECOND, Virtual  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble  # noqa: E402
-from pumicepath.lab.virtual.peers import Peering, address  # noqa: E402
+from pumicepath.lab.model.timeline import SECOND, VirtualTimeline  # noqa: E402
+from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, FaultSpec  # noqa: E402
+from pumicepath.lab.virtual.peers import VirtualFleet, address  # noqa: E402
 
 CALM_S = 20.0  # at the end of the soak
 
 
 def soaked(count: int, seconds: float, seed: int) -> Plan:
     by = Random(seed)
-    troubles = [Trouble(kind="fail-quickly", at_s=3, for_s=seconds - 3, servers=(0, 1, 2), value=1.0)]
+    troubles = [FaultSpec(kind="fail-quickly", at_s=3, for_s=seconds - 3, servers=(0, 1, 2), value=1.0)]
     at = 8.0
     while at < seconds - CALM_S:
         some = tuple(by.sample(range(count), by.choice((1, 1, 2, 3, count // 2))))
@@ -56,10 +56,10 @@
         )
         match kind:
             case "one-way":
-                troubles.append(Trouble(kind="peers-cut", at_s=at, for_s=lasts, from_=some))
+                troubles.append(FaultSpec(kind="peers-cut", at_s=at, for_s=lasts, from_=some))
             case "peers-noisy":
                 troubles.append(
-                    Trouble(
+                    FaultSpec(
                         kind=kind,
                         at_s=at,
                         for_s=lasts,
@@ -71,7 +71,7 @@
                 )
             case "voters":
                 troubles.append(
-                    Trouble(
+                    FaultSpec(
                         kind=by.choice(("sidecars-killed", "sidecars-stopped")),
                         at_s=at,
                         for_s=lasts,
@@ -80,12 +80,12 @@
                 )
             case "clock-step":
                 troubles.append(
-                    Trouble(
+                    FaultSpec(
                         kind=kind, at_s=at, for_s=lasts, sidecars=some[:2], value=by.choice((-3600.0, 3600.0))
                     )
                 )
             case _:
-                troubles.append(Trouble(kind=kind, at_s=at, for_s=lasts, sidecars=some[:5]))
+                troubles.append(FaultSpec(kind=kind, at_s=at, for_s=lasts, sidecars=some[:5]))
         at += by.uniform(1.0, 6.0)
     return Plan(
         lasts_s=seconds,
@@ -103,21 +103,21 @@
         found = judged(path)
     print(
         f"{count} real sidecars for {seconds:g} s, seed {seed}: {found.handovers} hand-overs, "
-        f"service {result.service:.4f}, {sum(result.rules.values())} rules broken"
+        f"service {result.service:.4f}, {sum(result.violations.values())} rules broken"
     )
     print("\n".join(found.lines()))
-    return 1 if found.violations or any(result.rules.values()) else 0
+    return 1 if found.violations or any(result.violations.values()) else 0
 
 
 class Wanting:
     """A fleet that wants some duties, whoever has the highest rank for each; no submissions."""
 
     def __init__(self, count: int, lease_s: float, duties: list[str], seed: int) -> None:
-        self.time = Virtual()
+        self.time = VirtualTimeline()
         self.links = Links(self.time, seed, 300)
         lease = round(lease_s * SECOND)
         voting = Voting((tuple(address(each) for each in range(3)),), lease, lease)
-        self.peering = Peering(self.time, self.links, seed, count, voting=voting)
+        self.peering = VirtualFleet(self.time, self.links, seed, count, voting=voting)
         self.duties = duties
         for number in range(count):
             self.peering.start(number)
@@ -125,14 +125,14 @@
 
     def want(self) -> None:
         for node in self.peering.nodes:
-            if node.fellow is not None and node.fellow.duties is not None:
-                node.fellow.duties.want(node.clock(), self.duties)
-                node.wake()
+            if node.fleet_node is not None and node.fleet_node.duties is not None:
+                node.fleet_node.duties.want(node.clock(), self.duties)
+                node.schedule_timer()
         self.time.at(self.time.now + SECOND, self.want)
 
     def holder(self, duty: str) -> int:
         for node in self.peering.nodes:
-            fellow = node.fellow
+            fellow = node.fleet_node
             if (
                 not node.stopped
                 and fellow is not None
@@ -166,8 +166,8 @@
         case "cut":
             fleet.links.cut({number}, every - {number})
         case "resign":
-            assert node.fellow is not None
-            node.fellow.end(node.clock())
+            assert node.fleet_node is not None
+            node.fleet_node.end(node.clock())
     return fleet.until_held("d", number if how != "cut" else -1) if how != "cut" else gap(fleet, number)
 
 
@@ -217,24 +217,24 @@
             def call() -> None:
                 if fellow.duties is not None:
                     fellow.duties.want(fleet.peering.nodes[number].clock(), mine.get(number, []))
-                    fleet.peering.nodes[number].wake()
+                    fleet.peering.nodes[number].schedule_timer()
 
             return call
 
         fleet.time.run(40 * SECOND)
         fleet.want = lambda: None  # type: ignore[method-assign]
         for node in fleet.peering.nodes:
-            if node.fellow is not None:
-                fleet.time.at(fleet.time.now, want(node.fellow, node.number))
+            if node.fleet_node is not None:
+                fleet.time.at(fleet.time.now, want(node.fleet_node, node.number))
         fleet.time.run(fleet.time.now + 20 * SECOND)
         fleet.links.sent.clear()
         fleet.links.bytes.clear()
         cpu = time.process_time()
         fleet.time.run(fleet.time.now + 20 * SECOND)
         held = [
-            len(node.fellow.duties.held(node.clock()))
+            len(node.fleet_node.duties.held(node.clock()))
             for node in fleet.peering.nodes
-            if node.fellow is not None and node.fellow.duties is not None
+            if node.fleet_node is not None and node.fleet_node.duties is not None
         ]
         assert sum(held) == duties, sum(held)
         rows["messages a second and sidecar"].append(f"{fleet.links.sent.total() / count / 20:.2f}")
--- a/benchmarks/hearing.py
+++ b/benchmarks/hearing.py
@@ -21,7 +21,7 @@
 from pumicepath.discovery.watch import Watch
 from pumicepath.interface import Listing, Outcome
 from pumicepath.lab.loopback.process import Sidecar
-from pumicepath.lab.spec import told as settings_of
+from pumicepath.lab.spec import sidecar_settings as settings_of
 from pumicepath.logic import Balancer
 from pumicepath.settings import decode
 
--- a/benchmarks/holding.py
+++ b/benchmarks/holding.py
@@ -14,14 +14,14 @@
 from duties import Wanting
 
 from pumicepath.lab.model.links import Links
-from pumicepath.lab.model.timeline import SECOND, Virtual
-from pumicepath.lab.virtual.peers import Node, Peering
+from pumicepath.lab.model.timeline import SECOND, VirtualTimeline
+from pumicepath.lab.virtual.peers import VirtualNode, VirtualFleet
 
 VOTERS = 3
 LEASE_S = 10.0
 
 
-def timed(node: Node, spent: dict[int, float]) -> None:
+def timed(node: VirtualNode, spent: dict[int, float]) -> None:
     """Add up the CPU seconds of all that one sidecar's part of the fleet decides, membership with it."""
 
     def wrapped(call: Callable[..., None]) -> Callable[..., None]:
@@ -32,7 +32,7 @@
 
         return timing
 
-    node.came, node.woke = wrapped(node.came), wrapped(node.woke)  # type: ignore[method-assign]
+    node.receive, node.timer_fired = wrapped(node.receive), wrapped(node.timer_fired)  # type: ignore[method-assign]
 
 
 def wanting(count: int, duties: int, seed: int) -> Wanting:
@@ -46,9 +46,9 @@
 
     def want() -> None:
         for node in fleet.peering.nodes:
-            if node.fellow is not None and node.fellow.duties is not None:
-                node.fellow.duties.want(node.clock(), mine.get(node.number, []))
-                node.wake()
+            if node.fleet_node is not None and node.fleet_node.duties is not None:
+                node.fleet_node.duties.want(node.clock(), mine.get(node.number, []))
+                node.schedule_timer()
 
     fleet.want = want  # type: ignore[method-assign]
     want()
@@ -69,9 +69,9 @@
         timed(fleet.peering.nodes[each], spent)
     fleet.time.run(fleet.time.now + 20 * SECOND)
     sum_ = sum(
-        len(node.fellow.duties.held(node.clock()))
+        len(node.fleet_node.duties.held(node.clock()))
         for node in fleet.peering.nodes
-        if node.fellow is not None and node.fellow.duties is not None
+        if node.fleet_node is not None and node.fleet_node.duties is not None
     )
     if sum_ != duties:
         raise RuntimeError(f"{sum_} of {duties} duties are held")
@@ -87,8 +87,8 @@
 
 
 def grow(pipe: Connection, count: int) -> None:
-    time_ = Virtual()
-    peering = Peering(time_, Links(time_, 1, 300), 1, count)
+    time_ = VirtualTimeline()
+    peering = VirtualFleet(time_, Links(time_, 1, 300), 1, count)
     before = resident_kb()
     for number in range(count):
         peering.start(number)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -32,7 +32,7 @@
 
 from pumicepath.lab.loopback.apart import Met, clients, serving  # noqa: E402
 from pumicepath.lab.loopback.process import Sidecar  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Tariff  # noqa: E402
+from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, RequestClassSpec  # noqa: E402
 
 CONTEXT = multiprocessing.get_context("spawn")
 LOADS = (0.2, 0.5, 0.8, 1.0, 1.5, 2.0, 4.0, 10.0)
@@ -60,8 +60,10 @@
     def plan(self, parts: int = 1) -> Plan:
         first = self.steps[0][1]
 
-        def tariff(name: str, effect: str, share: float, gain: float) -> Tariff:
-            return Tariff(name=name, effect=effect, share=share, gain=gain, patience_ms=self.patience * 1000)
+        def tariff(name: str, effect: str, share: float, gain: float) -> RequestClassSpec:
+            return RequestClassSpec(
+                name=name, effect=effect, share=share, gain=gain, patience_ms=self.patience * 1000
+            )
 
         return Plan(
             lasts_s=self.lasts,
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -24,8 +24,8 @@
 from pumicepath.interface import Entry, Listing, Outcome, Phase  # noqa: E402
 from pumicepath.lab.loopback.servers import ANSWERS  # noqa: E402
 from pumicepath.lab.loopback.wires import asked as request_of  # noqa: E402
-from pumicepath.lab.spec import Load, Plan, Sidecars, Tariff  # noqa: E402
-from pumicepath.lab.spec import told as settings_of
+from pumicepath.lab.spec import Load, Plan, Sidecars, RequestClassSpec  # noqa: E402
+from pumicepath.lab.spec import sidecar_settings as settings_of
 from pumicepath.logic import Balancer  # noqa: E402
 from pumicepath.sidecar import answers, config  # noqa: E402
 from pumicepath.sidecar.entrance import Entrance  # noqa: E402
@@ -35,7 +35,12 @@
 ANSWER = ANSWERS[Outcome.OK]
 PLAN = Plan(
     sidecars=Sidecars(count=1),
-    load=Load(tariffs=(Tariff(name="read"), Tariff(name="once", effect="at_most_once", gain=3.0))),
+    load=Load(
+        tariffs=(
+            RequestClassSpec(name="read"),
+            RequestClassSpec(name="once", effect="at_most_once", gain=3.0),
+        )
+    ),
 )
 
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -24,9 +24,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.lab.model.links import Links, Noise  # noqa: E402
-from pumicepath.lab.model.timeline import SECOND, Virtual  # noqa: E402
-from pumicepath.lab.virtual.peers import Peering  # noqa: E402
+from pumicepath.lab.model.links import Links, Impairment  # noqa: E402
+from pumicepath.lab.model.timeline import SECOND, VirtualTimeline  # noqa: E402
+from pumicepath.lab.virtual.peers import VirtualFleet  # noqa: E402
 
 LOOK = 250_000
 LONGEST = 300 * SECOND
@@ -34,18 +34,18 @@
 TROUBLED_S = {10: 3600, 100: 600, 1000: 20}
 
 
-def right_after(peering: Peering, time_: Virtual) -> float:
+def right_after(peering: VirtualFleet, time_: VirtualTimeline) -> float:
     began = time_.now
-    while peering.wrong(50) and time_.now - began < LONGEST:
+    while peering.sidecars_with_wrong_view(50) and time_.now - began < LONGEST:
         time_.run(time_.now + LOOK)
     return (time_.now - began) / SECOND
 
 
 def virtual(count: int, seed: int) -> dict[str, float]:
     """One fleet of that size through all that is measured; seconds, and figures a sidecar a second."""
-    time_ = Virtual()
+    time_ = VirtualTimeline()
     links = Links(time_, seed, 300)
-    peering = Peering(time_, links, seed, count)
+    peering = VirtualFleet(time_, links, seed, count)
     for number in range(count):
         peering.start(number)
     found = {"join": right_after(peering, time_), "join_kb": links.bytes.total() / count / 1000}
@@ -73,7 +73,7 @@
     time_.run(time_.now + 30 * SECOND)
     peering.counts.clear()
     lasts = TROUBLED_S.get(count, 300)
-    undo = links.disturb(range(0, count, 10), Noise(loss=0.2))
+    undo = links.impair(range(0, count, 10), Impairment(loss=0.2))
     time_.run(time_.now + lasts * SECOND)
     undo()
     hours = lasts / 3600
@@ -86,7 +86,7 @@
     for number in range(0, count, max(1, count // 10)):
         peering.stop(number)
         time_.run(time_.now + SECOND)
-        peering.go_on(number)
+        peering.resume(number)
         time_.run(time_.now + 5 * SECOND)
         stops += 1
     found["false_stop"] = peering.counts["false deaths"] / count / stops
@@ -163,7 +163,7 @@
 async def really(count: int, folder: Path) -> dict[str, float]:
     """Real processes, no load: start, rest, a mass restart; seconds, and figures a sidecar a second."""
     from pumicepath.lab.loopback.world import LiveWorld
-    from pumicepath.lab.model.views import wrong
+    from pumicepath.lab.model.views import sidecars_with_wrong_view
     from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
     plan = Plan(
@@ -181,7 +181,7 @@
                 for view in told
                 if view is not None
             }
-            if not wrong(views, names) or time.monotonic() - began > 300:
+            if not sidecars_with_wrong_view(views, names) or time.monotonic() - began > 300:
                 return time.monotonic() - began
             await asyncio.sleep(0.1)
 
--- a/benchmarks/ranking.py
+++ b/benchmarks/ranking.py
@@ -21,7 +21,7 @@
 sys.path.insert(0, str(ROOT))
 
 from pumicepath.lab.experiments import figures, files  # noqa: E402
-from pumicepath.lab.virtual.baselines import TEXTBOOK  # noqa: E402
+from pumicepath.lab.virtual.baselines import TEXTBOOK_BALANCERS  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
 DAYS = ("short-work", "die", "vanish", "slow", "fail-quickly", "new-id", "hall", "list", "burst", "effects")
@@ -48,7 +48,7 @@
 def play(job: tuple[str, str, int]) -> float:
     arm, day, seed = job
     plan = files.read(ROOT / "experiments" / f"{day}.toml", 1).plan
-    maker = arm if arm in TEXTBOOK or arm in ("pumicepath", "oracle") else decisions(arm)
+    maker = arm if arm in TEXTBOOK_BALANCERS or arm in ("pumicepath", "oracle") else decisions(arm)
     return VirtualWorld(plan, seed, maker).run().service
 
 
@@ -59,7 +59,7 @@
     asked.add_argument("--seeds", type=int, default=5)
     asked.add_argument("--workers", type=int, default=os.cpu_count())
     told = asked.parse_args()
-    arms = ["pumicepath", *told.revisions, *TEXTBOOK, "oracle"]
+    arms = ["pumicepath", *told.revisions, *TEXTBOOK_BALANCERS, "oracle"]
     jobs = [(arm, day, seed) for arm in arms for day in told.days for seed in range(1, told.seeds + 1)]
     with ProcessPoolExecutor(told.workers) as pool:
         service = dict(zip(jobs, pool.map(play, jobs)))
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -24,7 +24,7 @@
 
 def play(sidecars: int, servers: int, lasts: int, policy: str) -> None:
     """One size in this process: events, submissions, CPU seconds, MB."""
-    from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble
+    from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, FaultSpec
     from pumicepath.lab.virtual.run import VirtualWorld
 
     plan = Plan(
@@ -32,7 +32,7 @@
         fleet=Fleet(halls=2, servers=servers),
         sidecars=Sidecars(count=sidecars),
         load=Load(rate=1000),
-        troubles=(Trouble(kind="die", at_s=lasts / 3, for_s=5, count=2),),
+        troubles=(FaultSpec(kind="die", at_s=lasts / 3, for_s=5, count=2),),
     )
     began = time.process_time()
     result = VirtualWorld(plan, 1, policy).run()
@@ -42,7 +42,7 @@
         sum(result.columns["offered"]),
         spent,
         resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-        int(any(result.rules.values())),
+        int(any(result.violations.values())),
     )
 
 
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -25,7 +25,7 @@
 from pumicepath.lab.faults.history import read  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.result import Result  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble  # noqa: E402
+from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, FaultSpec  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
 BEGINS, LASTS, ENDS = 15, 45, 100
@@ -34,9 +34,9 @@
 
 
 def plan(count: int, together: bool, restart: bool, servers: int, load: Load) -> Plan:
-    troubles = [Trouble(kind="fail-quickly", at_s=BEGINS, for_s=LASTS, count=SICK, value=1.0)]
+    troubles = [FaultSpec(kind="fail-quickly", at_s=BEGINS, for_s=LASTS, count=SICK, value=1.0)]
     if restart:
-        troubles.append(Trouble(kind="sidecars-killed", at_s=BEGINS + LASTS / 2, for_s=1, value=0.7))
+        troubles.append(FaultSpec(kind="sidecars-killed", at_s=BEGINS + LASTS / 2, for_s=1, value=0.7))
     return Plan(
         lasts_s=ENDS,
         fleet=Fleet(halls=2, servers=servers, work_ms=20),
@@ -48,7 +48,7 @@
 
 def back(result: Result) -> float:
     """Seconds from the end of the trouble until nearly nobody refuses the servers; what is left if never."""
-    rows = [sum(row) / SICK for row in result.breakers]
+    rows = [sum(row) / SICK for row in result.open_breakers]
     return float(
         next(
             (second - BEGINS - LASTS for second in range(BEGINS + LASTS, len(rows)) if rows[second] < BACK),
@@ -59,17 +59,19 @@
 
 def virtual(count: int, seed: int, together: bool, restart: bool) -> dict[str, float]:
     servers = 100 if count >= 1000 else 20
-    world = VirtualWorld(plan(count, together, restart, servers, Load(part=0.4)), seed, trace=10_000_000)
+    world = VirtualWorld(
+        plan(count, together, restart, servers, Load(part=0.4)), seed, trace_lines=10_000_000
+    )
     result = world.run()
     assert world.links is not None
     return {
         "service": result.service,
-        "wasted": result.wasted,
+        "wasted": result.failed_hops,
         "back": back(result),
         "failed": sum("trial failed" in line for line in world.log),
         "messages": world.links.sent.total() / count / ENDS,
         "busiest": max(world.links.sent.values()) / ENDS,
-        "broken": sum(result.rules.values()),
+        "broken": sum(result.violations.values()),
     }
 
 
@@ -82,12 +84,12 @@
     carried = [line for line in lines if line["what"] == "carried"][-1]
     return {
         "service": result.service,
-        "wasted": result.wasted,
+        "wasted": result.failed_hops,
         "back": back(result),
         "failed": sum("trial failed" in line.get("text", "") for line in lines if line["what"] == "log"),
         "messages": carried["messages"] / count / ENDS,
         "busiest": max(by[0] for by in carried["by"].values()) / ENDS,
-        "broken": sum(result.rules.values()),
+        "broken": sum(result.violations.values()),
     }
 
 
--- a/pumicepath/commands/demo.py
+++ b/pumicepath/commands/demo.py
@@ -63,5 +63,5 @@
         click.echo(orjson.dumps(loopback_demo.totals(result)).decode())
     else:
         click.echo("\n".join(loopback_demo.verdict(result)))
-    if any(result.rules.values()):
+    if any(result.violations.values()):
         raise SystemExit(1)
--- a/pumicepath/commands/lab.py
+++ b/pumicepath/commands/lab.py
@@ -97,7 +97,7 @@
     from rich.progress import Progress
 
     from ..lab.experiments import comparing, report, running
-    from ..lab.virtual.run import OURS
+    from ..lab.virtual.run import PUMICEPATH
 
     console = Console(stderr=True)
     with Progress(console=console, disable=not console.is_terminal) as progress:
@@ -114,7 +114,7 @@
     click.echo(f"report: {report.write(where, head, runs)}")
     if not whole:
         fail(f"interrupted after {len(runs)} of {head['runs']} runs; the report holds these", 130)
-    if any(run["policy"] == OURS and any(run["rules"].values()) for run in runs):
+    if any(run["policy"] == PUMICEPATH and any(run["rules"].values()) for run in runs):
         fail("a rule was broken", 1)
 
 
--- a/pumicepath/lab/experiments/files.py
+++ b/pumicepath/lab/experiments/files.py
@@ -12,9 +12,9 @@
 
 from pydantic import Field, ValidationError, field_validator
 
-from ..spec import Count, Part, Plan
-from ..troubles import KINDS
-from ..virtual.run import OURS, POLICIES
+from ..spec import Count, StrictModel, Plan
+from ..fault_kinds import KINDS
+from ..virtual.run import PUMICEPATH, POLICIES
 
 HEADER = re.compile(r"^\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(#.*)?$")
 KEY = re.compile(r"""^\s*("[^"]*"|'[^']*'|[\w-]+(?:\s*\.\s*[\w-]+)*)\s*=""")
@@ -25,14 +25,14 @@
     """The file can't be used; the text names file, line and key, and what would be right."""
 
 
-class Experiment(Part):
+class Experiment(StrictModel):
     """What a file holds besides its plan: what is compared, how often, and over which values."""
 
     title: str
     why: str = ""
     seeds: Count = 5
     first_seed: Annotated[int, Field(ge=0)] = 1
-    policies: tuple[str, ...] = (OURS,)
+    policies: tuple[str, ...] = (PUMICEPATH,)
     variants: dict[str, dict[str, Scalar]] = {}
     sweep: dict[str, tuple[Scalar, ...]] = {}
 
@@ -111,7 +111,9 @@
             yield number, "kind", f"no trouble {trouble.kind!r}; there are {', '.join(sorted(KINDS))}"
             continue
         kind = KINDS[trouble.kind]
-        if host == "virtual" and (kind.real or kind.bends and trouble.sidecars or trouble.state != "old"):
+        if host == "virtual" and (
+            kind.needs_processes or kind.needs_call_hooks and trouble.sidecars or trouble.state != "old"
+        ):
             yield (
                 number,
                 "kind",
--- a/pumicepath/lab/experiments/running.py
+++ b/pumicepath/lab/experiments/running.py
@@ -14,7 +14,7 @@
 import orjson
 
 from ...compiled import FORM
-from ..model.result import summary
+from ..model.result import summarize
 from ..virtual.run import VirtualWorld
 from .figures import histogram
 from .files import Read, Run
@@ -26,19 +26,19 @@
     """One run in this process, and all that a report needs of it."""
     began = time.process_time()
     result = VirtualWorld(run.plan, run.seed, run.policy).run()
-    told = summary(result)
-    held = histogram([spent for times in result.times for spent in times])
+    told = summarize(result)
+    held = histogram([spent for times in result.latencies for spent in times])
     return {
         "arm": run.arm,
         "point": run.point,
         **told,
         "cpu_s": round(time.process_time() - began, 3),
-        "first": result.first,
+        "first": result.first_violations,
         "columns": result.columns,
         "marks": result.marks,
-        "at_servers": result.at_servers,
-        "breakers": [[round(share, 2) for share in row] for row in result.breakers],
-        "views_wrong": result.views_wrong,
+        "at_servers": result.hops_at_servers,
+        "breakers": [[round(share, 2) for share in row] for row in result.open_breakers],
+        "views_wrong": result.wrong_views,
         "latency": held.encode().decode(),
     }
 
--- a/pumicepath/lab/troubles/__init__.py
+++ b/pumicepath/lab/fault_kinds/__init__.py
@@ -5,14 +5,14 @@
 import importlib
 import pkgutil
 
-from .trouble import Trouble
+from .base import Fault
 
-KINDS: dict[str, type[Trouble]] = {}
+KINDS: dict[str, type[Fault]] = {}
 for _found in sorted(module.name for module in pkgutil.iter_modules(__path__)):
     if _found != "trouble":
         _module = importlib.import_module(f"{__name__}.{_found}")
         KINDS[_found.replace("_", "-")] = next(
             one
             for one in vars(_module).values()
-            if isinstance(one, type) and issubclass(one, Trouble) and one.__module__ == _module.__name__
+            if isinstance(one, type) and issubclass(one, Fault) and one.__module__ == _module.__name__
         )
--- /dev/null
+++ b/pumicepath/lab/fault_kinds/disk_old.py
@@ -0,0 +1,21 @@
+"""Killed sidecars come back with what their disks held when the trouble began."""
+
+from .base import Fault, sidecar_names
+
+
+class DiskOld(Fault):
+    """A copy is kept at the beginning; at the end they are killed and started with it; by default half."""
+
+    default_value = 0.5
+    needs_processes = True
+
+    def inject(self) -> str:
+        self.targets = self.sidecar_numbers()
+        files = sum(self.world.instances[number].damage_disk("kept", self.rng) for number in self.targets)
+        return f"{sidecar_names(self.targets)}, {files} files"
+
+    def revert(self) -> None:
+        for number in self.targets:
+            self.world.instances[number].kill()
+            self.world.instances[number].damage_disk("old", self.rng)
+            self.world.instances[number].start()
--- /dev/null
+++ b/pumicepath/lab/fault_kinds/disk_read_only.py
@@ -0,0 +1,16 @@
+"""The disks of sidecars can be read, and take no change."""
+
+from ..model.world import SidecarInstance
+from .base import SidecarFault
+
+
+class DiskReadOnly(SidecarFault):
+    """Of the sidecars named, or all; opening for writing, renaming and removing fail."""
+
+    needs_processes = needs_call_hooks = all_by_default = True
+
+    def inject_into(self, sidecar: SidecarInstance) -> None:
+        sidecar.impair_disk(True, 0.0)
+
+    def revert_on(self, sidecar: SidecarInstance) -> None:
+        sidecar.impair_disk(False, 0.0)
--- /dev/null
+++ b/pumicepath/lab/fault_kinds/disk_slow.py
@@ -0,0 +1,17 @@
+"""Each step on the disks of sidecars takes its time."""
+
+from ..model.world import SidecarInstance
+from .base import SidecarFault
+
+
+class DiskSlow(SidecarFault):
+    """The value is the milliseconds of each step, by default 500; of the sidecars named, or all."""
+
+    default_value = 500.0
+    needs_processes = needs_call_hooks = all_by_default = True
+
+    def inject_into(self, sidecar: SidecarInstance) -> None:
+        sidecar.impair_disk(False, self.value)
+
+    def revert_on(self, sidecar: SidecarInstance) -> None:
+        sidecar.impair_disk(False, 0.0)
--- /dev/null
+++ b/pumicepath/lab/fault_kinds/drain.py
@@ -0,0 +1,27 @@
+"""Servers drain: the list says so, they serve on for a while and end; later they come back cold."""
+
+from ...interface import Phase
+from .base import Fault, server_names
+
+
+class Drain(Fault):
+    """The process ends a while (2 s unless told otherwise) after the list said that it drains."""
+
+    default_value = 2.0
+
+    def inject(self) -> str:
+        self.targets = self.target_servers()
+        for server in self.targets:
+            self.world.publish_server(server, Phase.DRAINING)
+        self.world.timeline.at(self.world.timeline.now + round(self.value * 1e6), self.stop)
+        return server_names(self.targets)
+
+    def stop(self) -> None:
+        for server in self.targets:
+            server.kill()
+            self.world.publish_server(server, Phase.GONE)
+
+    def revert(self) -> None:
+        for server in self.targets:
+            server.start()
+            self.world.publish_server(server)
--- /dev/null
+++ b/pumicepath/lab/fault_kinds/fail_quickly.py
@@ -0,0 +1,19 @@
+"""Servers fail hops at once, and so look the least busy of all."""
+
+from .base import Fault, server_names
+
+
+class FailQuickly(Fault):
+    """A share of hops, by default all, ends in an error as soon as it comes."""
+
+    default_value = 1.0
+
+    def inject(self) -> str:
+        self.targets = self.target_servers()
+        for server in self.targets:
+            server.failure_fraction = self.value
+        return f"{server_names(self.targets)}, {self.value:g} of hops"
+
+    def revert(self) -> None:
+        for server in self.targets:
+            server.failure_fraction = 0.0
--- /dev/null
+++ b/pumicepath/lab/fault_kinds/list_down.py
@@ -0,0 +1,16 @@
+"""The server list can't be reached, by some sidecars or by all; asking for it fails."""
+
+from .base import Fault, sidecar_names
+
+
+class ListDown(Fault):
+    """`sidecars` are those that can't; none named: all."""
+
+    def inject(self) -> str:
+        self.world.registry.disconnect(self.spec.sidecars)
+        if self.spec.sidecars:
+            return f"{sidecar_names(list(self.spec.sidecars))} without it"
+        return f"{len(self.world.registry.subscriptions)} sidecars without it"
+
+    def revert(self) -> None:
+        self.world.registry.reconnect(self.spec.sidecars)
--- /dev/null
+++ b/pumicepath/lab/fault_kinds/list_lies.py
@@ -0,0 +1,20 @@
+"""The server list leaves out servers that are well."""
+
+from ...interface import Phase
+from .base import Fault, server_names
+
+
+class ListLies(Fault):
+    """By default they are shown as draining, with a value of 2 as gone."""
+
+    def inject(self) -> str:
+        self.targets = self.target_servers()
+        for server in self.targets:
+            self.world.registry.override_state(
+                server.number, Phase.GONE if self.value == 2 else Phase.DRAINING
+            )
+        return server_names(self.targets)
+
+    def revert(self) -> None:
+        for server in self.targets:
+            self.world.registry.override_state(server.number, None)
--- a/pumicepath/lab/troubles/peers_noisy.py
+++ b/pumicepath/lab/fault_kinds/peers_noisy.py
@@ -1,22 +1,22 @@
 """Messages of sidecars to each other are lost, delayed, doubled, swapped, spoilt or squeezed."""
 
-from ..model.links import Noise
-from .trouble import Trouble, numbered
+from ..model.links import Impairment
+from .base import Fault, sidecar_names
 
 
-class PeersNoisy(Trouble):
+class PeersNoisy(Fault):
     """The value is the share that is lost, by default a fifth; of the sidecars named, or of all."""
 
-    usual = 0.2
+    default_value = 0.2
     needs_peers = True
 
-    def begin(self) -> str:
+    def inject(self) -> str:
         assert self.world.links is not None
         spec = self.spec
         hit = sorted(spec.sidecars) or [one.number for one in self.world.instances]
         other = spec.delay_ms or spec.spread_ms or spec.doubled or spec.spoilt or spec.rate_kb
-        loss = spec.value if spec.value or other else self.usual
-        noise = Noise(
+        loss = spec.value if spec.value or other else self.default_value
+        noise = Impairment(
             loss,
             spec.doubled,
             spec.spoilt,
@@ -24,8 +24,8 @@
             round(spec.spread_ms * 1000),
             round(spec.rate_kb * 1000),
         )
-        self.undo = self.world.links.disturb(hit, noise)
-        return f"{numbered(hit)}: {loss:.0%} lost, {spec.delay_ms:g} to {spec.delay_ms + spec.spread_ms:g} ms"
+        self.undo = self.world.links.impair(hit, noise)
+        return f"{sidecar_names(hit)}: {loss:.0%} lost, {spec.delay_ms:g} to {spec.delay_ms + spec.spread_ms:g} ms"
 
-    def end(self) -> None:
+    def revert(self) -> None:
         self.undo()
--- a/pumicepath/lab/troubles/rolling_release.py
+++ b/pumicepath/lab/fault_kinds/rolling_release.py
@@ -3,30 +3,30 @@
 from ...interface import Phase
 from ..model.servers import Server
 from ..model.timeline import SECOND
-from .trouble import Trouble
+from .base import Fault
 
 
-class RollingRelease(Trouble):
+class RollingRelease(Fault):
     """So that all are done when it ends; the value is how many go at a time, by default one."""
 
-    usual = 1.0
+    default_value = 1.0
 
-    def begin(self) -> str:
-        places = range(len(self.world.places))
+    def inject(self) -> str:
+        places = range(len(self.world.server_ids))
         together = max(1, int(self.value))
         turns = [places[at : at + together] for at in range(0, len(places), together)]
         for at, turn in enumerate(turns):
-            when = self.world.timeline.now + at * self.lasts // len(turns)
+            when = self.world.timeline.now + at * self.duration // len(turns)
             for place in turn:
                 self.world.timeline.at(when, self.renew, place)
         return f"{len(places)} servers, {together} at a time"
 
     def renew(self, place: int) -> None:
-        server = self.world.at_place(place)
-        self.world.list(server, Phase.DRAINING)
+        server = self.world.server_at(place)
+        self.world.publish_server(server, Phase.DRAINING)
         self.world.timeline.at(self.world.timeline.now + SECOND, self.stop, server)
 
     def stop(self, server: Server) -> None:
         server.kill()
         server.start()
-        self.world.list(server)
+        self.world.publish_server(server)
--- /dev/null
+++ b/pumicepath/lab/fault_kinds/slow.py
@@ -0,0 +1,19 @@
+"""Servers become slow, as with a bad disk or a throttled core."""
+
+from .base import Fault, server_names
+
+
+class Slow(Fault):
+    """Their speed falls to a part, by default a fifth."""
+
+    default_value = 0.2
+
+    def inject(self) -> str:
+        self.targets = self.target_servers()
+        for server in self.targets:
+            server.set_speed_factor(self.value)
+        return f"{server_names(self.targets)} at {self.value:g} of their speed"
+
+    def revert(self) -> None:
+        for server in self.targets:
+            server.set_speed_factor(1.0)
--- a/pumicepath/lab/faults/checks/four_rules.py
+++ b/pumicepath/lab/faults/checks/four_rules.py
@@ -16,4 +16,8 @@
 
 def check(lines: Sequence[Line]) -> list[str]:
     judge = replayed(lines)
-    return [f"{rule}: {count}, first {judge.first[rule]}" for rule, count in judge.broken.items() if count]
+    return [
+        f"{rule}: {count}, first {judge.first_violations[rule]}"
+        for rule, count in judge.violations.items()
+        if count
+    ]
--- a/pumicepath/lab/faults/recording.py
+++ b/pumicepath/lab/faults/recording.py
@@ -11,15 +11,15 @@
 
 from ...interface import Tariff
 from ...settings import decode
-from ..model.judge import Judge
-from ..model.listing import Registry
+from ..model.rule_checker import RuleChecker
+from ..model.registry import Registry
 from ..model.servers import Job, Server
-from ..model.timeline import Timeline, Virtual
-from ..spec import Plan, micros, told
+from ..model.timeline import Timeline, VirtualTimeline
+from ..spec import Plan, to_microseconds, sidecar_settings
 from .history import History, Line
 
 
-class Recorded(Judge):
+class Recorded(RuleChecker):
     def __init__(
         self,
         timeline: Timeline,
@@ -32,53 +32,53 @@
         super().__init__(timeline, tariffs, registry, grace, slack)
         self.history = history
 
-    def tried(self, ask: int, tariff: int, until: int) -> None:
+    def try_admitted(self, ask: int, tariff: int, until: int) -> None:
         self.history.write("clients", "tried", ask=ask, tariff=tariff, until=until)
-        super().tried(ask, tariff, until)
+        super().try_admitted(ask, tariff, until)
 
-    def answered(self, ask: int, what: str) -> None:
+    def answer_received(self, ask: int, what: str) -> None:
         self.history.write("clients", "answered", ask=ask, end=what)
-        super().answered(ask, what)
+        super().answer_received(ask, what)
 
-    def gone(self, ask: int, why: str = "left") -> None:
+    def abandoned(self, ask: int, why: str = "left") -> None:
         self.history.write("clients", "gone", ask=ask, why=why)
-        super().gone(ask, why)
+        super().abandoned(ask, why)
 
-    def patience_over(self, ask: int) -> None:
+    def deadline_passed(self, ask: int) -> None:
         self.history.write("clients", "patience_over", ask=ask)
-        super().patience_over(ask)
+        super().deadline_passed(ask)
 
-    def closed(self, ask: int) -> None:
+    def client_finished(self, ask: int) -> None:
         self.history.write("clients", "closed", ask=ask)
-        super().closed(ask)
+        super().client_finished(ask)
 
-    def sent(self, sidecar: int, server: int, ask: int, answered: bool = False) -> None:
+    def hop_sent(self, sidecar: int, server: int, ask: int, answered: bool = False) -> None:
         self.history.write(
             f"server-{server}",
             "sent",
             ask=ask,
             sidecar=sidecar,
             server=server,
-            told=self.registry.knows_since(sidecar, server),
+            told=self.registry.off_known_since(sidecar, server),
         )
-        super().sent(sidecar, server, ask, answered)
+        super().hop_sent(sidecar, server, ask, answered)
 
-    def returned(self, ask: int) -> None:
+    def hop_returned(self, ask: int) -> None:
         self.history.write("servers", "returned", ask=ask)
-        super().returned(ask)
+        super().hop_returned(ask)
 
-    def ran(self, now: int, job: Job, server: Server) -> bool:
+    def work_started(self, now: int, job: Job, server: Server) -> bool:
         self.history.write(
             f"server-{server.number}",
             "ran",
-            ask=job.ask,
+            ask=job.submission_id,
             server=server.number,
-            hall=server.hall,
+            hall=server.zone,
             cell=server.cell,
         )
-        return super().ran(now, job, server)
+        return super().work_started(now, job, server)
 
-    def pushed_over(self, now: int, server: Server, senders: dict[int, int]) -> None:
+    def cold_server_overloaded(self, now: int, server: Server, senders: dict[int, int]) -> None:
         self.history.write(
             f"server-{server.number}",
             "pushed_over",
@@ -87,11 +87,11 @@
             sidecars=len(senders),
             work=sum(job[1] for job in server.arrivals),
         )
-        super().pushed_over(now, server, senders)
+        super().cold_server_overloaded(now, server, senders)
 
-    def stop(self, sidecar: int, stopped: bool) -> None:
+    def set_sidecar_stopped(self, sidecar: int, stopped: bool) -> None:
         self.history.write("rig", "stopped" if stopped else "going_on", sidecar=sidecar)
-        super().stop(sidecar, stopped)
+        super().set_sidecar_stopped(sidecar, stopped)
 
 
 class Told:
@@ -100,48 +100,48 @@
     def __init__(self) -> None:
         self.since: int | None = None
 
-    def knows_since(self, sidecar: int, server: int) -> int | None:
+    def off_known_since(self, sidecar: int, server: int) -> int | None:
         return self.since
 
 
-def replayed(lines: Sequence[Line]) -> Judge:
+def replayed(lines: Sequence[Line]) -> RuleChecker:
     """The judge as it stood at the end of a history, by what clients and servers saw in it."""
     head = lines[0]
     plan = Plan(**head["plan"])
-    tariffs = decode(told(plan, 0, 0)).tariffs
-    timeline, registry = Virtual(), Told()
-    judge = Judge(timeline, tariffs, registry, micros(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
+    tariffs = decode(sidecar_settings(plan, 0, 0)).tariffs
+    timeline, registry = VirtualTimeline(), Told()
+    judge = RuleChecker(timeline, tariffs, registry, to_microseconds(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
     for line in lines:
         timeline.run(line["at"])
         tell(judge, registry, line)
     return judge
 
 
-def tell(judge: Judge, registry: Told, line: Line) -> None:
+def tell(judge: RuleChecker, registry: Told, line: Line) -> None:
     what: Any = line["what"]
     if what == "tried":
-        judge.tried(line["ask"], line["tariff"], line["until"])
+        judge.try_admitted(line["ask"], line["tariff"], line["until"])
     elif what == "answered":
-        judge.answered(line["ask"], line["end"])
+        judge.answer_received(line["ask"], line["end"])
     elif what == "gone":
-        judge.gone(line["ask"], line["why"])
+        judge.abandoned(line["ask"], line["why"])
     elif what == "patience_over":
-        judge.patience_over(line["ask"])
+        judge.deadline_passed(line["ask"])
     elif what == "closed":
-        judge.closed(line["ask"])
+        judge.client_finished(line["ask"])
     elif what == "sent":
         registry.since = line["told"]
-        judge.sent(line["sidecar"], line["server"], line["ask"])
+        judge.hop_sent(line["sidecar"], line["server"], line["ask"])
     elif what == "returned":
-        judge.returned(line["ask"])
+        judge.hop_returned(line["ask"])
     elif what == "ran":
         at: Any = SimpleNamespace(number=line["server"], hall=line["hall"], cell=line["cell"])
         work: Any = SimpleNamespace(ask=line["ask"])
-        judge.ran(line["at"], work, at)
+        judge.work_started(line["at"], work, at)
     elif what == "pushed_over":
         fallen: Any = SimpleNamespace(number=line["server"], arrivals=[(0, line["work"])])
-        judge.pushed_over(
+        judge.cold_server_overloaded(
             line["at"], fallen, {each: 0 for each in range(1, line["sidecars"])} | {0: line["knowing"]}
         )
     elif what in ("stopped", "going_on"):
-        judge.stop(line["sidecar"], what == "stopped")
+        judge.set_sidecar_stopped(line["sidecar"], what == "stopped")
--- a/pumicepath/lab/faults/times.py
+++ b/pumicepath/lab/faults/times.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from ..model.views import wrong
+from ..model.views import sidecars_with_wrong_view
 from .history import Line
 
 FULL = 0.99  # of the share that was served in time in the second before the first fault,
@@ -42,7 +42,7 @@
 
 def wrong_in(line: Line) -> list[str]:
     seen = {name: [(other, state) for other, state in view] for name, view in line["sees"].items()}
-    return wrong(seen, line["running"])
+    return sidecars_with_wrong_view(seen, line["running"])
 
 
 def full_service(lines: Sequence[Line]) -> float | None:
--- a/pumicepath/lab/loopback/apart.py
+++ b/pumicepath/lab/loopback/apart.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..model.judge import Judge
+from ..model.rule_checker import RuleChecker
 from ..model.servers import Job, Server
 from ..model.world import World
 from ..spec import Plan
@@ -25,19 +25,19 @@
 COLUMNS = ("offered", "good", "late", "deferred", "forfeited", "left", "lost", "refused")
 
 
-class Counting(Judge):
+class Counting(RuleChecker):
     """Beside servers whose clients are elsewhere: how often each submission ran; the rest is judged there."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
         self.times = Counter[int]()
 
-    def sent(self, sidecar: int, server: int, ask: int, answered: bool = False) -> None: ...
+    def hop_sent(self, sidecar: int, server: int, ask: int, answered: bool = False) -> None: ...
 
-    def returned(self, ask: int) -> None: ...
+    def hop_returned(self, ask: int) -> None: ...
 
-    def ran(self, now: int, job: Job, server: Server) -> bool:
-        self.times[job.ask] += 1
+    def work_started(self, now: int, job: Job, server: Server) -> bool:
+        self.times[job.submission_id] += 1
         return True
 
 
@@ -51,7 +51,7 @@
 
     def slowed(self, factor: float) -> None:
         for server in self.world.servers.values():
-            server.slowed(factor)
+            server.set_speed_factor(factor)
 
     def ran(self) -> Counter[int]:
         """How often each submission ran, by the numbers that clients give them."""
@@ -71,7 +71,7 @@
         sidecar = world.sidecars[0]
         await sidecar.desk.open()
         told = sidecar.configuration()
-        world.registry.join(sidecar.number, sidecar.desk)
+        world.registry.register(sidecar.number, sidecar.desk)
         yield Serving(world, made[0], told)
     finally:
         await world.end()
@@ -99,17 +99,17 @@
         self.broken = {cause: count + other.broken[cause] for cause, count in self.broken.items()}
 
 
-class Noting(Judge):
+class Noting(RuleChecker):
     """Of the clients; what reached servers is not known here."""
 
     def __init__(self, once: set[int], *given: Any) -> None:
         super().__init__(*given)
         self.once = once
 
-    def tried(self, ask: int, tariff: int, until: int) -> None:
-        if self.tariffs[tariff].effect != 0:
+    def try_admitted(self, ask: int, tariff: int, until: int) -> None:
+        if self.request_classes[tariff].effect != 0:
             self.once.add(ask)
-        super().tried(ask, tariff, until)
+        super().try_admitted(ask, tariff, until)
 
 
 class Crowd(World):
@@ -120,7 +120,11 @@
         self.tasks: set[asyncio.Task[Any]] = set()
         self.once: set[int] = set()
         super().__init__(
-            plan, seed, Live(self.loop), slack=SLACK, judging=lambda *given: Noting(self.once, *given)
+            plan,
+            seed,
+            Live(self.loop),
+            answer_slack=SLACK,
+            make_rule_checker=lambda *given: Noting(self.once, *given),
         )
 
     def keep(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -148,8 +152,8 @@
     sidecar = Sidecar(crowd, number, where, most)
     crowd.timeline.began = crowd.loop.time()
     crowd.keep(crowd.timeline.tick())
-    crowd.clients(sidecar, sidecar).begin()  # type: ignore[arg-type]
-    patience = max(tariff.patience for tariff in crowd.tariffs) / 1e6
+    crowd.make_clients(sidecar, sidecar).start()  # type: ignore[arg-type]
+    patience = max(tariff.patience for tariff in crowd.request_classes) / 1e6
     await asyncio.sleep(plan.lasts_s + patience + 0.3)
     for task in list(crowd.tasks):
         task.cancel()
@@ -157,11 +161,11 @@
     tally = crowd.tally
     return Met(
         {name: list(getattr(tally, name)) for name in COLUMNS},
-        [spent for each in tally.times for spent in each],
+        [spent for each in tally.latencies for spent in each],
         list(sidecar.deferrals),
         crowd.timeline.behind(),
         crowd.once,
-        dict(crowd.judge.broken),
+        dict(crowd.rule_checker.violations),
     )
 
 
--- a/pumicepath/lab/loopback/demo.py
+++ b/pumicepath/lab/loopback/demo.py
@@ -12,7 +12,7 @@
 from ..model.clients import percentile
 from ..model.result import Result
 from ..model.timeline import SECOND
-from ..spec import Fleet, Load, Plan, Sidecars, Tariff, Trouble
+from ..spec import Fleet, Load, Plan, Sidecars, RequestClassSpec, FaultSpec
 from .world import LiveWorld
 
 HALLS, SERVERS, SIDECARS, RATE = 2, 8, 3, 240.0
@@ -40,12 +40,14 @@
     troubles, at, number = [], turn / 2, 0
     while at + turn <= seconds:
         kind, part, more = TURNS[number % len(TURNS)]
-        troubles.append(Trouble(kind=kind, at_s=round(at, 3), for_s=round(part * turn, 3), **more))
+        troubles.append(FaultSpec(kind=kind, at_s=round(at, 3), for_s=round(part * turn, 3), **more))
         at, number = at + turn, number + 1
     tariffs = (
-        Tariff(name="read", share=0.7, agreed_ms=250, patience_ms=1000),
-        Tariff(name="once", effect="at_most_once", share=0.2, gain=3.0, agreed_ms=250, patience_ms=1000),
-        Tariff(
+        RequestClassSpec(name="read", share=0.7, agreed_ms=250, patience_ms=1000),
+        RequestClassSpec(
+            name="once", effect="at_most_once", share=0.2, gain=3.0, agreed_ms=250, patience_ms=1000
+        ),
+        RequestClassSpec(
             name="marked",
             effect="deduplicated",
             group="all",
@@ -69,7 +71,7 @@
 
 def settled(world: LiveWorld) -> int:
     """The last second of whose submissions nearly all have ended."""
-    return min(max(0, world.timeline.now // SECOND - 2), world.lasts // SECOND - 1)
+    return min(max(0, world.timeline.now // SECOND - 2), world.duration // SECOND - 1)
 
 
 def view(world: LiveWorld) -> Group:
@@ -80,17 +82,21 @@
     head = Text(f"second {at:3d}   offered {offered:4d}   served in time {good:4d}  ")
     head.append("#" * round(share * BAR), "green" if share > 0.97 else "yellow" if share > 0.8 else "red")
     head.append(f" {share:.0%}")
-    going = [mark.text for mark in world.marks if mark.at <= now <= max(mark.until, mark.at + 1_500_000)]
+    going = [
+        mark.text
+        for mark in world.marks
+        if mark.started_at <= now <= max(mark.ends_at, mark.started_at + 1_500_000)
+    ]
     trouble = Text("going wrong: " + ("; ".join(going) or "nothing"), "bold red" if going else "green")
     table = Table("server", "hall", "hops", "refused by", box=None, pad_edge=False)
-    for number in world.places:
+    for number in world.server_ids:
         server = world.servers[number]
         refusing = [sidecar.number for sidecar in world.sidecars if f"s-{number}" in sidecar.refused]
         state = "silent" if server.silent else "" if server.up else "down"
         table.add_row(
             f"s-{number}",
-            str(server.hall),
-            f"{server.at_it} {state}",
+            str(server.zone),
+            f"{server.hop_count} {state}",
             ", ".join(f"sidecar {one}" for one in refusing) or "-",
         )
     log = Text("\n".join(list(world.log)[-SHOWN:]), "dim")
@@ -101,7 +107,11 @@
     """The same in a line, where there is no terminal."""
     at = settled(world)
     from_, until = at * SECOND, (at + 1) * SECOND
-    going = [mark.text for mark in world.marks if mark.at < until and max(mark.until, mark.at + 1) > from_]
+    going = [
+        mark.text
+        for mark in world.marks
+        if mark.started_at < until and max(mark.ends_at, mark.started_at + 1) > from_
+    ]
     return f"{at:3d} s  offered {world.tally.offered[at]:4d}  in time {world.tally.good[at]:4d}  " + (
         "; ".join(going) or "calm"
     )
@@ -109,8 +119,8 @@
 
 def totals(result: Result) -> dict[str, Any]:
     """The end in one object.  `lost` is what was taken and had no answer; times are in milliseconds."""
-    finals, rules = result.finals, result.rules
-    times = [spent for each in result.times for spent in each]
+    finals, rules = result.final_answers, result.violations
+    times = [spent for each in result.latencies for spent in each]
     return {
         "taken": sum(finals.values()) + rules["unanswered"],
         "succeeded": finals["succeeded"],
@@ -148,8 +158,8 @@
     return [
         *lines,
         *(
-            f"BROKEN {rule}: {count}, first {result.first.get(rule, '')}"
-            for rule, count in result.rules.items()
+            f"BROKEN {rule}: {count}, first {result.first_violations.get(rule, '')}"
+            for rule, count in result.violations.items()
             if count
         ),
     ]
--- a/pumicepath/lab/loopback/discovery.py
+++ b/pumicepath/lab/loopback/discovery.py
@@ -36,7 +36,7 @@
         host, port = self.listener.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
-    def listed(self, kind: Listing, entries: list[Entry]) -> None:
+    def receive_list(self, kind: Listing, entries: list[Entry]) -> None:
         if kind == Listing.CACHED:
             return  # stands in the configuration
         if kind == Listing.FAILED:
@@ -53,14 +53,14 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 found = WATCH.search(head)
                 wait = int(found[2]) / 1000 if found else 0.0
-                following = self.world.registry.followers.get(self.number)
+                following = self.world.registry.subscriptions.get(self.number)
                 if following is None:
                     break
                 self.failed = False
-                if not found or not following.follows:
+                if not found or not following.following:
                     self.answers.clear()
                     self.some.clear()
-                    self.world.registry.follow(self.number)
+                    self.world.registry.subscribe(self.number)
                     wait = max(wait, 5.0)
                 writer.write(await self.next(wait))
                 await writer.drain()
--- a/pumicepath/lab/loopback/ground.py
+++ b/pumicepath/lab/loopback/ground.py
@@ -8,9 +8,9 @@
 
 from ...interface import Tariff
 from ..faults.history import History
-from ..model.judge import Judge
+from ..model.rule_checker import RuleChecker
 from ..model.links import Links
-from ..model.listing import Registry
+from ..model.registry import Registry
 from ..model.network import Network
 from ..spec import Plan
 from .clock import Live
@@ -20,14 +20,14 @@
     plan: Plan
     seed: int
     over: bool
-    judge: Judge
+    rule_checker: RuleChecker
     registry: Registry
     network: Network
     loop: asyncio.AbstractEventLoop
     timeline: Live
     history: History
     links: Links | None
-    tariffs: tuple[Tariff, ...]
+    request_classes: tuple[Tariff, ...]
     processes: list[asyncio.subprocess.Process]
 
     def keep(self, work: Coroutine[Any, Any, Any]) -> None:
--- a/pumicepath/lab/loopback/servers.py
+++ b/pumicepath/lab/loopback/servers.py
@@ -142,9 +142,9 @@
         if ask < 0:
             return
         if self.job is None:  # on its way, or lost where nothing answers
-            self.world.judge.returned(ask)
-        elif not self.job.gone:
-            self.server.cancelled(self.job)
+            self.world.rule_checker.hop_returned(ask)
+        elif not self.job.finished:
+            self.server.cancel(self.job)
 
     def malformed(self, trouble: Malformed) -> None:
         self.world.note(f"server got {trouble}")
@@ -157,8 +157,8 @@
         self.ask = int(request.header("x-trace-id").partition("-")[0], 16)
         sidecar = self.ask >> 32
         hall = world.hall_of(sidecar)
-        world.judge.sent(sidecar, server.number, self.ask)
-        world.network.carry(hall, server.hall, self.arrive, self.ask, sidecar, request.header("x-object"))
+        world.rule_checker.hop_sent(sidecar, server.number, self.ask)
+        world.network.carry(hall, server.zone, self.arrive, self.ask, sidecar, request.header("x-object"))
 
     def arrive(self, ask: int, sidecar: int, key: str) -> None:
         world, server = self.world, self.server
@@ -166,12 +166,12 @@
             return  # given up on the way
 
         def reply(outcome: Outcome) -> None:
-            world.judge.returned(ask)
+            world.rule_checker.hop_returned(ask)
             self.job = None
             if self.ask == ask:
                 self.ask = -1
                 if not server.silent:
-                    world.network.carry(server.hall, world.hall_of(sidecar), self.answer, outcome)
+                    world.network.carry(server.zone, world.hall_of(sidecar), self.answer, outcome)
 
         job = Job(
             ask,
@@ -179,9 +179,9 @@
             sidecar,
             world.work(ask),
             reply,
-            world.registry.knows_start(sidecar, server.number, server.came_up),
+            world.registry.start_is_known(sidecar, server.number, server.started_at),
         )
-        if server.came(job) and not job.gone:
+        if server.receive(job) and not job.finished:
             self.job = job
 
     def answer(self, outcome: Outcome) -> None:
@@ -189,7 +189,7 @@
             return
         if outcome not in ANSWERS:
             self.reset()
-        elif outcome == Outcome.OK and self.server is not None and self.server.stalls():
+        elif outcome == Outcome.OK and self.server is not None and self.server.draw_stall():
             self.transport.write(ANSWERS[outcome][: -len(BODY) // 2])  # and no more
         else:
             self.transport.write(ANSWERS[outcome])
--- a/pumicepath/lab/loopback/sidecars.py
+++ b/pumicepath/lab/loopback/sidecars.py
@@ -18,10 +18,10 @@
 from ...http1 import writing
 from ..faults.clocks import VARIABLE, Page
 from ..faults.disks import Disk
-from ..model.listing import TWIN
-from ..model.world import Instance
-from ..spec import told
-from ..troubles import KINDS
+from ..model.registry import REPLACEMENT_OFFSET
+from ..model.world import SidecarInstance
+from ..spec import sidecar_settings
+from ..fault_kinds import KINDS
 from .discovery import Desk
 from .ground import Ground
 from .wires import Wires
@@ -38,14 +38,14 @@
     return host, int(port or 0)
 
 
-class LiveSidecar(Wires, Instance):
+class LiveSidecar(Wires, SidecarInstance):
     """`pumicepath serve` beside its clients; killed and started again at the same address."""
 
     def __init__(self, world: Ground, number: int, hall: int, folder: Path) -> None:
         super().__init__(world)
         self.world = world
         self.number = number
-        self.hall = hall
+        self.zone = hall
         self.folder = folder
         self.listen = "127.0.0.1:0"
         self.process: asyncio.subprocess.Process | None = None
@@ -58,7 +58,7 @@
         self.operators = ("", 0)
         self.speaks_at = ("", 0)  # its own socket for peers
         self.state = Disk(folder / f"state-{number}", folder / f"copy-{number}")
-        bent = any(KINDS[one.kind].bends for one in world.plan.troubles if one.kind in KINDS)
+        bent = any(KINDS[one.kind].needs_call_hooks for one in world.plan.troubles if one.kind in KINDS)
         self.page = Page(folder / f"clock-{number}") if bent else None
         self.crowd_process: asyncio.subprocess.Process | None = None
 
@@ -80,7 +80,7 @@
         old, old_desk = self.process, self.desk
         if old is None or old.returncode is not None:
             return
-        self.desk = Desk(self.world, self.number + TWIN)
+        self.desk = Desk(self.world, self.number + REPLACEMENT_OFFSET)
         self.ready.clear()
         await self.begin()
         try:
@@ -95,7 +95,7 @@
             old.send_signal(signal.SIGTERM)
         await old.wait()
         if not self.world.over:
-            self.world.registry.succeed(self.number)
+            self.world.registry.finish_replacement(self.number)
             self.desk.number = self.number
             old_desk.close()
 
@@ -134,7 +134,7 @@
             command = ["-m", "pumicepath.lab.faults.starter"]
             environment[VARIABLE] = str(self.folder / f"clock-{self.number}")
         path.write_bytes(orjson.dumps(config))
-        world.registry.join(self.desk.number, self.desk)
+        world.registry.register(self.desk.number, self.desk)
         world.history.write("rig", "started", sidecar=self.number, starts=self.starts)
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -157,8 +157,8 @@
             "discovery": self.desk.address,
             "seed": f"{world.seed * 1_000_003 + self.number * 97 + self.starts:x}",
             "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024},
-            "known": self.desk.listing(True, world.registry.whole()),
-            "settings": told(world.plan, self.number, self.hall),
+            "known": self.desk.listing(True, world.registry.full_list()),
+            "settings": sidecar_settings(world.plan, self.number, self.zone),
         }
 
     async def read(self, process: asyncio.subprocess.Process) -> None:
@@ -190,11 +190,11 @@
         if self.process is process and not self.world.over:
             self.world.note(f"sidecar {self.number} ended with {ended}")
             self.up = False
-            self.world.registry.leave(self.number)
+            self.world.registry.unregister(self.number)
 
     def kill(self) -> None:
         self.up = self.stopped = False
-        self.world.registry.leave(self.number)
+        self.world.registry.unregister(self.number)
         self.world.history.write("rig", "killed", sidecar=self.number)
         self.tell(signal.SIGKILL)
         while self.halted:
@@ -210,24 +210,24 @@
 
     def stop(self) -> None:
         self.stopped = True
-        self.world.judge.stop(self.number, True)
+        self.world.rule_checker.set_sidecar_stopped(self.number, True)
         self.halted.append(self.process)
         self.tell(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Whichever process was stopped, though it may have been replaced since."""
         if self.stopped:
             self.stopped = False
             while self.halted:
                 self.signal(self.halted.pop(), signal.SIGCONT)
-            self.world.judge.stop(self.number, False)
+            self.world.rule_checker.set_sidecar_stopped(self.number, False)
 
-    def end(self) -> None:
+    def terminate(self) -> None:
         self.ending = True
         self.world.history.write("rig", "asked_to_end", sidecar=self.number)
         self.tell(signal.SIGTERM)
 
-    def crowd(self, on: bool) -> None:
+    def set_core_contention(self, on: bool) -> None:
         self.world.keep(self.crowding(on))
 
     async def crowding(self, on: bool) -> None:
@@ -248,15 +248,15 @@
             )
             self.world.processes.append(self.crowd_process)
 
-    def bend(self, rate: float | None, step: int) -> None:
+    def adjust_clock(self, rate: float | None, step: int) -> None:
         assert self.page is not None
         self.page.set(rate, step * 1000)
 
-    def burden(self, read_only: bool, slow_ms: float) -> None:
+    def impair_disk(self, read_only: bool, slow_ms: float) -> None:
         assert self.page is not None
         self.page.disk(read_only, slow_ms)
 
-    def disk(self, what: str, chance: Random) -> int:
+    def damage_disk(self, what: str, chance: Random) -> int:
         disk = self.state
         if what in ("full", "free"):
             if self.process is not None and self.process.returncode is None:
--- a/pumicepath/lab/loopback/wires.py
+++ b/pumicepath/lab/loopback/wires.py
@@ -13,8 +13,8 @@
 from ...http1 import writing
 from ...http1.messages import Malformed, Response
 from ...interface import Tariff
-from ..model.clients import Ask
-from ..model.judge import Judge
+from ..model.clients import ClientSubmission
+from ..model.rule_checker import RuleChecker
 from ..spec import Plan
 from .clock import Live
 from .ends import ClientEnd
@@ -26,10 +26,10 @@
     """What the connections need of the world that they are in."""
 
     plan: Plan
-    judge: Judge
+    rule_checker: RuleChecker
     loop: asyncio.AbstractEventLoop
     timeline: Live
-    tariffs: tuple[Tariff, ...]
+    request_classes: tuple[Tariff, ...]
 
     def keep(self, work: Coroutine[Any, Any, Any]) -> None: ...
 
@@ -51,7 +51,7 @@
         self.wires: dict[int, Wire] = {}  # by the number of the submission on it
         self.deferrals: deque[int] = deque(maxlen=KEPT_TIMES)  # microseconds from a try to its deferral
 
-    def take(self, ask: Ask) -> bool:
+    def submit(self, ask: ClientSubmission) -> bool:
         if not self.up:
             return False
         while self.idle:
@@ -65,21 +65,21 @@
         self.around.keep(self.dial(ask))
         return True
 
-    async def dial(self, ask: Ask) -> None:
-        turn = ask.turn
+    async def dial(self, ask: ClientSubmission) -> None:
+        turn = ask.current_try
         try:
             wire = (await self.around.loop.create_connection(lambda: Wire(self), *self.where))[1]
         except OSError:
             self.open -= 1
-            if turn == ask.turn:
-                ask.clients.unreached(ask)
+            if turn == ask.current_try:
+                ask.clients.target_unreachable(ask)
             return
-        if ask.over or turn != ask.turn:
+        if ask.finished or turn != ask.current_try:
             self.idle.append(wire)
         else:
             wire.send(ask)
 
-    def left(self, ask: Ask) -> None:
+    def client_left(self, ask: ClientSubmission) -> None:
         wire = self.wires.pop(ask.number, None)
         if wire is not None:
             wire.ask = None
@@ -107,17 +107,17 @@
         super().__init__()
         self.among = wires
         self.starts = wires.starts
-        self.ask: Ask | None = None
+        self.ask: ClientSubmission | None = None
         self.turn = self.sent = 0
         self.used = False
 
-    def send(self, ask: Ask) -> None:
+    def send(self, ask: ClientSubmission) -> None:
         around = self.among.around
-        self.ask, self.turn, self.sent = ask, ask.turn, around.timeline.now
+        self.ask, self.turn, self.sent = ask, ask.current_try, around.timeline.now
         self.among.wires[ask.number] = self
-        tariff = around.plan.load.tariffs[ask.tariff]
-        left = max(1, (ask.until - self.sent) // 1000)
-        around.judge.tried(ask.number, ask.tariff, ask.until)
+        tariff = around.plan.load.tariffs[ask.class_index]
+        left = max(1, (ask.deadline_at - self.sent) // 1000)
+        around.rule_checker.try_admitted(ask.number, ask.class_index, ask.deadline_at)
         self.transport.write(
             asked(
                 tariff.name,
@@ -150,9 +150,9 @@
         elif response.status == 503:
             self.among.deferrals.append(self.among.around.timeline.now - self.sent)
             advice = float(response.header("retry-after") or 0.0)
-            ask.clients.deferred(ask, self.turn, round(advice * 1e6))
+            ask.clients.rejected(ask, self.turn, round(advice * 1e6))
         else:
-            ask.clients.forfeited(ask, self.turn)
+            ask.clients.failed(ask, self.turn)
 
     def connection_lost(self, trouble: Exception | None) -> None:
         among = self.among
@@ -165,10 +165,10 @@
         among.wires.pop(ask.number, None)
         if not among.up or among.starts != self.starts or among.ending and not self.used:
             # With its process, or, as that ended, before it was accepted.
-            ask.clients.cut(ask, among.around.tariffs[ask.tariff].effect != 0)
-        elif self.used and not ask.over:
+            ask.clients.target_died(ask, among.around.request_classes[ask.class_index].effect != 0)
+        elif self.used and not ask.finished:
             # It crossed the end of a connection that had stood idle: once more, on a new one, under the same
             # id, so that a sidecar that had taken it would refuse it.
-            among.around.judge.gone(ask.number)
+            among.around.rule_checker.abandoned(ask.number)
             among.open += 1
             among.around.keep(among.dial(ask))
--- a/pumicepath/lab/loopback/world.py
+++ b/pumicepath/lab/loopback/world.py
@@ -13,13 +13,13 @@
 
 from ..faults.history import VERSION, History
 from ..faults.recording import Recorded
-from ..model.judge import Judge
+from ..model.rule_checker import RuleChecker
 from ..model.links import Links
-from ..model.result import Result, result
+from ..model.result import Result, collect_result
 from ..model.timeline import SECOND
 from ..model.world import World
 from ..spec import Plan
-from ..troubles import KINDS
+from ..fault_kinds import KINDS
 from .clock import Live
 from .relays import Relays
 from .servers import Door, LiveServer
@@ -49,7 +49,7 @@
         seed: int,
         folder: Path,
         history: Path | None = None,
-        judging: Callable[..., Judge] | None = None,
+        judging: Callable[..., RuleChecker] | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         timeline = Live(self.loop)
@@ -75,15 +75,15 @@
         )
         if plan.sidecars.peers:
             self.links = Links(timeline, seed)
-            self.links.witness = self.carried
+            self.links.observer = self.carried
             self.relays = Relays(self.links)
         self.sidecars = [
             LiveSidecar(self, number, self.hall_of(number), folder) for number in range(plan.sidecars.count)
         ]
         self.instances.extend(self.sidecars)
 
-    def begin(self, place: int, cold: bool = False) -> LiveServer:
-        server = super().begin(place, cold)
+    def add_server(self, place: int, cold: bool = False) -> LiveServer:
+        server = super().add_server(place, cold)
         assert isinstance(server, LiveServer)
         if place not in self.doors:
             self.doors[place] = Door(self)
@@ -170,16 +170,16 @@
                     self.keep(self.look_at_duties(sidecar))
         self.keep(self.timeline.tick())
         for sidecar in self.sidecars:
-            self.clients(sidecar, sidecar).begin()
+            self.make_clients(sidecar, sidecar).start()
         for number, trouble in enumerate(self.plan.troubles):
-            KINDS[trouble.kind](self, trouble, number).plan()
-        patience = max(tariff.patience for tariff in self.tariffs)
+            KINDS[trouble.kind](self, trouble, number).schedule()
+        patience = max(tariff.patience for tariff in self.request_classes)
         second = SECOND
-        while second <= self.lasts + patience + SECOND:
+        while second <= self.duration + patience + SECOND:
             await asyncio.sleep(max(0.0, (second - self.timeline.now) / 1e6))
             if self.faults:
                 raise Void(self.faults[0])
-            if second <= self.lasts:
+            if second <= self.duration:
                 self.look()
             if told is not None:
                 told(self)
@@ -229,18 +229,20 @@
             await asyncio.sleep(max(LOOK_AT_DUTIES_S, len(self.sidecars) / MOST_LOOKS))
 
     def look(self) -> None:
-        self.at_servers.append([self.servers[number].at_it for number in self.places])
+        self.at_servers.append([self.servers[number].hop_count for number in self.server_ids])
         self.breakers.append(
             [
                 sum(f"s-{number}" in sidecar.refused for sidecar in self.sidecars) / len(self.sidecars)
-                for number in self.places
+                for number in self.server_ids
             ]
         )
 
     def result(self) -> Result:
-        for second, (wanted, earned) in enumerate(zip(self.tally.wanted, self.tally.earned)):
+        for second, (wanted, earned) in enumerate(
+            zip(self.tally.offered_value_per_second, self.tally.earned_value_per_second)
+        ):
             self.history.write("clients", "second", second=second, wanted=wanted, earned=earned)
-        return result(
+        return collect_result(
             self, "pumicepath", self.timeline.events, self.at_servers, self.breakers, list(self.log)
         )
 
--- a/pumicepath/lab/model/clients.py
+++ b/pumicepath/lab/model/clients.py
@@ -11,87 +11,102 @@
 from typing import Protocol
 
 from ...interface import Tariff
-from .judge import Judge
-from .timeline import SECOND, Timeline, chance
+from .rule_checker import RuleChecker
+from .timeline import SECOND, Timeline, random_source
 
 
 @dataclass(frozen=True)
-class Habits:
+class ClientBehavior:
     """What clients do; rates are submissions a second for each sidecar, times microseconds."""
 
     rate: float
     pattern: str  # poisson, bursty, even
-    steps: tuple[tuple[int, float], ...]  # from when, times the rate
-    trace: tuple[int, ...]  # due times, instead of a rate
-    shares: tuple[float, ...]  # of the tariffs
-    keys: int
-    zipf: float
-    drift: int  # after so long the ranks have moved on by a tenth of all keys
-    leaves: float  # share of clients that leave before patience is over
-    retries: int
-    back_off: int
-    heeds: bool  # the advice when to come back
+    rate_steps: tuple[tuple[int, float], ...]  # from when, times the rate
+    arrival_trace: tuple[int, ...]  # due times, instead of a rate
+    class_weights: tuple[float, ...]  # of the tariffs
+    key_count: int
+    zipf_exponent: float
+    drift_period: int  # after so long the ranks have moved on by a tenth of all keys
+    leave_probability: float  # share of clients that leave before patience is over
+    max_retries: int
+    backoff: int
+    honors_retry_after: bool  # the advice when to come back
 
 
 @dataclass
-class Moods:
+class LoadOverrides:
     """What troubles change while a run goes on."""
 
-    times: float = 1.0  # the rate
-    hot: float = 0.0  # share of submissions with one and the same key
+    rate_factor: float = 1.0  # the rate
+    hot_key_fraction: float = 0.0  # share of submissions with one and the same key
     hot_key: int = 0
 
 
-class Taker(Protocol):
+class SubmissionTarget(Protocol):
     """A sidecar, as its clients meet it."""
 
-    def take(self, ask: Ask) -> bool:
+    def submit(self, submission: ClientSubmission) -> bool:
         """Whether it took it; a sidecar that is down does not."""
 
-    def left(self, ask: Ask) -> None: ...
+    def client_left(self, submission: ClientSubmission) -> None: ...
 
 
-class Ask:
+class ClientSubmission:
     """One submission of a client with all its tries."""
 
-    __slots__ = ("clients", "number", "tariff", "key", "due", "until", "tries", "turn", "over")
-
-    def __init__(self, clients: Clients, number: int, tariff: int, key: int, due: int, until: int) -> None:
+    __slots__ = (
+        "clients",
+        "number",
+        "class_index",
+        "key",
+        "due_at",
+        "deadline_at",
+        "tries",
+        "current_try",
+        "finished",
+    )
+
+    def __init__(
+        self, clients: Clients, number: int, class_index: int, key: int, due_at: int, deadline_at: int
+    ) -> None:
         self.clients = clients
         self.number = number
-        self.tariff = tariff
+        self.class_index = class_index
         self.key = key
-        self.due = due
-        self.until = until
+        self.due_at = due_at
+        self.deadline_at = deadline_at
         self.tries = 0
-        self.turn = 0  # counts tries; older answers do not count
-        self.over = False
+        self.current_try = 0  # counts tries; older answers do not count
+        self.finished = False
 
 
 class Tally:
     """Ends of submissions by the second in which each should have gone out."""
 
-    def __init__(self, seconds: int, tariffs: int, warm: int) -> None:
-        self.warm = warm  # microseconds at the start whose gains do not count
+    def __init__(self, seconds: int, request_classes: int, warm_up: int) -> None:
+        self.warm_up = warm_up  # microseconds at the start whose gains do not count
         self.offered, self.good, self.late, self.deferred = ([0] * seconds for _ in range(4))
         self.forfeited, self.left, self.lost, self.refused = ([0] * seconds for _ in range(4))
-        self.times: list[list[int]] = [[] for _ in range(tariffs)]
-        self.gained = self.could = 0.0
-        self.wanted, self.earned = [0.0] * seconds, [0.0] * seconds  # gain offered, and served in time
+        self.latencies: list[list[int]] = [[] for _ in range(request_classes)]
+        self.earned_value = self.offered_value = 0.0
+        self.offered_value_per_second, self.earned_value_per_second = (
+            [0.0] * seconds,
+            [0.0] * seconds,
+        )  # gain offered, and served in time
         self.retries = 0
 
 
-class Keys:
+class KeyDistribution:
     """Keys by Zipf's law, the most popular ones changing as time goes on; 0 stands for none."""
 
-    def __init__(self, count: int, power: float, drift: int) -> None:
+    def __init__(self, count: int, exponent: float, drift_period: int) -> None:
         self.count = count
-        self.drift = drift
-        self.sums = list(accumulate((rank + 1) ** -power for rank in range(count)))
+        self.drift_period = drift_period
+        self.cumulative_weights = list(accumulate((rank + 1) ** -exponent for rank in range(count)))
 
-    def draw(self, now: int, by: Random) -> int:
-        rank = bisect.bisect_left(self.sums, by.random() * self.sums[-1])
-        moved = now * self.count // (10 * self.drift) if self.drift else 0
+    def draw(self, now: int, rng: Random) -> int:
+        rank = bisect.bisect_left(self.cumulative_weights, rng.random() * self.cumulative_weights[-1])
+        moved = now * self.count // (10 * self.drift_period) if self.drift_period else 0
         return (rank + moved) % self.count + 1
 
 
@@ -100,44 +115,44 @@
     """All clients of one sidecar; they know nothing of others."""
 
     timeline: Timeline
-    habits: Habits
-    tariffs: Sequence[Tariff]
-    keys: Keys
-    moods: Moods
-    judge: Judge
+    behavior: ClientBehavior
+    request_classes: Sequence[Tariff]
+    keys: KeyDistribution
+    load_overrides: LoadOverrides
+    rule_checker: RuleChecker
     tally: Tally
-    taker: Taker
+    target: SubmissionTarget
     number: int
     seed: int
-    lasts: int
-    open: dict[int, Ask] = field(default_factory=dict)
+    duration: int
+    open_submissions: dict[int, ClientSubmission] = field(default_factory=dict)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         # Streams apart, so that the load is the same whatever becomes of it.
-        self.chance = chance(self.seed, "clients", self.number)
-        self.pauses = chance(self.seed, "pauses", self.number)
-        self.sums = list(accumulate(self.habits.shares))
+        self.rng = random_source(self.seed, "clients", self.number)
+        self.retry_rng = random_source(self.seed, "pauses", self.number)
+        self.cumulative_weights = list(accumulate(self.behavior.class_weights))
         self.count = 0
-        self.dues = self.arrivals()
-        self.next()
+        self.arrival_times = self.arrivals()
+        self.schedule_next_arrival()
 
-    def next(self) -> None:
-        due = next(self.dues, -1)
-        if 0 <= due < self.lasts:
+    def schedule_next_arrival(self) -> None:
+        due = next(self.arrival_times, -1)
+        if 0 <= due < self.duration:
             self.timeline.at(due, self.arrive, due)
 
     def arrivals(self) -> Iterator[int]:
         """When submissions are due; a rate that changes takes effect with the next one."""
-        habits, by = self.habits, self.chance
-        if habits.trace:
-            yield from habits.trace
+        habits, by = self.behavior, self.rng
+        if habits.arrival_trace:
+            yield from habits.arrival_trace
             return
         at, burst, ends = by.random() * SECOND / max(habits.rate, 1e-9), 1.0, 0.0
-        at = self.resumed(at)
-        while at < self.lasts:
+        at = self.next_active_time(at)
+        while at < self.duration:
             yield int(at)
-            at = self.resumed(at)
-            rate = habits.rate * self.moods.times * self.stepped(at)
+            at = self.next_active_time(at)
+            rate = habits.rate * self.load_overrides.rate_factor * self.rate_factor_at(at)
             if habits.pattern == "bursty":
                 # Two states (Markov-modulated Poisson): a fifth of the time at three times the rate.
                 while at >= ends:
@@ -148,129 +163,138 @@
                 return
             at += SECOND / rate if habits.pattern == "even" else by.expovariate(rate) * SECOND
 
-    def resumed(self, at: float) -> float:
+    def next_active_time(self, at: float) -> float:
         """The first time from then on, in steps of a tenth of a second, at which anything may be due."""
-        while at < self.lasts and self.habits.rate * self.stepped(at) <= 0.0:
+        while at < self.duration and self.behavior.rate * self.rate_factor_at(at) <= 0.0:
             at += SECOND / 10
         return at
 
-    def stepped(self, at: float) -> float:
+    def rate_factor_at(self, at: float) -> float:
         times = 1.0
-        for begins, step in self.habits.steps:
+        for begins, step in self.behavior.rate_steps:
             if begins > at:
                 break
             times = step
         return times
 
-    def arrive(self, due: int) -> None:
-        self.next()
-        by = self.chance
-        tariff = bisect.bisect_left(self.sums, by.random() * self.sums[-1])
-        key = self.keys.draw(due, by)
-        if self.moods.hot > 0.0 and self.pauses.random() < self.moods.hot:
-            key = self.moods.hot_key
+    def arrive(self, due_at: int) -> None:
+        self.schedule_next_arrival()
+        by = self.rng
+        tariff = bisect.bisect_left(self.cumulative_weights, by.random() * self.cumulative_weights[-1])
+        key = self.keys.draw(due_at, by)
+        if (
+            self.load_overrides.hot_key_fraction > 0.0
+            and self.retry_rng.random() < self.load_overrides.hot_key_fraction
+        ):
+            key = self.load_overrides.hot_key
         self.count += 1
-        until = due + self.tariffs[tariff].patience
-        ask = Ask(self, (self.number << 32) + self.count, tariff, key, due, until)
-        self.open[ask.number] = ask
-        second = due // SECOND
+        until = due_at + self.request_classes[tariff].patience
+        ask = ClientSubmission(self, (self.number << 32) + self.count, tariff, key, due_at, until)
+        self.open_submissions[ask.number] = ask
+        second = due_at // SECOND
         self.tally.offered[second] += 1
-        if due >= self.tally.warm:
-            self.tally.could += self.tariffs[tariff].gain
-        if by.random() < self.habits.leaves:
-            self.timeline.at(due + int(by.random() * (ask.until - due)), self.leave, ask)
-        self.timeline.at(ask.until, self.patience_over, ask)
-        self.go_out(ask)
-
-    def go_out(self, ask: Ask) -> None:
-        if ask.over:
+        if due_at >= self.tally.warm_up:
+            self.tally.offered_value += self.request_classes[tariff].gain
+        if by.random() < self.behavior.leave_probability:
+            self.timeline.at(due_at + int(by.random() * (ask.deadline_at - due_at)), self.leave, ask)
+        self.timeline.at(ask.deadline_at, self.deadline_passed, ask)
+        self.send(ask)
+
+    def send(self, submission: ClientSubmission) -> None:
+        if submission.finished:
             return
-        ask.tries += 1
-        ask.turn += 1
-        if ask.tries > 1:
+        submission.tries += 1
+        submission.current_try += 1
+        if submission.tries > 1:
             self.tally.retries += 1
-        if not self.taker.take(ask):
-            self.tally.refused[ask.due // SECOND] += 1
-            self.again(ask, 0)
+        if not self.target.submit(submission):
+            self.tally.refused[submission.due_at // SECOND] += 1
+            self.schedule_retry(submission, 0)
 
-    def unreached(self, ask: Ask) -> None:
+    def target_unreachable(self, submission: ClientSubmission) -> None:
         """Its sidecar was not to be reached, which shows only after the try."""
-        if not ask.over:
-            self.tally.refused[ask.due // SECOND] += 1
-            self.again(ask, 0)
+        if not submission.finished:
+            self.tally.refused[submission.due_at // SECOND] += 1
+            self.schedule_retry(submission, 0)
 
-    def again(self, ask: Ask, advice: int) -> bool:
+    def schedule_retry(self, submission: ClientSubmission, retry_after: int) -> bool:
         """Try once more after the advice or a growing pause, if there is time left for it."""
-        pause = self.habits.back_off * 2 ** (ask.tries - 1) * (0.5 + self.pauses.random())
-        wait = max(advice if self.habits.heeds else 0, int(pause))
-        if ask.tries > self.habits.retries or self.timeline.now + wait >= ask.until:
+        pause = self.behavior.backoff * 2 ** (submission.tries - 1) * (0.5 + self.retry_rng.random())
+        wait = max(retry_after if self.behavior.honors_retry_after else 0, int(pause))
+        if submission.tries > self.behavior.max_retries or self.timeline.now + wait >= submission.deadline_at:
             return False
-        self.timeline.at(self.timeline.now + wait, self.go_out, ask)
+        self.timeline.at(self.timeline.now + wait, self.send, submission)
         return True
 
     # -- answers of the sidecar
 
-    def succeeded(self, ask: Ask, turn: int) -> None:
-        self.judge.answered(ask.number, "succeeded")
-        if ask.over or turn != ask.turn:
+    def succeeded(self, submission: ClientSubmission, try_number: int) -> None:
+        self.rule_checker.answer_received(submission.number, "succeeded")
+        if submission.finished or try_number != submission.current_try:
             return
-        now, tariff = self.timeline.now, self.tariffs[ask.tariff]
-        spent = now - ask.due
+        now, tariff = self.timeline.now, self.request_classes[submission.class_index]
+        spent = now - submission.due_at
         in_time = spent <= tariff.agreed
-        if ask.due >= self.tally.warm:
-            self.tally.times[ask.tariff].append(spent)
-            self.tally.gained += tariff.gain if in_time else tariff.late_gain
-        self.end(ask, self.tally.good if in_time else self.tally.late)
-
-    def deferred(self, ask: Ask, turn: int, advice: int) -> None:
-        self.judge.answered(ask.number, "deferred")
-        if not ask.over and turn == ask.turn and not self.again(ask, advice):
-            self.end(ask, self.tally.deferred)
-
-    def forfeited(self, ask: Ask, turn: int) -> None:
-        self.judge.answered(ask.number, "forfeited")
-        if not ask.over and turn == ask.turn:
-            self.end(ask, self.tally.forfeited)
-
-    def cut(self, ask: Ask, may_run: bool) -> None:
+        if submission.due_at >= self.tally.warm_up:
+            self.tally.latencies[submission.class_index].append(spent)
+            self.tally.earned_value += tariff.gain if in_time else tariff.late_gain
+        self.finish(submission, self.tally.good if in_time else self.tally.late)
+
+    def rejected(self, submission: ClientSubmission, try_number: int, retry_after: int) -> None:
+        self.rule_checker.answer_received(submission.number, "deferred")
+        if (
+            not submission.finished
+            and try_number == submission.current_try
+            and not self.schedule_retry(submission, retry_after)
+        ):
+            self.finish(submission, self.tally.deferred)
+
+    def failed(self, submission: ClientSubmission, try_number: int) -> None:
+        self.rule_checker.answer_received(submission.number, "forfeited")
+        if not submission.finished and try_number == submission.current_try:
+            self.finish(submission, self.tally.forfeited)
+
+    def target_died(self, submission: ClientSubmission, may_run: bool) -> None:
         """Its sidecar died: what may be repeated is tried again, by the client's own choice."""
-        self.judge.gone(ask.number, "cut")
-        if not ask.over and (may_run or not self.again(ask, 0)):
-            self.end(ask, self.tally.forfeited)
+        self.rule_checker.abandoned(submission.number, "cut")
+        if not submission.finished and (may_run or not self.schedule_retry(submission, 0)):
+            self.finish(submission, self.tally.forfeited)
 
     # -- its end
 
-    def leave(self, ask: Ask) -> None:
-        if not ask.over:
-            self.judge.gone(ask.number)
-            self.taker.left(ask)
-            self.end(ask, self.tally.left)
+    def leave(self, submission: ClientSubmission) -> None:
+        if not submission.finished:
+            self.rule_checker.abandoned(submission.number)
+            self.target.client_left(submission)
+            self.finish(submission, self.tally.left)
 
-    def patience_over(self, ask: Ask) -> None:
-        if not ask.over:
-            self.timeline.at(ask.until + self.judge.slack, self.given_up, ask)
+    def deadline_passed(self, submission: ClientSubmission) -> None:
+        if not submission.finished:
+            self.timeline.at(
+                submission.deadline_at + self.rule_checker.answer_slack, self.give_up, submission
+            )
 
-    def given_up(self, ask: Ask) -> None:
-        if ask.over:
+    def give_up(self, submission: ClientSubmission) -> None:
+        if submission.finished:
             return
-        case = self.judge.cases.get(ask.number)
-        lost = case is not None and case.open
-        self.judge.patience_over(ask.number)
-        self.taker.left(ask)
-        self.end(ask, self.tally.lost if lost else self.tally.deferred)
-
-    def end(self, ask: Ask, column: list[int]) -> None:
-        ask.over = True
-        second, gain = ask.due // SECOND, self.tariffs[ask.tariff].gain
+        case = self.rule_checker.records.get(submission.number)
+        lost = case is not None and case.awaiting_answer
+        self.rule_checker.deadline_passed(submission.number)
+        self.target.client_left(submission)
+        self.finish(submission, self.tally.lost if lost else self.tally.deferred)
+
+    def finish(self, submission: ClientSubmission, column: list[int]) -> None:
+        submission.finished = True
+        second, gain = submission.due_at // SECOND, self.request_classes[submission.class_index].gain
         column[second] += 1
-        self.tally.wanted[second] += gain
+        self.tally.offered_value_per_second[second] += gain
         if column is self.tally.good:
-            self.tally.earned[second] += gain
-        del self.open[ask.number]
-        self.judge.closed(ask.number)
+            self.tally.earned_value_per_second[second] += gain
+        del self.open_submissions[submission.number]
+        self.rule_checker.client_finished(submission.number)
 
 
-def percentile(times: list[int], part: float) -> float:
+def percentile(latencies: list[int], fraction: float) -> float:
     """Of times in microseconds, in milliseconds; NaN where there are none."""
-    ordered = sorted(times)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] / 1000 if ordered else math.nan
+    ordered = sorted(latencies)
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] / 1000 if ordered else math.nan
--- a/pumicepath/lab/model/links.py
+++ b/pumicepath/lab/model/links.py
@@ -10,45 +10,49 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
 
-from .timeline import SECOND, Timeline, chance
+from .timeline import SECOND, Timeline, random_source
 
-LONGEST_QUEUE = SECOND  # before a slow link; what would wait longer is dropped
+MAX_QUEUE_DELAY_US = SECOND  # before a slow link; what would wait longer is dropped
 
 
 @dataclass(frozen=True)
-class Noise:
+class Impairment:
     """Shares of datagrams, and microseconds; `rate` is bytes a second, 0 without a bound."""
 
     loss: float = 0.0
-    doubled: float = 0.0
-    spoilt: float = 0.0
+    duplicated: float = 0.0
+    corrupted: float = 0.0
     delay: int = 0
-    spread: int = 0  # a delay up to so much longer: what is sent later may come first
+    jitter: int = 0  # a delay up to so much longer: what is sent later may come first
     rate: int = 0
 
 
-Group = frozenset[int]
+SidecarGroup = frozenset[int]
 
 
 class Links:
     """Between sidecars by number; `usual` is the delay of each way in microseconds."""
 
-    def __init__(self, timeline: Timeline, seed: int, usual: int = 0) -> None:
+    def __init__(self, timeline: Timeline, seed: int, base_delay: int = 0) -> None:
         self.timeline = timeline
-        self.usual = usual
-        self.chance = chance(seed, "links")
-        self.cuts: list[tuple[Group, Group]] = []
-        self.noises: list[tuple[Group, Noise]] = []
-        self.free: dict[tuple[int, int], int] = {}  # when a slow link has sent what waits
+        self.base_delay = base_delay
+        self.rng = random_source(seed, "links")
+        self.cuts: list[tuple[SidecarGroup, SidecarGroup]] = []
+        self.impairments: list[tuple[SidecarGroup, Impairment]] = []
+        self.free_at: dict[tuple[int, int], int] = {}  # when a slow link has sent what waits
         self.sent: Counter[int] = Counter()  # messages by who sent them,
         self.bytes: Counter[int] = Counter()  # and their bytes
         self.dropped = 0
         # Told of each datagram: from whom, to whom, its bytes, how many copies of it go on, or why none.
-        self.witness: Callable[[int, int, int, int, str], None] | None = None
+        self.observer: Callable[[int, int, int, int, str], None] | None = None
 
-    def cut(self, from_: Collection[int], to: Collection[int], both: bool = True) -> Callable[[], None]:
+    def cut(
+        self, sources: Collection[int], targets: Collection[int], both_ways: bool = True
+    ) -> Callable[[], None]:
         """Nothing goes from one group to the other (nor back, if `both`); undone by what it gives back."""
-        made = [(frozenset(from_), frozenset(to))] + ([(frozenset(to), frozenset(from_))] if both else [])
+        made = [(frozenset(sources), frozenset(targets))] + (
+            [(frozenset(targets), frozenset(sources))] if both_ways else []
+        )
         self.cuts.extend(made)
 
         def undo() -> None:
@@ -57,41 +61,41 @@
 
         return undo
 
-    def disturb(self, who: Collection[int], noise: Noise) -> Callable[[], None]:
+    def impair(self, sidecars: Collection[int], impairment: Impairment) -> Callable[[], None]:
         """On all that these sidecars send or get."""
-        made = (frozenset(who), noise)
-        self.noises.append(made)
-        return lambda: self.noises.remove(made)
-
-    def carry(self, one: int, other: int, data: bytes, deliver: Callable[[bytes], None]) -> None:
-        self.sent[one] += 1
-        self.bytes[one] += len(data)
-        if any(one in from_ and other in to for from_, to in self.cuts):
-            return self.drop(one, other, data, "cut")
-        delay, copies, draw = self.usual, 1, self.chance.random
-        for who, noise in self.noises:
-            if one not in who and other not in who:
+        made = (frozenset(sidecars), impairment)
+        self.impairments.append(made)
+        return lambda: self.impairments.remove(made)
+
+    def carry(self, source: int, target: int, data: bytes, deliver: Callable[[bytes], None]) -> None:
+        self.sent[source] += 1
+        self.bytes[source] += len(data)
+        if any(source in from_ and target in to for from_, to in self.cuts):
+            return self.drop(source, target, data, "cut")
+        delay, copies, draw = self.base_delay, 1, self.rng.random
+        for who, noise in self.impairments:
+            if source not in who and target not in who:
                 continue
             if draw() < noise.loss:
-                return self.drop(one, other, data, "lost")
-            copies += draw() < noise.doubled
-            if draw() < noise.spoilt and data:
+                return self.drop(source, target, data, "lost")
+            copies += draw() < noise.duplicated
+            if draw() < noise.corrupted and data:
                 at = int(draw() * len(data))
                 data = data[:at] + bytes((data[at] ^ (1 << int(draw() * 8)),)) + data[at + 1 :]
             if noise.rate:
                 now = self.timeline.now
-                free = max(now, self.free.get((one, other), 0)) + len(data) * SECOND // noise.rate
-                if free - now > LONGEST_QUEUE:
-                    return self.drop(one, other, data, "too long a queue")
-                self.free[one, other] = free
+                free = max(now, self.free_at.get((source, target), 0)) + len(data) * SECOND // noise.rate
+                if free - now > MAX_QUEUE_DELAY_US:
+                    return self.drop(source, target, data, "too long a queue")
+                self.free_at[source, target] = free
                 delay += free - now
-            delay += noise.delay + int(draw() * noise.spread)
-        if self.witness is not None:
-            self.witness(one, other, len(data), copies, "")
+            delay += noise.delay + int(draw() * noise.jitter)
+        if self.observer is not None:
+            self.observer(source, target, len(data), copies, "")
         for _ in range(copies):
             self.timeline.at(self.timeline.now + delay, deliver, data)
 
-    def drop(self, one: int, other: int, data: bytes, why: str) -> None:
+    def drop(self, source: int, target: int, data: bytes, reason: str) -> None:
         self.dropped += 1
-        if self.witness is not None:
-            self.witness(one, other, len(data), 0, why)
+        if self.observer is not None:
+            self.observer(source, target, len(data), 0, reason)
--- a/pumicepath/lab/model/result.py
+++ b/pumicepath/lab/model/result.py
@@ -19,53 +19,53 @@
     policy: str
     service: float
     columns: dict[str, list[int]]
-    times: list[list[int]]
-    rules: dict[str, int]
-    first: dict[str, str]
-    finals: dict[str, int]
+    latencies: list[list[int]]
+    violations: dict[str, int]
+    first_violations: dict[str, str]
+    final_answers: dict[str, int]
     marks: list[tuple[int, int, str]]
     events: int
     hops: int
-    wasted: int  # hops that servers failed, refused or reset
-    at_servers: list[list[int]] = field(default_factory=list)
-    breakers: list[list[float]] = field(default_factory=list)
+    failed_hops: int  # hops that servers failed, refused or reset
+    hops_at_servers: list[list[int]] = field(default_factory=list)
+    open_breakers: list[list[float]] = field(default_factory=list)
     log: list[str] = field(default_factory=list)
-    views_wrong: list[int] = field(default_factory=list)  # a second: sidecars that see the fleet wrong
+    wrong_views: list[int] = field(default_factory=list)  # a second: sidecars that see the fleet wrong
 
 
-def result(
+def collect_result(
     world: World,
     policy: str,
     events: int,
-    at_servers: list[list[int]],
-    breakers: list[list[float]],
+    hops_at_servers: list[list[int]],
+    open_breakers: list[list[float]],
     log: list[str],
-    views_wrong: list[int] | None = None,
+    wrong_views: list[int] | None = None,
 ) -> Result:
-    tally, judge = world.tally, world.judge
+    tally, judge = world.tally, world.rule_checker
     return Result(
         seed=world.seed,
         policy=policy,
-        service=tally.gained / tally.could if tally.could else 1.0,
+        service=tally.earned_value / tally.offered_value if tally.offered_value else 1.0,
         columns={name: getattr(tally, name) for name in COLUMNS},
-        times=tally.times,
-        rules=dict(judge.broken),
-        first=dict(judge.first),
-        finals=dict(judge.finals),
-        marks=[(mark.at, mark.until, mark.text) for mark in world.marks],
+        latencies=tally.latencies,
+        violations=dict(judge.violations),
+        first_violations=dict(judge.first_violations),
+        final_answers=dict(judge.final_answers),
+        marks=[(mark.started_at, mark.ends_at, mark.text) for mark in world.marks],
         events=events,
-        hops=sum(server.done for server in world.servers.values()),
-        wasted=sum(server.failed for server in world.servers.values()),
-        at_servers=at_servers,
-        breakers=breakers,
+        hops=sum(server.completed for server in world.servers.values()),
+        failed_hops=sum(server.failed_hops for server in world.servers.values()),
+        hops_at_servers=hops_at_servers,
+        open_breakers=open_breakers,
         log=log,
-        views_wrong=views_wrong or [],
+        wrong_views=wrong_views or [],
     )
 
 
-def summary(result: Result) -> dict[str, Any]:
+def summarize(result: Result) -> dict[str, Any]:
     """For machines: totals, rules and percentiles in milliseconds."""
-    every = [spent for times in result.times for spent in times]
+    every = [spent for times in result.latencies for spent in times]
     return {
         "seed": result.seed,
         "policy": result.policy,
@@ -75,7 +75,7 @@
         "p99_ms": percentile(every, 0.99),
         "events": result.events,
         "hops": result.hops,
-        "wasted": result.wasted,
-        "rules": result.rules,
-        "finals": result.finals,
+        "wasted": result.failed_hops,
+        "rules": result.violations,
+        "finals": result.final_answers,
     }
--- a/pumicepath/lab/model/servers.py
+++ b/pumicepath/lab/model/servers.py
@@ -12,79 +12,85 @@
 
 
 @dataclass(frozen=True)
-class Build:
+class ServerParameters:
     """What servers are made of; times in microseconds."""
 
     cores: int
-    queue: int  # hops that may wait
-    cache: int  # keys that a server remembers
-    miss: float  # how much longer a key takes that it does not
-    cold_from: float  # share of the speed at the start, which grows to the whole
-    cold_for: int  # over this time
-    fall_multiple: float  # work sent above this multiple of what it can do while cold
-    fall_window: int  # over this window pushes it over
-    jam_at: float  # hops at the server, for each core, from which it jams
-    jam_speed: float  # its speed until it is nearly idle
-    stops: bool  # whether work ends when nobody waits for it any more
-
-
-class Witness(Protocol):
+    queue_limit: int  # hops that may wait
+    cache_size: int  # keys that a server remembers
+    miss_factor: float  # how much longer a key takes that it does not
+    cold_fraction: float  # share of the speed at the start, which grows to the whole
+    cold_duration: int  # over this time
+    overload_multiple: float  # work sent above this multiple of what it can do while cold
+    overload_window: int  # over this window pushes it over
+    congestion_threshold: float  # hops at the server, for each core, from which it jams
+    congestion_speed: float  # its speed until it is nearly idle
+    stops_cancelled: bool  # whether work ends when nobody waits for it any more
+
+
+class ServerObserver(Protocol):
     """Who is told what a server did; see `judge`."""
 
-    def ran(self, now: int, job: Job, server: Server) -> bool:
+    def work_started(self, now: int, job: Job, server: Server) -> bool:
         """Work begins; whether it has an effect, or is dropped as a repeat."""
 
-    def pushed_over(self, now: int, server: Server, senders: dict[int, int]) -> None: ...
+    def cold_server_overloaded(self, now: int, server: Server, senders: dict[int, int]) -> None: ...
 
 
 class Job:
     """A hop as its server sees it; `reply` is called once with how it ended there."""
 
     __slots__ = (
-        "ask",
+        "submission_id",
         "key",
         "sender",
-        "told",
+        "sender_knew_start",
         "work",
-        "rest",
-        "since",
+        "remaining_work",
+        "updated_at",
         "rate",
-        "turn",
+        "speed_changes",
         "reply",
-        "gone",
-        "begun",
-        "effect",
+        "finished",
+        "started",
+        "has_effect",
     )
 
     def __init__(
-        self, ask: int, key: int, sender: int, work: int, reply: Callable[[Outcome], None], told: bool = True
+        self,
+        submission_id: int,
+        key: int,
+        sender: int,
+        work: int,
+        reply: Callable[[Outcome], None],
+        sender_knew_start: bool = True,
     ) -> None:
-        self.ask = ask
+        self.submission_id = submission_id
         self.key = key
         self.sender = sender
-        self.told = told  # whether the sender could know of the server's start
+        self.sender_knew_start = sender_knew_start  # whether the sender could know of the server's start
         self.work = work  # core-microseconds on a warm server that knows the key
-        self.rest = float(work)
-        self.since = 0
+        self.remaining_work = float(work)
+        self.updated_at = 0
         self.rate = 0.0
-        self.turn = 0  # counts changes of speed; older ends do not count
+        self.speed_changes = 0  # counts changes of speed; older ends do not count
         self.reply = reply
-        self.gone = False
-        self.begun = False
-        self.effect = True
+        self.finished = False
+        self.started = False
+        self.has_effect = True
 
 
-class Limit:
+class SharedLimit:
     """What a group of servers may do at once, all together, such as connections to a database."""
 
-    def __init__(self, places: int) -> None:
-        self.free = places
+    def __init__(self, capacity: int) -> None:
+        self.free = capacity
         self.waiting: deque[Server] = deque()
 
     def release(self) -> None:
         self.free += 1
         while self.free > 0 and self.waiting:
-            self.waiting.popleft().go_on()
+            self.waiting.popleft().start_waiting()
 
 
 class Server:
@@ -93,40 +99,40 @@
     def __init__(
         self,
         timeline: Timeline,
-        witness: Witness,
-        build: Build,
+        observer: ServerObserver,
+        parameters: ServerParameters,
         number: int,
-        hall: int,
+        zone: int,
         cell: int,
         speed: float = 1.0,
-        limit: Limit | None = None,
-        fails: Callable[[], float] | None = None,
+        limit: SharedLimit | None = None,
+        draw: Callable[[], float] | None = None,
     ) -> None:
         self.timeline = timeline
-        self.witness = witness
-        self.build = build
+        self.observer = observer
+        self.parameters = parameters
         self.number = number
-        self.hall = hall
+        self.zone = zone
         self.cell = cell
         self.speed = speed
         self.limit = limit
-        self.chance = fails or (lambda: 1.0)
+        self.draw = draw or (lambda: 1.0)
         self.process = 1  # counts processes; connections end with theirs
         self.up = True
         self.silent = False  # half open: takes nothing in, says nothing, closes nothing
-        self.factor = 1.0  # of its speed, while slowed from outside
-        self.failing = 0.0  # share of hops that it fails at once
-        self.stalling = 0.0  # share of answers that stop half way, where there are bytes
-        self.came_up = 0  # 0: long ago
-        self.fallen = False
-        self.jammed = False
+        self.speed_factor = 1.0  # of its speed, while slowed from outside
+        self.failure_fraction = 0.0  # share of hops that it fails at once
+        self.stall_fraction = 0.0  # share of answers that stop half way, where there are bytes
+        self.started_at = 0  # 0: long ago
+        self.collapsed = False
+        self.congested = False
         self.running: dict[Job, None] = {}
         self.queue: deque[Job] = deque()
         self.cache: OrderedDict[int, None] = OrderedDict()
         self.arrivals: deque[tuple[int, int, int, bool]] = deque()
-        self.arrived = 0  # work among them
-        self.done = 0
-        self.failed = 0  # hops that ended otherwise, but for those that nobody waited for any more
+        self.arrived_work = 0  # work among them
+        self.completed = 0
+        self.failed_hops = 0  # hops that ended otherwise, but for those that nobody waited for any more
 
     # -- its process
 
@@ -137,76 +143,85 @@
         waiting = [*self.running, *self.queue]
         self.queue.clear()  # first: a place in a shared limit that comes free must not go to it
         for job in list(self.running):
-            self.leave(job)
-        self.jammed = False
+            self.release_core(job)
+        self.congested = False
         for job in waiting:
-            self.end(job, Outcome.RESET)
+            self.finish(job, Outcome.RESET)
 
     def start(self, cold: bool = True) -> None:
         """A new process with an empty cache, cold unless told otherwise."""
         self.up = True
-        self.silent = self.fallen = self.jammed = False
-        self.factor, self.failing, self.stalling = 1.0, 0.0, 0.0
-        self.came_up = self.timeline.now if cold else 0
+        self.silent = self.collapsed = self.congested = False
+        self.speed_factor, self.failure_fraction, self.stall_fraction = 1.0, 0.0, 0.0
+        self.started_at = self.timeline.now if cold else 0
         self.cache.clear()
         self.arrivals.clear()
-        self.arrived = 0
+        self.arrived_work = 0
 
     def silence(self) -> None:
         """Its machine is as if gone: nothing comes in or goes out, and no connection ends."""
         self.silent = True
-        self.slowed(0.0)
+        self.set_speed_factor(0.0)
 
-    def warmth(self) -> float:
+    def warm_fraction(self) -> float:
         """The share of its speed that it has by the time since its start."""
-        if not self.came_up:
+        if not self.started_at:
             return 1.0
-        grown = (self.timeline.now - self.came_up) / max(1, self.build.cold_for)
-        return min(1.0, self.build.cold_from + (1.0 - self.build.cold_from) * grown)
+        grown = (self.timeline.now - self.started_at) / max(1, self.parameters.cold_duration)
+        return min(1.0, self.parameters.cold_fraction + (1.0 - self.parameters.cold_fraction) * grown)
 
-    def slowed(self, factor: float) -> None:
+    def set_speed_factor(self, factor: float) -> None:
         """Its speed changes from outside; 0 pauses it.  What runs goes on at the new speed."""
-        self.factor = factor
-        self.turned()
+        self.speed_factor = factor
+        self.speed_changed()
 
-    def turned(self) -> None:
+    def speed_changed(self) -> None:
         now, rate = self.timeline.now, self.rate()
         for job in self.running:
-            job.rest = max(0.0, job.rest - (now - job.since) * job.rate)
-            self.pace(job, rate)
+            job.remaining_work = max(0.0, job.remaining_work - (now - job.updated_at) * job.rate)
+            self.schedule_completion(job, rate)
 
     def rate(self) -> float:
-        return self.speed * self.factor * self.warmth() * (self.build.jam_speed if self.jammed else 1.0)
+        return (
+            self.speed
+            * self.speed_factor
+            * self.warm_fraction()
+            * (self.parameters.congestion_speed if self.congested else 1.0)
+        )
 
     # -- hops
 
-    def came(self, job: Job) -> bool:
+    def receive(self, job: Job) -> bool:
         """A hop has arrived; it runs, waits, or is refused because the queue is full.
 
         False if nothing will ever be heard of it here, as at a silent server.
         """
         if self.silent or not self.up:
             return False
-        if self.came_up:
-            self.count_push(job)
-            if self.fallen:
-                self.end(job, Outcome.RESET)
+        if self.started_at:
+            self.check_cold_overload(job)
+            if self.collapsed:
+                self.finish(job, Outcome.RESET)
                 return True
-        if self.failing and self.chance() < self.failing:
-            job.effect = self.witness.ran(self.timeline.now, job, self)
-            self.end(job, Outcome.ERROR)
-        elif len(self.running) >= self.build.cores and len(self.queue) >= self.build.queue:
-            self.end(job, Outcome.FULL)
+        if self.failure_fraction and self.draw() < self.failure_fraction:
+            job.has_effect = self.observer.work_started(self.timeline.now, job, self)
+            self.finish(job, Outcome.ERROR)
+        elif len(self.running) >= self.parameters.cores and len(self.queue) >= self.parameters.queue_limit:
+            self.finish(job, Outcome.FULL)
         else:
             self.queue.append(job)
-            if len(self.queue) + len(self.running) > self.build.jam_at * self.build.cores and not self.jammed:
-                self.jammed = True
-                self.turned()
-            self.go_on()
+            if (
+                len(self.queue) + len(self.running)
+                > self.parameters.congestion_threshold * self.parameters.cores
+                and not self.congested
+            ):
+                self.congested = True
+                self.speed_changed()
+            self.start_waiting()
         return True
 
-    def go_on(self) -> None:
-        while self.queue and len(self.running) < self.build.cores:
+    def start_waiting(self) -> None:
+        while self.queue and len(self.running) < self.parameters.cores:
             if self.limit is not None:
                 if self.limit.free <= 0:
                     if self not in self.limit.waiting:
@@ -214,107 +229,116 @@
                     return
                 self.limit.free -= 1
             job = self.queue.popleft()
-            job.begun = True
-            job.effect = self.witness.ran(self.timeline.now, job, self)
-            job.rest = self.takes(job.work, job.key) if job.effect else 1.0
+            job.started = True
+            job.has_effect = self.observer.work_started(self.timeline.now, job, self)
+            job.remaining_work = self.service_time(job.work, job.key) if job.has_effect else 1.0
             if job.key:
                 self.cache[job.key] = None
                 self.cache.move_to_end(job.key)
-                if len(self.cache) > self.build.cache:
+                if len(self.cache) > self.parameters.cache_size:
                     self.cache.popitem(last=False)
             self.running[job] = None
-            self.pace(job, self.rate())
+            self.schedule_completion(job, self.rate())
 
-    def pace(self, job: Job, rate: float) -> None:
-        job.since = self.timeline.now
+    def schedule_completion(self, job: Job, rate: float) -> None:
+        job.updated_at = self.timeline.now
         job.rate = rate
-        job.turn += 1
+        job.speed_changes += 1
         if rate > 0.0:
-            self.timeline.at(job.since + int(job.rest / rate) + 1, self.finished, job, job.turn)
+            self.timeline.at(
+                job.updated_at + int(job.remaining_work / rate) + 1, self.complete, job, job.speed_changes
+            )
 
-    def finished(self, job: Job, turn: int) -> None:
-        if job.turn != turn or job not in self.running:
+    def complete(self, job: Job, speed_changes: int) -> None:
+        if job.speed_changes != speed_changes or job not in self.running:
             return
-        self.leave(job)
-        self.done += 1
-        self.end(job, Outcome.OK)
-        if self.jammed and len(self.running) + len(self.queue) <= 1:
-            self.jammed = False
-            self.turned()
-        self.go_on()
-
-    def leave(self, job: Job) -> None:
+        self.release_core(job)
+        self.completed += 1
+        self.finish(job, Outcome.OK)
+        if self.congested and len(self.running) + len(self.queue) <= 1:
+            self.congested = False
+            self.speed_changed()
+        self.start_waiting()
+
+    def release_core(self, job: Job) -> None:
         del self.running[job]
         if self.limit is not None:
             self.limit.release()
 
-    def cancelled(self, job: Job) -> None:
+    def cancel(self, job: Job) -> None:
         """Nobody waits for it any more: it leaves the queue; what runs goes on unless servers here stop."""
-        if job.gone:
+        if job.finished:
             return
         if job in self.running:
-            if self.build.stops:
-                self.leave(job)
-                self.end(job, Outcome.CANCELLED)
-                self.go_on()
+            if self.parameters.stops_cancelled:
+                self.release_core(job)
+                self.finish(job, Outcome.CANCELLED)
+                self.start_waiting()
         elif job in self.queue:
             self.queue.remove(job)
-            self.end(job, Outcome.CANCELLED)
+            self.finish(job, Outcome.CANCELLED)
 
-    def end(self, job: Job, outcome: Outcome) -> None:
-        if not job.gone:
-            job.gone = True
-            self.failed += outcome not in (Outcome.OK, Outcome.CANCELLED)
+    def finish(self, job: Job, outcome: Outcome) -> None:
+        if not job.finished:
+            job.finished = True
+            self.failed_hops += outcome not in (Outcome.OK, Outcome.CANCELLED)
             job.reply(outcome)
 
-    def count_push(self, job: Job) -> None:
+    def check_cold_overload(self, job: Job) -> None:
         """A cold server sent more than a multiple of what it can do, for the whole window, falls over."""
-        now, window = self.timeline.now, self.build.fall_window
-        warmth = self.warmth()
+        now, window = self.timeline.now, self.parameters.overload_window
+        warmth = self.warm_fraction()
         if warmth >= 1.0:
-            self.came_up = 0
+            self.started_at = 0
             self.arrivals.clear()
-            self.arrived = 0
+            self.arrived_work = 0
             return
-        self.arrivals.append((now, job.work, job.sender, job.told))
-        self.arrived += job.work
+        self.arrivals.append((now, job.work, job.sender, job.sender_knew_start))
+        self.arrived_work += job.work
         while self.arrivals[0][0] <= now - window:
-            self.arrived -= self.arrivals.popleft()[1]
-        if self.arrived > self.bearable():
+            self.arrived_work -= self.arrivals.popleft()[1]
+        if self.arrived_work > self.collapse_threshold():
             senders: dict[int, int] = {}
             for _, work, sender, told in self.arrivals:
                 if told:
                     senders[sender] = senders.get(sender, 0) + work
-            self.witness.pushed_over(now, self, senders)
+            self.observer.cold_server_overloaded(now, self, senders)
             self.kill()
-            self.fallen = True
+            self.collapsed = True
 
-    def bearable(self) -> float:
+    def collapse_threshold(self) -> float:
         """Core-microseconds within the window above which it falls over now."""
-        build = self.build
-        return build.fall_multiple * self.warmth() * self.speed * build.cores * build.fall_window
+        build = self.parameters
+        return (
+            build.overload_multiple * self.warm_fraction() * self.speed * build.cores * build.overload_window
+        )
 
     @property
-    def at_it(self) -> int:
+    def hop_count(self) -> int:
         return len(self.running) + len(self.queue)
 
-    def stalls(self) -> bool:
+    def draw_stall(self) -> bool:
         """Whether an answer stops half way, as troubles say."""
-        return bool(self.stalling) and self.chance() < self.stalling
+        return bool(self.stall_fraction) and self.draw() < self.stall_fraction
 
-    def takes(self, work: int, key: int) -> float:
+    def service_time(self, work: int, key: int) -> float:
         """What work takes here, by whether the key is known."""
-        return work * (1.0 if not key or key in self.cache else self.build.miss)
+        return work * (1.0 if not key or key in self.cache else self.parameters.miss_factor)
 
-    def expected(self, work: int, key: int) -> float:
+    def expected_latency(self, work: int, key: int) -> float:
         """Microseconds until a further hop would be done, as only the oracle knows; grows with the queue."""
-        if not self.up or self.silent or self.fallen or self.rate() <= 0.0:
+        if not self.up or self.silent or self.collapsed or self.rate() <= 0.0:
             return 1e12
-        if self.failing or self.stalling or self.came_up and self.arrived > 0.8 * self.bearable():
+        if (
+            self.failure_fraction
+            or self.stall_fraction
+            or self.started_at
+            and self.arrived_work > 0.8 * self.collapse_threshold()
+        ):
             return 1e11
         before = 0.0
-        if len(self.running) >= self.build.cores:
-            before = sum(job.rest for job in self.running) + sum(
-                self.takes(job.work, job.key) for job in self.queue
+        if len(self.running) >= self.parameters.cores:
+            before = sum(job.remaining_work for job in self.running) + sum(
+                self.service_time(job.work, job.key) for job in self.queue
             )
-        return (before / self.build.cores + self.takes(work, key)) / self.rate()
+        return (before / self.parameters.cores + self.service_time(work, key)) / self.rate()
--- a/pumicepath/lab/model/timeline.py
+++ b/pumicepath/lab/model/timeline.py
@@ -20,7 +20,7 @@
         """Make the call then, or as soon as possible if that is past; never within this call."""
 
 
-class Virtual:
+class VirtualTimeline:
     """Virtual time: what is due at the same time happens in the order in which it was asked for.
 
     One push and one pop of a heap an event: the cost grows with the logarithm of what is waiting.
@@ -29,12 +29,12 @@
     def __init__(self) -> None:
         self.now = 0
         self.events = 0
-        self.asked = 0
+        self.scheduled = 0
         self.waiting: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def at(self, when: int, call: Callable[..., None], *given: Any) -> None:
-        self.asked += 1
-        heappush(self.waiting, (when if when > self.now else self.now, self.asked, call, given))
+        self.scheduled += 1
+        heappush(self.waiting, (when if when > self.now else self.now, self.scheduled, call, given))
 
     def run(self, until: int) -> None:
         """All that is due up to and including that time."""
@@ -46,6 +46,6 @@
         self.now = max(self.now, until)
 
 
-def chance(seed: int, *names: object) -> random.Random:
+def random_source(seed: int, *names: object) -> random.Random:
     """A stream of chance for each name, the same on every machine (Mersenne twister, by SHA-512)."""
     return random.Random("/".join(map(str, (seed, *names))))
--- a/pumicepath/lab/model/world.py
+++ b/pumicepath/lab/model/world.py
@@ -9,21 +9,21 @@
 
 from ...interface import Entry, Phase, Settings
 from ...settings import decode
-from ..spec import Plan, micros, told
-from .clients import Clients, Habits, Keys, Moods, Tally
-from .judge import SLACK, Judge
+from ..spec import Plan, to_microseconds, sidecar_settings
+from .clients import Clients, ClientBehavior, KeyDistribution, LoadOverrides, Tally
+from .rule_checker import ANSWER_SLACK_US, RuleChecker
 from .links import Links
-from .listing import Manner, Registry
+from .registry import ListTiming, Registry
 from .network import Network
-from .servers import Build, Limit, Server
-from .timeline import SECOND, Timeline, chance
+from .servers import ServerParameters, SharedLimit, Server
+from .timeline import SECOND, Timeline, random_source
 
 
-class Instance:
+class SidecarInstance:
     """A sidecar as troubles meet it; what only a real process can do, only a real one does."""
 
     number: int
-    hall: int
+    zone: int
     up: bool
 
     def start(self, state: str = "old") -> None:
@@ -35,10 +35,10 @@
         """In the middle of whatever it does, until told to go on."""
         raise NotImplementedError
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         raise NotImplementedError
 
-    def end(self) -> None:
+    def terminate(self) -> None:
         """Ask it to end, as a release does."""
         raise NotImplementedError
 
@@ -46,39 +46,39 @@
         """Start another process in its place, then ask it to end."""
         raise NotImplementedError
 
-    def crowd(self, on: bool) -> None:
+    def set_core_contention(self, contended: bool) -> None:
         """Something else keeps its core busy."""
         raise NotImplementedError
 
-    def bend(self, rate: float | None, step: int) -> None:
+    def adjust_clock(self, rate: float | None, step: int) -> None:
         """Its clock runs at another rate; its wall clock is set by microseconds."""
         raise NotImplementedError
 
-    def disk(self, what: str, chance: Random) -> int:
+    def damage_disk(self, damage: str, rng: Random) -> int:
         """Befall its folder: `full`, `free`, `torn`, `lost`, `kept`, `old`; how many files were met."""
         raise NotImplementedError
 
-    def burden(self, read_only: bool, slow_ms: float) -> None:
+    def impair_disk(self, read_only: bool, slow_ms: float) -> None:
         """Its disk takes no changes, or each step on it takes so long."""
         raise NotImplementedError
 
 
-class Fellows(Protocol):
+class SidecarFleet(Protocol):
     """The fleet that sidecars are of, where the host has a model of it."""
 
     def start(self, number: int) -> None: ...
 
-    def accompany(self, number: int, decisions: Any) -> None: ...
+    def attach_balancer(self, number: int, balancer: Any) -> None: ...
 
     def kill(self, number: int) -> None: ...
 
 
 @dataclass
-class Mark:
+class TimelineMark:
     """Something to be seen in a report: when, until when, and what."""
 
-    at: int
-    until: int
+    started_at: int
+    ends_at: int
     text: str
 
 
@@ -90,125 +90,137 @@
         plan: Plan,
         seed: int,
         timeline: Timeline,
-        make: Callable[..., Server] = Server,
-        slack: int = SLACK,
-        judging: Callable[..., Judge] = Judge,
+        make_server: Callable[..., Server] = Server,
+        answer_slack: int = ANSWER_SLACK_US,
+        make_rule_checker: Callable[..., RuleChecker] = RuleChecker,
     ) -> None:
         fleet = plan.fleet
         self.plan = plan
         self.seed = seed
         self.timeline = timeline
-        self.make = make
-        self.lasts = micros(plan.lasts_s)
-        self.chance = chance(seed, "world")
-        self.build = Build(
+        self.make_server = make_server
+        self.duration = to_microseconds(plan.lasts_s)
+        self.rng = random_source(seed, "world")
+        self.server_parameters = ServerParameters(
             cores=fleet.cores,
-            queue=fleet.queue,
-            cache=fleet.cache,
-            miss=fleet.miss,
-            cold_from=fleet.cold_from,
-            cold_for=micros(fleet.cold_s),
-            fall_multiple=fleet.fall_multiple,
-            fall_window=micros(fleet.fall_s),
-            jam_at=fleet.jam_at,
-            jam_speed=fleet.jam_speed,
-            stops=fleet.stops,
+            queue_limit=fleet.queue,
+            cache_size=fleet.cache,
+            miss_factor=fleet.miss,
+            cold_fraction=fleet.cold_from,
+            cold_duration=to_microseconds(fleet.cold_s),
+            overload_multiple=fleet.fall_multiple,
+            overload_window=to_microseconds(fleet.fall_s),
+            congestion_threshold=fleet.jam_at,
+            congestion_speed=fleet.jam_speed,
+            stops_cancelled=fleet.stops,
         )
         self.registry = Registry(
             timeline,
-            Manner(
-                micros(plan.list.lag_from_ms / 1e3),
-                micros(plan.list.lag_to_ms / 1e3),
-                micros(plan.list.ask_every_s),
-                micros(plan.list.grace_s),
+            ListTiming(
+                to_microseconds(plan.list.lag_from_ms / 1e3),
+                to_microseconds(plan.list.lag_to_ms / 1e3),
+                to_microseconds(plan.list.ask_every_s),
+                to_microseconds(plan.list.grace_s),
             ),
             seed,
         )
         self.network = Network(
-            timeline, fleet.halls, micros(fleet.near_ms / 1e3), micros(fleet.far_ms / 1e3), seed
+            timeline,
+            fleet.halls,
+            to_microseconds(fleet.near_ms / 1e3),
+            to_microseconds(fleet.far_ms / 1e3),
+            seed,
+        )
+        self.settings: list[Settings] = [
+            decode(sidecar_settings(plan, 0, hall)) for hall in range(fleet.halls)
+        ]
+        self.request_classes = self.settings[0].tariffs
+        self.rule_checker = make_rule_checker(
+            timeline, self.request_classes, self.registry, to_microseconds(plan.list.grace_s), answer_slack
         )
-        self.settings: list[Settings] = [decode(told(plan, 0, hall)) for hall in range(fleet.halls)]
-        self.tariffs = self.settings[0].tariffs
-        self.judge = judging(timeline, self.tariffs, self.registry, micros(plan.list.grace_s), slack)
-        self.moods = Moods()
-        self.tally = Tally(self.lasts // SECOND + 1, len(self.tariffs), micros(plan.warm_s))
-        self.limits = [Limit(fleet.limit) if fleet.limit else None for _ in range(fleet.halls)]
+        self.load_overrides = LoadOverrides()
+        self.tally = Tally(
+            self.duration // SECOND + 1, len(self.request_classes), to_microseconds(plan.warm_s)
+        )
+        self.limits = [SharedLimit(fleet.limit) if fleet.limit else None for _ in range(fleet.halls)]
         self.servers: dict[int, Server] = {}
-        self.places: list[int] = []  # the id of the server at each place; a new one takes one over
-        self.marks: list[Mark] = []
+        self.server_ids: list[int] = []  # the id of the server at each place; a new one takes one over
+        self.marks: list[TimelineMark] = []
         self.links: Links | None = None  # between sidecars, where they speak with each other
-        self.peering: Fellows | None = None
-        self.instances: list[Instance] = []
+        self.sidecar_fleet: SidecarFleet | None = None
+        self.instances: list[SidecarInstance] = []
         for place in range(fleet.servers):
-            self.places.append(-1)
-            self.begin(place)
+            self.server_ids.append(-1)
+            self.add_server(place)
 
-    def begin(self, place: int, cold: bool = False) -> Server:
+    def add_server(self, slot: int, cold: bool = False) -> Server:
         """A new server with an id of its own at a place, listed as ready."""
         fleet, number = self.plan.fleet, len(self.servers)
-        hall = place * fleet.halls // fleet.servers
-        server = self.make(
+        hall = slot * fleet.halls // fleet.servers
+        server = self.make_server(
             self.timeline,
-            self.judge,
-            self.build,
+            self.rule_checker,
+            self.server_parameters,
             number,
             hall,
-            hall * fleet.cells + place % fleet.cells,
+            hall * fleet.cells + slot % fleet.cells,
             1.0,
             self.limits[hall],
-            chance(self.seed, "server", number).random,
+            random_source(self.seed, "server", number).random,
         )
         if cold:
             server.start()
         self.servers[number] = server
-        self.places[place] = number
-        self.list(server)
+        self.server_ids[slot] = number
+        self.publish_server(server)
         return server
 
-    def list(self, server: Server, phase: Phase = Phase.READY) -> None:
-        self.registry.put(Entry(server.number, server.hall, server.cell, phase, 1.0, server.came_up))
+    def publish_server(self, server: Server, state: Phase = Phase.READY) -> None:
+        self.registry.update(Entry(server.number, server.zone, server.cell, state, 1.0, server.started_at))
 
-    def at_place(self, place: int) -> Server:
-        return self.servers[self.places[place]]
+    def server_at(self, slot: int) -> Server:
+        return self.servers[self.server_ids[slot]]
 
-    def mark(self, text: str, lasts: int = 0) -> None:
-        self.marks.append(Mark(self.timeline.now, self.timeline.now + lasts, text))
+    def mark(self, text: str, duration: int = 0) -> None:
+        self.marks.append(TimelineMark(self.timeline.now, self.timeline.now + duration, text))
 
-    def work(self, ask: int) -> int:
+    def work(self, submission_id: int) -> int:
         """Core-microseconds of a submission, by its number: the same at any server and time."""
         fleet = self.plan.fleet
-        scattered = (ask * 0x9E3779B97F4A7C15 + self.seed * 0xD1B54A32D192ED03) & 0xFFFFFFFF
+        scattered = (submission_id * 0x9E3779B97F4A7C15 + self.seed * 0xD1B54A32D192ED03) & 0xFFFFFFFF
         return max(1, int(fleet.work_ms * 1000 * (1.0 + fleet.spread * (scattered / 0x80000000 - 1.0))))
 
-    def clients(self, instance: Instance, taker: object) -> Clients:
+    def make_clients(self, instance: SidecarInstance, target: object) -> Clients:
         """The clients of one sidecar; they begin when told."""
         load, plan = self.plan.load, self.plan
-        habits = Habits(
+        habits = ClientBehavior(
             rate=plan.rate() / plan.sidecars.count,
             pattern=load.pattern,
-            steps=tuple((micros(at), times) for at, times in load.steps),
-            trace=tuple(micros(at) for at in load.trace_s[instance.number :: plan.sidecars.count]),
-            shares=tuple(tariff.share for tariff in load.tariffs),
-            keys=load.keys,
-            zipf=load.zipf,
-            drift=micros(load.drift_s),
-            leaves=load.leaves,
-            retries=load.retries,
-            back_off=micros(load.back_off_ms / 1e3),
-            heeds=load.heeds,
+            rate_steps=tuple((to_microseconds(at), times) for at, times in load.steps),
+            arrival_trace=tuple(
+                to_microseconds(at) for at in load.trace_s[instance.number :: plan.sidecars.count]
+            ),
+            class_weights=tuple(tariff.share for tariff in load.tariffs),
+            key_count=load.keys,
+            zipf_exponent=load.zipf,
+            drift_period=to_microseconds(load.drift_s),
+            leave_probability=load.leaves,
+            max_retries=load.retries,
+            backoff=to_microseconds(load.back_off_ms / 1e3),
+            honors_retry_after=load.heeds,
         )
         if not hasattr(self, "keys"):
-            self.keys = Keys(load.keys, load.zipf, habits.drift)
+            self.keys = KeyDistribution(load.keys, load.zipf, habits.drift_period)
         return Clients(
             self.timeline,
             habits,
-            self.tariffs,
+            self.request_classes,
             self.keys,
-            self.moods,
-            self.judge,
+            self.load_overrides,
+            self.rule_checker,
             self.tally,
-            taker,  # type: ignore[arg-type]
+            target,  # type: ignore[arg-type]
             instance.number,
             self.seed,
-            self.lasts,
+            self.duration,
         )
--- a/pumicepath/lab/spec.py
+++ b/pumicepath/lab/spec.py
@@ -6,17 +6,17 @@
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
-Share = Annotated[float, Field(ge=0.0, le=1.0)]
-Positive = Annotated[float, Field(gt=0.0)]
-Time = Annotated[float, Field(ge=0.0)]
+Fraction = Annotated[float, Field(ge=0.0, le=1.0)]
+PositiveFloat = Annotated[float, Field(gt=0.0)]
+NonNegativeFloat = Annotated[float, Field(ge=0.0)]
 Count = Annotated[int, Field(ge=1)]
 
 
-class Part(BaseModel):
+class StrictModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Fleet(Part):
+class Fleet(StrictModel):
     """Servers, spread evenly over halls; `limit` is what the servers of a hall may do at once together."""
 
     halls: Count = 1
@@ -24,75 +24,75 @@
     cells: Count = 1  # in each hall
     cores: Count = 2
     queue: Count = 64
-    work_ms: Positive = 10.0
-    spread: Share = 0.4  # of the work around its mean
+    work_ms: PositiveFloat = 10.0
+    spread: Fraction = 0.4  # of the work around its mean
     cache: Count = 4000
-    miss: Positive = 1.5
+    miss: PositiveFloat = 1.5
     cold_from: Annotated[float, Field(gt=0.0, le=1.0)] = 0.2
-    cold_s: Positive = 15.0
-    fall_multiple: Positive = 2.5
-    fall_s: Positive = 3.0
-    jam_at: Positive = 12.0
+    cold_s: PositiveFloat = 15.0
+    fall_multiple: PositiveFloat = 2.5
+    fall_s: PositiveFloat = 3.0
+    jam_at: PositiveFloat = 12.0
     jam_speed: Annotated[float, Field(gt=0.0, le=1.0)] = 0.7
     stops: bool = False
     limit: Annotated[int, Field(ge=0)] = 0
-    near_ms: Positive = 0.3
-    far_ms: Positive = 4.0
+    near_ms: PositiveFloat = 0.3
+    far_ms: PositiveFloat = 4.0
 
 
-class Sidecars(Part):
+class Sidecars(StrictModel):
     count: Count = 3
-    dial_ms: Positive = 250.0
+    dial_ms: PositiveFloat = 250.0
     most_hops: Count = 4
-    crossing_price: Time = 0.0
-    advice_s: Time = 2.0  # the longest advice when to come back; 0: none is given
+    crossing_price: NonNegativeFloat = 0.0
+    advice_s: NonNegativeFloat = 2.0  # the longest advice when to come back; 0: none is given
     peers: bool = False  # whether they speak with each other
-    peers_every_s: Positive = 1.0  # between two probes of each
+    peers_every_s: PositiveFloat = 1.0  # between two probes of each
     trials: bool = False  # whether one sidecar of a hall tries a sick server for all of them
     lease_s: Annotated[float, Field(ge=0.5, le=60.0)] = 10.0  # of duties
 
     @model_validator(mode="after")
-    def agreeing(self) -> Sidecars:
+    def check_trials_need_peers(self) -> Sidecars:
         if self.trials and not self.peers:
             raise ValueError("trials needs peers = true")
         return self
 
 
-class Tariff(Part):
+class RequestClassSpec(StrictModel):
     name: str
     effect: Literal["idempotent", "deduplicated", "at_most_once"] = "idempotent"
     group: Literal["all", "zone", "cell"] = "all"
-    window_s: Time = 2.0
-    share: Positive = 1.0
-    agreed_ms: Positive = 150.0
-    patience_ms: Positive = 600.0
-    gain: Positive = 1.0
-    late_gain: Time = 0.0
+    window_s: NonNegativeFloat = 2.0
+    share: PositiveFloat = 1.0
+    agreed_ms: PositiveFloat = 150.0
+    patience_ms: PositiveFloat = 600.0
+    gain: PositiveFloat = 1.0
+    late_gain: NonNegativeFloat = 0.0
 
 
-class Load(Part):
+class Load(StrictModel):
     """`part` of what all servers can do is sent, or `rate` submissions a second."""
 
-    part: Time = 0.5
-    rate: Time = 0.0
+    part: NonNegativeFloat = 0.5
+    rate: NonNegativeFloat = 0.0
     pattern: Literal["poisson", "bursty", "even"] = "poisson"
-    steps: tuple[tuple[Time, Time], ...] = ()
-    trace_s: tuple[Time, ...] = ()
+    steps: tuple[tuple[NonNegativeFloat, NonNegativeFloat], ...] = ()
+    trace_s: tuple[NonNegativeFloat, ...] = ()
     keys: Count = 2000
-    zipf: Time = 0.8
-    drift_s: Time = 0.0
-    leaves: Share = 0.0
+    zipf: NonNegativeFloat = 0.8
+    drift_s: NonNegativeFloat = 0.0
+    leaves: Fraction = 0.0
     body: Annotated[int, Field(ge=0, le=10_000_000)] = 100  # bytes, of what is not idempotent, on loopback
     retries: Annotated[int, Field(ge=0)] = 1
-    back_off_ms: Positive = 50.0
+    back_off_ms: PositiveFloat = 50.0
     heeds: bool = True
-    tariffs: tuple[Tariff, ...] = (
-        Tariff(name="read", share=0.75),
-        Tariff(name="once", effect="at_most_once", share=0.25, gain=3.0),
+    tariffs: tuple[RequestClassSpec, ...] = (
+        RequestClassSpec(name="read", share=0.75),
+        RequestClassSpec(name="once", effect="at_most_once", share=0.25, gain=3.0),
     )
 
     @model_validator(mode="after")
-    def ordered(self) -> Load:
+    def check_order(self) -> Load:
         times = [at for at, _ in self.steps]
         if times != sorted(times) or list(self.trace_s) != sorted(self.trace_s):
             raise ValueError("steps and traces go forward in time")
@@ -101,26 +101,26 @@
         return self
 
 
-class ServerList(Part):
-    lag_from_ms: Time = 20.0
-    lag_to_ms: Time = 200.0
+class ServerList(StrictModel):
+    lag_from_ms: NonNegativeFloat = 20.0
+    lag_to_ms: NonNegativeFloat = 200.0
     on_request: bool = True
-    ask_every_s: Positive = 10.0
-    grace_s: Time = 0.5
+    ask_every_s: PositiveFloat = 10.0
+    grace_s: NonNegativeFloat = 0.5
 
     @model_validator(mode="after")
-    def ordered(self) -> ServerList:
+    def check_order(self) -> ServerList:
         if self.lag_to_ms < self.lag_from_ms:
             raise ValueError("lag_to_ms must not be below lag_from_ms")
         return self
 
 
-class Trouble(Part):
+class FaultSpec(StrictModel):
     """`kind` names one of the troubles; each reads those of the other values that it needs."""
 
     kind: str
-    at_s: Time
-    for_s: Time = 5.0
+    at_s: NonNegativeFloat
+    for_s: NonNegativeFloat = 5.0
     servers: tuple[int, ...] = ()  # numbers; none: `count` of them by chance
     count: Count = 1
     hall: int = 0
@@ -129,26 +129,26 @@
     from_: tuple[int, ...] = ()  # of a cut one way: sidecars whose messages are lost,
     to: tuple[int, ...] = ()  # on their way to these
     state: Literal["old", "none", "other"] = "old"  # what killed ones find on their disk when they return
-    delay_ms: Time = 0.0  # of messages among peers, and how much longer by chance,
-    spread_ms: Time = 0.0
-    doubled: Share = 0.0  # shares of them that come twice,
-    spoilt: Share = 0.0  # or with a bit flipped
-    rate_kb: Time = 0.0  # a second on each way; 0: without a bound
+    delay_ms: NonNegativeFloat = 0.0  # of messages among peers, and how much longer by chance,
+    spread_ms: NonNegativeFloat = 0.0
+    doubled: Fraction = 0.0  # shares of them that come twice,
+    spoilt: Fraction = 0.0  # or with a bit flipped
+    rate_kb: NonNegativeFloat = 0.0  # a second on each way; 0: without a bound
 
 
-class Plan(Part):
+class Plan(StrictModel):
     """One run but for its seed and its decisions."""
 
-    lasts_s: Positive = 30.0
-    warm_s: Time = 2.0  # at the start, which does not count
+    lasts_s: PositiveFloat = 30.0
+    warm_s: NonNegativeFloat = 2.0  # at the start, which does not count
     fleet: Fleet = Fleet()
     sidecars: Sidecars = Sidecars()
     load: Load = Load()
     list: ServerList = ServerList()
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[FaultSpec, ...] = ()
 
     @model_validator(mode="after")
-    def fitting(self) -> Plan:
+    def check_warm_up(self) -> Plan:
         if self.warm_s >= self.lasts_s:
             raise ValueError("warm_s must be below lasts_s")
         return self
@@ -160,15 +160,15 @@
         return self.load.rate or self.load.part * whole
 
 
-def micros(seconds: float) -> int:
+def to_microseconds(seconds: float) -> int:
     return int(round(seconds * 1e6))
 
 
-def told(plan: Plan, me: int, zone: int) -> dict[str, Any]:
+def sidecar_settings(plan: Plan, sidecar_index: int, zone: int) -> dict[str, Any]:
     """The settings of a sidecar in this plan, as it is told them at its start (see `settings.decode`)."""
     fleet, sidecars = plan.fleet, plan.sidecars
     return {
-        "me": me,
+        "me": sidecar_index,
         "fleetSize": sidecars.count,
         "zone": zone,
         "dcs": [f"hall-{hall}" for hall in range(fleet.halls)],
--- a/pumicepath/lab/virtual/baselines.py
+++ b/pumicepath/lab/virtual/baselines.py
@@ -10,153 +10,161 @@
 from collections.abc import Callable, Sequence
 
 from ...interface import Effect, Entry, Listing, Outcome, Outlet, Phase, Settings
-from ..model.timeline import chance
+from ..model.timeline import random_source
 
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED)
 
 
-class Plain:
+class TextbookBalancer:
     """What all of them share: the list, hops out by server, and repeats.  Needs O(servers) a choice."""
 
-    kind: type[Handle]  # of its submissions
+    submission_type: type[TextbookSubmission]  # of its submissions
 
-    def __init__(self, settings: Settings, seed: int, outlet: Outlet) -> None:
+    def __init__(self, settings: Settings, seed: int, callbacks: Outlet) -> None:
         self.settings = settings
-        self.outlet = outlet
-        self.chance = chance(seed, "baseline")
-        self.phases: dict[int, Phase] = {}
+        self.callbacks = callbacks
+        self.rng = random_source(seed, "baseline")
+        self.states: dict[int, Phase] = {}
         self.ready: list[int] = []
-        self.out: dict[int, int] = {}
-        self.turn = self.chance.randrange(1 << 16)
+        self.in_flight: dict[int, int] = {}
+        self.next_index = self.rng.randrange(1 << 16)
 
     def listed(self, now: int, kind: Listing, entries: Sequence[Entry]) -> None:
         if kind == Listing.FAILED:
-            self.outlet.wake(now + 1_000_000, self)
+            self.callbacks.wake(now + 1_000_000, self)
             return
         if kind == Listing.CACHED and self.settings.must_ask:
-            self.outlet.follow()
+            self.callbacks.follow()
         if kind != Listing.CHANGES:
-            self.phases.clear()
+            self.states.clear()
         for entry in entries:
-            self.phases[entry.server] = entry.phase
-        self.ready = [server for server, phase in self.phases.items() if phase == Phase.READY]
-        self.out = {server: out for server, out in self.out.items() if server in self.phases or out}
+            self.states[entry.server] = entry.phase
+        self.ready = [server for server, phase in self.states.items() if phase == Phase.READY]
+        self.in_flight = {
+            server: out for server, out in self.in_flight.items() if server in self.states or out
+        }
 
     def woke(self, now: int) -> None:
-        self.outlet.follow()
+        self.callbacks.follow()
 
-    def take(self, now: int, name: int, tariff: int, key: int, retry: bool, until: int) -> Handle:
-        one = self.kind(self, name, tariff, key, until)
-        one.go_on(now)
+    def take(self, now: int, name: int, tariff: int, key: int, retry: bool, until: int) -> TextbookSubmission:
+        one = self.submission_type(self, name, tariff, key, until)
+        one.send_next(now)
         return one
 
-    def choose(self, one: Handle, among: list[int]) -> int:
+    def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
         """A server, or -1 to turn the submission away."""
         raise NotImplementedError
 
 
-class Handle:
-    def __init__(self, balancer: Plain, name: int, tariff: int, key: int, until: int) -> None:
+class TextbookSubmission:
+    def __init__(
+        self, balancer: TextbookBalancer, name: int, class_index: int, key: int, deadline_at: int
+    ) -> None:
         self.balancer = balancer
         self.name = name
-        self.tariff = tariff
+        self.class_index = class_index
         self.key = key
-        self.until = until
-        self.tried: list[int] = []
-        self.out = self.done = False
+        self.deadline_at = deadline_at
+        self.tried_servers: list[int] = []
+        self.waiting = self.finished = False
 
     def over(self) -> bool:
-        return self.done and not self.out
+        return self.finished and not self.waiting
 
     def started(self, now: int, number: int) -> None:
         """None of them goes by how an answer comes."""
 
     def left(self, now: int) -> None:
-        self.done = True
+        self.finished = True
 
     def ended(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None:
         balancer = self.balancer
-        self.out = False
-        balancer.out[self.tried[number]] -= 1
-        if finished or self.done:
-            self.done = True
-        elif self.may_repeat(outcome):
-            self.go_on(now)
+        self.waiting = False
+        balancer.in_flight[self.tried_servers[number]] -= 1
+        if finished or self.finished:
+            self.finished = True
+        elif self.may_retry(outcome):
+            self.send_next(now)
         else:
-            self.done = True
-            balancer.outlet.forfeit(self.name)
+            self.finished = True
+            balancer.callbacks.forfeit(self.name)
 
-    def may_repeat(self, outcome: Outcome) -> bool:
-        effect = self.balancer.settings.tariffs[self.tariff].effect
+    def may_retry(self, outcome: Outcome) -> bool:
+        effect = self.balancer.settings.tariffs[self.class_index].effect
         return outcome in NEVER_RAN or effect == Effect.IDEMPOTENT
 
-    def go_on(self, now: int) -> None:
+    def send_next(self, now: int) -> None:
         balancer = self.balancer
-        among = [server for server in balancer.ready if server not in self.tried]
-        if len(self.tried) >= balancer.settings.most_hops or not among or now >= self.until:
-            self.done = True
-            effect = balancer.settings.tariffs[self.tariff].effect
+        among = [server for server in balancer.ready if server not in self.tried_servers]
+        if len(self.tried_servers) >= balancer.settings.most_hops or not among or now >= self.deadline_at:
+            self.finished = True
+            effect = balancer.settings.tariffs[self.class_index].effect
             # Every earlier hop of what may not be repeated never ran, or it would not have come here.
-            if effect == Effect.IDEMPOTENT or not self.tried or effect == Effect.UNREPEATABLE:
-                balancer.outlet.defer(self.name, 0)
+            if effect == Effect.IDEMPOTENT or not self.tried_servers or effect == Effect.UNREPEATABLE:
+                balancer.callbacks.defer(self.name, 0)
             else:
-                balancer.outlet.forfeit(self.name)
+                balancer.callbacks.forfeit(self.name)
             return
         server = balancer.choose(self, among)
         if server < 0:
-            self.done = True
-            balancer.outlet.defer(self.name, balancer.settings.most_retry_in // 8)
+            self.finished = True
+            balancer.callbacks.defer(self.name, balancer.settings.most_retry_in // 8)
             return
-        self.tried.append(server)
-        self.out = True
-        balancer.out[server] = balancer.out.get(server, 0) + 1
-        balancer.outlet.send(self.name, server, 0)
+        self.tried_servers.append(server)
+        self.waiting = True
+        balancer.in_flight[server] = balancer.in_flight.get(server, 0) + 1
+        balancer.callbacks.send(self.name, server, 0)
 
 
-Plain.kind = Handle
+TextbookBalancer.submission_type = TextbookSubmission
 
 
-class Random(Plain):
-    def choose(self, one: Handle, among: list[int]) -> int:
-        return self.chance.choice(among)
+class RandomChoice(TextbookBalancer):
+    def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
+        return self.rng.choice(candidates)
 
 
-class RoundRobin(Plain):
-    def choose(self, one: Handle, among: list[int]) -> int:
+class RoundRobin(TextbookBalancer):
+    def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
         self.turn += 1
-        return among[self.turn % len(among)]
+        return candidates[self.turn % len(candidates)]
 
 
-class LeastInFlight(Plain):
-    def choose(self, one: Handle, among: list[int]) -> int:
+class LeastInFlight(TextbookBalancer):
+    def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
         self.turn += 1
-        start = self.turn % len(among)
-        return min(among[start:] + among[:start], key=lambda server: self.out.get(server, 0))
+        start = self.turn % len(candidates)
+        return min(candidates[start:] + candidates[:start], key=lambda server: self.in_flight.get(server, 0))
 
 
-class TwoChoices(Plain):
-    def choose(self, one: Handle, among: list[int]) -> int:
-        pair = self.chance.sample(among, min(2, len(among)))
-        return min(pair, key=lambda server: self.out.get(server, 0))
+class TwoChoices(TextbookBalancer):
+    def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
+        pair = self.rng.sample(candidates, min(2, len(candidates)))
+        return min(pair, key=lambda server: self.in_flight.get(server, 0))
 
 
-def oracle(expected: Callable[[int, int, Plain], float]) -> Callable[[Settings, int, Outlet], Plain]:
+def make_oracle(
+    expected_latency: Callable[[int, int, TextbookBalancer], float],
+) -> Callable[[Settings, int, Outlet], TextbookBalancer]:
     """One that knows what no sidecar can: for each server (and key) how long a hop would take there now.
 
     It turns away what no server could answer within the agreed time.
     """
 
-    class Oracle(Plain):
-        def choose(self, one: Handle, among: list[int]) -> int:
-            times = [(expected(server, one.key, self), server) for server in among]
+    class Oracle(TextbookBalancer):
+        def choose(self, one: TextbookSubmission, among: list[int]) -> int:
+            times = [(expected_latency(server, one.key, self), server) for server in among]
             least, server = min(times)
-            return server if least <= self.settings.tariffs[one.tariff].agreed or one.tried else -1
+            return (
+                server if least <= self.settings.tariffs[one.class_index].agreed or one.tried_servers else -1
+            )
 
     return Oracle
 
 
-TEXTBOOK = {
-    "random": Random,
+TEXTBOOK_BALANCERS = {
+    "random": RandomChoice,
     "round-robin": RoundRobin,
     "least-in-flight": LeastInFlight,
     "two-choices": TwoChoices,
--- a/pumicepath/lab/virtual/peers.py
+++ b/pumicepath/lab/virtual/peers.py
@@ -16,120 +16,120 @@
 from ...fleet.settings import PeerSettings, Voting
 from ...logic import Balancer
 from ..model.links import Links
-from ..model.timeline import Timeline, chance
-from ..model.views import right
+from ..model.timeline import Timeline, random_source
+from ..model.views import is_view_correct
 
-SEEDS = 3
-ORIGIN = 86_400_000_000  # of the sidecars' clocks
-QUEUE = 200  # datagrams that a stopped one's socket holds
+SEED_COUNT = 3
+CLOCK_ORIGIN_US = 86_400_000_000  # of the sidecars' clocks
+SOCKET_QUEUE_LIMIT = 200  # datagrams that a stopped one's socket holds
 
 
 def address(number: int) -> str:
     return f"127.{1 + (number >> 16)}.{number >> 8 & 255}.{number & 255}:7946"
 
 
-class Node:
+class VirtualNode:
     """One sidecar's part of the fleet; `starts` counts its lives."""
 
-    def __init__(self, peering: Peering, number: int) -> None:
-        self.peering = peering
+    def __init__(self, fleet: VirtualFleet, number: int) -> None:
+        self.fleet = fleet
         self.number = number
         self.name = f"sidecar-{number}"
         self.address = address(number)
         self.starts = 0
-        self.fellow: Fellow | None = None
+        self.fleet_node: Fellow | None = None
         self.stopped = False
         self.queue: list[tuple[str, bytes]] = []
-        self.wake_at = -1
-        self.told: Callable[[int, int], None] = lambda server, wait: None
+        self.timer_at = -1
+        self.on_postponed: Callable[[int, int], None] = lambda server, wait: None
 
     @property
     def membership(self) -> Membership | None:
-        return self.fellow.membership if self.fellow is not None else None
+        return self.fleet_node.membership if self.fleet_node is not None else None
 
     def start(self) -> None:
-        peering = self.peering
+        peering = self.fleet
         self.starts += 1
-        own = chance(peering.seed, "peer", self.number, self.starts)
+        own = random_source(peering.seed, "peer", self.number, self.starts)
         seeds = tuple(address(each) for each in peering.seeds if each != self.number)
         settings = PeerSettings(
             self.address,
             seeds,
-            every=peering.every,
+            every=peering.probe_interval,
             timeout=peering.timeout,
-            most=peering.most,
+            most=peering.max_members,
             voting=peering.voting,
         )
-        me = Record(self.name, own.getrandbits(62) | 1, self.address, peering.zone(self.number))
-        self.fellow = Fellow(me, settings, own.getrandbits(63), self, self.clock())
-        self.wake()
+        me = Record(self.name, own.getrandbits(62) | 1, self.address, peering.zone_name(self.number))
+        self.fleet_node = Fellow(me, settings, own.getrandbits(63), self, self.clock())
+        self.schedule_timer()
 
     def clock(self) -> int:
-        return self.peering.timeline.now + ORIGIN
+        return self.fleet.timeline.now + CLOCK_ORIGIN_US
 
     def post(self, address: str, message: messages.Any) -> None:
-        self.peering.send(self, address, messages.packed(message, 0))
+        self.fleet.send(self, address, messages.packed(message, 0))
 
     def changed(self, record: Record, by: str) -> None:
-        self.peering.changed(self, record)
+        self.fleet.changed(self, record)
 
     def twice(self, record: Record) -> None:
-        self.peering.counts["name twice"] += 1
+        self.fleet.counts["name twice"] += 1
 
-    def came(self, source: str, data: bytes) -> None:
+    def receive(self, source: str, data: bytes) -> None:
         if self.stopped:
-            if len(self.queue) < QUEUE:
+            if len(self.queue) < SOCKET_QUEUE_LIMIT:
                 self.queue.append((source, data))
-        elif self.fellow is not None:
+        elif self.fleet_node is not None:
             try:
                 message = messages.unpacked(data, 0)
             except (messages.Foreign, messages.Noise):
-                self.peering.counts["noise"] += 1
+                self.fleet.counts["noise"] += 1
                 return
-            self.fellow.heard(self.clock(), source, message)
-            self.wake()
+            self.fleet_node.heard(self.clock(), source, message)
+            self.schedule_timer()
 
-    def wake(self) -> None:
+    def schedule_timer(self) -> None:
         """Have `woke` called when it is due, once."""
-        if self.fellow is None:
+        if self.fleet_node is None:
             return
-        due = self.fellow.due() - ORIGIN
-        if self.wake_at < 0 or due < self.wake_at:
-            self.wake_at = due
-            self.peering.timeline.at(due, self.woke, self.starts, due)
+        due = self.fleet_node.due() - CLOCK_ORIGIN_US
+        if self.timer_at < 0 or due < self.timer_at:
+            self.timer_at = due
+            self.fleet.timeline.at(due, self.timer_fired, self.starts, due)
 
-    def woke(self, starts: int, due: int) -> None:
-        if starts != self.starts or due != self.wake_at or self.fellow is None:
+    def timer_fired(self, starts: int, due: int) -> None:
+        if starts != self.starts or due != self.timer_at or self.fleet_node is None:
             return
-        self.wake_at = -1
+        self.timer_at = -1
         if not self.stopped:
-            self.fellow.woke(self.clock(), self.wall_ms())
-            self.wake()
+            self.fleet_node.woke(self.clock(), self.wall_ms())
+            self.schedule_timer()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.stopped = False
         queue, self.queue = self.queue, []
         for source, data in queue:
-            self.came(source, data)
-        if self.fellow is not None:
-            self.fellow.woke(self.clock(), self.wall_ms())
-            self.wake_at = -1
-            self.wake()
+            self.receive(source, data)
+        if self.fleet_node is not None:
+            self.fleet_node.woke(self.clock(), self.wall_ms())
+            self.timer_at = -1
+            self.schedule_timer()
 
     # -- trials: the balancer's companions, and what others say to it
 
     def wall_ms(self) -> int:
-        return 1_800_000_000_000 + self.peering.timeline.now // 1000
+        return 1_800_000_000_000 + self.fleet.timeline.now // 1000
 
     def holds(self, duty: str, number: int, why: str) -> None:
-        self.peering.counts["duties won" if number else "duties lost"] += 1
+        self.fleet.counts["duties won" if number else "duties lost"] += 1
 
     def put_off(self, server: str, wait: int) -> None:
-        self.peering.counts["put off" if wait else "brought forward"] += 1
-        self.told(int(server), wait)
+        self.fleet.counts["put off" if wait else "brought forward"] += 1
+        self.on_postponed(int(server), wait)
 
     def turn(self, name: str) -> bool:
-        fellow = self.fellow
+        fellow = self.fleet_node
         return (
             fellow is not None
             and fellow.trials is not None
@@ -138,50 +138,50 @@
         )
 
     def opened(self, name: str, cooldown: int, often: bool) -> None:
-        if self.fellow is not None and self.fellow.trials is not None:
-            self.fellow.trials.opened(self.clock(), name, cooldown, often)
-            self.wake()
+        if self.fleet_node is not None and self.fleet_node.trials is not None:
+            self.fleet_node.trials.opened(self.clock(), name, cooldown, often)
+            self.schedule_timer()
 
     def tried(self, name: str, failed: bool) -> None:
-        self.peering.counts["trials failed" if failed else "trials served"] += 1
-        if self.fellow is not None and self.fellow.trials is not None:
-            self.fellow.trials.tried(self.clock(), name, failed)
-            self.wake()
+        self.fleet.counts["trials failed" if failed else "trials served"] += 1
+        if self.fleet_node is not None and self.fleet_node.trials is not None:
+            self.fleet_node.trials.tried(self.clock(), name, failed)
+            self.schedule_timer()
 
 
-class Peering:
+class VirtualFleet:
     def __init__(
         self,
         timeline: Timeline,
         links: Links,
         seed: int,
         count: int,
-        every: int = 1_000_000,
+        probe_interval: int = 1_000_000,
         timeout: int = 300_000,
-        most: int = 4096,
+        max_members: int = 4096,
         voting: Voting | None = None,
-        zones: int = 1,
+        zone_count: int = 1,
     ) -> None:
         self.timeline = timeline
         self.links = links
         self.seed = seed
-        self.every, self.timeout, self.most = every, timeout, most
+        self.probe_interval, self.timeout, self.max_members = probe_interval, timeout, max_members
         self.voting = voting
-        self.zones = zones
-        self.seeds = tuple(range(min(SEEDS, count)))
-        self.nodes = [Node(self, number) for number in range(count)]
+        self.zone_count = zone_count
+        self.seeds = tuple(range(min(SEED_COUNT, count)))
+        self.nodes = [VirtualNode(self, number) for number in range(count)]
         self.by_address = {node.address: node for node in self.nodes}
         self.counts: Counter[str] = Counter()
 
-    def zone(self, number: int) -> str:
-        return chr(ord("a") + number % self.zones)
+    def zone_name(self, number: int) -> str:
+        return chr(ord("a") + number % self.zone_count)
 
-    def send(self, node: Node, address: str, data: bytes) -> None:
+    def send(self, node: VirtualNode, address: str, data: bytes) -> None:
         other = self.by_address.get(address)
         if other is not None:
-            self.links.carry(node.number, other.number, data, lambda data: other.came(node.address, data))
+            self.links.carry(node.number, other.number, data, lambda data: other.receive(node.address, data))
 
-    def changed(self, node: Node, record: Record) -> None:
+    def changed(self, node: VirtualNode, record: Record) -> None:
         what = STATES[record.state]
         self.counts[what] += 1
         other = self.by_address[record.address].membership
@@ -191,32 +191,32 @@
     def start(self, number: int) -> None:
         self.nodes[number].start()
 
-    def accompany(self, number: int, decisions: Any) -> None:
+    def attach_balancer(self, number: int, balancer: Any) -> None:
         """Have the trials of these decisions agreed on, where the fleet does so."""
-        if self.voting is not None and self.voting.trials and isinstance(decisions, Balancer):
+        if self.voting is not None and self.voting.trials and isinstance(balancer, Balancer):
             node = self.nodes[number]
-            decisions.companions = node
-            node.told = lambda server, wait: decisions.put_off(self.timeline.now, server, wait)
+            balancer.companions = node
+            node.on_postponed = lambda server, wait: balancer.put_off(self.timeline.now, server, wait)
 
     def kill(self, number: int) -> None:
         node = self.nodes[number]
-        node.fellow, node.stopped, node.queue, node.wake_at = None, False, [], -1
+        node.fleet_node, node.stopped, node.queue, node.timer_at = None, False, [], -1
 
     def stop(self, number: int) -> None:
         self.nodes[number].stopped = True
 
-    def go_on(self, number: int) -> None:
+    def resume(self, number: int) -> None:
         if self.nodes[number].stopped:
-            self.nodes[number].go_on()
+            self.nodes[number].resume()
 
-    def wrong(self, most: int = 0) -> list[str]:
+    def sidecars_with_wrong_view(self, max_sampled: int = 0) -> list[str]:
         """Names of those whose view is not what is so, of all that run or of some evenly among them."""
         running = [node for node in self.nodes if node.membership is not None]
         names = [node.name for node in running]
-        looked = running[:: max(1, len(running) // most)] if most else running
+        looked = running[:: max(1, len(running) // max_sampled)] if max_sampled else running
         views = {
             node.name: [(seen.name, STATES[seen.state]) for seen in node.membership.members(0)]
             for node in looked
             if node.membership is not None
         }
-        return [name for name, view in views.items() if not right(name, view, names)]
+        return [name for name, view in views.items() if not is_view_correct(name, view, names)]
--- a/pumicepath/lab/virtual/sidecar.py
+++ b/pumicepath/lab/virtual/sidecar.py
@@ -6,19 +6,19 @@
 from typing import Any, Protocol
 
 from ...interface import Entry, Listing, Outcome, Outlet, Settings, Wakeable
-from ..model.clients import Ask
-from ..model.judge import Judge
-from ..model.listing import Registry
+from ..model.clients import ClientSubmission
+from ..model.rule_checker import RuleChecker
+from ..model.registry import Registry
 from ..model.network import Network
 from ..model.servers import Job, Server
 from ..model.timeline import Timeline
-from ..model.world import Fellows
+from ..model.world import SidecarFleet
 
-MARGIN = 5_000  # microseconds before patience ends in which the last word is said
-LONGEST_IDLE = 8  # idle connections kept to a server
+ANSWER_MARGIN_US = 5_000  # microseconds before patience ends in which the last word is said
+MAX_IDLE_CONNECTIONS = 8  # idle connections kept to a server
 
 
-class Handle(Protocol):
+class SubmissionHandle(Protocol):
     """What decisions give back for a submission; `logic.Submission` is one."""
 
     def ended(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None: ...
@@ -35,53 +35,64 @@
 
     def listed(self, now: int, kind: Listing, entries: Sequence[Entry]) -> None: ...
 
-    def take(self, now: int, name: int, tariff: int, key: int, retry: bool, until: int) -> Handle: ...
+    def take(
+        self, now: int, name: int, tariff: int, key: int, retry: bool, until: int
+    ) -> SubmissionHandle: ...
 
 
-Maker = Callable[[Settings, int, Outlet], Any]
+BalancerFactory = Callable[[Settings, int, Outlet], Any]
 
 
 class Hop:
-    __slots__ = ("open", "number", "server", "process", "at", "job", "ended", "fresh")
-
-    def __init__(self, open_: Open, number: int, server: Server, at: int) -> None:
-        self.open = open_
+    __slots__ = (
+        "submission",
+        "number",
+        "server",
+        "process",
+        "started_at",
+        "job",
+        "finished",
+        "new_connection",
+    )
+
+    def __init__(self, submission: OpenSubmission, number: int, server: Server, started_at: int) -> None:
+        self.submission = submission
         self.number = number
         self.server = server
         self.process = server.process
-        self.at = at
+        self.started_at = started_at
         self.job: Job | None = None
-        self.ended = False
-        self.fresh = False
+        self.finished = False
+        self.new_connection = False
 
 
-class Open:
+class OpenSubmission:
     """A submission while a sidecar has to do with it."""
 
-    __slots__ = ("ask", "turn", "until", "hops", "handle", "answered")
+    __slots__ = ("client_submission", "try_number", "deadline_at", "hops", "handle", "answered")
 
-    def __init__(self, ask: Ask, until: int) -> None:
-        self.ask = ask
-        self.turn = ask.turn
-        self.until = until
+    def __init__(self, client_submission: ClientSubmission, deadline_at: int) -> None:
+        self.client_submission = client_submission
+        self.try_number = client_submission.current_try
+        self.deadline_at = deadline_at
         self.hops: list[Hop] = []
-        self.handle: Handle | None = None
+        self.handle: SubmissionHandle | None = None
         self.answered = False
 
 
-class World(Protocol):
+class SidecarEnvironment(Protocol):
     """What a sidecar can reach."""
 
     network: Network
     registry: Registry
-    judge: Judge
+    rule_checker: RuleChecker
     servers: dict[int, Server]
-    peering: Fellows | None
+    sidecar_fleet: SidecarFleet | None
 
     @property
     def timeline(self) -> Timeline: ...
 
-    def work(self, ask: int) -> int:
+    def work(self, submission_id: int) -> int:
         """Core-microseconds that the submission of this number takes on a warm server that knows its key."""
 
 
@@ -90,23 +101,23 @@
 
     def __init__(
         self,
-        world: World,
+        world: SidecarEnvironment,
         number: int,
-        hall: int,
+        zone: int,
         settings: Settings,
         seed: int,
-        maker: Maker,
-        dial: int,
-        note: Callable[[int, str], None],
+        make_balancer: BalancerFactory,
+        dial_timeout: int,
+        trace: Callable[[int, str], None],
     ) -> None:
         self.world = world
         self.number = number
-        self.hall = hall
+        self.zone = zone
         self.settings = settings
         self.seed = seed
-        self.maker = maker
-        self.dial = dial
-        self.note = note
+        self.make_balancer = make_balancer
+        self.dial_timeout = dial_timeout
+        self.trace = trace
         self.up = False
         self.starts = 0
         self.start()
@@ -117,228 +128,246 @@
         """A new process that knows nothing but a copy of the list."""
         self.up = True
         self.starts += 1
-        self.opens: dict[int, Open] = {}
-        self.names: dict[int, int] = {}  # of the latest try of each ask that is open
+        self.open_submissions: dict[int, OpenSubmission] = {}
+        self.latest_names: dict[int, int] = {}  # of the latest try of each ask that is open
         self.idle: dict[int, tuple[int, int]] = {}  # by server: its process, and connections to it
-        self.taken = 0
+        self.admitted = 0
         life = self.starts
-        self.decisions: Decisions = self.maker(self.settings, self.seed + life - 1, Alive(self, life))
-        self.world.registry.join(self.number, self)
-        if self.world.peering is not None:
-            self.world.peering.start(self.number)
-            self.world.peering.accompany(self.number, self.decisions)
+        self.balancer: Decisions = self.make_balancer(
+            self.settings, self.seed + life - 1, ProcessCallbacks(self, life)
+        )
+        self.world.registry.register(self.number, self)
+        if self.world.sidecar_fleet is not None:
+            self.world.sidecar_fleet.start(self.number)
+            self.world.sidecar_fleet.attach_balancer(self.number, self.balancer)
 
     def kill(self) -> None:
         """Killed at once: its clients and servers see connections end."""
         self.up = False
-        self.world.registry.leave(self.number)
-        if self.world.peering is not None:
-            self.world.peering.kill(self.number)
-        opens, self.opens, self.names = self.opens, {}, {}
+        self.world.registry.unregister(self.number)
+        if self.world.sidecar_fleet is not None:
+            self.world.sidecar_fleet.kill(self.number)
+        opens, self.open_submissions, self.latest_names = self.open_submissions, {}, {}
         for one in opens.values():
             for hop in one.hops:
                 self.give_up(hop)
             if not one.answered:
                 one.answered = True
-                one.ask.clients.cut(one.ask, self.settings.tariffs[one.ask.tariff].effect != 0)
+                one.client_submission.clients.target_died(
+                    one.client_submission,
+                    self.settings.tariffs[one.client_submission.class_index].effect != 0,
+                )
 
-    def listed(self, kind: Listing, entries: list[Entry]) -> None:
-        self.decisions.listed(self.world.timeline.now, kind, entries)
+    def receive_list(self, kind: Listing, entries: list[Entry]) -> None:
+        self.balancer.listed(self.world.timeline.now, kind, entries)
 
     # -- clients
 
-    def take(self, ask: Ask) -> bool:
+    def submit(self, submission: ClientSubmission) -> bool:
         if not self.up:
             return False
         timeline = self.world.timeline
         now = timeline.now
-        self.world.judge.tried(ask.number, ask.tariff, ask.until)
-        self.taken += 1
-        name = self.names[ask.number] = self.taken
-        one = self.opens[name] = Open(ask, ask.until)
-        until = ask.until - MARGIN
-        timeline.at(until, self.patience_over, name, one)
-        handle = self.decisions.take(now, name, ask.tariff, ask.key, ask.tries > 1, until)
+        self.world.rule_checker.try_admitted(
+            submission.number, submission.class_index, submission.deadline_at
+        )
+        self.admitted += 1
+        name = self.latest_names[submission.number] = self.admitted
+        one = self.open_submissions[name] = OpenSubmission(submission, submission.deadline_at)
+        until = submission.deadline_at - ANSWER_MARGIN_US
+        timeline.at(until, self.deadline_passed, name, one)
+        handle = self.balancer.take(
+            now, name, submission.class_index, submission.key, submission.tries > 1, until
+        )
         one.handle = handle
-        self.forget(name, one)
+        self.discard_if_done(name, one)
         return True
 
-    def left(self, ask: Ask) -> None:
+    def client_left(self, submission: ClientSubmission) -> None:
         """The client has gone; hops still out bring their outcomes."""
-        name = self.names.get(ask.number, 0)
-        one = self.opens.get(name)
+        name = self.latest_names.get(submission.number, 0)
+        one = self.open_submissions.get(name)
         if one is not None and not one.answered:
             one.answered = True
             if one.handle is not None:
                 one.handle.left(self.world.timeline.now)
-            self.forget(name, one)
+            self.discard_if_done(name, one)
 
-    def patience_over(self, name: int, one: Open) -> None:
+    def deadline_passed(self, name: int, one: OpenSubmission) -> None:
         """As `sidecar.exchange.Exchange.woke`: hops time out, which answers what has no answer yet."""
-        if self.opens.get(name) is not one:
+        if self.open_submissions.get(name) is not one:
             return
         for hop in list(one.hops):
-            self.end(name, hop, Outcome.TIMEOUT)
+            self.finish_hop(name, hop, Outcome.TIMEOUT)
         if not one.answered:
             self.answer(one, "forfeited", 0)
 
-    def say(self, name: int, what: str, advice: int = 0) -> None:
+    def report_answer(self, name: int, answer: str, retry_after: int = 0) -> None:
         """What the decisions answer; one that is over already can only be a second answer."""
-        one = self.opens.get(name)
+        one = self.open_submissions.get(name)
         if one is None:
-            self.world.judge.breach("answered_twice", f"sidecar {self.number} {what} {name}, which was over")
+            self.world.rule_checker.report_violation(
+                "answered_twice", f"sidecar {self.number} {answer} {name}, which was over"
+            )
         else:
-            self.answer(one, what, advice)
+            self.answer(one, answer, retry_after)
 
-    def answer(self, one: Open, what: str, advice: int) -> None:
-        ask = one.ask
+    def answer(self, one: OpenSubmission, answer: str, retry_after: int) -> None:
+        ask = one.client_submission
         again = one.answered
         one.answered = True
         # Said once this call on the decisions is over; a second answer goes out too, for the judge to see.
         at, now = self.world.timeline.at, self.world.timeline.now
-        if what == "succeeded":
-            at(now, ask.clients.succeeded, ask, one.turn)
-        elif what == "deferred":
-            at(now, ask.clients.deferred, ask, one.turn, advice)
+        if answer == "succeeded":
+            at(now, ask.clients.succeeded, ask, one.try_number)
+        elif answer == "deferred":
+            at(now, ask.clients.rejected, ask, one.try_number, retry_after)
         else:
-            at(now, ask.clients.forfeited, ask, one.turn)
+            at(now, ask.clients.failed, ask, one.try_number)
         if again:
-            self.note(self.number, f"submission {ask.number} answered again")
+            self.trace(self.number, f"submission {ask.number} answered again")
 
-    def forget(self, name: int, one: Open) -> None:
+    def discard_if_done(self, name: int, one: OpenSubmission) -> None:
         if one.handle is not None and one.handle.over() and one.answered:
-            self.opens.pop(name, None)
-            if self.names.get(one.ask.number) == name:
-                del self.names[one.ask.number]
+            self.open_submissions.pop(name, None)
+            if self.latest_names.get(one.client_submission.number) == name:
+                del self.latest_names[one.client_submission.number]
 
     # -- servers
 
     def send(self, name: int, number: int) -> None:
-        one, world = self.opens.get(name), self.world
+        one, world = self.open_submissions.get(name), self.world
         now = world.timeline.now
         if one is None:
-            world.judge.breach("sent_after_answer", f"sidecar {self.number} sent {name}, which was over")
+            world.rule_checker.report_violation(
+                "sent_after_answer", f"sidecar {self.number} sent {name}, which was over"
+            )
             return
         server = world.servers[number]
         hop = Hop(one, len(one.hops), server, now)
         one.hops.append(hop)
-        world.judge.sent(self.number, number, one.ask.number, one.answered)
+        world.rule_checker.hop_sent(self.number, number, one.client_submission.number, one.answered)
         process, kept = self.idle.get(number, (0, 0))
         if kept and process == server.process:
             self.idle[number] = process, kept - 1
-            world.network.carry(self.hall, server.hall, self.arrive, name, hop)
+            world.network.carry(self.zone, server.zone, self.arrive, name, hop)
             return
         # A new connection first: one trip there and back, or nothing until the time for dialling is over.
-        hop.fresh = True
-        there = world.network.passes(self.hall, server.hall) and not server.silent
-        trip = world.network.delay(self.hall, server.hall) + world.network.delay(server.hall, self.hall)
-        if there and server.up and trip < self.dial:
-            world.timeline.at(now + trip, self.dialled, name, hop)
-        elif there and trip < self.dial:
-            world.timeline.at(now + trip, self.no_way, name, hop)
+        hop.new_connection = True
+        there = world.network.is_connected(self.zone, server.zone) and not server.silent
+        trip = world.network.delay(self.zone, server.zone) + world.network.delay(server.zone, self.zone)
+        if there and server.up and trip < self.dial_timeout:
+            world.timeline.at(now + trip, self.connected, name, hop)
+        elif there and trip < self.dial_timeout:
+            world.timeline.at(now + trip, self.connect_failed, name, hop)
         else:
-            world.timeline.at(now + self.dial, self.no_way, name, hop)
+            world.timeline.at(now + self.dial_timeout, self.connect_failed, name, hop)
 
-    def dialled(self, name: int, hop: Hop) -> None:
-        if not hop.ended:
-            self.world.network.carry(self.hall, hop.server.hall, self.arrive, name, hop)
+    def connected(self, name: int, hop: Hop) -> None:
+        if not hop.finished:
+            self.world.network.carry(self.zone, hop.server.zone, self.arrive, name, hop)
 
-    def no_way(self, name: int, hop: Hop) -> None:
-        if not hop.ended:
-            self.world.judge.returned(hop.open.ask.number)
+    def connect_failed(self, name: int, hop: Hop) -> None:
+        if not hop.finished:
+            self.world.rule_checker.hop_returned(hop.submission.client_submission.number)
             hop.job = None
-            self.finish(name, hop, Outcome.CONNECT_FAILED)
+            self.response_arrived(name, hop, Outcome.CONNECT_FAILED)
 
     def arrive(self, name: int, hop: Hop) -> None:
-        if hop.ended:
+        if hop.finished:
             return
         server, world = hop.server, self.world
         if not server.up or hop.process != server.process:
-            world.judge.returned(hop.open.ask.number)
-            world.network.carry(server.hall, self.hall, self.finish, name, hop, Outcome.RESET)
+            world.rule_checker.hop_returned(hop.submission.client_submission.number)
+            world.network.carry(server.zone, self.zone, self.response_arrived, name, hop, Outcome.RESET)
             return
-        ask = hop.open.ask
-        told = world.registry.knows_start(self.number, server.number, server.came_up)
+        ask = hop.submission.client_submission
+        told = world.registry.start_is_known(self.number, server.number, server.started_at)
 
         def reply(outcome: Outcome) -> None:
-            world.judge.returned(ask.number)
+            world.rule_checker.hop_returned(ask.number)
             if not server.silent:
-                stalls = outcome == Outcome.OK and server.stalls()
+                stalls = outcome == Outcome.OK and server.draw_stall()
                 world.network.carry(
-                    server.hall, self.hall, self.begun if stalls else self.finish, name, hop, outcome
+                    server.zone,
+                    self.zone,
+                    self.response_stalled if stalls else self.response_arrived,
+                    name,
+                    hop,
+                    outcome,
                 )
 
         job = Job(ask.number, ask.key, self.number, world.work(ask.number), reply, told)
-        if server.came(job):
+        if server.receive(job):
             hop.job = job
 
-    def begun(self, name: int, hop: Hop, outcome: Outcome) -> None:
+    def response_stalled(self, name: int, hop: Hop, outcome: Outcome) -> None:
         """Part of its answer has come, and no more will."""
-        if not hop.ended and hop.open.handle is not None:
-            hop.open.handle.started(self.world.timeline.now, hop.number)
+        if not hop.finished and hop.submission.handle is not None:
+            hop.submission.handle.started(self.world.timeline.now, hop.number)
 
-    def finish(self, name: int, hop: Hop, outcome: Outcome) -> None:
+    def response_arrived(self, name: int, hop: Hop, outcome: Outcome) -> None:
         """What its server said of a hop has come here."""
-        if hop.ended:
+        if hop.finished:
             return
-        one = hop.open
+        one = hop.submission
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL) and hop.process == hop.server.process:
             process, kept = self.idle.get(hop.server.number, (0, 0))
             kept = kept if process == hop.process else 0
-            self.idle[hop.server.number] = hop.process, min(LONGEST_IDLE, kept + 1)
+            self.idle[hop.server.number] = hop.process, min(MAX_IDLE_CONNECTIONS, kept + 1)
         if outcome == Outcome.OK and not one.answered:
             self.answer(one, "succeeded", 0)
-        self.end(name, hop, outcome)
+        self.finish_hop(name, hop, outcome)
 
-    def end(self, name: int, hop: Hop, outcome: Outcome) -> None:
-        if hop.ended:
+    def finish_hop(self, name: int, hop: Hop, outcome: Outcome) -> None:
+        if hop.finished:
             return
         if outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             self.give_up(hop)
-        hop.ended = True
-        one, now = hop.open, self.world.timeline.now
+        hop.finished = True
+        one, now = hop.submission, self.world.timeline.now
         if one.handle is not None:
-            one.handle.ended(now, hop.number, outcome, now - hop.at, one.answered)
-        self.forget(name, one)
+            one.handle.ended(now, hop.number, outcome, now - hop.started_at, one.answered)
+        self.discard_if_done(name, one)
 
     def give_up(self, hop: Hop) -> None:
         """Its connection is closed, which the server learns after a while, if it learns anything."""
-        if hop.ended:
+        if hop.finished:
             return
-        hop.ended = True
+        hop.finished = True
         job, world = hop.job, self.world
         if job is None:
-            world.judge.returned(hop.open.ask.number)
-        elif not job.gone:
-            world.network.carry(self.hall, hop.server.hall, hop.server.cancelled, job)
+            world.rule_checker.hop_returned(hop.submission.client_submission.number)
+        elif not job.finished:
+            world.network.carry(self.zone, hop.server.zone, hop.server.cancel, job)
 
     def cancel(self, name: int, number: int) -> None:
-        one = self.opens[name]
+        one = self.open_submissions[name]
         hop = one.hops[number]
-        self.world.timeline.at(self.world.timeline.now, self.end_cancelled, name, hop)
+        self.world.timeline.at(self.world.timeline.now, self.finish_cancelled, name, hop)
 
-    def end_cancelled(self, name: int, hop: Hop) -> None:
-        self.end(name, hop, Outcome.CANCELLED)
+    def finish_cancelled(self, name: int, hop: Hop) -> None:
+        self.finish_hop(name, hop, Outcome.CANCELLED)
 
 
-class Alive:
+class ProcessCallbacks:
     """The outlet of one process of a sidecar; what a dead one asks for does not happen."""
 
     def __init__(self, sidecar: Sidecar, life: int) -> None:
         self.sidecar = sidecar
         self.life = life
 
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         return self.sidecar.up and self.sidecar.starts == self.life
 
     def send(self, submission: int, server: int, timeout: int) -> None:
         self.sidecar.send(submission, server)
 
     def defer(self, submission: int, retry_in: int) -> None:
-        self.sidecar.say(submission, "deferred", retry_in)
+        self.sidecar.report_answer(submission, "deferred", retry_in)
 
     def forfeit(self, submission: int) -> None:
-        self.sidecar.say(submission, "forfeited")
+        self.sidecar.report_answer(submission, "forfeited")
 
     def cancel(self, submission: int, hop: int) -> None:
         self.sidecar.cancel(submission, hop)
@@ -353,15 +382,15 @@
         """Connections of this model rest unharmed, so that nothing is to be gained here."""
 
     def follow(self) -> None:
-        if self.alive():
-            self.sidecar.world.registry.follow(self.sidecar.number)
+        if self.is_alive():
+            self.sidecar.world.registry.subscribe(self.sidecar.number)
 
     def wake(self, at: int, whom: Wakeable) -> None:
-        self.sidecar.world.timeline.at(at, self.ring, whom)
+        self.sidecar.world.timeline.at(at, self.fire_timer, whom)
 
-    def ring(self, whom: Wakeable) -> None:
-        if self.alive():
+    def fire_timer(self, whom: Wakeable) -> None:
+        if self.is_alive():
             whom.woke(self.sidecar.world.timeline.now)
 
     def log(self, text: str) -> None:
-        self.sidecar.note(self.sidecar.number, text)
+        self.sidecar.trace(self.sidecar.number, text)
--- a/tests/bad_balancers.py
+++ b/tests/bad_balancers.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from pumicepath.interface import Effect, Outcome
-from pumicepath.lab.virtual.baselines import Handle, Plain, Random, RoundRobin
+from pumicepath.lab.virtual.baselines import TextbookSubmission, TextbookBalancer, RandomChoice, RoundRobin
 
 
-class SilentHandle(Handle):
+class SilentHandle(TextbookSubmission):
     def ended(self, now, number, outcome, spent, finished):
         self.out = False
         self.done = self.done or finished
@@ -15,58 +15,58 @@
         return self.done and not self.out
 
 
-class Silent(Random):
+class Silent(RandomChoice):
     """Never answers a submission whose first hop failed."""
 
     kind = SilentHandle
 
 
-class Twice(Random):
+class Twice(RandomChoice):
     """Defers what it has sent, and says so once more."""
 
     def take(self, now, name, tariff, key, retry, until):
         one = super().take(now, name, tariff, key, retry, until)
         if self.settings.tariffs[tariff].effect == Effect.IDEMPOTENT:
-            self.outlet.defer(name, 0)
-            self.outlet.defer(name, 0)
+            self.callbacks.defer(name, 0)
+            self.callbacks.defer(name, 0)
         return one
 
 
-class AfterHandle(Handle):
+class AfterHandle(TextbookSubmission):
     def ended(self, now, number, outcome, spent, finished):
         super().ended(now, number, outcome, spent, finished)
-        if finished and len(self.tried) < 2:
+        if finished and len(self.tried_servers) < 2:
             self.done = False
-            self.go_on(now)
+            self.send_next(now)
 
 
-class After(Random):
+class After(RandomChoice):
     """Sends once more after the final answer."""
 
     kind = AfterHandle
 
 
-class RepeatsHandle(Handle):
-    def may_repeat(self, outcome):
+class RepeatsHandle(TextbookSubmission):
+    def may_retry(self, outcome):
         return True
 
 
-class Repeats(Random):
+class Repeats(RandomChoice):
     """Sends what may not be repeated again after an error, as if it had not run."""
 
     kind = RepeatsHandle
 
 
-class PromisesHandle(Handle):
+class PromisesHandle(TextbookSubmission):
     def ended(self, now, number, outcome, spent, finished):
         self.out = False
         if not finished and not self.done and outcome != Outcome.OK:
             self.done = True
-            self.balancer.outlet.defer(self.name, 0)
+            self.balancer.callbacks.defer(self.name, 0)
         self.done = True
 
 
-class Promises(Random):
+class Promises(RandomChoice):
     """Defers what may have run, as if trying again were harmless."""
 
     kind = PromisesHandle
@@ -80,7 +80,7 @@
             super().listed(now, kind, entries)
 
 
-class Rush(Plain):
+class Rush(TextbookBalancer):
     """Sends everything to the server that came up last."""
 
     def listed(self, now, kind, entries):
@@ -91,4 +91,4 @@
 
     def choose(self, one, among):
         newest = getattr(self, "newest", -1)
-        return newest if newest in among else self.chance.choice(among)
+        return newest if newest in among else self.rng.choice(among)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -13,16 +13,16 @@
 from pumicepath.fleet.settings import Voting
 from pumicepath.lab.faults.checks import fencing, one_holder
 from pumicepath.lab.model.links import Links
-from pumicepath.lab.model.timeline import Virtual
-from pumicepath.lab.virtual.holders import DRIFT, Found, Planted, schedule
-from pumicepath.lab.virtual.peers import Peering, address
+from pumicepath.lab.model.timeline import VirtualTimeline
+from pumicepath.lab.virtual.duty_fleet import DRIFT, DutyRun, InjectedBugs, run_schedule
+from pumicepath.lab.virtual.peers import VirtualFleet, address
 
 from .helpers import SECOND
 
 LEASE = 2 * SECOND
 
 
-def broken(found: Found) -> list[str]:
+def broken(found: DutyRun) -> list[str]:
     """Acts in the moment prove the lease, without a fence; late acts prove the fence, where there is one."""
     fenced = [line for line in found.history if line["who"] != "place"]
     return one_holder.check(found.history) + fencing.check(fenced)
@@ -32,7 +32,7 @@
     """Half of the days in each form that the suite is run in."""
     gaps = []
     for seed in range(250) if compiled.FORM == "compiled" else range(250, 500):
-        found = schedule(seed)
+        found = run_schedule(seed)
         assert not broken(found), (seed, broken(found)[:3])
         assert found.held_at_end == 2, seed
         gaps += found.gaps
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("seed", (3052, 19418, 37468))
 def test_who_held_by_the_old_voters_alone_gives_up_as_they_change(seed: int) -> None:
     """Found in 26,000 days: a lease by the old file, renewed or not, met one by the new voters alone."""
-    assert not broken(schedule(seed))
+    assert not broken(run_schedule(seed))
 
 
 def test_what_is_held_is_given_up_only_when_other_voters_are_meant() -> None:
@@ -59,12 +59,12 @@
 @pytest.mark.parametrize(
     "planted",
     (
-        Planted(held_for=lambda lease: lease),
-        Planted(silent=False),
-        Planted(remembers=False),
-        Planted(fenced=False),
-        Planted(checked_late=False),
-        Planted(both=False),
+        InjectedBugs(holder_lease=lambda lease: lease),
+        InjectedBugs(waits_after_restart=False),
+        InjectedBugs(remembers_grants=False),
+        InjectedBugs(checks_fence=False),
+        InjectedBugs(checks_when_acting=False),
+        InjectedBugs(joint_voter_sets=False),
     ),
     ids=(
         "no drift margin",
@@ -75,15 +75,15 @@
         "voters changed in one step",
     ),
 )
-def test_checks_catch_planted_faults(planted: Planted) -> None:
-    worst = 0.05 if planted.held_for is not None else DRIFT
-    assert any(broken(schedule(seed, planted, worst=worst)) for seed in range(100))
+def test_checks_catch_planted_faults(planted: InjectedBugs) -> None:
+    worst = 0.05 if planted.holder_lease is not None else DRIFT
+    assert any(broken(run_schedule(seed, planted, max_drift=worst)) for seed in range(100))
 
 
 def test_clocks_beyond_the_stated_drift_are_noticed_and_those_within_it_are_not() -> None:
     """The margin is what keeps holders apart: clocks at the bound never have two, far beyond it they do."""
-    assert not any(broken(schedule(seed, worst=DRIFT)) for seed in range(60))
-    assert any(broken(schedule(seed, worst=0.2)) for seed in range(200))
+    assert not any(broken(run_schedule(seed, max_drift=DRIFT)) for seed in range(60))
+    assert any(broken(run_schedule(seed, max_drift=0.2)) for seed in range(200))
 
 
 def test_a_holder_stops_before_and_a_voter_ends_after_whatever_their_clocks_do() -> None:
@@ -221,9 +221,9 @@
 
 def test_a_duty_that_is_given_up_is_held_again_at_once_however_long_its_lease() -> None:
     """Found by measuring: others waited for the end that the lease would have had, 21 s at worst for 30."""
-    time = Virtual()
+    time = VirtualTimeline()
     lease = 30 * SECOND
-    peering = Peering(
+    peering = VirtualFleet(
         time,
         Links(time, 1, 300),
         1,
@@ -234,7 +234,7 @@
         peering.start(number)
 
     def holders() -> list[int]:
-        duties = [node.fellow.duties for node in peering.nodes if node.fellow is not None]
+        duties = [node.fleet_node.duties for node in peering.nodes if node.fleet_node is not None]
         return [
             number
             for number, one in enumerate(duties)
@@ -243,14 +243,14 @@
 
     for _ in range(100):
         for node in peering.nodes:
-            assert node.fellow is not None and node.fellow.duties is not None
-            node.fellow.duties.want(node.clock(), ["d"])
-            node.wake()
+            assert node.fleet_node is not None and node.fleet_node.duties is not None
+            node.fleet_node.duties.want(node.clock(), ["d"])
+            node.schedule_timer()
         time.run(time.now + SECOND)
     for _ in range(4):
         before = holders()
         assert len(before) == 1
-        fellow = peering.nodes[before[0]].fellow
+        fellow = peering.nodes[before[0]].fleet_node
         assert fellow is not None
         fellow.end(peering.nodes[before[0]].clock())
         time.run(time.now + 20_000)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -71,7 +71,7 @@
 
 
 def test_all_that_are_shipped_can_be_read_and_cover_every_trouble() -> None:
-    from pumicepath.lab.troubles import KINDS
+    from pumicepath.lab.fault_kinds import KINDS
 
     made = [files.read(path) for path in sorted(SHIPPED.glob("*.toml"))]
     met = {trouble.kind for read in made for trouble in read.plan.troubles}
