--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -20,7 +20,7 @@
 
 from pumicepath.lab.loopback.world import Void, play  # noqa: E402
 from pumicepath.lab.model.result import Result, summarize  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, FaultSpec  # noqa: E402
+from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
 DAYS: dict[str, tuple[dict[str, Any], ...]] = {
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -28,7 +28,7 @@
 from pumicepath.lab.loopback.apart import serving  # noqa: E402
 from pumicepath.lab.loopback.process import Sidecar  # noqa: E402
 from pumicepath.lab.loopback.wires import asked  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, RequestClassSpec  # noqa: E402
+from pumicepath.lab.spec import Fleet, Load, Plan, RequestClassSpec, Sidecars  # noqa: E402
 
 
 def plan(servers: int) -> Plan:
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -28,7 +28,7 @@
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.links import Links  # noqa: E402
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, FaultSpec  # noqa: E402
+from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, Sidecars  # noqa: E402
 from pumicepath.lab.virtual.peers import VirtualFleet, address  # noqa: E402
 
 CALM_S = 20.0  # at the end of the soak
--- a/benchmarks/holding.py
+++ b/benchmarks/holding.py
@@ -15,7 +15,7 @@
 
 from pumicepath.lab.model.links import Links
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline
-from pumicepath.lab.virtual.peers import VirtualNode, VirtualFleet
+from pumicepath.lab.virtual.peers import VirtualFleet, VirtualNode
 
 VOTERS = 3
 LEASE_S = 10.0
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -32,7 +32,7 @@
 
 from pumicepath.lab.loopback.apart import Met, clients, serving  # noqa: E402
 from pumicepath.lab.loopback.process import Sidecar  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, RequestClassSpec  # noqa: E402
+from pumicepath.lab.spec import Fleet, Load, Plan, RequestClassSpec, Sidecars  # noqa: E402
 
 CONTEXT = multiprocessing.get_context("spawn")
 LOADS = (0.2, 0.5, 0.8, 1.0, 1.5, 2.0, 4.0, 10.0)
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -24,7 +24,7 @@
 from pumicepath.interface import Entry, Listing, Outcome, Phase  # noqa: E402
 from pumicepath.lab.loopback.servers import ANSWERS  # noqa: E402
 from pumicepath.lab.loopback.wires import asked as request_of  # noqa: E402
-from pumicepath.lab.spec import Load, Plan, Sidecars, RequestClassSpec  # noqa: E402
+from pumicepath.lab.spec import Load, Plan, RequestClassSpec, Sidecars  # noqa: E402
 from pumicepath.lab.spec import sidecar_settings as settings_of
 from pumicepath.logic import Balancer  # noqa: E402
 from pumicepath.sidecar import answers, config  # noqa: E402
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -24,7 +24,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.lab.model.links import Links, Impairment  # noqa: E402
+from pumicepath.lab.model.links import Impairment, Links  # noqa: E402
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline  # noqa: E402
 from pumicepath.lab.virtual.peers import VirtualFleet  # noqa: E402
 
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -24,7 +24,7 @@
 
 def play(sidecars: int, servers: int, lasts: int, policy: str) -> None:
     """One size in this process: events, submissions, CPU seconds, MB."""
-    from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, FaultSpec
+    from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, Sidecars
     from pumicepath.lab.virtual.run import VirtualWorld
 
     plan = Plan(
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -25,7 +25,7 @@
 from pumicepath.lab.faults.history import read  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.result import Result  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, FaultSpec  # noqa: E402
+from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, Sidecars  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
 BEGINS, LASTS, ENDS = 15, 45, 100
--- a/pumicepath/lab/experiments/files.py
+++ b/pumicepath/lab/experiments/files.py
@@ -12,9 +12,9 @@
 
 from pydantic import Field, ValidationError, field_validator
 
-from ..spec import Count, StrictModel, Plan
 from ..fault_kinds import KINDS
-from ..virtual.run import PUMICEPATH, POLICIES
+from ..spec import Count, Plan, StrictModel
+from ..virtual.run import POLICIES, PUMICEPATH
 
 HEADER = re.compile(r"^\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(#.*)?$")
 KEY = re.compile(r"""^\s*("[^"]*"|'[^']*'|[\w-]+(?:\s*\.\s*[\w-]+)*)\s*=""")
--- a/pumicepath/lab/fault_kinds/__init__.py
+++ b/pumicepath/lab/fault_kinds/__init__.py
@@ -9,7 +9,7 @@
 
 KINDS: dict[str, type[Fault]] = {}
 for _found in sorted(module.name for module in pkgutil.iter_modules(__path__)):
-    if _found != "trouble":
+    if _found != "base":
         _module = importlib.import_module(f"{__name__}.{_found}")
         KINDS[_found.replace("_", "-")] = next(
             one
--- a/pumicepath/lab/faults/recording.py
+++ b/pumicepath/lab/faults/recording.py
@@ -11,11 +11,11 @@
 
 from ...interface import Tariff
 from ...settings import decode
-from ..model.rule_checker import RuleChecker
 from ..model.registry import Registry
+from ..model.rule_checker import RuleChecker
 from ..model.servers import Job, Server
 from ..model.timeline import Timeline, VirtualTimeline
-from ..spec import Plan, to_microseconds, sidecar_settings
+from ..spec import Plan, sidecar_settings, to_microseconds
 from .history import History, Line
 
 
@@ -135,8 +135,8 @@
     elif what == "returned":
         judge.hop_returned(line["ask"])
     elif what == "ran":
-        at: Any = SimpleNamespace(number=line["server"], hall=line["hall"], cell=line["cell"])
-        work: Any = SimpleNamespace(ask=line["ask"])
+        at: Any = SimpleNamespace(number=line["server"], zone=line["hall"], cell=line["cell"])
+        work: Any = SimpleNamespace(submission_id=line["ask"])
         judge.work_started(line["at"], work, at)
     elif what == "pushed_over":
         fallen: Any = SimpleNamespace(number=line["server"], arrivals=[(0, line["work"])])
--- a/pumicepath/lab/loopback/demo.py
+++ b/pumicepath/lab/loopback/demo.py
@@ -12,7 +12,7 @@
 from ..model.clients import percentile
 from ..model.result import Result
 from ..model.timeline import SECOND
-from ..spec import Fleet, Load, Plan, Sidecars, RequestClassSpec, FaultSpec
+from ..spec import FaultSpec, Fleet, Load, Plan, RequestClassSpec, Sidecars
 from .world import LiveWorld
 
 HALLS, SERVERS, SIDECARS, RATE = 2, 8, 3, 240.0
--- a/pumicepath/lab/loopback/ground.py
+++ b/pumicepath/lab/loopback/ground.py
@@ -8,10 +8,10 @@
 
 from ...interface import Tariff
 from ..faults.history import History
-from ..model.rule_checker import RuleChecker
 from ..model.links import Links
-from ..model.registry import Registry
 from ..model.network import Network
+from ..model.registry import Registry
+from ..model.rule_checker import RuleChecker
 from ..spec import Plan
 from .clock import Live
 
--- a/pumicepath/lab/loopback/sidecars.py
+++ b/pumicepath/lab/loopback/sidecars.py
@@ -16,12 +16,12 @@
 import orjson
 
 from ...http1 import writing
+from ..fault_kinds import KINDS
 from ..faults.clocks import VARIABLE, Page
 from ..faults.disks import Disk
 from ..model.registry import REPLACEMENT_OFFSET
 from ..model.world import SidecarInstance
 from ..spec import sidecar_settings
-from ..fault_kinds import KINDS
 from .discovery import Desk
 from .ground import Ground
 from .wires import Wires
--- a/pumicepath/lab/loopback/world.py
+++ b/pumicepath/lab/loopback/world.py
@@ -11,15 +11,15 @@
 from pathlib import Path
 from typing import Any
 
+from ..fault_kinds import KINDS
 from ..faults.history import VERSION, History
 from ..faults.recording import Recorded
-from ..model.rule_checker import RuleChecker
 from ..model.links import Links
 from ..model.result import Result, collect_result
+from ..model.rule_checker import RuleChecker
 from ..model.timeline import SECOND
 from ..model.world import World
 from ..spec import Plan
-from ..fault_kinds import KINDS
 from .clock import Live
 from .relays import Relays
 from .servers import Door, LiveServer
--- a/pumicepath/lab/model/registry.py
+++ b/pumicepath/lab/model/registry.py
@@ -33,7 +33,7 @@
 class Subscription:
     """What one sidecar has been told, and when."""
 
-    __slots__ = ("reader", "seq", "following", "requested_at", "failed", "told", "started")
+    __slots__ = ("reader", "seq", "following", "requested_at", "failed", "notified_at", "known_starts")
 
     def __init__(self, reader: ListReader) -> None:
         self.reader = reader
--- a/pumicepath/lab/model/world.py
+++ b/pumicepath/lab/model/world.py
@@ -9,13 +9,13 @@
 
 from ...interface import Entry, Phase, Settings
 from ...settings import decode
-from ..spec import Plan, to_microseconds, sidecar_settings
-from .clients import Clients, ClientBehavior, KeyDistribution, LoadOverrides, Tally
-from .rule_checker import ANSWER_SLACK_US, RuleChecker
+from ..spec import Plan, sidecar_settings, to_microseconds
+from .clients import ClientBehavior, Clients, KeyDistribution, LoadOverrides, Tally
 from .links import Links
-from .registry import ListTiming, Registry
 from .network import Network
-from .servers import ServerParameters, SharedLimit, Server
+from .registry import ListTiming, Registry
+from .rule_checker import ANSWER_SLACK_US, RuleChecker
+from .servers import Server, ServerParameters, SharedLimit
 from .timeline import SECOND, Timeline, random_source
 
 
--- a/pumicepath/lab/virtual/baselines.py
+++ b/pumicepath/lab/virtual/baselines.py
@@ -127,14 +127,14 @@
 
 class RoundRobin(TextbookBalancer):
     def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
-        self.turn += 1
-        return candidates[self.turn % len(candidates)]
+        self.next_index += 1
+        return candidates[self.next_index % len(candidates)]
 
 
 class LeastInFlight(TextbookBalancer):
     def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
-        self.turn += 1
-        start = self.turn % len(candidates)
+        self.next_index += 1
+        start = self.next_index % len(candidates)
         return min(candidates[start:] + candidates[:start], key=lambda server: self.in_flight.get(server, 0))
 
 
--- a/pumicepath/lab/virtual/duty_fleet.py
+++ b/pumicepath/lab/virtual/duty_fleet.py
@@ -15,7 +15,7 @@
 from ...fleet.duties import Claim, Duties, Given
 from ...fleet.leases import Answer, Fence, Verdict, Voter
 from ...fleet.messages import Claimed, Claims, Granted, Grants, Record
-from ..model.links import Links, Impairment
+from ..model.links import Impairment, Links
 from ..model.timeline import SECOND, VirtualTimeline, random_source
 from .peers import address
 
--- a/pumicepath/lab/virtual/run.py
+++ b/pumicepath/lab/virtual/run.py
@@ -9,12 +9,12 @@
 from ...fleet.settings import TIMEOUT_PART, Voting
 from ...interface import Settings
 from ...logic import Balancer
+from ..fault_kinds import KINDS
 from ..model.links import Links
 from ..model.result import Result, collect_result
 from ..model.timeline import SECOND, VirtualTimeline
 from ..model.world import World
 from ..spec import Plan, to_microseconds
-from ..fault_kinds import KINDS
 from .baselines import TEXTBOOK_BALANCERS, TextbookBalancer, make_oracle
 from .peers import VirtualFleet, address
 from .sidecar import BalancerFactory, Sidecar
@@ -113,7 +113,7 @@
         self.hops_at_servers.append([self.servers[number].hop_count for number in self.server_ids])
         refused = [0] * len(self.server_ids)
         step = max(1, len(self.instances) // MAX_SAMPLED_SIDECARS)
-        looked = [one.decisions for one in self.instances[::step] if one.up]  # type: ignore[attr-defined]
+        looked = [one.balancer for one in self.instances[::step] if one.up]  # type: ignore[attr-defined]
         for decisions in looked:
             if isinstance(decisions, Balancer):
                 for place, number in enumerate(self.server_ids):
--- a/pumicepath/lab/virtual/sidecar.py
+++ b/pumicepath/lab/virtual/sidecar.py
@@ -7,9 +7,9 @@
 
 from ...interface import Entry, Listing, Outcome, Outlet, Settings, Wakeable
 from ..model.clients import ClientSubmission
-from ..model.rule_checker import RuleChecker
-from ..model.registry import Registry
 from ..model.network import Network
+from ..model.registry import Registry
+from ..model.rule_checker import RuleChecker
 from ..model.servers import Job, Server
 from ..model.timeline import Timeline
 from ..model.world import SidecarFleet
--- a/tests/bad_balancers.py
+++ b/tests/bad_balancers.py
@@ -3,22 +3,22 @@
 from __future__ import annotations
 
 from pumicepath.interface import Effect, Outcome
-from pumicepath.lab.virtual.baselines import TextbookSubmission, TextbookBalancer, RandomChoice, RoundRobin
+from pumicepath.lab.virtual.baselines import RandomChoice, RoundRobin, TextbookBalancer, TextbookSubmission
 
 
 class SilentHandle(TextbookSubmission):
     def ended(self, now, number, outcome, spent, finished):
-        self.out = False
-        self.done = self.done or finished
+        self.waiting = False
+        self.finished = self.finished or finished
 
     def over(self):
-        return self.done and not self.out
+        return self.finished and not self.waiting
 
 
 class Silent(RandomChoice):
     """Never answers a submission whose first hop failed."""
 
-    kind = SilentHandle
+    submission_type = SilentHandle
 
 
 class Twice(RandomChoice):
@@ -36,14 +36,14 @@
     def ended(self, now, number, outcome, spent, finished):
         super().ended(now, number, outcome, spent, finished)
         if finished and len(self.tried_servers) < 2:
-            self.done = False
+            self.finished = False
             self.send_next(now)
 
 
 class After(RandomChoice):
     """Sends once more after the final answer."""
 
-    kind = AfterHandle
+    submission_type = AfterHandle
 
 
 class RepeatsHandle(TextbookSubmission):
@@ -54,22 +54,22 @@
 class Repeats(RandomChoice):
     """Sends what may not be repeated again after an error, as if it had not run."""
 
-    kind = RepeatsHandle
+    submission_type = RepeatsHandle
 
 
 class PromisesHandle(TextbookSubmission):
     def ended(self, now, number, outcome, spent, finished):
-        self.out = False
-        if not finished and not self.done and outcome != Outcome.OK:
-            self.done = True
+        self.waiting = False
+        if not finished and not self.finished and outcome != Outcome.OK:
+            self.finished = True
             self.balancer.callbacks.defer(self.name, 0)
-        self.done = True
+        self.finished = True
 
 
 class Promises(RandomChoice):
     """Defers what may have run, as if trying again were harmless."""
 
-    kind = PromisesHandle
+    submission_type = PromisesHandle
 
 
 class Deaf(RoundRobin):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -17,9 +17,9 @@
 from pumicepath.lab.faults.clocks import VARIABLE, Page
 from pumicepath.lab.faults.disks import Disk
 from pumicepath.lab.faults.history import BadHistory, History
-from pumicepath.lab.model.links import Links, Impairment
+from pumicepath.lab.model.links import Impairment, Links
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline
-from pumicepath.lab.spec import Plan, Sidecars, FaultSpec
+from pumicepath.lab.spec import FaultSpec, Plan, Sidecars
 from pumicepath.lab.virtual.run import VirtualWorld
 
 from .helpers import compare
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -5,12 +5,12 @@
 import pytest
 
 from pumicepath.interface import Outcome
+from pumicepath.lab.fault_kinds import KINDS
 from pumicepath.lab.model.clients import Clients
 from pumicepath.lab.model.result import summarize
-from pumicepath.lab.model.servers import ServerParameters, Job, SharedLimit, Server
+from pumicepath.lab.model.servers import Job, Server, ServerParameters, SharedLimit
 from pumicepath.lab.model.timeline import VirtualTimeline
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, RequestClassSpec, FaultSpec
-from pumicepath.lab.fault_kinds import KINDS
+from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, RequestClassSpec, Sidecars
 from pumicepath.lab.virtual.run import POLICIES, VirtualWorld
 from pumicepath.lab.virtual.sidecar import OpenSubmission, Sidecar
 from tests import bad_balancers as bad
@@ -231,9 +231,9 @@
         if after is not None:
             self.world.timeline.at(self.world.timeline.now + after, last_word, self, name, one)
 
-    monkeypatch.setattr(Sidecar, "patience_over", late)
+    monkeypatch.setattr(Sidecar, "deadline_passed", late)
     if after is not None:  # its client waits on, or nobody would see the late one
-        monkeypatch.setattr(Clients, "given_up", lambda *_: None)
+        monkeypatch.setattr(Clients, "give_up", lambda *_: None)
     plan = with_fault("fail-quickly", SMALL_PLAN.model_copy(update={"load": ALL_EFFECTS_LOAD}))
     found = VirtualWorld(plan, 1, bad.Silent).run()
     assert found.violations[cause] > 0, found.violations
@@ -259,5 +259,7 @@
     )
     world = VirtualWorld(plan, 2)
     world.run()
-    held = [len(world.rule_checker.records)] + [len(one.opens) + len(one.names) for one in world.instances]
+    held = [len(world.rule_checker.records)] + [
+        len(one.open_submissions) + len(one.latest_names) for one in world.instances
+    ]
     assert sum(held) == 0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,7 +12,7 @@
 from pumicepath.fleet.membership import RECENT, Membership
 from pumicepath.fleet.messages import ALIVE, DEAD, LEFT, SUSPECTED, News, Ping, Record, packed, unpacked
 from pumicepath.fleet.roll import Roll
-from pumicepath.lab.model.links import Links, Impairment
+from pumicepath.lab.model.links import Impairment, Links
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline
 from pumicepath.lab.virtual.peers import VirtualFleet, address
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -6,11 +6,11 @@
 from itertools import takewhile
 
 from pumicepath.interface import Effect, Entry, Group, Listing, Phase, Tariff
-from pumicepath.lab.model.clients import Clients, ClientBehavior, KeyDistribution, LoadOverrides, Tally
-from pumicepath.lab.model.rule_checker import RuleChecker
-from pumicepath.lab.model.registry import ListTiming, Registry
+from pumicepath.lab.model.clients import ClientBehavior, Clients, KeyDistribution, LoadOverrides, Tally
 from pumicepath.lab.model.network import Network
-from pumicepath.lab.model.servers import ServerParameters, Job, Server
+from pumicepath.lab.model.registry import ListTiming, Registry
+from pumicepath.lab.model.rule_checker import RuleChecker
+from pumicepath.lab.model.servers import Job, Server, ServerParameters
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline, random_source
 
 from .helpers import compare
@@ -63,16 +63,16 @@
     values: dict = {
         "rate": 200.0,
         "pattern": "poisson",
-        "steps": (),
-        "trace": (),
-        "shares": (3.0, 1.0, 0.0),
-        "keys": 1000,
-        "zipf": 1.0,
-        "drift": 0,
-        "leaves": 0.0,
-        "retries": 1,
-        "back_off": 50_000,
-        "heeds": True,
+        "rate_steps": (),
+        "arrival_trace": (),
+        "class_weights": (3.0, 1.0, 0.0),
+        "key_count": 1000,
+        "zipf_exponent": 1.0,
+        "drift_period": 0,
+        "leave_probability": 0.0,
+        "max_retries": 1,
+        "backoff": 50_000,
+        "honors_retry_after": True,
     }
     habits = ClientBehavior(**{**values, **changed})
     keys = KeyDistribution(habits.key_count, habits.zipf_exponent, habits.drift_period)
@@ -99,8 +99,11 @@
         ("poisson", {}),
         ("bursty", {"pattern": "bursty"}),
         ("even", {"pattern": "even"}),
-        ("steps", {"pattern": "even", "steps": ((2 * SECOND, 3.0), (4 * SECOND, 0.0), (6 * SECOND, 1.0))}),
-        ("trace", {"trace": (1, 500_000, 500_000, 7 * SECOND)}),
+        (
+            "steps",
+            {"pattern": "even", "rate_steps": ((2 * SECOND, 3.0), (4 * SECOND, 0.0), (6 * SECOND, 1.0))},
+        ),
+        ("trace", {"arrival_trace": (1, 500_000, 500_000, 7 * SECOND)}),
     ):
         dues = list(takewhile(lambda due: due < 10 * SECOND, make_clients(**changed).arrivals()))
         counts = Counter(due // SECOND for due in dues)
@@ -113,7 +116,7 @@
 
 
 def test_client_nobody_takes_tries_again_and_is_given_up_once() -> None:
-    made = make_clients(trace=(1000,), retries=3)
+    made = make_clients(arrival_trace=(1000,), max_retries=3)
     made.timeline.run(2 * SECOND)
     assert made.tally.refused[0] == 4 and made.tally.retries == 3 and not made.open_submissions
     assert made.tally.deferred[0] == 1 and made.rule_checker.passed()
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -33,7 +33,7 @@
 from pumicepath.lab.faults.checks import one_holder
 from pumicepath.lab.loopback.scripted import Deployment
 from pumicepath.lab.model.servers import Job, Server
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, FaultSpec
+from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, Sidecars
 from pumicepath.lab.virtual.run import VirtualWorld
 from pumicepath.lab.virtual.sidecar import Sidecar
 
@@ -364,7 +364,7 @@
     async def faults(world: Any, links: Any, stage: Stage, holding: Holding) -> None:
         every = {each.number for each in stage.sidecars}
         for server in (0, 1, 2):
-            world.servers[server].failing = 1.0
+            world.servers[server].failure_fraction = 1.0
         duties = [f"trial hall-0 s-{server}" for server in (0, 1, 2)]
         for duty in duties:
             await holding.holder(duty, 0)
@@ -376,7 +376,7 @@
         fence, one = current(duties[0])
         one.stop()
         await holding.holder(duties[0], fence, one.name)
-        one.go_on()
+        one.resume()
         fence, one = current(duties[1])
         heal = links.cut({one.number}, every - {one.number})
         await holding.holder(duties[1], fence, one.name)
@@ -393,13 +393,13 @@
             fence, one = current(duties[0])
         await holding.holder(duties[0], fence)
         fence, one = current(duties[1])
-        one.end()
+        one.terminate()
         await holding.holder(duties[1], fence, one.name)
         fence, one = current(duties[2])
         one.replace()  # two processes of one name; the new one inherits nothing
         await holding.holder(duties[2], fence)
         for server in (0, 1, 2):
-            world.servers[server].failing = 0.0
+            world.servers[server].failure_fraction = 0.0
 
     world = played(tmp_path, work, PLAN)
     assert [world.rule_checker.violations[rule] for rule in NEVER] == [0] * len(NEVER), (
@@ -417,7 +417,7 @@
         self.failure_fraction = 1.0 if self.number < 3 and (not cut_off or job.sender in cut_off) else 0.0
         return came(self, job)
 
-    monkeypatch.setattr(Server, "came", failing)
+    monkeypatch.setattr(Server, "receive", failing)
     sick = {"s-0", "s-1", "s-2"}
 
     async def work(stage: Stage) -> None:
@@ -513,7 +513,7 @@
         )
         return came(self, job)
 
-    monkeypatch.setattr(Server, "came", failing)
+    monkeypatch.setattr(Server, "receive", failing)
     plan = Plan(
         lasts_s=55,
         fleet=Fleet(servers=12, halls=1, work_ms=20),
