--- a/pumicepath/lab/__init__.py
+++ b/pumicepath/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A world to rehearse in: a model of the fleet, its hosts, troubles, a judge, experiments and reports."""
+"""Tests a fleet in virtual time or with real processes: model, injected faults, rule checker, experiments."""
--- a/pumicepath/lab/fault_kinds/peers_noisy.py
+++ b/pumicepath/lab/fault_kinds/peers_noisy.py
@@ -25,8 +25,10 @@
             round(spec.rate_kb * 1000),
         )
         self.undo = self.world.links.impair(hit, noise)
-        longest_ms = spec.delay_ms + spec.spread_ms
-        return f"{sidecar_names(hit)}: {loss:.0%} lost, {spec.delay_ms:g} to {longest_ms:g} ms"
+        return (
+            f"{sidecar_names(hit)}: {loss:.0%} lost, "
+            f"{spec.delay_ms:g} to {spec.delay_ms + spec.spread_ms:g} ms"
+        )
 
     def revert(self) -> None:
         self.undo()
--- a/pumicepath/lab/model/__init__.py
+++ b/pumicepath/lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""The systems around sidecars, free of I/O and clocks: servers, halls, list, clients, and a judge of all."""
+"""The systems around sidecars: servers, list, network, clients and a rule checker; free of I/O and clocks."""
--- a/pumicepath/lab/model/network.py
+++ b/pumicepath/lab/model/network.py
@@ -1,4 +1,4 @@
-"""What lies between halls: a delay with some spread, and whether anything comes through at all."""
+"""The network between zones: delays with jitter, and zones that are cut off."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class Network:
-    """Messages between halls, by index; what is cut off is dropped without a word, as a broken path does."""
+    """Carries messages between zones, given by index; across a cut they are dropped silently.
+
+    Delays are in microseconds.
+    """
 
     def __init__(
         self, timeline: Timeline, zone_count: int, same_zone_delay: int, cross_zone_delay: int, seed: int
@@ -19,20 +22,21 @@
         self.same_zone_delay = same_zone_delay
         self.cross_zone_delay = cross_zone_delay
         self.rng = random_source(seed, "network")
-        self.cut_zones: set[int] = set()  # halls that nothing enters or leaves
+        self.cut_zones: set[int] = set()  # zones that no message enters or leaves
         self.delay_factor = 1.0
         self.dropped = 0
 
     def delay(self, source: int, target: int) -> int:
-        """One way, in microseconds: the usual time and up to a fifth more."""
-        usual = self.same_zone_delay if source == target else self.cross_zone_delay
-        return int(usual * self.delay_factor * (1.0 + 0.2 * self.rng.random()))
+        """One-way delay of a message: the base delay and up to 20% more."""
+        base = self.same_zone_delay if source == target else self.cross_zone_delay
+        return int(base * self.delay_factor * (1.0 + 0.2 * self.rng.random()))
 
     def is_connected(self, source: int, target: int) -> bool:
+        """Whether messages get through; inside a zone they always do."""
         return source == target or not (source in self.cut_zones or target in self.cut_zones)
 
     def carry(self, source: int, target: int, call: Callable[..., None], *given: Any) -> bool:
-        """Make the call at the other end after the delay; False if it is dropped."""
+        """Make the call at the other end after the delay; False if the message is dropped."""
         if not self.is_connected(source, target):
             self.dropped += 1
             return False
--- a/pumicepath/lab/model/registry.py
+++ b/pumicepath/lab/model/registry.py
@@ -1,4 +1,4 @@
-"""The server list, how it reaches sidecars, and what each of them has been told."""
+"""The server list, how it reaches sidecars, and what each of them has been notified of."""
 
 from __future__ import annotations
 
@@ -9,29 +9,28 @@
 from ...interface import Entry, Listing, Phase
 from .timeline import Timeline, random_source
 
-REPLACEMENT_OFFSET = (
-    1 << 20
-)  # added to the number of a sidecar whose process is being replaced: the new one's
+REPLACEMENT_OFFSET = 1 << 20  # added to a sidecar's number for the new process during a hot restart
 
 
 class ListReader(Protocol):
-    """A sidecar, as the list meets it."""
+    """A sidecar that reads the list."""
 
-    def receive_list(self, kind: Listing, entries: list[Entry]) -> None: ...
+    def receive_list(self, kind: Listing, entries: list[Entry]) -> None:
+        """A full list, changes, a cached copy, or a failure."""
 
 
 @dataclass(frozen=True)
 class ListTiming:
-    """How the list behaves; times in microseconds."""
+    """Delays and intervals of the list, in microseconds."""
 
     min_delay: int
     max_delay: int
-    poll_interval: int  # for as long may who does not follow it go without asking
-    drain_grace: int  # sends may still go out so long after one was told of a drain
+    poll_interval: int  # a sidecar without a subscription asks at least this often
+    drain_grace: int  # hops may still be sent for so long after the notice of a drain
 
 
 class Subscription:
-    """What one sidecar has been told, and when."""
+    """What one sidecar has been notified of, and when; times in microseconds."""
 
     __slots__ = ("reader", "seq", "following", "requested_at", "failed", "notified_at", "known_starts")
 
@@ -41,12 +40,12 @@
         self.following = False
         self.requested_at = 0
         self.failed = False
-        self.notified_at: dict[int, int] = {}  # servers that drain or are gone: since when it knows
-        self.known_starts: dict[int, int] = {}  # starts that it knows of, by server
+        self.notified_at: dict[int, int] = {}  # by server that drains or is gone
+        self.known_starts: dict[int, int] = {}  # latest known start by server
 
 
 class Registry:
-    """The truth, and what is shown of it.  A change costs one event for each sidecar that follows."""
+    """The actual servers and what is published of them; a change costs one event per subscriber."""
 
     def __init__(self, timeline: Timeline, timing: ListTiming, seed: int) -> None:
         self.timeline = timeline
@@ -54,16 +53,16 @@
         self.rng = random_source(seed, "list")
         self.seq = 0
         self.truth: dict[int, Entry] = {}
-        self.off_since: dict[int, int] = {}  # when each came to drain or to be gone
-        self.state_overrides: dict[int, Phase] = {}  # phases shown instead of the true ones
+        self.off_since: dict[int, int] = {}  # since when each drains or is gone
+        self.state_overrides: dict[int, Phase] = {}  # states published instead of the actual ones
         self.down = False
-        self.disconnected: set[int] = set()  # sidecars that can't reach it
+        self.disconnected: set[int] = set()  # sidecars that can't reach the list
         self.subscriptions: dict[int, Subscription] = {}
 
-    # -- the truth
+    # -- the actual servers
 
     def update(self, *entries: Entry) -> None:
-        """Servers begin, change or, with phase GONE, end."""
+        """Servers start, change or, in state GONE, end."""
         now = self.timeline.now
         for entry in entries:
             self.truth[entry.server] = entry
@@ -74,10 +73,11 @@
         self.publish(entry.server for entry in entries)
 
     def set_state(self, server: int, state: Phase = Phase.DRAINING) -> None:
+        """Change the actual state of a server."""
         self.update(self.truth[server]._replace(phase=state))
 
     def override_state(self, server: int, state: Phase | None) -> None:
-        """Show a phase that is not so; None ends the lie."""
+        """Publish a wrong state for a server; None ends this."""
         if state is None:
             self.state_overrides.pop(server, None)
         else:
@@ -85,50 +85,56 @@
         self.publish([server])
 
     def published(self, server: int) -> Entry:
+        """The entry of a server as readers get it."""
         entry = self.truth[server]
-        lie = self.state_overrides.get(server)
-        return entry if lie is None else entry._replace(phase=lie)
+        override = self.state_overrides.get(server)
+        return entry if override is None else entry._replace(phase=override)
 
     def full_list(self) -> list[Entry]:
+        """The published entries of all servers that are not gone."""
         return [entry for entry in map(self.published, self.truth) if entry.phase != Phase.GONE]
 
     def publish(self, servers: Iterable[int]) -> None:
+        """Send the entries of these servers to all subscribers, each after a delay of its own."""
         self.seq += 1
         changes = [self.published(server) for server in servers]
         if not self.down:
-            for number, following in self.subscriptions.items():
-                if following.following:
+            for number, subscription in self.subscriptions.items():
+                if subscription.following:
                     self.timeline.at(
                         self.timeline.now + self.draw_delay(),
                         self.deliver,
                         number,
-                        following,
+                        subscription,
                         self.seq,
                         Listing.CHANGES,
                         changes,
                     )
 
     def draw_delay(self) -> int:
+        """A random delay on the way to a reader."""
         return self.rng.randint(self.timing.min_delay, self.timing.max_delay)
 
-    # -- its readers
+    # -- readers
 
     def register(self, number: int, reader: ListReader) -> None:
-        """A sidecar begins with a copy of the list, which counts as told, and may ask to follow it."""
-        following = self.subscriptions[number] = Subscription(reader)
-        following.requested_at = self.timeline.now
-        self.deliver(number, following, self.seq, Listing.CACHED, self.full_list())
+        """A sidecar starts with a cached copy, which counts as a notice, and may subscribe."""
+        subscription = self.subscriptions[number] = Subscription(reader)
+        subscription.requested_at = self.timeline.now
+        self.deliver(number, subscription, self.seq, Listing.CACHED, self.full_list())
 
     def unregister(self, number: int) -> None:
+        """A sidecar has ended."""
         self.subscriptions.pop(number, None)
 
     def subscribe(self, number: int) -> None:
-        """A sidecar asks for the whole list and all that follows."""
-        following = self.subscriptions[number]
-        following.requested_at = self.timeline.now
-        self.timeline.at(self.timeline.now + self.draw_delay(), self.answer, number, following)
+        """A sidecar asks for the full list and all further changes."""
+        subscription = self.subscriptions[number]
+        subscription.requested_at = self.timeline.now
+        self.timeline.at(self.timeline.now + self.draw_delay(), self.answer, number, subscription)
 
     def answer(self, number: int, subscription: Subscription) -> None:
+        """Answer a subscription with the full list, or a failure if the list can't be reached."""
         subscription.failed = self.is_unreachable(number)
         if subscription.failed:
             if self.subscriptions.get(number) is subscription:
@@ -140,7 +146,7 @@
     def deliver(
         self, number: int, subscription: Subscription, seq: int, kind: Listing, entries: list[Entry]
     ) -> None:
-        """Changes that overtook each other are not used: the whole list is asked for instead."""
+        """Hand entries to a reader; changes out of order are dropped and the full list is asked for again."""
         if (
             self.subscriptions.get(number) is not subscription
             or kind == Listing.CHANGES
@@ -155,9 +161,9 @@
         subscription.seq = seq
         now = self.timeline.now
         if kind != Listing.CHANGES:
-            named = {entry.server for entry in entries}
+            listed = {entry.server for entry in entries}
             for server in self.off_since:
-                if server not in named:
+                if server not in listed:
                     subscription.notified_at.setdefault(server, now)
         for entry in entries:
             if entry.phase == Phase.READY:
@@ -169,49 +175,54 @@
         subscription.reader.receive_list(kind, entries)
 
     def is_unreachable(self, number: int) -> bool:
+        """Whether this sidecar can't reach the list."""
         return self.down or number in self.disconnected
 
     def disconnect(self, numbers: Collection[int] = ()) -> None:
-        """The list is gone, for these or for all: who followed it notices, and is told that it failed."""
+        """Cut these sidecars, or all, off from the list; subscribers notice and are notified of a failure."""
         self.disconnected.update(numbers)
         self.down = self.down or not numbers
-        for number, following in self.subscriptions.items():
-            if following.following and self.is_unreachable(number):
-                following.following = False
-                self.timeline.at(self.timeline.now + self.draw_delay(), self.answer, number, following)
+        for number, subscription in self.subscriptions.items():
+            if subscription.following and self.is_unreachable(number):
+                subscription.following = False
+                self.timeline.at(self.timeline.now + self.draw_delay(), self.answer, number, subscription)
 
     def reconnect(self, numbers: Collection[int] = ()) -> None:
+        """Undo `disconnect`; readers have to subscribe again."""
         self.disconnected.difference_update(numbers)
         self.down = self.down and bool(numbers)
 
     def finish_replacement(self, number: int) -> None:
-        """The new process is the only one now."""
-        following = self.subscriptions.pop(number + REPLACEMENT_OFFSET, None)
-        if following is not None:
-            self.subscriptions[number] = following
+        """The old process of a hot restart has ended; the new one takes over the sidecar's number."""
+        subscription = self.subscriptions.pop(number + REPLACEMENT_OFFSET, None)
+        if subscription is not None:
+            self.subscriptions[number] = subscription
 
-    # -- for the judge
+    # -- for the rule checker
 
     def off_known_since(self, number: int, server: int) -> int | None:
-        """When this sidecar was told, or is deemed to have been told, that a server drains or is gone.
+        """Since when a sidecar knows, or counts as knowing, that a server drains or is gone.
 
-        In an upgrade the old process and the new are one: what either was told counts.
+        During a hot restart a notice to either process counts for both.
         """
         both = [self.process_off_known_since(each, server) for each in (number, number + REPLACEMENT_OFFSET)]
-        return min((told for told in both if told is not None), default=None)
+        return min((known_since for known_since in both if known_since is not None), default=None)
 
     def process_off_known_since(self, number: int, server: int) -> int | None:
-        following, since = self.subscriptions.get(number), self.off_since.get(server)
-        if following is None or since is None:
+        """The same for one process of a sidecar."""
+        subscription, since = self.subscriptions.get(number), self.off_since.get(server)
+        if subscription is None or since is None:
             return None
-        told = following.notified_at.get(server)
-        if not following.following:
-            # Who does not follow and has not asked for so long is deemed told of what was listed then.
-            after = self.timing.poll_interval * (4 if following.failed else 1)
-            deemed = max(since, following.requested_at) + after
-            told = deemed if told is None else min(told, deemed)
-        return told
-
-    def start_is_known(self, number: int, server: int, came_up: int) -> bool:
-        following = self.subscriptions.get(number)
-        return following is not None and following.known_starts.get(server, -1) >= came_up
+        known_since = subscription.notified_at.get(server)
+        if not subscription.following:
+            # Without a subscription a sidecar has to ask again within the poll interval, or four of them
+            # after a failure; from then on it counts as knowing.
+            after = self.timing.poll_interval * (4 if subscription.failed else 1)
+            deemed = max(since, subscription.requested_at) + after
+            known_since = deemed if known_since is None else min(known_since, deemed)
+        return known_since
+
+    def start_is_known(self, number: int, server: int, started_at: int) -> bool:
+        """Whether a sidecar knows of this start of a server or a later one."""
+        subscription = self.subscriptions.get(number)
+        return subscription is not None and subscription.known_starts.get(server, -1) >= started_at
--- a/pumicepath/lab/model/result.py
+++ b/pumicepath/lab/model/result.py
@@ -1,4 +1,4 @@
-"""What a run came to, the same from either host."""
+"""The result of a run, the same from virtual time and from real processes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 @dataclass
 class Result:
-    """Of one run: `columns` have a figure a second; `at_servers` and `breakers` a row a second, by place."""
+    """The result of one run.
+
+    `columns` has a count per second for each outcome; `hops_at_servers` and `open_breakers` (the fraction of
+    sidecars whose breaker is open) have a row per second with a value per server slot.
+    """
 
     seed: int
     policy: str
@@ -26,11 +30,11 @@
     marks: list[tuple[int, int, str]]
     events: int
     hops: int
-    failed_hops: int  # hops that servers failed, refused or reset
+    failed_hops: int  # that servers failed, refused or reset
     hops_at_servers: list[list[int]] = field(default_factory=list)
     open_breakers: list[list[float]] = field(default_factory=list)
     log: list[str] = field(default_factory=list)
-    wrong_views: list[int] = field(default_factory=list)  # a second: sidecars that see the fleet wrong
+    wrong_views: list[int] = field(default_factory=list)  # sidecars with a wrong view of the fleet, by second
 
 
 def collect_result(
@@ -42,16 +46,17 @@
     log: list[str],
     wrong_views: list[int] | None = None,
 ) -> Result:
-    tally, judge = world.tally, world.rule_checker
+    """The result of a world whose run has ended."""
+    tally, rule_checker = world.tally, world.rule_checker
     return Result(
         seed=world.seed,
         policy=policy,
         service=tally.earned_value / tally.offered_value if tally.offered_value else 1.0,
         columns={name: getattr(tally, name) for name in COLUMNS},
         latencies=tally.latencies,
-        violations=dict(judge.violations),
-        first_violations=dict(judge.first_violations),
-        final_answers=dict(judge.final_answers),
+        violations=dict(rule_checker.violations),
+        first_violations=dict(rule_checker.first_violations),
+        final_answers=dict(rule_checker.final_answers),
         marks=[(mark.started_at, mark.ends_at, mark.text) for mark in world.marks],
         events=events,
         hops=sum(server.completed for server in world.servers.values()),
@@ -64,15 +69,15 @@
 
 
 def summarize(result: Result) -> dict[str, Any]:
-    """For machines: totals, rules and percentiles in milliseconds."""
-    every = [spent for times in result.latencies for spent in times]
+    """Totals, violations of rules and percentiles in milliseconds, as written to files."""
+    latencies = [latency for each in result.latencies for latency in each]
     return {
         "seed": result.seed,
         "policy": result.policy,
         "service": round(result.service, 4),
         **{name: sum(column) for name, column in result.columns.items()},
-        "p50_ms": percentile(every, 0.5),
-        "p99_ms": percentile(every, 0.99),
+        "p50_ms": percentile(latencies, 0.5),
+        "p99_ms": percentile(latencies, 0.99),
         "events": result.events,
         "hops": result.hops,
         "wasted": result.failed_hops,
--- a/pumicepath/lab/model/rule_checker.py
+++ b/pumicepath/lab/model/rule_checker.py
@@ -1,7 +1,7 @@
-"""The four rules, counted from what servers, clients and the network saw; no sidecar is asked.
+"""Checks the four rules of a run from what servers, clients and the network observed.
 
-A submission is its client's, with all its tries: an effect that a client's retry brings about again counts as
-much as one of the sidecar's.
+Nothing is reported by sidecars.  A submission belongs to its client and includes all the client's tries, so
+an effect that a client's retry causes a second time counts as much as one caused by a sidecar's retry.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from .servers import Job, Server
 from .timeline import Timeline
 
-ANSWER_SLACK_US = 20_000  # microseconds after patience within which a final answer is still taken
+ANSWER_SLACK_US = 20_000  # a final answer is still accepted for so long after the deadline
 RULES = (
     "unanswered",
     "answered_twice",
@@ -25,7 +25,7 @@
 
 
 class SubmissionRecord:
-    """What is known of one submission of a client while any part of it is still out."""
+    """State of one client submission while its client, its sidecar or a hop is still active."""
 
     __slots__ = (
         "request_class",
@@ -43,18 +43,22 @@
     def __init__(self, request_class: Tariff) -> None:
         self.request_class = request_class
         self.deadline_at = 0
-        self.answered_at = 0  # when the present try had its final answer
+        self.answered_at = 0  # when the current try was answered
         self.tries = 0
-        self.awaiting_answer = False  # a try is with a sidecar, and no final answer has come
-        self.hops_in_flight = 0  # hops on the way to a server or there
-        self.effects: list[tuple[int, int, int]] = []  # when, hall, cell
-        self.may_run = False  # whether a hop of the present or an earlier try may have run
+        self.awaiting_answer = False  # a sidecar has admitted a try and has not answered it
+        self.hops_in_flight = 0  # hops travelling to a server or at one
+        self.effects: list[tuple[int, int, int]] = []  # time, zone, cell
+        self.may_run = False  # a hop of this or an earlier try may have run
         self.client_finished = False
-        self.admitted_at = 0  # when the present try went to its sidecar
+        self.admitted_at = 0  # when the sidecar admitted the current try
 
 
 class RuleChecker:
-    """Keeps a case as long as its client or a server has to do with it: memory grows with what is out."""
+    """Counts violations of each rule in `RULES`, and keeps the text of the first one.
+
+    A record is kept while its client or a server is busy with the submission, so memory grows with the number
+    of submissions in flight.  All times are in microseconds.
+    """
 
     def __init__(
         self,
@@ -68,57 +72,59 @@
         self.request_classes = request_classes
         self.registry = registry
         self.drain_grace = drain_grace
-        self.answer_slack = answer_slack  # what the host's own clocks and queues may be late by
+        self.answer_slack = answer_slack  # how late the host's own clocks and queues may be
         self.records: dict[int, SubmissionRecord] = {}
         self.exact_timing = answer_slack <= ANSWER_SLACK_US
         self.violations = dict.fromkeys(RULES, 0)
         self.first_violations: dict[str, str] = {}
         self.admitted = 0
         self.final_answers = dict.fromkeys(("succeeded", "deferred", "forfeited", "left", "cut"), 0)
-        self.stopped_sidecars: dict[
-            int, tuple[int, int | None]
-        ] = {}  # sidecars that were stopped last, until when
+        # By sidecar, its latest stop: when it began and when it ended, None while it lasts.
+        self.stopped_sidecars: dict[int, tuple[int, int | None]] = {}
 
     def report_violation(self, rule: str, text: str) -> None:
+        """Count a violation of a rule and keep its text if it is the first."""
         self.violations[rule] += 1
         self.first_violations.setdefault(rule, f"at {self.timeline.now / 1e6:.3f} s: {text}")
 
     def passed(self) -> bool:
+        """Whether no rule was violated so far."""
         return not any(self.violations.values())
 
-    # -- told by clients
+    # -- events at clients
 
     def try_admitted(self, submission_id: int, class_index: int, deadline_at: int) -> None:
-        """A sidecar has taken a try of a submission."""
-        case = self.records.get(submission_id)
-        if case is None:
-            case = self.records[submission_id] = SubmissionRecord(self.request_classes[class_index])
-        case.tries += 1
-        case.admitted_at = self.timeline.now
-        case.deadline_at = deadline_at
-        case.awaiting_answer = True
+        """A sidecar has admitted a try of a submission."""
+        record = self.records.get(submission_id)
+        if record is None:
+            record = self.records[submission_id] = SubmissionRecord(self.request_classes[class_index])
+        record.tries += 1
+        record.admitted_at = self.timeline.now
+        record.deadline_at = deadline_at
+        record.awaiting_answer = True
         self.admitted += 1
 
     def answer_received(self, submission_id: int, answer: str) -> None:
-        """A final answer reached the client: succeeded, deferred or forfeited."""
-        case = self.records.get(submission_id)
-        if case is None or not case.awaiting_answer:
-            self.report_violation("answered_twice", f"submission {submission_id} {answer} once more")
+        """A final answer reached the client: `succeeded`, `deferred` (rejected) or `forfeited` (failed)."""
+        record = self.records.get(submission_id)
+        if record is None or not record.awaiting_answer:
+            self.report_violation("answered_twice", f"submission {submission_id} {answer} a second time")
             return
-        self.close_try(case)
+        self.close_try(record)
         self.final_answers[answer] += 1
-        if self.timeline.now > case.deadline_at + self.answer_slack and not self.sidecar_was_stopped(
-            submission_id, case
+        if self.timeline.now > record.deadline_at + self.answer_slack and not self.sidecar_was_stopped(
+            submission_id, record
         ):
-            self.report_violation("answered_late", f"submission {submission_id} {answer} after its patience")
-        # A hop that is still on its way or in a queue may run yet.
+            self.report_violation("answered_late", f"submission {submission_id} {answer} after its deadline")
+        # The client may retry what is rejected, so no hop of it may have run; one that still travels or is
+        # queued may run later.
         if (
             answer == "deferred"
-            and (case.may_run or case.hops_in_flight > 0)
+            and (record.may_run or record.hops_in_flight > 0)
             and (
-                case.request_class.effect == Effect.UNREPEATABLE
-                or case.request_class.effect == Effect.DEDUPLICATED
-                and case.request_class.group != Group.ALL
+                record.request_class.effect == Effect.UNREPEATABLE
+                or record.request_class.effect == Effect.DEDUPLICATED
+                and record.request_class.group != Group.ALL
             )
         ):
             self.report_violation(
@@ -126,17 +132,21 @@
             )
 
     def abandoned(self, submission_id: int, why: str = "left") -> None:
-        """The client went away (`left`) or its sidecar died (`cut`): nothing is owed any more."""
-        case = self.records.get(submission_id)
-        if case is not None and case.awaiting_answer:
-            self.close_try(case)
+        """The client left (`left`) or its sidecar died (`cut`): no answer is required any more."""
+        record = self.records.get(submission_id)
+        if record is not None and record.awaiting_answer:
+            self.close_try(record)
             self.final_answers[why] += 1
 
     def deadline_passed(self, submission_id: int) -> None:
-        case = self.records.get(submission_id)
-        if case is not None and case.awaiting_answer:
-            self.close_try(case)
-            if self.sidecar_was_stopped(submission_id, case):
+        """The deadline and its slack are over; a try without an answer violates a rule.
+
+        A try whose sidecar was stopped meanwhile is counted as `cut` instead, as it could not be answered.
+        """
+        record = self.records.get(submission_id)
+        if record is not None and record.awaiting_answer:
+            self.close_try(record)
+            if self.sidecar_was_stopped(submission_id, record):
                 self.final_answers["cut"] += 1
                 return
             self.report_violation(
@@ -144,112 +154,120 @@
             )
 
     def set_sidecar_stopped(self, sidecar: int, stopped: bool) -> None:
-        """Its process was stopped, or let go on: what it had then, it could not answer in time."""
+        """Its process was stopped or resumed; what it held meanwhile could not be answered in time."""
         since = self.stopped_sidecars.get(sidecar, (0, None))[0]
         self.stopped_sidecars[sidecar] = (self.timeline.now, None) if stopped else (since, self.timeline.now)
 
-    def sidecar_was_stopped(self, submission_id: int, case: SubmissionRecord) -> bool:
-        """Whether a submission's sidecar was stopped while it had it; the upper half of an ask names it."""
-        halt = self.stopped_sidecars.get(submission_id >> 32)
-        return halt is not None and (halt[1] is None or halt[1] >= case.admitted_at - self.answer_slack)
+    def sidecar_was_stopped(self, submission_id: int, record: SubmissionRecord) -> bool:
+        """Whether its sidecar, the upper 32 bits of the id, was stopped while it held the submission."""
+        stopped = self.stopped_sidecars.get(submission_id >> 32)
+        return stopped is not None and (
+            stopped[1] is None or stopped[1] >= record.admitted_at - self.answer_slack
+        )
 
-    def close_try(self, case: SubmissionRecord) -> None:
-        case.awaiting_answer = False
-        case.answered_at = self.timeline.now
+    def close_try(self, record: SubmissionRecord) -> None:
+        """The current try is over; further hops of it violate a rule."""
+        record.awaiting_answer = False
+        record.answered_at = self.timeline.now
 
     def client_finished(self, submission_id: int) -> None:
-        """Its client will not try again."""
-        case = self.records.get(submission_id)
-        if case is not None:
-            case.client_finished = True
-            self.discard_if_done(submission_id, case)
-
-    def discard_if_done(self, submission_id: int, case: SubmissionRecord) -> None:
-        if case.client_finished and case.hops_in_flight <= 0 and not case.awaiting_answer:
+        """The client will not try again."""
+        record = self.records.get(submission_id)
+        if record is not None:
+            record.client_finished = True
+            self.discard_if_done(submission_id, record)
+
+    def discard_if_done(self, submission_id: int, record: SubmissionRecord) -> None:
+        """Drop the record once client, sidecar and servers are done with the submission."""
+        if record.client_finished and record.hops_in_flight <= 0 and not record.awaiting_answer:
             if self.exact_timing:
                 del self.records[submission_id]
             else:
                 self.timeline.at(self.timeline.now + self.answer_slack, self.discard, submission_id)
 
     def discard(self, submission_id: int) -> None:
-        """On real sockets, where a hop sent before the end may be seen after it."""
-        case = self.records.get(submission_id)
+        """Drop the record later, as on real sockets a hop sent before the end may be observed after it."""
+        record = self.records.get(submission_id)
         if (
-            case is not None
-            and case.client_finished
-            and case.hops_in_flight <= 0
-            and not case.awaiting_answer
+            record is not None
+            and record.client_finished
+            and record.hops_in_flight <= 0
+            and not record.awaiting_answer
         ):
             del self.records[submission_id]
 
-    # -- told by the network
+    # -- events in the network
 
     def hop_sent(self, sidecar: int, server: int, submission_id: int, answered: bool = False) -> None:
-        """A hop goes out; `answered` if the final answer has gone out, though it is still on its way."""
+        """A sidecar sends a hop; `answered`: it has sent the final answer, which may not have arrived yet."""
         now = self.timeline.now
-        case = self.records.get(submission_id)
+        record = self.records.get(submission_id)
         if (
-            case is None
+            record is None
             or answered
-            or not case.awaiting_answer
-            and (self.exact_timing or now > case.answered_at + self.answer_slack)
+            or not record.awaiting_answer
+            and (self.exact_timing or now > record.answered_at + self.answer_slack)
         ):
             self.report_violation(
                 "sent_after_answer", f"submission {submission_id} to server {server} after its final answer"
             )
-        if case is not None:
-            case.hops_in_flight += 1
-        told = self.registry.off_known_since(sidecar, server)
-        if told is not None and now > told + self.drain_grace + (
+        if record is not None:
+            record.hops_in_flight += 1
+        known_since = self.registry.off_known_since(sidecar, server)
+        if known_since is not None and now > known_since + self.drain_grace + (
             0 if self.exact_timing else self.answer_slack
         ):
             self.report_violation(
                 "late_sends",
-                f"sidecar {sidecar} to server {server}, {(now - told) / 1e6:.3f} s after it was told",
+                f"sidecar {sidecar} to server {server}, "
+                f"{(now - known_since) / 1e6:.3f} s after it was notified",
             )
 
     def hop_returned(self, submission_id: int) -> None:
-        """The hop has ended at its server, or can't reach one any more."""
-        case = self.records.get(submission_id)
-        if case is not None:
-            case.hops_in_flight -= 1
-            self.discard_if_done(submission_id, case)
+        """A hop has ended at its server, or can't reach it any more."""
+        record = self.records.get(submission_id)
+        if record is not None:
+            record.hops_in_flight -= 1
+            self.discard_if_done(submission_id, record)
 
-    # -- told by servers
+    # -- events at servers
 
     def work_started(self, now: int, job: Job, server: Server) -> bool:
-        """Whether the work has an effect; its group drops the repeat of a deduplicated submission."""
-        case = self.records.get(job.submission_id)
-        if case is None:
+        """A server starts a hop; False if its deduplication group drops it as a repeat, without effect."""
+        record = self.records.get(job.submission_id)
+        if record is None:
             return True
-        tariff = case.request_class
-        case.may_run = True
-        if tariff.effect == Effect.IDEMPOTENT:
+        request_class = record.request_class
+        record.may_run = True
+        if request_class.effect == Effect.IDEMPOTENT:
             return True
-        for at, hall, cell in case.effects:
+        for at, zone, cell in record.effects:
             if (
-                tariff.effect == Effect.DEDUPLICATED
-                and now <= at + tariff.window
+                request_class.effect == Effect.DEDUPLICATED
+                and now <= at + request_class.window
                 and (
-                    tariff.group == Group.ALL
-                    or tariff.group == Group.ZONE
-                    and hall == server.zone
-                    or tariff.group == Group.CELL
+                    request_class.group == Group.ALL
+                    or request_class.group == Group.ZONE
+                    and zone == server.zone
+                    or request_class.group == Group.CELL
                     and cell == server.cell
                 )
             ):
                 return False
-        if case.effects:
+        if record.effects:
             self.report_violation(
                 "ran_twice", f"submission {job.submission_id} at server {server.number} again"
             )
-        case.effects.append((now, server.zone, server.cell))
+        record.effects.append((now, server.zone, server.cell))
         return True
 
     def cold_server_overloaded(self, now: int, server: Server, senders: dict[int, int]) -> None:
-        """Held against the sidecars if two thirds of the work came from those that knew of the start."""
-        sent = sum(job[1] for job in server.arrivals)
-        if 3 * sum(senders.values()) >= 2 * sent:
+        """A cold server collapsed under load; `senders` is the work by sidecar that knew of its start.
+
+        It is a violation if at least two thirds of the work came from sidecars that knew.
+        """
+        total_work = sum(job[1] for job in server.arrivals)
+        if 3 * sum(senders.values()) >= 2 * total_work:
             self.report_violation(
-                "pushed_over", f"server {server.number}, by {len(senders)} sidecars that knew"
+                "pushed_over", f"server {server.number}, by {len(senders)} sidecars that knew of its start"
             )
--- a/pumicepath/lab/model/servers.py
+++ b/pumicepath/lab/model/servers.py
@@ -1,4 +1,4 @@
-"""Servers: cores behind a queue, with caches, cold starts, jams, falls, and limits that groups share."""
+"""Servers: cores behind a queue, with caches, cold starts, congestion, collapse and shared limits."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 
 @dataclass(frozen=True)
 class ServerParameters:
-    """What servers are made of; times in microseconds."""
+    """Properties of all servers; times in microseconds."""
 
     cores: int
     queue_limit: int  # hops that may wait
-    cache_size: int  # keys that a server remembers
-    miss_factor: float  # how much longer a key takes that it does not
-    cold_fraction: float  # share of the speed at the start, which grows to the whole
-    cold_duration: int  # over this time
-    overload_multiple: float  # work sent above this multiple of what it can do while cold
-    overload_window: int  # over this window pushes it over
-    congestion_threshold: float  # hops at the server, for each core, from which it jams
-    congestion_speed: float  # its speed until it is nearly idle
-    stops_cancelled: bool  # whether work ends when nobody waits for it any more
+    cache_size: int  # keys in the cache of a server
+    miss_factor: float  # multiplies the work of a key that is not in the cache
+    cold_fraction: float  # fraction of the speed at the start, which grows linearly to 1
+    cold_duration: int  # in this time
+    overload_multiple: float  # a cold server collapses when it is sent more than this multiple
+    overload_window: int  # of what it can do in this window
+    congestion_threshold: float  # hops per core above which the server slows down
+    congestion_speed: float  # fraction of the speed while congested, until at most one hop is left
+    stops_cancelled: bool  # whether running work stops when it is cancelled
 
 
 class ServerObserver(Protocol):
-    """Who is told what a server did; see `judge`."""
+    """Is notified of what servers do; see `rule_checker`."""
 
     def work_started(self, now: int, job: Job, server: Server) -> bool:
-        """Work begins; whether it has an effect, or is dropped as a repeat."""
+        """A hop starts; returns whether it has an effect, or is dropped as a repeat."""
 
-    def cold_server_overloaded(self, now: int, server: Server, senders: dict[int, int]) -> None: ...
+    def cold_server_overloaded(self, now: int, server: Server, senders: dict[int, int]) -> None:
+        """A cold server collapsed; `senders` is the work by sidecar that knew of its start."""
 
 
 class Job:
-    """A hop as its server sees it; `reply` is called once with how it ended there."""
+    """A hop at its server; `reply` is called once with the outcome there.  Times in microseconds."""
 
     __slots__ = (
         "submission_id",
@@ -68,12 +69,12 @@
         self.submission_id = submission_id
         self.key = key
         self.sender = sender
-        self.sender_knew_start = sender_knew_start  # whether the sender could know of the server's start
+        self.sender_knew_start = sender_knew_start  # of this start of the server
         self.work = work  # core-microseconds on a warm server that knows the key
         self.remaining_work = float(work)
         self.updated_at = 0
         self.rate = 0.0
-        self.speed_changes = 0  # counts changes of speed; older ends do not count
+        self.speed_changes = 0  # a completion scheduled before the latest change is ignored
         self.reply = reply
         self.finished = False
         self.started = False
@@ -81,20 +82,21 @@
 
 
 class SharedLimit:
-    """What a group of servers may do at once, all together, such as connections to a database."""
+    """A limit on hops running at a group of servers together, as by connections to a database."""
 
     def __init__(self, capacity: int) -> None:
         self.free = capacity
         self.waiting: deque[Server] = deque()
 
     def release(self) -> None:
+        """A hop has ended; servers that wait for capacity start theirs in turn."""
         self.free += 1
         while self.free > 0 and self.waiting:
             self.waiting.popleft().start_waiting()
 
 
 class Server:
-    """One server process after another under an id; `kill` and `start` change the process."""
+    """One server id and its successive processes, which `kill` and `start` change; times in microseconds."""
 
     def __init__(
         self,
@@ -117,31 +119,31 @@
         self.speed = speed
         self.limit = limit
         self.draw = draw or (lambda: 1.0)
-        self.process = 1  # counts processes; connections end with theirs
+        self.process = 1  # number of the current process; connections end with theirs
         self.up = True
-        self.silent = False  # half open: takes nothing in, says nothing, closes nothing
-        self.speed_factor = 1.0  # of its speed, while slowed from outside
-        self.failure_fraction = 0.0  # share of hops that it fails at once
-        self.stall_fraction = 0.0  # share of answers that stop half way, where there are bytes
-        self.started_at = 0  # 0: long ago
-        self.collapsed = False
+        self.silent = False  # half-open: receives, sends and closes nothing
+        self.speed_factor = 1.0  # set by injected faults
+        self.failure_fraction = 0.0  # of hops fail at once
+        self.stall_fraction = 0.0  # of answers stop half way
+        self.started_at = 0  # 0: so long ago that it is warm
+        self.collapsed = False  # after too much load while cold, until the next start
         self.congested = False
         self.running: dict[Job, None] = {}
         self.queue: deque[Job] = deque()
         self.cache: OrderedDict[int, None] = OrderedDict()
-        self.arrivals: deque[tuple[int, int, int, bool]] = deque()
-        self.arrived_work = 0  # work among them
+        self.arrivals: deque[tuple[int, int, int, bool]] = deque()  # time, work, sender, whether it knew
+        self.arrived_work = 0  # sum of the work in `arrivals`
         self.completed = 0
-        self.failed_hops = 0  # hops that ended otherwise, but for those that nobody waited for any more
+        self.failed_hops = 0  # hops that were neither completed nor cancelled
 
     # -- its process
 
     def kill(self) -> None:
-        """The process ends at once: all hops at it are reset, its connections close."""
+        """End the process at once: its hops are reset, its connections close."""
         self.up = False
         self.process += 1
         waiting = [*self.running, *self.queue]
-        self.queue.clear()  # first: a place in a shared limit that comes free must not go to it
+        self.queue.clear()  # before capacity of a shared limit is released, which must not come back here
         for job in list(self.running):
             self.release_core(job)
         self.congested = False
@@ -149,7 +151,7 @@
             self.finish(job, Outcome.RESET)
 
     def start(self, cold: bool = True) -> None:
-        """A new process with an empty cache, cold unless told otherwise."""
+        """Start a new process with an empty cache, cold by default."""
         self.up = True
         self.silent = self.collapsed = self.congested = False
         self.speed_factor, self.failure_fraction, self.stall_fraction = 1.0, 0.0, 0.0
@@ -159,29 +161,31 @@
         self.arrived_work = 0
 
     def silence(self) -> None:
-        """Its machine is as if gone: nothing comes in or goes out, and no connection ends."""
+        """The machine vanishes: nothing is received or sent, and no connection is closed."""
         self.silent = True
         self.set_speed_factor(0.0)
 
     def warm_fraction(self) -> float:
-        """The share of its speed that it has by the time since its start."""
+        """The fraction of the full speed, by the time since the start."""
         if not self.started_at:
             return 1.0
         grown = (self.timeline.now - self.started_at) / max(1, self.parameters.cold_duration)
         return min(1.0, self.parameters.cold_fraction + (1.0 - self.parameters.cold_fraction) * grown)
 
     def set_speed_factor(self, factor: float) -> None:
-        """Its speed changes from outside; 0 pauses it.  What runs goes on at the new speed."""
+        """Change the speed from outside, 0 to pause; running hops go on at the new speed."""
         self.speed_factor = factor
         self.speed_changed()
 
     def speed_changed(self) -> None:
+        """Account for the work done so far and reschedule the completion of running hops."""
         now, rate = self.timeline.now, self.rate()
         for job in self.running:
             job.remaining_work = max(0.0, job.remaining_work - (now - job.updated_at) * job.rate)
             self.schedule_completion(job, rate)
 
     def rate(self) -> float:
+        """The present speed of one core."""
         return (
             self.speed
             * self.speed_factor
@@ -192,9 +196,9 @@
     # -- hops
 
     def receive(self, job: Job) -> bool:
-        """A hop has arrived; it runs, waits, or is refused because the queue is full.
+        """A hop arrives: it runs, waits, fails, or is refused because the queue is full.
 
-        False if nothing will ever be heard of it here, as at a silent server.
+        False if it will never be answered, as at a silent server.
         """
         if self.silent or not self.up:
             return False
@@ -221,6 +225,7 @@
         return True
 
     def start_waiting(self) -> None:
+        """Start queued hops while there are free cores and the shared limit allows it."""
         while self.queue and len(self.running) < self.parameters.cores:
             if self.limit is not None:
                 if self.limit.free <= 0:
@@ -241,6 +246,7 @@
             self.schedule_completion(job, self.rate())
 
     def schedule_completion(self, job: Job, rate: float) -> None:
+        """Schedule the end of a running hop at the present speed; none while paused."""
         job.updated_at = self.timeline.now
         job.rate = rate
         job.speed_changes += 1
@@ -250,6 +256,7 @@
             )
 
     def complete(self, job: Job, speed_changes: int) -> None:
+        """A running hop is done, unless the speed has changed since this was scheduled."""
         if job.speed_changes != speed_changes or job not in self.running:
             return
         self.release_core(job)
@@ -261,12 +268,13 @@
         self.start_waiting()
 
     def release_core(self, job: Job) -> None:
+        """Free the core of a running hop and its capacity of the shared limit."""
         del self.running[job]
         if self.limit is not None:
             self.limit.release()
 
     def cancel(self, job: Job) -> None:
-        """Nobody waits for it any more: it leaves the queue; what runs goes on unless servers here stop."""
+        """Nobody waits for a hop: it leaves the queue; running work stops only with `stops_cancelled`."""
         if job.finished:
             return
         if job in self.running:
@@ -279,16 +287,17 @@
             self.finish(job, Outcome.CANCELLED)
 
     def finish(self, job: Job, outcome: Outcome) -> None:
+        """Reply to a hop, once."""
         if not job.finished:
             job.finished = True
             self.failed_hops += outcome not in (Outcome.OK, Outcome.CANCELLED)
             job.reply(outcome)
 
     def check_cold_overload(self, job: Job) -> None:
-        """A cold server sent more than a multiple of what it can do, for the whole window, falls over."""
+        """Collapse if a cold server was sent more than a multiple of what it can do in the window."""
         now, window = self.timeline.now, self.parameters.overload_window
-        warmth = self.warm_fraction()
-        if warmth >= 1.0:
+        warm_fraction = self.warm_fraction()
+        if warm_fraction >= 1.0:
             self.started_at = 0
             self.arrivals.clear()
             self.arrived_work = 0
@@ -299,34 +308,39 @@
             self.arrived_work -= self.arrivals.popleft()[1]
         if self.arrived_work > self.collapse_threshold():
             senders: dict[int, int] = {}
-            for _, work, sender, told in self.arrivals:
-                if told:
+            for _, work, sender, knew_start in self.arrivals:
+                if knew_start:
                     senders[sender] = senders.get(sender, 0) + work
             self.observer.cold_server_overloaded(now, self, senders)
             self.kill()
             self.collapsed = True
 
     def collapse_threshold(self) -> float:
-        """Core-microseconds within the window above which it falls over now."""
-        build = self.parameters
+        """Work within the window, in core-microseconds, above which the server collapses now."""
+        parameters = self.parameters
         return (
-            build.overload_multiple * self.warm_fraction() * self.speed * build.cores * build.overload_window
+            parameters.overload_multiple
+            * self.warm_fraction()
+            * self.speed
+            * parameters.cores
+            * parameters.overload_window
         )
 
     @property
     def hop_count(self) -> int:
+        """Hops running and queued."""
         return len(self.running) + len(self.queue)
 
     def draw_stall(self) -> bool:
-        """Whether an answer stops half way, as troubles say."""
+        """Whether this answer stops half way, by the injected fault."""
         return bool(self.stall_fraction) and self.draw() < self.stall_fraction
 
     def service_time(self, work: int, key: int) -> float:
-        """What work takes here, by whether the key is known."""
+        """Core-microseconds that work takes here, longer if its key is not in the cache."""
         return work * (1.0 if not key or key in self.cache else self.parameters.miss_factor)
 
     def expected_latency(self, work: int, key: int) -> float:
-        """Microseconds until a further hop would be done, as only the oracle knows; grows with the queue."""
+        """Microseconds until a further hop would be done, for the oracle; O(queue)."""
         if not self.up or self.silent or self.collapsed or self.rate() <= 0.0:
             return 1e12
         if (
@@ -336,9 +350,9 @@
             and self.arrived_work > 0.8 * self.collapse_threshold()
         ):
             return 1e11
-        before = 0.0
+        work_ahead = 0.0
         if len(self.running) >= self.parameters.cores:
-            before = sum(job.remaining_work for job in self.running) + sum(
+            work_ahead = sum(job.remaining_work for job in self.running) + sum(
                 self.service_time(job.work, job.key) for job in self.queue
             )
-        return (before / self.parameters.cores + self.service_time(work, key)) / self.rate()
+        return (work_ahead / self.parameters.cores + self.service_time(work, key)) / self.rate()
--- a/pumicepath/lab/model/timeline.py
+++ b/pumicepath/lab/model/timeline.py
@@ -1,4 +1,4 @@
-"""When things happen.  The model asks only for this; virtual time and an event loop both give it."""
+"""The clock and scheduler of the model, which virtual time and a real event loop both implement."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 from heapq import heappop, heappush
 from typing import Any, Protocol
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # microseconds
 
 
 class Timeline(Protocol):
-    """Whole microseconds from the start of a run."""
+    """A scheduler; times are whole microseconds since the start of the run."""
 
     @property
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """The current time."""
 
     def at(self, when: int, call: Callable[..., None], *given: Any) -> None:
-        """Make the call then, or as soon as possible if that is past; never within this call."""
+        """Schedule a call, as soon as possible if the time has passed; never from within this method."""
 
 
 class VirtualTimeline:
-    """Virtual time: what is due at the same time happens in the order in which it was asked for.
+    """Virtual time; calls due at the same time run in the order in which they were scheduled.
 
-    One push and one pop of a heap an event: the cost grows with the logarithm of what is waiting.
+    Each event costs one push and one pop of a heap, O(log n) in the number of scheduled calls.
     """
 
     def __init__(self) -> None:
@@ -33,11 +34,12 @@
         self.waiting: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def at(self, when: int, call: Callable[..., None], *given: Any) -> None:
+        """Schedule a call; see `Timeline.at`."""
         self.scheduled += 1
         heappush(self.waiting, (when if when > self.now else self.now, self.scheduled, call, given))
 
     def run(self, until: int) -> None:
-        """All that is due up to and including that time."""
+        """Run all calls due up to and including that time, then set the clock to it."""
         waiting = self.waiting
         while waiting and waiting[0][0] <= until:
             self.now, _, call, given = heappop(waiting)
@@ -47,5 +49,5 @@
 
 
 def random_source(seed: int, *names: object) -> random.Random:
-    """A stream of chance for each name, the same on every machine (Mersenne twister, by SHA-512)."""
+    """A random stream per name, the same on all machines (Mersenne twister, seeded by SHA-512)."""
     return random.Random("/".join(map(str, (seed, *names))))
--- a/pumicepath/lab/model/views.py
+++ b/pumicepath/lab/model/views.py
@@ -1,4 +1,4 @@
-"""Whether what sidecars see of their fleet is so: `right` for one view, `wrong` for all of them."""
+"""Compares what sidecars believe about the members of their fleet with the processes that run."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 def is_view_correct(own_name: str, view: Collection[tuple[str, str]], running: Collection[str]) -> bool:
-    """`view` has name and state of each life that a sidecar knows; those thought present must be who runs."""
+    """Whether a sidecar believes exactly the other running sidecars present.
+
+    `view` has the name and state of each instance that the sidecar knows.
+    """
     present = Counter(name for name, state in view if state in PRESENT_STATES)
     return present == Counter(name for name in running if name != own_name)
 
@@ -17,7 +20,7 @@
 def sidecars_with_wrong_view(
     views: Mapping[str, Collection[tuple[str, str]]], running: Collection[str]
 ) -> list[str]:
-    """Names of those that run and see something else than who runs."""
+    """Names of running sidecars without a correct view of the fleet, in order."""
     return [
         name
         for name in sorted(running)
--- a/pumicepath/lab/model/world.py
+++ b/pumicepath/lab/model/world.py
@@ -1,4 +1,4 @@
-"""One fleet with its halls, list, network and judge, put together from a plan and a seed."""
+"""The simulated world of a run: servers, list, network, clients and rule checker, from a plan and a seed."""
 
 from __future__ import annotations
 
@@ -20,62 +20,67 @@
 
 
 class SidecarInstance:
-    """A sidecar as troubles meet it; what only a real process can do, only a real one does."""
+    """A sidecar as injected faults see it; only real processes implement the methods that raise here."""
 
     number: int
     zone: int
     up: bool
 
     def start(self, state: str = "old") -> None:
-        """Begin anew, with its own state, none, or another's."""
+        """Start a process whose disk holds its own `old` state, `none`, or that of an `other` sidecar."""
 
-    def kill(self) -> None: ...
+    def kill(self) -> None:
+        """End the process at once."""
 
     def stop(self) -> None:
-        """In the middle of whatever it does, until told to go on."""
+        """Suspend the process wherever it is, until `resume`."""
         raise NotImplementedError
 
     def resume(self) -> None:
+        """Let a suspended process go on."""
         raise NotImplementedError
 
     def terminate(self) -> None:
-        """Ask it to end, as a release does."""
+        """Ask the process to end, as a release does."""
         raise NotImplementedError
 
     def replace(self) -> None:
-        """Start another process in its place, then ask it to end."""
+        """Start a new process beside it, then ask the old one to end."""
         raise NotImplementedError
 
     def set_core_contention(self, contended: bool) -> None:
-        """Something else keeps its core busy."""
+        """Whether another process keeps its core busy."""
         raise NotImplementedError
 
     def adjust_clock(self, rate: float | None, step: int) -> None:
-        """Its clock runs at another rate; its wall clock is set by microseconds."""
+        """Run its clock at another rate, and step its wall clock by microseconds."""
         raise NotImplementedError
 
     def damage_disk(self, damage: str, rng: Random) -> int:
-        """Befall its folder: `full`, `free`, `torn`, `lost`, `kept`, `old`; how many files were met."""
+        """Act on its folder: `full`, `free`, `torn`, `lost`, `kept` or `old`; returns the number of files."""
         raise NotImplementedError
 
     def impair_disk(self, read_only: bool, slow_ms: float) -> None:
-        """Its disk takes no changes, or each step on it takes so long."""
+        """Make its disk read-only, or each operation on it take so long."""
         raise NotImplementedError
 
 
 class SidecarFleet(Protocol):
-    """The fleet that sidecars are of, where the host has a model of it."""
+    """The membership of sidecars in a fleet, where the host models it."""
 
-    def start(self, number: int) -> None: ...
+    def start(self, number: int) -> None:
+        """A sidecar has started."""
 
-    def attach_balancer(self, number: int, balancer: Any) -> None: ...
+    def attach_balancer(self, number: int, balancer: Any) -> None:
+        """Connect the balancer of a sidecar that has started."""
 
-    def kill(self, number: int) -> None: ...
+    def kill(self, number: int) -> None:
+        """A sidecar was killed."""
 
 
 @dataclass
 class TimelineMark:
-    """Something to be seen in a report: when, until when, and what."""
+    """An event to show in reports; times in microseconds."""
 
     started_at: int
     ends_at: int
@@ -83,7 +88,10 @@
 
 
 class World:
-    """What hosts add: the sidecars.  `make` may give servers of another host's."""
+    """All of a run but the sidecars, which hosts add; times in microseconds.
+
+    `make_server` lets a host use servers of its own, and `make_rule_checker` a rule checker of its own.
+    """
 
     def __init__(
         self,
@@ -132,7 +140,7 @@
             seed,
         )
         self.settings: list[Settings] = [
-            decode(sidecar_settings(plan, 0, hall)) for hall in range(fleet.halls)
+            decode(sidecar_settings(plan, 0, zone)) for zone in range(fleet.halls)
         ]
         self.request_classes = self.settings[0].tariffs
         self.rule_checker = make_rule_checker(
@@ -144,28 +152,28 @@
         )
         self.limits = [SharedLimit(fleet.limit) if fleet.limit else None for _ in range(fleet.halls)]
         self.servers: dict[int, Server] = {}
-        self.server_ids: list[int] = []  # the id of the server at each place; a new one takes one over
+        self.server_ids: list[int] = []  # by slot, the id of its server; a replacement takes the slot over
         self.marks: list[TimelineMark] = []
-        self.links: Links | None = None  # between sidecars, where they speak with each other
+        self.links: Links | None = None  # between sidecars, if they form a fleet
         self.sidecar_fleet: SidecarFleet | None = None
         self.instances: list[SidecarInstance] = []
-        for place in range(fleet.servers):
+        for slot in range(fleet.servers):
             self.server_ids.append(-1)
-            self.add_server(place)
+            self.add_server(slot)
 
     def add_server(self, slot: int, cold: bool = False) -> Server:
-        """A new server with an id of its own at a place, listed as ready."""
+        """Start a server with a new id in a slot and list it as ready."""
         fleet, number = self.plan.fleet, len(self.servers)
-        hall = slot * fleet.halls // fleet.servers
+        zone = slot * fleet.halls // fleet.servers
         server = self.make_server(
             self.timeline,
             self.rule_checker,
             self.server_parameters,
             number,
-            hall,
-            hall * fleet.cells + slot % fleet.cells,
+            zone,
+            zone * fleet.cells + slot % fleet.cells,
             1.0,
-            self.limits[hall],
+            self.limits[zone],
             random_source(self.seed, "server", number).random,
         )
         if cold:
@@ -176,31 +184,34 @@
         return server
 
     def publish_server(self, server: Server, state: Phase = Phase.READY) -> None:
+        """Put a server on the list in a state."""
         self.registry.update(Entry(server.number, server.zone, server.cell, state, 1.0, server.started_at))
 
     def server_at(self, slot: int) -> Server:
+        """The present server of a slot."""
         return self.servers[self.server_ids[slot]]
 
     def mark(self, text: str, duration: int = 0) -> None:
+        """Note an event that begins now, for reports."""
         self.marks.append(TimelineMark(self.timeline.now, self.timeline.now + duration, text))
 
     def work(self, submission_id: int) -> int:
-        """Core-microseconds of a submission, by its number: the same at any server and time."""
+        """Core-microseconds of a submission, a function of its id, so the same at any server and time."""
         fleet = self.plan.fleet
         scattered = (submission_id * 0x9E3779B97F4A7C15 + self.seed * 0xD1B54A32D192ED03) & 0xFFFFFFFF
         return max(1, int(fleet.work_ms * 1000 * (1.0 + fleet.spread * (scattered / 0x80000000 - 1.0))))
 
     def make_clients(self, instance: SidecarInstance, target: object) -> Clients:
-        """The clients of one sidecar; they begin when told."""
+        """The clients of one sidecar, not started yet."""
         load, plan = self.plan.load, self.plan
-        habits = ClientBehavior(
+        behavior = ClientBehavior(
             rate=plan.rate() / plan.sidecars.count,
             pattern=load.pattern,
-            rate_steps=tuple((to_microseconds(at), times) for at, times in load.steps),
+            rate_steps=tuple((to_microseconds(at), factor) for at, factor in load.steps),
             arrival_trace=tuple(
                 to_microseconds(at) for at in load.trace_s[instance.number :: plan.sidecars.count]
             ),
-            class_weights=tuple(tariff.share for tariff in load.tariffs),
+            class_weights=tuple(spec.share for spec in load.tariffs),
             key_count=load.keys,
             zipf_exponent=load.zipf,
             drift_period=to_microseconds(load.drift_s),
@@ -210,10 +221,10 @@
             honors_retry_after=load.heeds,
         )
         if not hasattr(self, "keys"):
-            self.keys = KeyDistribution(load.keys, load.zipf, habits.drift_period)
+            self.keys = KeyDistribution(load.keys, load.zipf, behavior.drift_period)
         return Clients(
             self.timeline,
-            habits,
+            behavior,
             self.request_classes,
             self.keys,
             self.load_overrides,
--- a/pumicepath/lab/spec.py
+++ b/pumicepath/lab/spec.py
@@ -1,4 +1,7 @@
-"""What a run consists of, as written in an experiment's file; checked when it is read."""
+"""The plan of a run as written in experiment files, validated when it is read.
+
+The names of fields are the keys of these files.
+"""
 
 from __future__ import annotations
 
@@ -13,19 +16,24 @@
 
 
 class StrictModel(BaseModel):
+    """An immutable model that rejects unknown keys."""
+
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class Fleet(StrictModel):
-    """Servers, spread evenly over halls; `limit` is what the servers of a hall may do at once together."""
+    """Servers, spread evenly over zones (`halls`).
+
+    `limit` is the number of hops that may run at all servers of a zone together; 0: no limit.
+    """
 
     halls: Count = 1
     servers: Count = 12
-    cells: Count = 1  # in each hall
+    cells: Count = 1  # in each zone
     cores: Count = 2
     queue: Count = 64
     work_ms: PositiveFloat = 10.0
-    spread: Fraction = 0.4  # of the work around its mean
+    spread: Fraction = 0.4  # deviation of the work from its mean, as a fraction
     cache: Count = 4000
     miss: PositiveFloat = 1.5
     cold_from: Annotated[float, Field(gt=0.0, le=1.0)] = 0.2
@@ -41,24 +49,29 @@
 
 
 class Sidecars(StrictModel):
+    """Sidecars and the fleet that they form."""
+
     count: Count = 3
     dial_ms: PositiveFloat = 250.0
     most_hops: Count = 4
     crossing_price: NonNegativeFloat = 0.0
-    advice_s: NonNegativeFloat = 2.0  # the longest advice when to come back; 0: none is given
-    peers: bool = False  # whether they speak with each other
-    peers_every_s: PositiveFloat = 1.0  # between two probes of each
-    trials: bool = False  # whether one sidecar of a hall tries a sick server for all of them
+    advice_s: NonNegativeFloat = 2.0  # maximum of the advised retry time; 0: no advice
+    peers: bool = False  # whether they form a fleet
+    peers_every_s: PositiveFloat = 1.0  # interval between two probes of a sidecar
+    trials: bool = False  # whether one sidecar of a zone tries an unhealthy server for all
     lease_s: Annotated[float, Field(ge=0.5, le=60.0)] = 10.0  # of duties
 
     @model_validator(mode="after")
     def check_trials_need_peers(self) -> Sidecars:
+        """Raise ValueError if trials are agreed on without a fleet."""
         if self.trials and not self.peers:
             raise ValueError("trials needs peers = true")
         return self
 
 
 class RequestClassSpec(StrictModel):
+    """A request class and its share of the load."""
+
     name: str
     effect: Literal["idempotent", "deduplicated", "at_most_once"] = "idempotent"
     group: Literal["all", "zone", "cell"] = "all"
@@ -71,7 +84,7 @@
 
 
 class Load(StrictModel):
-    """`part` of what all servers can do is sent, or `rate` submissions a second."""
+    """The load: a fraction `part` of what all servers can do, or `rate` submissions per second."""
 
     part: NonNegativeFloat = 0.5
     rate: NonNegativeFloat = 0.0
@@ -82,7 +95,7 @@
     zipf: NonNegativeFloat = 0.8
     drift_s: NonNegativeFloat = 0.0
     leaves: Fraction = 0.0
-    body: Annotated[int, Field(ge=0, le=10_000_000)] = 100  # bytes, of what is not idempotent, on loopback
+    body: Annotated[int, Field(ge=0, le=10_000_000)] = 100  # bytes of a non-idempotent request, on loopback
     retries: Annotated[int, Field(ge=0)] = 1
     back_off_ms: PositiveFloat = 50.0
     heeds: bool = True
@@ -93,15 +106,18 @@
 
     @model_validator(mode="after")
     def check_order(self) -> Load:
+        """Raise ValueError unless times ascend and request classes have distinct names."""
         times = [at for at, _ in self.steps]
         if times != sorted(times) or list(self.trace_s) != sorted(self.trace_s):
             raise ValueError("steps and traces go forward in time")
-        if len({tariff.name for tariff in self.tariffs}) != len(self.tariffs) or not self.tariffs:
+        if len({each.name for each in self.tariffs}) != len(self.tariffs) or not self.tariffs:
             raise ValueError("tariffs need names of their own, and there must be one")
         return self
 
 
 class ServerList(StrictModel):
+    """Delays of the server list and how sidecars get it."""
+
     lag_from_ms: NonNegativeFloat = 20.0
     lag_to_ms: NonNegativeFloat = 200.0
     on_request: bool = True
@@ -110,37 +126,38 @@
 
     @model_validator(mode="after")
     def check_order(self) -> ServerList:
+        """Raise ValueError if the maximum delay is below the minimum."""
         if self.lag_to_ms < self.lag_from_ms:
             raise ValueError("lag_to_ms must not be below lag_from_ms")
         return self
 
 
 class FaultSpec(StrictModel):
-    """`kind` names one of the troubles; each reads those of the other values that it needs."""
+    """An injected fault; `kind` names its class in `fault_kinds`, which reads the fields that it needs."""
 
     kind: str
     at_s: NonNegativeFloat
     for_s: NonNegativeFloat = 5.0
-    servers: tuple[int, ...] = ()  # numbers; none: `count` of them by chance
+    servers: tuple[int, ...] = ()  # slots; none: `count` of them at random
     count: Count = 1
     hall: int = 0
-    value: float = 0.0  # 0: the kind's own
-    sidecars: tuple[int, ...] = ()  # numbers; none: a share of them by chance, or all, as the kind says
-    from_: tuple[int, ...] = ()  # of a cut one way: sidecars whose messages are lost,
-    to: tuple[int, ...] = ()  # on their way to these
-    state: Literal["old", "none", "other"] = "old"  # what killed ones find on their disk when they return
-    delay_ms: NonNegativeFloat = 0.0  # of messages among peers, and how much longer by chance,
-    spread_ms: NonNegativeFloat = 0.0
-    doubled: Fraction = 0.0  # shares of them that come twice,
-    spoilt: Fraction = 0.0  # or with a bit flipped
-    rate_kb: NonNegativeFloat = 0.0  # a second on each way; 0: without a bound
+    value: float = 0.0  # 0: the default of the kind
+    sidecars: tuple[int, ...] = ()  # none: all or a random fraction, as the kind defines
+    from_: tuple[int, ...] = ()  # of a one-way cut: sidecars whose messages are lost
+    to: tuple[int, ...] = ()  # on the way to these
+    state: Literal["old", "none", "other"] = "old"  # on the disk of killed sidecars when they restart
+    delay_ms: NonNegativeFloat = 0.0  # of messages between sidecars
+    spread_ms: NonNegativeFloat = 0.0  # maximum of a random further delay
+    doubled: Fraction = 0.0  # fraction of messages that are duplicated
+    spoilt: Fraction = 0.0  # fraction with a flipped bit
+    rate_kb: NonNegativeFloat = 0.0  # kB/s on each link; 0: no limit
 
 
 class Plan(StrictModel):
-    """One run but for its seed and its decisions."""
+    """All of a run but its seed and its balancer."""
 
     lasts_s: PositiveFloat = 30.0
-    warm_s: NonNegativeFloat = 2.0  # at the start, which does not count
+    warm_s: NonNegativeFloat = 2.0  # at the start, not counted in results
     fleet: Fleet = Fleet()
     sidecars: Sidecars = Sidecars()
     load: Load = Load()
@@ -149,23 +166,25 @@
 
     @model_validator(mode="after")
     def check_warm_up(self) -> Plan:
+        """Raise ValueError if the warm-up is not shorter than the run."""
         if self.warm_s >= self.lasts_s:
             raise ValueError("warm_s must be below lasts_s")
         return self
 
     def rate(self) -> float:
-        """Submissions a second, of all sidecars together."""
+        """Submissions per second of all sidecars together."""
         fleet = self.fleet
-        whole = fleet.servers * fleet.cores * 1000.0 / fleet.work_ms
-        return self.load.rate or self.load.part * whole
+        capacity = fleet.servers * fleet.cores * 1000.0 / fleet.work_ms
+        return self.load.rate or self.load.part * capacity
 
 
 def to_microseconds(seconds: float) -> int:
+    """Seconds as capacity microseconds."""
     return int(round(seconds * 1e6))
 
 
 def sidecar_settings(plan: Plan, sidecar_index: int, zone: int) -> dict[str, Any]:
-    """The settings of a sidecar in this plan, as it is told them at its start (see `settings.decode`)."""
+    """The settings that a sidecar of this plan gets at its start; see `settings.decode`."""
     fleet, sidecars = plan.fleet, plan.sidecars
     return {
         "me": sidecar_index,
@@ -191,15 +210,15 @@
         },
         "tariffs": [
             {
-                "name": one.name,
-                "effect": one.effect,
-                "group": one.group,
-                "windowS": one.window_s,
-                "gain": one.gain,
-                "lateGain": one.late_gain,
-                "agreedTimeS": one.agreed_ms / 1000,
-                "patienceS": one.patience_ms / 1000,
+                "name": spec.name,
+                "effect": spec.effect,
+                "group": spec.group,
+                "windowS": spec.window_s,
+                "gain": spec.gain,
+                "lateGain": spec.late_gain,
+                "agreedTimeS": spec.agreed_ms / 1000,
+                "patienceS": spec.patience_ms / 1000,
             }
-            for one in plan.load.tariffs
+            for spec in plan.load.tariffs
         ],
     }
--- a/pumicepath/lab/virtual/__init__.py
+++ b/pumicepath/lab/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""Sidecars in virtual time: the real decisions, and textbook ones to hold them against."""
+"""Sidecars in virtual time: the real balancer, and textbook balancers to compare it with."""
