--- a/pumicepath/lab/fault_kinds/__init__.py
+++ b/pumicepath/lab/fault_kinds/__init__.py
@@ -1,4 +1,4 @@
-"""What may go wrong: a class a file, found by its file's name (`new_id.py` is the kind `new-id`)."""
+"""Kinds of injected faults: one class per module; the module `new_id.py` defines the kind `new-id`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
     if _found != "base":
         _module = importlib.import_module(f"{__name__}.{_found}")
         KINDS[_found.replace("_", "-")] = next(
-            one
-            for one in vars(_module).values()
-            if isinstance(one, type) and issubclass(one, Fault) and one.__module__ == _module.__name__
+            member
+            for member in vars(_module).values()
+            if isinstance(member, type)
+            and issubclass(member, Fault)
+            and member.__module__ == _module.__name__
         )
--- a/pumicepath/lab/fault_kinds/burst.py
+++ b/pumicepath/lab/fault_kinds/burst.py
@@ -1,10 +1,10 @@
-"""Clients send a multiple of what they usually do."""
+"""Load bursts."""
 
 from .base import Fault
 
 
 class Burst(Fault):
-    """By default three times as much."""
+    """The load is multiplied by the value, by default 3."""
 
     default_value = 3.0
 
--- a/pumicepath/lab/fault_kinds/busy_core.py
+++ b/pumicepath/lab/fault_kinds/busy_core.py
@@ -1,11 +1,11 @@
-"""Another process keeps the core of a sidecar busy."""
+"""CPU contention on the core of a sidecar."""
 
 from ..model.world import SidecarInstance
 from .base import SidecarFault
 
 
 class BusyCore(SidecarFault):
-    """Both are held to one core; by default one in ten."""
+    """The sidecar and a busy process are pinned to one core; by default at one sidecar in ten."""
 
     default_value = 0.1
     needs_processes = True
--- a/pumicepath/lab/fault_kinds/clock_rate.py
+++ b/pumicepath/lab/fault_kinds/clock_rate.py
@@ -1,11 +1,11 @@
-"""The clocks of sidecars run at another rate."""
+"""Clock drift of sidecars."""
 
 from ..model.world import SidecarInstance
 from .base import SidecarFault
 
 
 class ClockRate(SidecarFault):
-    """The value is the deviation in millionths, by default 200; of the sidecars named, or all."""
+    """The value is the deviation in ppm, by default 200; of the named sidecars, or all."""
 
     default_value = 200.0
     needs_processes = needs_call_hooks = all_by_default = True
--- a/pumicepath/lab/fault_kinds/clock_step.py
+++ b/pumicepath/lab/fault_kinds/clock_step.py
@@ -1,13 +1,13 @@
-"""A clock is set: the list's, so that starts of servers are told wrongly, or that of sidecars."""
+"""Clock steps of sidecars, or of the list, which then reports wrong start times of servers."""
 
 from .base import Fault, server_names, sidecar_names
 
 
 class ClockStep(Fault):
-    """Servers that are told to have just come up, or, with a negative value, whose true start lies earlier.
+    """The list reports now plus the value as start of servers, or clocks of named sidecars are stepped.
 
-    The value is the step in seconds, by default 30 forward: a start seems to lie in the future, and a sidecar
-    that trusts it would take the server for cold as long.  With `sidecars` their own wall clocks are set.
+    The value is in seconds, by default 30.  A sidecar that trusts a start in the future would treat the server
+    as cold for that much longer; with a negative value, servers seem to have started earlier than they did.
     """
 
     default_value = 30.0
@@ -21,13 +21,13 @@
         step = round(self.value * 1e6)
         registry = self.world.registry
         for server in self.targets:
-            seems = max(1, self.world.timeline.now + step)
-            registry.update(registry.truth[server.number]._replace(came_up=seems))
+            started_at = max(1, self.world.timeline.now + step)
+            registry.update(registry.truth[server.number]._replace(came_up=started_at))
         return f"{server_names(self.targets)} by {self.value:g} s"
 
-    def step_clocks(self, way: int) -> None:
+    def step_clocks(self, sign: int) -> None:
         for number in self.spec.sidecars:
-            self.world.instances[number].adjust_clock(None, way * round(self.value * 1e6))
+            self.world.instances[number].adjust_clock(None, sign * round(self.value * 1e6))
 
     def revert(self) -> None:
         if self.spec.sidecars:
--- a/pumicepath/lab/fault_kinds/die.py
+++ b/pumicepath/lab/fault_kinds/die.py
@@ -1,10 +1,10 @@
-"""Processes die and come back cold."""
+"""Crashes of server processes, which restart cold."""
 
 from .base import Fault, server_names
 
 
 class Die(Fault):
-    """Hops at them are reset, connections refused; later new processes come up, and the list says so."""
+    """Hops are reset and connections refused; at the end new processes start and the list reports them."""
 
     def inject(self) -> str:
         self.targets = self.target_servers()
--- a/pumicepath/lab/fault_kinds/disk_full.py
+++ b/pumicepath/lab/fault_kinds/disk_full.py
@@ -1,11 +1,11 @@
-"""Nothing more can be written to the disks of sidecars."""
+"""Full disks of sidecars."""
 
 from ..model.world import SidecarInstance
 from .base import SidecarFault
 
 
 class DiskFull(SidecarFault):
-    """Of the sidecars named, or all."""
+    """Nothing more can be written; of the named sidecars, or all."""
 
     needs_processes = all_by_default = True
 
--- a/pumicepath/lab/fault_kinds/disk_old.py
+++ b/pumicepath/lab/fault_kinds/disk_old.py
@@ -1,10 +1,10 @@
-"""Killed sidecars come back with what their disks held when the trouble began."""
+"""Sidecars that restart with outdated state on their disks."""
 
 from .base import Fault, sidecar_names
 
 
 class DiskOld(Fault):
-    """A copy is kept at the beginning; at the end they are killed and started with it; by default half."""
+    """State is copied first; at the end sidecars, by default half, are killed and restart with it."""
 
     default_value = 0.5
     needs_processes = True
--- a/pumicepath/lab/fault_kinds/disk_read_only.py
+++ b/pumicepath/lab/fault_kinds/disk_read_only.py
@@ -1,11 +1,11 @@
-"""The disks of sidecars can be read, and take no change."""
+"""Read-only disks of sidecars."""
 
 from ..model.world import SidecarInstance
 from .base import SidecarFault
 
 
 class DiskReadOnly(SidecarFault):
-    """Of the sidecars named, or all; opening for writing, renaming and removing fail."""
+    """Opening for writing, renaming and removing fail; of the named sidecars, or all."""
 
     needs_processes = needs_call_hooks = all_by_default = True
 
--- a/pumicepath/lab/fault_kinds/disk_slow.py
+++ b/pumicepath/lab/fault_kinds/disk_slow.py
@@ -1,11 +1,11 @@
-"""Each step on the disks of sidecars takes its time."""
+"""Slow disks of sidecars."""
 
 from ..model.world import SidecarInstance
 from .base import SidecarFault
 
 
 class DiskSlow(SidecarFault):
-    """The value is the milliseconds of each step, by default 500; of the sidecars named, or all."""
+    """The value is the milliseconds per file operation, by default 500; of the named sidecars, or all."""
 
     default_value = 500.0
     needs_processes = needs_call_hooks = all_by_default = True
--- a/pumicepath/lab/fault_kinds/disk_torn.py
+++ b/pumicepath/lab/fault_kinds/disk_torn.py
@@ -1,10 +1,10 @@
-"""Each file of killed sidecars is cut at some byte or has a bit flipped, as by a crash."""
+"""Corrupt state files after a crash of sidecars."""
 
 from .base import Fault, sidecar_names
 
 
 class DiskTorn(Fault):
-    """They are killed, and started again with what is left; by default one in two."""
+    """Each file of killed sidecars, by default half, is cut at some byte or gets a flipped bit."""
 
     default_value = 0.5
     needs_processes = True
--- a/pumicepath/lab/fault_kinds/drain.py
+++ b/pumicepath/lab/fault_kinds/drain.py
@@ -1,11 +1,11 @@
-"""Servers drain: the list says so, they serve on for a while and end; later they come back cold."""
+"""Servers that drain, end and restart cold."""
 
 from ...interface import Phase
 from .base import Fault, server_names
 
 
 class Drain(Fault):
-    """The process ends a while (2 s unless told otherwise) after the list said that it drains."""
+    """The process ends a while, by default 2 s, after the list reported that it drains."""
 
     default_value = 2.0
 
--- a/pumicepath/lab/fault_kinds/fail_quickly.py
+++ b/pumicepath/lab/fault_kinds/fail_quickly.py
@@ -1,10 +1,10 @@
-"""Servers fail hops at once, and so look the least busy of all."""
+"""Servers that fail hops at once, and so look the least loaded."""
 
 from .base import Fault, server_names
 
 
 class FailQuickly(Fault):
-    """A share of hops, by default all, ends in an error as soon as it comes."""
+    """The value is the fraction of hops that fail on arrival, by default all."""
 
     default_value = 1.0
 
--- a/pumicepath/lab/fault_kinds/hall_cut_off.py
+++ b/pumicepath/lab/fault_kinds/hall_cut_off.py
@@ -1,18 +1,21 @@
-"""Nothing enters or leaves a hall, and nobody is told."""
+"""A network partition around a zone, without any notice."""
 
 from .base import Fault
 
 
 class HallCutOff(Fault):
-    """Where sidecars speak with each other, those inside hear nobody outside, nor the list."""
+    """No message enters or leaves the zone.
+
+    Where sidecars form a fleet, those inside lose contact with the others and with the list.
+    """
 
     def inject(self) -> str:
         world = self.world
         world.network.cut_zones.add(self.spec.hall)
         if world.links is not None:
-            every = {one.number for one in world.instances}
-            self.inside = {one.number for one in world.instances if one.zone == self.spec.hall}
-            self.undo = world.links.cut(self.inside, every - self.inside)
+            all_sidecars = {each.number for each in world.instances}
+            self.inside = {each.number for each in world.instances if each.zone == self.spec.hall}
+            self.undo = world.links.cut(self.inside, all_sidecars - self.inside)
             world.registry.disconnect(self.inside)
         return f"hall {self.spec.hall}"
 
--- a/pumicepath/lab/fault_kinds/hall_flapping.py
+++ b/pumicepath/lab/fault_kinds/hall_flapping.py
@@ -1,10 +1,10 @@
-"""The way to a hall comes and goes."""
+"""An unstable network path to a zone."""
 
 from .base import Fault
 
 
 class HallFlapping(Fault):
-    """Cut for half of each period, by default of two seconds."""
+    """The zone is cut off for half of each period; the value is the period in seconds, by default 2."""
 
     default_value = 2.0
 
@@ -14,11 +14,11 @@
         return f"hall {self.spec.hall}, every {self.value:g} s"
 
     def switch(self, cut: bool) -> None:
-        halls = self.world.network.cut_zones
+        cut_zones = self.world.network.cut_zones
         if cut and not self.ended:
-            halls.add(self.spec.hall)
+            cut_zones.add(self.spec.hall)
         else:
-            halls.discard(self.spec.hall)
+            cut_zones.discard(self.spec.hall)
         if not self.ended:
             self.world.timeline.at(self.world.timeline.now + round(self.value * 5e5), self.switch, not cut)
 
--- a/pumicepath/lab/fault_kinds/hot_key.py
+++ b/pumicepath/lab/fault_kinds/hot_key.py
@@ -1,10 +1,10 @@
-"""One key makes up a good part of what is asked for."""
+"""A hot key."""
 
 from .base import Fault
 
 
 class HotKey(Fault):
-    """By default a third of all submissions, whichever sidecar they come to."""
+    """The value is the fraction of submissions at all sidecars that use one key, by default a third."""
 
     default_value = 0.33
 
--- a/pumicepath/lab/fault_kinds/list_down.py
+++ b/pumicepath/lab/fault_kinds/list_down.py
@@ -1,10 +1,10 @@
-"""The server list can't be reached, by some sidecars or by all; asking for it fails."""
+"""An outage of the server list."""
 
 from .base import Fault, sidecar_names
 
 
 class ListDown(Fault):
-    """`sidecars` are those that can't; none named: all."""
+    """Requests for the list fail; for the named sidecars, or all."""
 
     def inject(self) -> str:
         self.world.registry.disconnect(self.spec.sidecars)
--- a/pumicepath/lab/fault_kinds/list_lies.py
+++ b/pumicepath/lab/fault_kinds/list_lies.py
@@ -1,11 +1,11 @@
-"""The server list leaves out servers that are well."""
+"""A server list that reports wrong states of healthy servers."""
 
 from ...interface import Phase
 from .base import Fault, server_names
 
 
 class ListLies(Fault):
-    """By default they are shown as draining, with a value of 2 as gone."""
+    """They are listed as draining, or with a value of 2 as gone."""
 
     def inject(self) -> str:
         self.targets = self.target_servers()
--- a/pumicepath/lab/fault_kinds/neighbour.py
+++ b/pumicepath/lab/fault_kinds/neighbour.py
@@ -1,11 +1,11 @@
-"""A noisy neighbour takes a server's speed again and again for a moment."""
+"""A noisy neighbour, which slows servers down at intervals."""
 
 from ..model.timeline import SECOND
 from .base import Fault, server_names
 
 
 class Neighbour(Fault):
-    """For half of each second the speed is a part, by default a third."""
+    """In half of each second the speed falls to a fraction, the value, by default a third."""
 
     default_value = 0.33
 
--- a/pumicepath/lab/fault_kinds/new_id.py
+++ b/pumicepath/lab/fault_kinds/new_id.py
@@ -1,19 +1,19 @@
-"""Servers go for good, and new ones with new ids come up at their old addresses."""
+"""Servers that are replaced by new ones with new ids at the same addresses."""
 
 from ...interface import Phase
 from .base import Fault, server_names
 
 
 class NewId(Fault):
-    """The list tells of both at once, with its usual lag: nothing may be inherited."""
+    """The list reports both changes together; the new servers must not inherit state of the old_servers ones."""
 
     has_end = False
 
     def inject(self) -> str:
-        places = self.server_slots()
-        old = [self.world.server_at(place) for place in places]
-        for place, server in zip(places, old):
+        slots = self.server_slots()
+        old_servers = [self.world.server_at(slot) for slot in slots]
+        for slot, server in zip(slots, old_servers):
             server.kill()
             self.world.publish_server(server, Phase.GONE)
-            self.world.add_server(place, cold=True)
-        return f"{server_names(old)} replaced"
+            self.world.add_server(slot, cold=True)
+        return f"{server_names(old_servers)} replaced"
--- a/pumicepath/lab/fault_kinds/pause.py
+++ b/pumicepath/lab/fault_kinds/pause.py
@@ -1,9 +1,11 @@
-"""Servers stop for a while and go on, as in a long collection or a live migration."""
+"""Servers that pause, as in a long garbage collection or a live migration."""
 
 from .base import Fault, server_names
 
 
 class Pause(Fault):
+    """They stop working and later go on where they were."""
+
     def inject(self) -> str:
         self.targets = self.target_servers()
         for server in self.targets:
--- a/pumicepath/lab/fault_kinds/peers_cut.py
+++ b/pumicepath/lab/fault_kinds/peers_cut.py
@@ -1,12 +1,12 @@
-"""Messages between groups of sidecars are lost, both ways or one."""
+"""Partitions between sidecars, both ways or one way."""
 
 from .base import Fault, sidecar_names
 
 
 class PeersCut(Fault):
-    """`sidecars` are cut off from all others; with `from_` and `to` only what the first send the second.
+    """The sidecars of `sidecars`, by default a random half, are cut off from all others.
 
-    Where `to` is left out it is everybody else. With none of them it is a share, by default half.
+    With `from_` only messages from these to `to`, by default to all others, are lost.
     """
 
     default_value = 0.5
@@ -14,14 +14,14 @@
 
     def inject(self) -> str:
         assert self.world.links is not None
-        every = {one.number for one in self.world.instances}
+        all_sidecars = {each.number for each in self.world.instances}
         if self.spec.from_:
-            to = self.spec.to or every - set(self.spec.from_)
-            self.undo = self.world.links.cut(self.spec.from_, to, both_ways=False)
-            return f"from {sidecar_names(sorted(self.spec.from_))} to {sidecar_names(sorted(to))}"
-        hit = self.sidecar_numbers()
-        self.undo = self.world.links.cut(hit, every - set(hit))
-        return sidecar_names(hit)
+            recipients = self.spec.to or all_sidecars - set(self.spec.from_)
+            self.undo = self.world.links.cut(self.spec.from_, recipients, both_ways=False)
+            return f"from {sidecar_names(sorted(self.spec.from_))} to {sidecar_names(sorted(recipients))}"
+        targets = self.sidecar_numbers()
+        self.undo = self.world.links.cut(targets, all_sidecars - set(targets))
+        return sidecar_names(targets)
 
     def revert(self) -> None:
         self.undo()
--- a/pumicepath/lab/fault_kinds/peers_noisy.py
+++ b/pumicepath/lab/fault_kinds/peers_noisy.py
@@ -1,11 +1,11 @@
-"""Messages of sidecars to each other are lost, delayed, doubled, swapped, spoilt or squeezed."""
+"""Lossy, slow, duplicating, reordering, corrupting or narrow links between sidecars."""
 
 from ..model.links import Impairment
 from .base import Fault, sidecar_names
 
 
 class PeersNoisy(Fault):
-    """The value is the share that is lost, by default a fifth; of the sidecars named, or of all."""
+    """The value is the fraction of messages lost, by default 0.2; of the named sidecars, or all."""
 
     default_value = 0.2
     needs_peers = True
@@ -13,10 +13,10 @@
     def inject(self) -> str:
         assert self.world.links is not None
         spec = self.spec
-        hit = sorted(spec.sidecars) or [one.number for one in self.world.instances]
-        other = spec.delay_ms or spec.spread_ms or spec.doubled or spec.spoilt or spec.rate_kb
-        loss = spec.value if spec.value or other else self.default_value
-        noise = Impairment(
+        targets = sorted(spec.sidecars) or [each.number for each in self.world.instances]
+        other_effect = spec.delay_ms or spec.spread_ms or spec.doubled or spec.spoilt or spec.rate_kb
+        loss = spec.value if spec.value or other_effect else self.default_value
+        impairment = Impairment(
             loss,
             spec.doubled,
             spec.spoilt,
@@ -24,9 +24,9 @@
             round(spec.spread_ms * 1000),
             round(spec.rate_kb * 1000),
         )
-        self.undo = self.world.links.impair(hit, noise)
+        self.undo = self.world.links.impair(targets, impairment)
         return (
-            f"{sidecar_names(hit)}: {loss:.0%} lost, "
+            f"{sidecar_names(targets)}: {loss:.0%} lost, "
             f"{spec.delay_ms:g} to {spec.delay_ms + spec.spread_ms:g} ms"
         )
 
--- a/pumicepath/lab/fault_kinds/rolling_release.py
+++ b/pumicepath/lab/fault_kinds/rolling_release.py
@@ -1,4 +1,4 @@
-"""All servers are renewed one after the other: each drains, ends, and comes back cold."""
+"""A rolling release of all servers: each drains, ends and restarts cold."""
 
 from ...interface import Phase
 from ..model.servers import Server
@@ -7,26 +7,26 @@
 
 
 class RollingRelease(Fault):
-    """So that all are done when it ends; the value is how many go at a time, by default one."""
+    """It is spread over the duration; the value is the number of servers replaced at a time, by default 1."""
 
     default_value = 1.0
 
     def inject(self) -> str:
-        places = range(len(self.world.server_ids))
-        together = max(1, int(self.value))
-        turns = [places[at : at + together] for at in range(0, len(places), together)]
-        for at, turn in enumerate(turns):
-            when = self.world.timeline.now + at * self.duration // len(turns)
-            for place in turn:
-                self.world.timeline.at(when, self.renew, place)
-        return f"{len(places)} servers, {together} at a time"
+        slots = range(len(self.world.server_ids))
+        batch_size = max(1, int(self.value))
+        batches = [slots[first : first + batch_size] for first in range(0, len(slots), batch_size)]
+        for index, batch in enumerate(batches):
+            at = self.world.timeline.now + index * self.duration // len(batches)
+            for slot in batch:
+                self.world.timeline.at(at, self.drain, slot)
+        return f"{len(slots)} servers, {batch_size} at a time"
 
-    def renew(self, place: int) -> None:
-        server = self.world.server_at(place)
+    def drain(self, slot: int) -> None:
+        server = self.world.server_at(slot)
         self.world.publish_server(server, Phase.DRAINING)
-        self.world.timeline.at(self.world.timeline.now + SECOND, self.stop, server)
+        self.world.timeline.at(self.world.timeline.now + SECOND, self.restart, server)
 
-    def stop(self, server: Server) -> None:
+    def restart(self, server: Server) -> None:
         server.kill()
         server.start()
         self.world.publish_server(server)
--- a/pumicepath/lab/fault_kinds/sidecars_ended.py
+++ b/pumicepath/lab/fault_kinds/sidecars_ended.py
@@ -1,11 +1,11 @@
-"""Sidecars are asked to end, as in a release, and started again."""
+"""Sidecars that are asked to end, as in a release, and restart."""
 
 from ..model.world import SidecarInstance
 from .base import SidecarFault
 
 
 class SidecarsEnded(SidecarFault):
-    """SIGTERM; by default three in ten. They are started again once the time is over, ended or not."""
+    """SIGTERM to a random fraction, by default 0.3; at the end all restart, whether they ended or not."""
 
     default_value = 0.3
     needs_processes = True
--- a/pumicepath/lab/fault_kinds/sidecars_killed.py
+++ b/pumicepath/lab/fault_kinds/sidecars_killed.py
@@ -1,11 +1,11 @@
-"""Sidecars are killed in the same moment, and come back together."""
+"""Sidecars that are killed at the same moment and restart together."""
 
 from ..model.world import SidecarInstance
 from .base import SidecarFault
 
 
 class SidecarsKilled(SidecarFault):
-    """By default seven in ten; each finds its own state on its disk, none, or another's."""
+    """A random fraction, by default 0.7; they restart with their own state, none, or another's."""
 
     default_value = 0.7
 
--- a/pumicepath/lab/fault_kinds/sidecars_restarted.py
+++ b/pumicepath/lab/fault_kinds/sidecars_restarted.py
@@ -1,19 +1,19 @@
-"""Sidecars are killed and come back with nothing but a copy of the list."""
+"""Sidecars that are killed and restart with nothing but a cached copy of the list."""
 
 from ..model.timeline import SECOND
 from .base import Fault
 
 
 class SidecarsRestarted(Fault):
-    """A share of them, by default half, each down for a second, spread over the time."""
+    """A random fraction, by default half, one after the other over the duration, each down for a second."""
 
     default_value = 0.5
 
     def inject(self) -> str:
-        all_of_them = self.world.instances
-        hit = self.rng.sample(range(len(all_of_them)), max(1, round(self.value * len(all_of_them))))
-        for at, number in enumerate(hit):
-            when = self.world.timeline.now + at * max(0, self.duration - SECOND) // len(hit)
-            self.world.timeline.at(when, all_of_them[number].kill)
-            self.world.timeline.at(when + SECOND, all_of_them[number].start)
-        return f"{len(hit)} of {len(all_of_them)}"
+        instances = self.world.instances
+        targets = self.rng.sample(range(len(instances)), max(1, round(self.value * len(instances))))
+        for index, number in enumerate(targets):
+            at = self.world.timeline.now + index * max(0, self.duration - SECOND) // len(targets)
+            self.world.timeline.at(at, instances[number].kill)
+            self.world.timeline.at(at + SECOND, instances[number].start)
+        return f"{len(targets)} of {len(instances)}"
--- a/pumicepath/lab/fault_kinds/sidecars_stopped.py
+++ b/pumicepath/lab/fault_kinds/sidecars_stopped.py
@@ -1,11 +1,11 @@
-"""Sidecars are stopped in the middle of whatever they do, and go on as if nothing had been."""
+"""Sidecars that are suspended and later go on unaware of it."""
 
 from ..model.world import SidecarInstance
 from .base import SidecarFault
 
 
 class SidecarsStopped(SidecarFault):
-    """SIGSTOP and SIGCONT; by default three in ten."""
+    """SIGSTOP and SIGCONT to a random fraction, by default 0.3."""
 
     default_value = 0.3
     needs_processes = True
--- a/pumicepath/lab/fault_kinds/slow.py
+++ b/pumicepath/lab/fault_kinds/slow.py
@@ -1,10 +1,10 @@
-"""Servers become slow, as with a bad disk or a throttled core."""
+"""Slow servers, as with a bad disk or a throttled core."""
 
 from .base import Fault, server_names
 
 
 class Slow(Fault):
-    """Their speed falls to a part, by default a fifth."""
+    """Their speed falls to a fraction, the value, by default 0.2."""
 
     default_value = 0.2
 
--- a/pumicepath/lab/fault_kinds/stall.py
+++ b/pumicepath/lab/fault_kinds/stall.py
@@ -1,10 +1,10 @@
-"""Answers begin and stop half way, as behind a broken proxy or with a full disk."""
+"""Responses that stop half way, as behind a broken proxy or with a full disk."""
 
 from .base import Fault, server_names
 
 
 class Stall(Fault):
-    """A share of answers, by default a third; the connection stays open and silent."""
+    """The value is the fraction of responses, by default a third; the connection stays open and silent."""
 
     default_value = 0.33
 
--- a/pumicepath/lab/fault_kinds/vanish.py
+++ b/pumicepath/lab/fault_kinds/vanish.py
@@ -1,10 +1,10 @@
-"""Machines vanish: half open connections, no word to anybody."""
+"""Machines that vanish and leave half-open connections."""
 
 from .base import Fault, server_names
 
 
 class Vanish(Fault):
-    """What is sent to them is lost; when they are back, their processes are new and cold."""
+    """All that is sent to them is lost; at the end new, cold processes start."""
 
     def inject(self) -> str:
         self.targets = self.target_servers()
