--- a/pumicepath/lab/fault_kinds/clock_step.py
+++ b/pumicepath/lab/fault_kinds/clock_step.py
@@ -6,8 +6,8 @@
 class ClockStep(Fault):
     """The list reports now plus the value as start of servers, or clocks of named sidecars are stepped.
 
-    The value is in seconds, by default 30.  A sidecar that trusts a start in the future would treat the server
-    as cold for that much longer; with a negative value, servers seem to have started earlier than they did.
+    The value is in seconds, by default 30.  A sidecar that trusts a start in the future would treat a server
+    as cold for so much longer; with a negative value, servers seem to have started too early.
     """
 
     default_value = 30.0
--- a/pumicepath/lab/fault_kinds/new_id.py
+++ b/pumicepath/lab/fault_kinds/new_id.py
@@ -5,7 +5,7 @@
 
 
 class NewId(Fault):
-    """The list reports both changes together; the new servers must not inherit state of the old_servers ones."""
+    """The list reports both at once; a new server must not inherit state of the old one."""
 
     has_end = False
 
--- a/pumicepath/lab/virtual/sidecar.py
+++ b/pumicepath/lab/virtual/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar in virtual time: a host of the real decisions with connections, but no threads and no bytes."""
+"""A sidecar in virtual time: hosts the real balancer and models connections, without threads or bytes."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from ..model.timeline import Timeline
 from ..model.world import SidecarFleet
 
-ANSWER_MARGIN_US = 5_000  # microseconds before patience ends in which the last word is said
-MAX_IDLE_CONNECTIONS = 8  # idle connections kept to a server
+ANSWER_MARGIN_US = 5_000  # before the deadline, in which the final answer is sent
+MAX_IDLE_CONNECTIONS = 8  # kept per server
 
 
 class SubmissionHandle(Protocol):
-    """What decisions give back for a submission; `logic.Submission` is one."""
+    """A balancer's object for a submission, such as `Submission` of the real balancer."""
 
     def ended(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None: ...
 
@@ -30,8 +30,8 @@
     def over(self) -> bool: ...
 
 
-class Decisions(Protocol):
-    """What decides in a sidecar; `logic.Balancer` is one, baselines are others."""
+class BalancerLike(Protocol):
+    """A balancer that a sidecar can host, the real one or a textbook one."""
 
     def listed(self, now: int, kind: Listing, entries: Sequence[Entry]) -> None: ...
 
@@ -44,6 +44,8 @@
 
 
 class Hop:
+    """One attempt at a server, and its connection."""
+
     __slots__ = (
         "submission",
         "number",
@@ -67,7 +69,7 @@
 
 
 class OpenSubmission:
-    """A submission while a sidecar has to do with it."""
+    """A submission that a sidecar has admitted and not finished; times in microseconds."""
 
     __slots__ = ("client_submission", "try_number", "deadline_at", "hops", "handle", "answered")
 
@@ -81,7 +83,7 @@
 
 
 class SidecarEnvironment(Protocol):
-    """What a sidecar can reach."""
+    """What a sidecar needs of the world around it."""
 
     network: Network
     registry: Registry
@@ -90,14 +92,18 @@
     sidecar_fleet: SidecarFleet | None
 
     @property
-    def timeline(self) -> Timeline: ...
+    def timeline(self) -> Timeline:
+        """The clock and scheduler."""
 
     def work(self, submission_id: int) -> int:
-        """Core-microseconds that the submission of this number takes on a warm server that knows its key."""
+        """Core-microseconds of a submission on a warm server with its key in the cache."""
 
 
 class Sidecar:
-    """Work for a submission grows with its hops; what is kept ends with the submission or its server."""
+    """Hosts a balancer: admits submissions, sends hops and answers clients; times in microseconds.
+
+    The work per submission is linear in its hops; no state outlives the submission or its server.
+    """
 
     def __init__(
         self,
@@ -122,19 +128,19 @@
         self.starts = 0
         self.start()
 
-    # -- its process
+    # -- the process
 
     def start(self, state: str = "old") -> None:
-        """A new process that knows nothing but a copy of the list."""
+        """Start a new process, with a cached copy of the list and no other state."""
         self.up = True
         self.starts += 1
         self.open_submissions: dict[int, OpenSubmission] = {}
-        self.latest_names: dict[int, int] = {}  # of the latest try of each ask that is open
-        self.idle: dict[int, tuple[int, int]] = {}  # by server: its process, and connections to it
+        self.latest_names: dict[int, int] = {}  # by submission of a client, the name of its latest try
+        self.idle: dict[int, tuple[int, int]] = {}  # by server: its process, and the idle connections to it
         self.admitted = 0
-        life = self.starts
-        self.balancer: Decisions = self.make_balancer(
-            self.settings, self.seed + life - 1, ProcessCallbacks(self, life)
+        process_number = self.starts
+        self.balancer: BalancerLike = self.make_balancer(
+            self.settings, self.seed + process_number - 1, ProcessCallbacks(self, process_number)
         )
         self.world.registry.register(self.number, self)
         if self.world.sidecar_fleet is not None:
@@ -142,138 +148,155 @@
             self.world.sidecar_fleet.attach_balancer(self.number, self.balancer)
 
     def kill(self) -> None:
-        """Killed at once: its clients and servers see connections end."""
+        """Kill the process: its clients and servers see their connections end."""
         self.up = False
         self.world.registry.unregister(self.number)
         if self.world.sidecar_fleet is not None:
             self.world.sidecar_fleet.kill(self.number)
-        opens, self.open_submissions, self.latest_names = self.open_submissions, {}, {}
-        for one in opens.values():
-            for hop in one.hops:
+        open_submissions, self.open_submissions, self.latest_names = self.open_submissions, {}, {}
+        for submission in open_submissions.values():
+            for hop in submission.hops:
                 self.give_up(hop)
-            if not one.answered:
-                one.answered = True
-                one.client_submission.clients.target_died(
-                    one.client_submission,
-                    self.settings.tariffs[one.client_submission.class_index].effect != 0,
+            if not submission.answered:
+                submission.answered = True
+                submission.client_submission.clients.target_died(
+                    submission.client_submission,
+                    self.settings.tariffs[submission.client_submission.class_index].effect != 0,
                 )
 
     def receive_list(self, kind: Listing, entries: list[Entry]) -> None:
+        """Pass entries of the server list on to the balancer."""
         self.balancer.listed(self.world.timeline.now, kind, entries)
 
     # -- clients
 
-    def submit(self, submission: ClientSubmission) -> bool:
+    def submit(self, client_submission: ClientSubmission) -> bool:
+        """Admit a try of a client's submission; False while the process is down."""
         if not self.up:
             return False
         timeline = self.world.timeline
         now = timeline.now
         self.world.rule_checker.try_admitted(
-            submission.number, submission.class_index, submission.deadline_at
+            client_submission.number, client_submission.class_index, client_submission.deadline_at
         )
         self.admitted += 1
-        name = self.latest_names[submission.number] = self.admitted
-        one = self.open_submissions[name] = OpenSubmission(submission, submission.deadline_at)
-        until = submission.deadline_at - ANSWER_MARGIN_US
-        timeline.at(until, self.deadline_passed, name, one)
+        name = self.latest_names[client_submission.number] = self.admitted
+        submission = self.open_submissions[name] = OpenSubmission(
+            client_submission, client_submission.deadline_at
+        )
+        answer_by = client_submission.deadline_at - ANSWER_MARGIN_US
+        timeline.at(answer_by, self.deadline_passed, name, submission)
         handle = self.balancer.take(
-            now, name, submission.class_index, submission.key, submission.tries > 1, until
+            now,
+            name,
+            client_submission.class_index,
+            client_submission.key,
+            client_submission.tries > 1,
+            answer_by,
         )
-        one.handle = handle
-        self.discard_if_done(name, one)
+        submission.handle = handle
+        self.discard_if_done(name, submission)
         return True
 
-    def client_left(self, submission: ClientSubmission) -> None:
-        """The client has gone; hops still out bring their outcomes."""
-        name = self.latest_names.get(submission.number, 0)
-        one = self.open_submissions.get(name)
-        if one is not None and not one.answered:
-            one.answered = True
-            if one.handle is not None:
-                one.handle.left(self.world.timeline.now)
-            self.discard_if_done(name, one)
-
-    def deadline_passed(self, name: int, one: OpenSubmission) -> None:
-        """As `sidecar.exchange.Exchange.woke`: hops time out, which answers what has no answer yet."""
-        if self.open_submissions.get(name) is not one:
+    def client_left(self, client_submission: ClientSubmission) -> None:
+        """The client does not wait any more; outcomes of running hops are still reported."""
+        name = self.latest_names.get(client_submission.number, 0)
+        submission = self.open_submissions.get(name)
+        if submission is not None and not submission.answered:
+            submission.answered = True
+            if submission.handle is not None:
+                submission.handle.left(self.world.timeline.now)
+            self.discard_if_done(name, submission)
+
+    def deadline_passed(self, name: int, submission: OpenSubmission) -> None:
+        """Time remaining hops out, as `sidecar.exchange` does, and answer what has no answer yet."""
+        if self.open_submissions.get(name) is not submission:
             return
-        for hop in list(one.hops):
+        for hop in list(submission.hops):
             self.finish_hop(name, hop, Outcome.TIMEOUT)
-        if not one.answered:
-            self.answer(one, "forfeited", 0)
+        if not submission.answered:
+            self.answer(submission, "forfeited", 0)
 
     def report_answer(self, name: int, answer: str, retry_after: int = 0) -> None:
-        """What the decisions answer; one that is over already can only be a second answer."""
-        one = self.open_submissions.get(name)
-        if one is None:
+        """Answer as the balancer says; a finished submission was answered before, which is a violation."""
+        submission = self.open_submissions.get(name)
+        if submission is None:
             self.world.rule_checker.report_violation(
-                "answered_twice", f"sidecar {self.number} {answer} {name}, which was over"
+                "answered_twice", f"sidecar {self.number} {answer} {name}, which was finished"
             )
         else:
-            self.answer(one, answer, retry_after)
-
-    def answer(self, one: OpenSubmission, answer: str, retry_after: int) -> None:
-        ask = one.client_submission
-        again = one.answered
-        one.answered = True
-        # Said once this call on the decisions is over; a second answer goes out too, for the judge to see.
+            self.answer(submission, answer, retry_after)
+
+    def answer(self, submission: OpenSubmission, answer: str, retry_after: int) -> None:
+        """Send a final answer to the client."""
+        client_submission = submission.client_submission
+        answered_before = submission.answered
+        submission.answered = True
+        # Sent once the balancer has returned; a second answer is sent too, for the rule checker to see.
         at, now = self.world.timeline.at, self.world.timeline.now
         if answer == "succeeded":
-            at(now, ask.clients.succeeded, ask, one.try_number)
+            at(now, client_submission.clients.succeeded, client_submission, submission.try_number)
         elif answer == "deferred":
-            at(now, ask.clients.rejected, ask, one.try_number, retry_after)
+            at(now, client_submission.clients.rejected, client_submission, submission.try_number, retry_after)
         else:
-            at(now, ask.clients.failed, ask, one.try_number)
-        if again:
-            self.trace(self.number, f"submission {ask.number} answered again")
+            at(now, client_submission.clients.failed, client_submission, submission.try_number)
+        if answered_before:
+            self.trace(self.number, f"submission {client_submission.number} answered again")
 
-    def discard_if_done(self, name: int, one: OpenSubmission) -> None:
-        if one.handle is not None and one.handle.over() and one.answered:
+    def discard_if_done(self, name: int, submission: OpenSubmission) -> None:
+        """Forget a submission that is answered and has no more hops."""
+        if submission.handle is not None and submission.handle.over() and submission.answered:
             self.open_submissions.pop(name, None)
-            if self.latest_names.get(one.client_submission.number) == name:
-                del self.latest_names[one.client_submission.number]
+            if self.latest_names.get(submission.client_submission.number) == name:
+                del self.latest_names[submission.client_submission.number]
 
     # -- servers
 
     def send(self, name: int, number: int) -> None:
-        one, world = self.open_submissions.get(name), self.world
+        """Send a hop of a submission to a server, on an idle connection or a new one."""
+        submission, world = self.open_submissions.get(name), self.world
         now = world.timeline.now
-        if one is None:
+        if submission is None:
             world.rule_checker.report_violation(
-                "sent_after_answer", f"sidecar {self.number} sent {name}, which was over"
+                "sent_after_answer", f"sidecar {self.number} sent {name}, which was finished"
             )
             return
         server = world.servers[number]
-        hop = Hop(one, len(one.hops), server, now)
-        one.hops.append(hop)
-        world.rule_checker.hop_sent(self.number, number, one.client_submission.number, one.answered)
-        process, kept = self.idle.get(number, (0, 0))
-        if kept and process == server.process:
-            self.idle[number] = process, kept - 1
+        hop = Hop(submission, len(submission.hops), server, now)
+        submission.hops.append(hop)
+        world.rule_checker.hop_sent(
+            self.number, number, submission.client_submission.number, submission.answered
+        )
+        process, idle_count = self.idle.get(number, (0, 0))
+        if idle_count and process == server.process:
+            self.idle[number] = process, idle_count - 1
             world.network.carry(self.zone, server.zone, self.arrive, name, hop)
             return
-        # A new connection first: one trip there and back, or nothing until the time for dialling is over.
+        # A new connection takes one round trip, or fails when the dial timeout is over.
         hop.new_connection = True
-        there = world.network.is_connected(self.zone, server.zone) and not server.silent
-        trip = world.network.delay(self.zone, server.zone) + world.network.delay(server.zone, self.zone)
-        if there and server.up and trip < self.dial_timeout:
-            world.timeline.at(now + trip, self.connected, name, hop)
-        elif there and trip < self.dial_timeout:
-            world.timeline.at(now + trip, self.connect_failed, name, hop)
+        reachable = world.network.is_connected(self.zone, server.zone) and not server.silent
+        round_trip = world.network.delay(self.zone, server.zone) + world.network.delay(server.zone, self.zone)
+        if reachable and server.up and round_trip < self.dial_timeout:
+            world.timeline.at(now + round_trip, self.connected, name, hop)
+        elif reachable and round_trip < self.dial_timeout:
+            world.timeline.at(now + round_trip, self.connect_failed, name, hop)
         else:
             world.timeline.at(now + self.dial_timeout, self.connect_failed, name, hop)
 
     def connected(self, name: int, hop: Hop) -> None:
+        """The new connection is established."""
         if not hop.finished:
             self.world.network.carry(self.zone, hop.server.zone, self.arrive, name, hop)
 
     def connect_failed(self, name: int, hop: Hop) -> None:
+        """The new connection was refused or timed out."""
         if not hop.finished:
             self.world.rule_checker.hop_returned(hop.submission.client_submission.number)
             hop.job = None
             self.response_arrived(name, hop, Outcome.CONNECT_FAILED)
 
     def arrive(self, name: int, hop: Hop) -> None:
+        """A hop reaches its server, which resets it if the process of the connection is gone."""
         if hop.finished:
             return
         server, world = hop.server, self.world
@@ -281,11 +304,11 @@
             world.rule_checker.hop_returned(hop.submission.client_submission.number)
             world.network.carry(server.zone, self.zone, self.response_arrived, name, hop, Outcome.RESET)
             return
-        ask = hop.submission.client_submission
-        told = world.registry.start_is_known(self.number, server.number, server.started_at)
+        client_submission = hop.submission.client_submission
+        knew_start = world.registry.start_is_known(self.number, server.number, server.started_at)
 
         def reply(outcome: Outcome) -> None:
-            world.rule_checker.hop_returned(ask.number)
+            world.rule_checker.hop_returned(client_submission.number)
             if not server.silent:
                 stalls = outcome == Outcome.OK and server.draw_stall()
                 world.network.carry(
@@ -297,41 +320,49 @@
                     outcome,
                 )
 
-        job = Job(ask.number, ask.key, self.number, world.work(ask.number), reply, told)
+        job = Job(
+            client_submission.number,
+            client_submission.key,
+            self.number,
+            world.work(client_submission.number),
+            reply,
+            knew_start,
+        )
         if server.receive(job):
             hop.job = job
 
     def response_stalled(self, name: int, hop: Hop, outcome: Outcome) -> None:
-        """Part of its answer has come, and no more will."""
+        """The beginning of a response has arrived; the rest never will."""
         if not hop.finished and hop.submission.handle is not None:
             hop.submission.handle.started(self.world.timeline.now, hop.number)
 
     def response_arrived(self, name: int, hop: Hop, outcome: Outcome) -> None:
-        """What its server said of a hop has come here."""
+        """The outcome of a hop has arrived from its server."""
         if hop.finished:
             return
-        one = hop.submission
+        submission = hop.submission
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL) and hop.process == hop.server.process:
-            process, kept = self.idle.get(hop.server.number, (0, 0))
-            kept = kept if process == hop.process else 0
-            self.idle[hop.server.number] = hop.process, min(MAX_IDLE_CONNECTIONS, kept + 1)
-        if outcome == Outcome.OK and not one.answered:
-            self.answer(one, "succeeded", 0)
+            process, idle_count = self.idle.get(hop.server.number, (0, 0))
+            idle_count = idle_count if process == hop.process else 0
+            self.idle[hop.server.number] = hop.process, min(MAX_IDLE_CONNECTIONS, idle_count + 1)
+        if outcome == Outcome.OK and not submission.answered:
+            self.answer(submission, "succeeded", 0)
         self.finish_hop(name, hop, outcome)
 
     def finish_hop(self, name: int, hop: Hop, outcome: Outcome) -> None:
+        """Report the outcome of a hop to the balancer, once."""
         if hop.finished:
             return
         if outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             self.give_up(hop)
         hop.finished = True
-        one, now = hop.submission, self.world.timeline.now
-        if one.handle is not None:
-            one.handle.ended(now, hop.number, outcome, now - hop.started_at, one.answered)
-        self.discard_if_done(name, one)
+        submission, now = hop.submission, self.world.timeline.now
+        if submission.handle is not None:
+            submission.handle.ended(now, hop.number, outcome, now - hop.started_at, submission.answered)
+        self.discard_if_done(name, submission)
 
     def give_up(self, hop: Hop) -> None:
-        """Its connection is closed, which the server learns after a while, if it learns anything."""
+        """Close the connection of a hop; the server notices after the network delay, if it is reachable."""
         if hop.finished:
             return
         hop.finished = True
@@ -342,55 +373,66 @@
             world.network.carry(self.zone, hop.server.zone, hop.server.cancel, job)
 
     def cancel(self, name: int, number: int) -> None:
-        one = self.open_submissions[name]
-        hop = one.hops[number]
+        """Cancel a hop once the balancer has returned."""
+        submission = self.open_submissions[name]
+        hop = submission.hops[number]
         self.world.timeline.at(self.world.timeline.now, self.finish_cancelled, name, hop)
 
     def finish_cancelled(self, name: int, hop: Hop) -> None:
+        """Report a cancelled hop."""
         self.finish_hop(name, hop, Outcome.CANCELLED)
 
 
 class ProcessCallbacks:
-    """The outlet of one process of a sidecar; what a dead one asks for does not happen."""
+    """Callbacks of the balancer of one process; a dead process sets no timer and asks for no list."""
 
-    def __init__(self, sidecar: Sidecar, life: int) -> None:
+    def __init__(self, sidecar: Sidecar, process_number: int) -> None:
         self.sidecar = sidecar
-        self.life = life
+        self.process_number = process_number
 
     def is_alive(self) -> bool:
-        return self.sidecar.up and self.sidecar.starts == self.life
+        """Whether this process still runs."""
+        return self.sidecar.up and self.sidecar.starts == self.process_number
 
     def send(self, submission: int, server: int, timeout: int) -> None:
+        """Send a hop."""
         self.sidecar.send(submission, server)
 
     def defer(self, submission: int, retry_in: int) -> None:
+        """Reject a submission, with the time after which to retry."""
         self.sidecar.report_answer(submission, "deferred", retry_in)
 
     def forfeit(self, submission: int) -> None:
+        """Answer that a submission has failed and may have run."""
         self.sidecar.report_answer(submission, "forfeited")
 
     def cancel(self, submission: int, hop: int) -> None:
+        """Cancel a hop."""
         self.sidecar.cancel(submission, hop)
 
     def probe(self, server: int) -> None:
-        """No decision asks for probes."""
+        """Unused: no balancer asks for probes."""
 
     def tell(self, peer: int, data: bytes) -> None:
-        """Sidecars of this model don't hear each other."""
+        """Ignored: sidecars exchange no messages of their balancers here."""
 
     def free_links(self, server: int) -> None:
-        """Connections of this model rest unharmed, so that nothing is to be gained here."""
+        """Ignored: idle connections are never lost in this model, so closing them has no use."""
 
     def follow(self) -> None:
+        """Subscribe to the server list."""
         if self.is_alive():
             self.sidecar.world.registry.subscribe(self.sidecar.number)
 
     def wake(self, at: int, whom: Wakeable) -> None:
+        """Set a timer."""
         self.sidecar.world.timeline.at(at, self.fire_timer, whom)
 
     def fire_timer(self, whom: Wakeable) -> None:
+        """A timer is due."""
         if self.is_alive():
             whom.woke(self.sidecar.world.timeline.now)
 
     def log(self, text: str) -> None:
+        """Trace a line of the balancer's log."""
         self.sidecar.trace(self.sidecar.number, text)
