--- a/pumicepath/lab/virtual/baselines.py
+++ b/pumicepath/lab/virtual/baselines.py
@@ -1,6 +1,6 @@
-"""Textbook balancers, which give the decisions' figures a floor, and an oracle, which gives them a top.
+"""Textbook balancers, a lower bound to compare the real balancer with, and an oracle, an upper bound.
 
-They repeat what certainly never ran, and idempotent submissions, as any careful client does; none has
+They retry hops that certainly never ran, and idempotent submissions, as any careful client does; none has
 breakers, limits or a budget for cold servers.  Least in flight is known as `least_conn`; two choices is
 Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing" (2001).
 """
@@ -16,9 +16,9 @@
 
 
 class TextbookBalancer:
-    """What all of them share: the list, hops out by server, and repeats.  Needs O(servers) a choice."""
+    """Base of textbook balancers: the list, hops in flight by server, and retries; O(servers) per choice."""
 
-    submission_type: type[TextbookSubmission]  # of its submissions
+    submission_type: type[TextbookSubmission]
 
     def __init__(self, settings: Settings, seed: int, callbacks: Outlet) -> None:
         self.settings = settings
@@ -30,6 +30,7 @@
         self.next_index = self.rng.randrange(1 << 16)
 
     def listed(self, now: int, kind: Listing, entries: Sequence[Entry]) -> None:
+        """Apply a full list or changes; after a failure, ask again in a second."""
         if kind == Listing.FAILED:
             self.callbacks.wake(now + 1_000_000, self)
             return
@@ -39,25 +40,29 @@
             self.states.clear()
         for entry in entries:
             self.states[entry.server] = entry.phase
-        self.ready = [server for server, phase in self.states.items() if phase == Phase.READY]
+        self.ready = [server for server, state in self.states.items() if state == Phase.READY]
         self.in_flight = {
-            server: out for server, out in self.in_flight.items() if server in self.states or out
+            server: count for server, count in self.in_flight.items() if server in self.states or count
         }
 
     def woke(self, now: int) -> None:
+        """The timer is due: ask for the list again."""
         self.callbacks.follow()
 
     def take(self, now: int, name: int, tariff: int, key: int, retry: bool, until: int) -> TextbookSubmission:
-        one = self.submission_type(self, name, tariff, key, until)
-        one.send_next(now)
-        return one
+        """Start with a submission that the sidecar has admitted."""
+        submission = self.submission_type(self, name, tariff, key, until)
+        submission.send_next(now)
+        return submission
 
     def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
-        """A server, or -1 to turn the submission away."""
+        """A server from the candidates, or -1 to reject the submission."""
         raise NotImplementedError
 
 
 class TextbookSubmission:
+    """A submission with at most one hop at a time, each at a server not tried before."""
+
     def __init__(
         self, balancer: TextbookBalancer, name: int, class_index: int, key: int, deadline_at: int
     ) -> None:
@@ -70,15 +75,18 @@
         self.waiting = self.finished = False
 
     def over(self) -> bool:
+        """Whether it is answered and no hop is in flight."""
         return self.finished and not self.waiting
 
     def started(self, now: int, number: int) -> None:
-        """None of them goes by how an answer comes."""
+        """Ignored: textbook balancers do not consider slow responses."""
 
     def left(self, now: int) -> None:
+        """The client does not wait any more."""
         self.finished = True
 
     def ended(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None:
+        """A hop has ended: done, retry or fail."""
         balancer = self.balancer
         self.waiting = False
         balancer.in_flight[self.tried_servers[number]] -= 1
@@ -91,22 +99,28 @@
             balancer.callbacks.forfeit(self.name)
 
     def may_retry(self, outcome: Outcome) -> bool:
+        """Whether a further hop can do no harm."""
         effect = self.balancer.settings.tariffs[self.class_index].effect
         return outcome in NEVER_RAN or effect == Effect.IDEMPOTENT
 
     def send_next(self, now: int) -> None:
+        """Send the next hop, or reject or fail the submission if that is not possible."""
         balancer = self.balancer
-        among = [server for server in balancer.ready if server not in self.tried_servers]
-        if len(self.tried_servers) >= balancer.settings.most_hops or not among or now >= self.deadline_at:
+        candidates = [server for server in balancer.ready if server not in self.tried_servers]
+        if (
+            len(self.tried_servers) >= balancer.settings.most_hops
+            or not candidates
+            or now >= self.deadline_at
+        ):
             self.finished = True
             effect = balancer.settings.tariffs[self.class_index].effect
-            # Every earlier hop of what may not be repeated never ran, or it would not have come here.
+            # A non-idempotent submission gets here only if none of its hops ran.
             if effect == Effect.IDEMPOTENT or not self.tried_servers or effect == Effect.UNREPEATABLE:
                 balancer.callbacks.defer(self.name, 0)
             else:
                 balancer.callbacks.forfeit(self.name)
             return
-        server = balancer.choose(self, among)
+        server = balancer.choose(self, candidates)
         if server < 0:
             self.finished = True
             balancer.callbacks.defer(self.name, balancer.settings.most_retry_in // 8)
@@ -121,17 +135,23 @@
 
 
 class RandomChoice(TextbookBalancer):
+    """Any server, with equal probability."""
+
     def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
         return self.rng.choice(candidates)
 
 
 class RoundRobin(TextbookBalancer):
+    """The servers in turn."""
+
     def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
         self.next_index += 1
         return candidates[self.next_index % len(candidates)]
 
 
 class LeastInFlight(TextbookBalancer):
+    """The server with the fewest hops in flight; ties go round."""
+
     def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
         self.next_index += 1
         start = self.next_index % len(candidates)
@@ -139,6 +159,8 @@
 
 
 class TwoChoices(TextbookBalancer):
+    """The one with fewer hops in flight of two random servers."""
+
     def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
         pair = self.rng.sample(candidates, min(2, len(candidates)))
         return min(pair, key=lambda server: self.in_flight.get(server, 0))
@@ -147,17 +169,21 @@
 def make_oracle(
     expected_latency: Callable[[int, int, TextbookBalancer], float],
 ) -> Callable[[Settings, int, Outlet], TextbookBalancer]:
-    """One that knows what no sidecar can: for each server (and key) how long a hop would take there now.
+    """A balancer that knows what no sidecar can: how long a hop with a key would take at each server now.
 
-    It turns away what no server could answer within the agreed time.
+    It rejects what no server could answer within the latency target.
     """
 
     class Oracle(TextbookBalancer):
-        def choose(self, one: TextbookSubmission, among: list[int]) -> int:
-            times = [(expected_latency(server, one.key, self), server) for server in among]
-            least, server = min(times)
+        """The server with the lowest expected latency."""
+
+        def choose(self, submission: TextbookSubmission, candidates: list[int]) -> int:
+            latencies = [(expected_latency(server, submission.key, self), server) for server in candidates]
+            lowest, server = min(latencies)
             return (
-                server if least <= self.settings.tariffs[one.class_index].agreed or one.tried_servers else -1
+                server
+                if lowest <= self.settings.tariffs[submission.class_index].agreed or submission.tried_servers
+                else -1
             )
 
     return Oracle
--- a/pumicepath/lab/virtual/duty_fleet.py
+++ b/pumicepath/lab/virtual/duty_fleet.py
@@ -1,8 +1,8 @@
-"""Duties in virtual time: real decisions and datagrams, clocks that differ, and a place that is acted on.
+"""Duties in virtual time: the real duty and lease code with its datagrams, and clocks that drift.
 
-`Holders` is a small fleet in which everybody wants every duty; `schedule` plays a seeded day of faults on it.
-What is acted on writes a history, which the lab's checks judge: acts that are checked in the moment, and,
-under another name, acts that are late on their way and meet a fence.
+`DutyFleet` is a small fleet in which every member wants every duty; `run_schedule` runs a seeded schedule of
+faults on it.  All acts of holders go into a history, which the checks of the lab examine: acts that are
+checked when they happen, and, under other names, acts that arrive late and that a fence accepts or refuses.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 from ..model.timeline import SECOND, VirtualTimeline, random_source
 from .peers import address
 
-ACT_INTERVAL_US = 50_000
-TICK_US = 40_000  # of each member's thread
-DRIFT = 0.01
+ACT_INTERVAL_US = 50_000  # between acts of a holder
+TICK_US = 40_000  # between rounds of a member's thread
+DRIFT = 0.01  # maximum deviation of a clock's rate that leases allow for
 LEASE_US = 2 * SECOND
-RECOVERY_US = 12 * SECOND  # at the end, without faults: within it somebody must hold each duty
+RECOVERY_US = 12 * SECOND  # without faults at the end, in which each duty must find a holder
 
 
 @dataclass
 class InjectedBugs:
-    """Faults put into the program, each of which the checks must catch; none by default."""
+    """Bugs injected into the program, each of which the checks must find; none by default."""
 
-    holder_lease: Callable[[int], int] | None = None  # how long a holder counts on a lease
-    waits_after_restart: bool = True  # whether a voter that begins anew waits
-    remembers_grants: bool = True  # whether a voter knows what it granted
-    checks_fence: bool = True  # whether the place looks at numbers
-    checks_when_acting: bool = True  # whether the check comes with the act, not before it
-    joint_voter_sets: bool = True  # whether a change of voters goes by a file with both sets
+    holder_lease: Callable[[int], int] | None = None  # how long a holder relies on a lease
+    waits_after_restart: bool = True  # whether a restarted voter first waits for old leases to end
+    remembers_grants: bool = True  # whether a voter remembers its grants
+    checks_fence: bool = True  # whether a fence compares fencing numbers
+    checks_when_acting: bool = True  # whether a duty is checked when acting, not some time before
+    joint_voter_sets: bool = True  # whether a change of voters passes through both sets together
 
 
 @dataclass
 class DutyRun:
-    """The history, and how long each duty had no holder, in microseconds at a time."""
+    """The history and counts of a run; `gaps` are times without a holder of a duty, in microseconds."""
 
     history: list[dict[str, Any]] = field(default_factory=list)
     gaps: list[int] = field(default_factory=list)
@@ -50,7 +50,7 @@
 
 
 class Member:
-    """One sidecar; its clock has a rate and an origin of its own."""
+    """One sidecar, whose clock has a rate and an origin of its own; times in microseconds."""
 
     def __init__(self, fleet: DutyFleet, number: int, rate: float) -> None:
         self.fleet = fleet
@@ -59,9 +59,8 @@
         self.rate = rate
         self.clock_origin = (number + 1) * 1_000 * SECOND
         self.wall_offset_ms = number * 37 % 100
-        self.config_index = self.pending_config_index = (
-            0  # what its process goes by, and what the file on its disk says
-        )
+        # What the process has loaded, and what its file says.
+        self.config_index = self.pending_config_index = 0
         self.starts = 0
         self.up = self.stopped = False
         self.queue: list[tuple[int, bytes]] = []
@@ -69,33 +68,36 @@
         self.voter: Voter | None = None
 
     def clock(self) -> int:
+        """Its monotonic time."""
         return self.clock_origin + int(self.fleet.timeline.now * self.rate)
 
     def wall(self) -> int:
-        """Milliseconds, near the truth unless the clock was set."""
+        """Its wall-clock time in milliseconds, nearly right unless the clock was stepped."""
         return 1_800_000_000_000 + self.fleet.timeline.now // 1000 + self.wall_offset_ms
 
     def start(self) -> None:
-        holders, now = self.fleet, self.clock()
+        """Start a new instance; it has the configuration of its file and no other state."""
+        fleet, now = self.fleet, self.clock()
         self.starts += 1
         self.up, self.stopped, self.queue = True, False, []
         self.life = Record(f"n{self.number}", (self.number + 1) * 1_000_000 + self.starts, self.address, "")
         self.config_index = self.pending_config_index
         self.duties = Duties(
-            self.life.born, self.config(), holders.seed * 1000 + self.number * 10 + self.starts, self, now
+            self.life.born, self.config(), fleet.seed * 1000 + self.number * 10 + self.starts, self, now
         )
-        self.duties.want(now, holders.names)
+        self.duties.want(now, fleet.names)
         self.voter = None
         self.update_voter(now)
         if self.voter is not None and self.starts == 1:
             self.voter.silent_until = now
-        holders.timeline.at(holders.timeline.now, self.tick, self.starts)
+        fleet.timeline.at(fleet.timeline.now, self.tick, self.starts)
 
     def config(self) -> Given:
+        """The configuration that the process has loaded."""
         return self.fleet.configs[self.config_index]
 
     def update_voter(self, now: int) -> None:
-        """Be a voter if the file says so; one that becomes it knows nothing of what was granted."""
+        """Become a voter, without knowledge of earlier grants, or cease to be one, as configured."""
         names = sorted(self.config().names())
         if self.address not in self.config().voters():
             self.voter = None
@@ -107,17 +109,18 @@
             self.voter.adopt(names)
 
     def reload(self) -> None:
-        """SIGHUP, or what of it was pending."""
+        """Load a changed configuration, as on SIGHUP; a stopped member does so when it is resumed."""
         if self.up and not self.stopped and self.config_index != self.pending_config_index:
             self.config_index = self.pending_config_index
             self.duties.adopt(self.clock(), self.config())
             self.update_voter(self.clock())
 
     def kill(self) -> None:
+        """End the process at once."""
         self.up = False
 
     def tick(self, starts: int) -> None:
-        """What its thread does, every few milliseconds; nothing while it is stopped."""
+        """A round of the member's thread; nothing happens while it is stopped."""
         if not self.up or starts != self.starts:
             return
         if not self.stopped:
@@ -125,25 +128,31 @@
         self.fleet.timeline.at(self.fleet.timeline.now + TICK_US, self.tick, starts)
 
     def resume(self) -> None:
+        """Go on after a stop, first with the datagrams received meanwhile."""
         self.stopped = False
         self.reload()
         queue, self.queue = self.queue, []
         for source, data in queue:
             self.receive(source, data)
 
-    # -- the outlet of its duties
+    # -- callbacks of its duties
 
     def claim(self, voter: str, round_: int, claims: Sequence[Claim]) -> None:
-        given = self.config()
-        told = [Claimed(one.duty, one.number, one.release) for one in claims]
-        self.fleet.send(self, voter, Claims(self.life, 0, round_, given.lease, sorted(given.names()), told))
+        """Send claims to a voter."""
+        config = self.config()
+        claimed = [Claimed(claim.duty, claim.number, claim.release) for claim in claims]
+        self.fleet.send(
+            self, voter, Claims(self.life, 0, round_, config.lease, sorted(config.names()), claimed)
+        )
 
     def holds(self, duty: str, number: int, why: str) -> None:
+        """A duty was won or lost."""
         self.fleet.changed(self, duty, number)
 
-    # -- what comes
+    # -- datagrams
 
     def receive(self, source: int, data: bytes) -> None:
+        """A datagram arrives; it is kept while the member is stopped, and lost while it is down."""
         if not self.up:
             return
         if self.stopped:
@@ -157,31 +166,35 @@
         match message:
             case Claims() if self.voter is not None:
                 answers = []
-                for one in message.claims:
-                    if one.release:
-                        self.voter.released(one.duty, sender.born, one.number)
+                for claim in message.claims:
+                    if claim.release:
+                        self.voter.released(claim.duty, sender.born, claim.number)
                         continue
                     if not self.fleet.bugs.remembers_grants:
-                        self.voter.grants.pop(one.duty, None)
-                    told = self.voter.asked(
-                        now, one.duty, sender.born, one.number, message.lease, frozenset(message.sets)
+                        self.voter.grants.pop(claim.duty, None)
+                    answer = self.voter.asked(
+                        now, claim.duty, sender.born, claim.number, message.lease, frozenset(message.sets)
+                    )
+                    answers.append(
+                        Granted(claim.duty, claim.number, answer.verdict, answer.wait, answer.highest)
                     )
-                    answers.append(Granted(one.duty, one.number, told.verdict, told.wait, told.highest))
                 if answers:
                     self.fleet.send(self, address(source), Grants(self.life, 0, message.round, answers))
             case Grants():
-                for each in message.grants:
+                for grant in message.grants:
                     self.duties.answered(
                         now,
                         sender.address,
                         message.round,
-                        each.duty,
-                        each.number,
-                        Answer(Verdict(each.verdict), each.wait, each.highest),
+                        grant.duty,
+                        grant.number,
+                        Answer(Verdict(grant.verdict), grant.wait, grant.highest),
                     )
 
 
 class DutyFleet:
+    """The members, the places where holders act, and the history of their acts; times in microseconds."""
+
     def __init__(
         self,
         seed: int,
@@ -200,85 +213,89 @@
         self.bugs = bugs
         before = tuple(address(number) for number in range(voters))
         after = tuple(address(number) for number in range(count - voters, count))
-        both = (before, after) if bugs.joint_voter_sets else (after,)
-        self.configs = [Given(sets, LEASE_US, DRIFT) for sets in ((before,), both, (after,))]
+        joint = (before, after) if bugs.joint_voter_sets else (after,)
+        self.configs = [Given(sets, LEASE_US, DRIFT) for sets in ((before,), joint, (after,))]
         self.members = [
             Member(self, number, 1.0 + self.rng.choice((-max_drift, 0.0, max_drift)))
             for number in range(count)
         ]
-        self.by_address = {one.address: one for one in self.members}
+        self.by_address = {member.address: member for member in self.members}
         self.fences = [Fence() for _ in range(2)]
         self.run_record = DutyRun()
-        self.unheld_since: dict[str, int] = {}  # since when nobody has held each duty
+        self.unheld_since: dict[str, int] = {}  # since when a duty has no holder
         self.latest_numbers: dict[str, int] = {}
-        for one in self.members:
-            one.start()
+        for member in self.members:
+            member.start()
         self.timeline.at(0, self.act)
 
-    def send(self, one: Member, to: str, message: messages.Any) -> None:
-        other = self.by_address[to]
+    def send(self, member: Member, to: str, message: messages.Any) -> None:
+        """Send a message from a member to an address."""
+        recipient = self.by_address[to]
         self.run_record.messages += 1
         self.links.carry(
-            one.number,
-            other.number,
+            member.number,
+            recipient.number,
             messages.packed(message, 0),
-            lambda data: other.receive(one.number, data),
+            lambda data: recipient.receive(member.number, data),
         )
 
-    def changed(self, one: Member, duty: str, number: int) -> None:
+    def changed(self, member: Member, duty: str, number: int) -> None:
+        """Count handovers: a duty was won under a number other than the last one."""
         if number:
             self.run_record.handovers += self.latest_numbers.get(duty, number) != number
             self.latest_numbers[duty] = number
 
-    # -- what is acted on
+    # -- acts of holders
 
-    def acting_number(self, one: Member, duty: str) -> int:
+    def acting_number(self, member: Member, duty: str) -> int:
+        """The fencing number under which a member may act on a duty now; 0: it may not."""
         if self.bugs.holder_lease is not None:
-            mine = one.duties.duties[duty]
-            until = mine.asked_at + self.bugs.holder_lease(LEASE_US)
-            if mine.until and one.duties.won(mine) and one.clock() < until:
-                return mine.number
-        return one.duties.number(one.clock(), duty)
+            own = member.duties.duties[duty]
+            expires_at = own.asked_at + self.bugs.holder_lease(LEASE_US)
+            if own.until and member.duties.won(own) and member.clock() < expires_at:
+                return own.number
+        return member.duties.number(member.clock(), duty)
 
     def act(self) -> None:
-        """Each that may act does at once; some acts come late as well, to a place with a fence."""
+        """All holders act at once at a place; some acts also reach a place with a fence, late."""
         now = self.timeline.now
         for duty in self.names:
-            acting = 0
-            for one in self.members:
-                if not one.up or one.stopped:
+            acting_count = 0
+            for member in self.members:
+                if not member.up or member.stopped:
                     continue
-                number = self.acting_number(one, duty)
+                number = self.acting_number(member, duty)
                 if not number:
                     continue
-                acting += 1
-                self.record_act(one.life.born, "place", duty, number, True)
+                acting_count += 1
+                self.record_act(member.life.born, "place", duty, number, True)
                 if self.rng.random() < 0.05:
                     self.timeline.at(
                         now + round(3 * SECOND * self.rng.random()),
                         self.act_late,
-                        one,
+                        member,
                         duty,
                         number,
-                        one.life.born,
+                        member.life.born,
                     )
-            if acting and duty in self.unheld_since:
+            if acting_count and duty in self.unheld_since:
                 self.run_record.gaps.append(now - self.unheld_since.pop(duty))
-            elif not acting:
+            elif not acting_count:
                 self.unheld_since.setdefault(duty, now)
         self.timeline.at(now + ACT_INTERVAL_US, self.act)
 
-    def act_late(self, one: Member, duty: str, number: int, holder: int) -> None:
-        """An act that was checked a while ago: its process was stopped, or the way was slow."""
+    def act_late(self, member: Member, duty: str, number: int, holder: int) -> None:
+        """An act that was checked a while ago, by a process stopped meanwhile or over a slow network."""
         if not self.bugs.checks_when_acting:
             self.record_act(holder, "place", duty, number, True)
-        at = self.rng.randrange(len(self.fences))
-        accepted = self.fences[at].admits(duty, number) or not self.bugs.checks_fence
-        if not accepted and one.up:
-            one.duties.outbid(one.clock(), duty, self.fences[at].highest[duty])
-        self.record_act(holder, f"fence-{at}", f"{duty} at fence {at}", number, accepted)
+        fence = self.rng.randrange(len(self.fences))
+        accepted = self.fences[fence].admits(duty, number) or not self.bugs.checks_fence
+        if not accepted and member.up:
+            member.duties.outbid(member.clock(), duty, self.fences[fence].highest[duty])
+        self.record_act(holder, f"fence-{fence}", f"{duty} at fence {fence}", number, accepted)
 
     def record_act(self, holder: int, who: str, duty: str, number: int, accepted: bool) -> None:
+        """Add an act to the history."""
         self.run_record.history.append(
             {
                 "at": self.timeline.now,
@@ -295,110 +312,118 @@
 def run_schedule(
     seed: int, bugs: InjectedBugs | None = None, duration_s: float = 25.0, max_drift: float = DRIFT
 ) -> DutyRun:
-    """A seeded day: kills, stops, cuts both ways and one, bad links; then calm until the end."""
-    by = random_source(seed, "schedule")
-    count, voters = by.randint(4, 8), by.choice((3, 5))
-    made = DutyFleet(seed, max(count, voters), voters, ["d0", "d1"], bugs or InjectedBugs(), max_drift)
-    every = [one.number for one in made.members]
-
-    def at_some_time(call: Callable[[], None], lasts: float, undo: Callable[[], None] | None = None) -> None:
-        at = round(by.uniform(1.0, duration_s) * SECOND)
-        made.timeline.at(at, call)
+    """Run a seeded schedule: kills, stops, cuts, bad links, clock steps; then no faults until the end."""
+    rng = random_source(seed, "schedule")
+    count, voters = rng.randint(4, 8), rng.choice((3, 5))
+    fleet = DutyFleet(seed, max(count, voters), voters, ["d0", "d1"], bugs or InjectedBugs(), max_drift)
+    everyone = [member.number for member in fleet.members]
+
+    def at_some_time(
+        call: Callable[[], None], duration: float, undo: Callable[[], None] | None = None
+    ) -> None:
+        at = round(rng.uniform(1.0, duration_s) * SECOND)
+        fleet.timeline.at(at, call)
         if undo is not None:
-            made.timeline.at(min(at + round(lasts * SECOND), round(duration_s * SECOND)), undo)
+            fleet.timeline.at(min(at + round(duration * SECOND), round(duration_s * SECOND)), undo)
 
-    def with_undo(begin: Callable[[], Callable[[], None]], lasts: float) -> None:
+    def with_undo(begin: Callable[[], Callable[[], None]], duration: float) -> None:
         undone: list[Callable[[], None]] = []
-        at_some_time(lambda: undone.append(begin()), lasts, lambda: undone.pop()())
+        at_some_time(lambda: undone.append(begin()), duration, lambda: undone.pop()())
 
-    for _ in range(by.randint(6, 14)):
-        some = by.sample(every, by.randint(1, max(1, len(every) // 2)))
-        others = [number for number in every if number not in some]
-        lasts = by.choice((0.01, 0.5, 2.0, 5.0))
-        match by.randrange(6):
+    for _ in range(rng.randint(6, 14)):
+        chosen = rng.sample(everyone, rng.randint(1, max(1, len(everyone) // 2)))
+        others = [number for number in everyone if number not in chosen]
+        duration = rng.choice((0.01, 0.5, 2.0, 5.0))
+        match rng.randrange(6):
             case 0:
 
-                def kill(some: list[int] = some) -> None:
-                    for number in some:
-                        made.members[number].kill()
+                def kill(chosen: list[int] = chosen) -> None:
+                    for number in chosen:
+                        fleet.members[number].kill()
 
-                def start(some: list[int] = some) -> None:
-                    for number in some:
-                        if not made.members[number].up:
-                            made.members[number].start()
+                def start(chosen: list[int] = chosen) -> None:
+                    for number in chosen:
+                        if not fleet.members[number].up:
+                            fleet.members[number].start()
 
-                at_some_time(kill, lasts, start)
+                at_some_time(kill, duration, start)
             case 1:
 
-                def stop(some: list[int] = some) -> None:
-                    for number in some:
-                        made.members[number].stopped = True
+                def stop(chosen: list[int] = chosen) -> None:
+                    for number in chosen:
+                        fleet.members[number].stopped = True
 
-                def go_on(some: list[int] = some) -> None:
-                    for number in some:
-                        if made.members[number].up and made.members[number].stopped:
-                            made.members[number].resume()
+                def resume(chosen: list[int] = chosen) -> None:
+                    for number in chosen:
+                        if fleet.members[number].up and fleet.members[number].stopped:
+                            fleet.members[number].resume()
 
-                at_some_time(stop, lasts, go_on)
+                at_some_time(stop, duration, resume)
             case 2:
                 with_undo(
-                    lambda some=some, others=others: (  # type: ignore[misc]
-                        made.links.cut(some, others)
+                    lambda chosen=chosen, others=others: (  # type: ignore[misc]
+                        fleet.links.cut(chosen, others)
                     ),
-                    lasts,
+                    duration,
                 )
             case 3:
                 with_undo(
-                    lambda some=some, others=others: (  # type: ignore[misc]
-                        made.links.cut(some, others, both_ways=False)
+                    lambda chosen=chosen, others=others: (  # type: ignore[misc]
+                        fleet.links.cut(chosen, others, both_ways=False)
                     ),
-                    lasts,
+                    duration,
                 )
             case 4:
 
-                def set_clock(some: list[int] = some, step: int = by.choice((-3_600_000, 3_600_000))) -> None:
-                    for number in some:
-                        made.members[number].wall_offset_ms += step
+                def set_clock(
+                    chosen: list[int] = chosen, step: int = rng.choice((-3_600_000, 3_600_000))
+                ) -> None:
+                    for number in chosen:
+                        fleet.members[number].wall_offset_ms += step
 
-                at_some_time(set_clock, lasts)
+                at_some_time(set_clock, duration)
             case _:
-                noise = Impairment(
-                    by.uniform(0, 0.5),
-                    by.uniform(0, 0.3),
-                    by.uniform(0, 0.1),
+                impairment = Impairment(
+                    rng.uniform(0, 0.5),
+                    rng.uniform(0, 0.3),
+                    rng.uniform(0, 0.1),
                     0,
-                    by.choice((1_000, 300_000, 20 * SECOND)),
+                    rng.choice((1_000, 300_000, 20 * SECOND)),
+                )
+                with_undo(lambda impairment=impairment: fleet.links.impair(everyone, impairment), duration)  # type: ignore[misc]
+    if rng.random() < 0.5:
+        # The voters change: members get the configuration with both sets, in any order, then the new one.
+        def change(config_index: int) -> None:
+            for number in rng.sample(everyone, len(everyone)):
+                fleet.timeline.at(
+                    fleet.timeline.now + round(rng.uniform(0.0, 4.0) * SECOND),
+                    write_config,
+                    number,
+                    config_index,
                 )
-                with_undo(lambda noise=noise: made.links.impair(every, noise), lasts)  # type: ignore[misc]
-    if by.random() < 0.5:
-        # The voters change: the file with both sets comes to all in any order, then that with the new ones.
-        def change(file: int) -> None:
-            for number in by.sample(every, len(every)):
-                made.timeline.at(made.timeline.now + round(by.uniform(0.0, 4.0) * SECOND), lay, number, file)
-            if file == 1:
-                made.timeline.at(made.timeline.now + 4 * SECOND, go_on_to)
-
-        def lay(number: int, file: int) -> None:
-            made.members[number].pending_config_index = file
-            made.members[number].reload()
-
-        def go_on_to() -> None:
-            if any(one.up and one.config_index < 1 for one in made.members):
-                made.timeline.at(
-                    made.timeline.now + SECOND, go_on_to
-                )  # one that is stopped goes by the old file
+            if config_index == 1:
+                fleet.timeline.at(fleet.timeline.now + 4 * SECOND, finish_change)
+
+        def write_config(number: int, config_index: int) -> None:
+            fleet.members[number].pending_config_index = config_index
+            fleet.members[number].reload()
+
+        def finish_change() -> None:
+            if any(member.up and member.config_index < 1 for member in fleet.members):
+                # A stopped member still has the old configuration.
+                fleet.timeline.at(fleet.timeline.now + SECOND, finish_change)
             else:
                 change(2)
 
         at_some_time(lambda: change(1), 0)
-    made.timeline.run(round(duration_s * SECOND))
-    for one in made.members:
-        if not one.up:
-            one.start()
-        elif one.stopped:
-            one.resume()
-    made.timeline.run(made.timeline.now + RECOVERY_US)
-    made.run_record.held_at_end = sum(
-        any(made.acting_number(one, duty) for one in made.members) for duty in made.names
+    fleet.timeline.run(round(duration_s * SECOND))
+    for member in fleet.members:
+        if not member.up:
+            member.start()
+        elif member.stopped:
+            member.resume()
+    fleet.timeline.run(fleet.timeline.now + RECOVERY_US)
+    fleet.run_record.held_at_end = sum(
+        any(fleet.acting_number(member, duty) for member in fleet.members) for duty in fleet.names
     )
-    return made.run_record
+    return fleet.run_record
--- a/pumicepath/lab/virtual/peers.py
+++ b/pumicepath/lab/virtual/peers.py
@@ -1,6 +1,6 @@
-"""Sidecars' membership in virtual time: the real decisions and the real datagrams, on links of the model's.
+"""Fleet membership in virtual time: the real membership code and datagrams on the links of the model.
 
-`Peering` starts, kills and stops members by number; `views()` says what each running one sees.
+`VirtualFleet` starts, kills and stops nodes by number, and says which of them have a wrong view of the fleet.
 """
 
 from __future__ import annotations
@@ -19,17 +19,18 @@
 from ..model.timeline import Timeline, random_source
 from ..model.views import is_view_correct
 
-SEED_COUNT = 3
-CLOCK_ORIGIN_US = 86_400_000_000  # of the sidecars' clocks
-SOCKET_QUEUE_LIMIT = 200  # datagrams that a stopped one's socket holds
+SEED_COUNT = 3  # nodes that others know at their start
+CLOCK_ORIGIN_US = 86_400_000_000  # what the clocks of nodes show at the start of a run
+SOCKET_QUEUE_LIMIT = 200  # datagrams kept for a stopped node, as in its socket's buffer
 
 
 def address(number: int) -> str:
+    """The address of a node."""
     return f"127.{1 + (number >> 16)}.{number >> 8 & 255}.{number & 255}:7946"
 
 
 class VirtualNode:
-    """One sidecar's part of the fleet; `starts` counts its lives."""
+    """One sidecar as a node of the fleet; `starts` counts its instances."""
 
     def __init__(self, fleet: VirtualFleet, number: int) -> None:
         self.fleet = fleet
@@ -45,38 +46,45 @@
 
     @property
     def membership(self) -> Membership | None:
+        """Its membership state; None while it is down."""
         return self.fleet_node.membership if self.fleet_node is not None else None
 
     def start(self) -> None:
-        peering = self.fleet
+        """Start a new instance, which knows only the seeds."""
+        fleet = self.fleet
         self.starts += 1
-        own = random_source(peering.seed, "peer", self.number, self.starts)
-        seeds = tuple(address(each) for each in peering.seeds if each != self.number)
+        rng = random_source(fleet.seed, "peer", self.number, self.starts)
+        seeds = tuple(address(each) for each in fleet.seeds if each != self.number)
         settings = PeerSettings(
             self.address,
             seeds,
-            every=peering.probe_interval,
-            timeout=peering.timeout,
-            most=peering.max_members,
-            voting=peering.voting,
+            every=fleet.probe_interval,
+            timeout=fleet.timeout,
+            most=fleet.max_members,
+            voting=fleet.voting,
         )
-        me = Record(self.name, own.getrandbits(62) | 1, self.address, peering.zone_name(self.number))
-        self.fleet_node = Fellow(me, settings, own.getrandbits(63), self, self.clock())
+        record = Record(self.name, rng.getrandbits(62) | 1, self.address, fleet.zone_name(self.number))
+        self.fleet_node = Fellow(record, settings, rng.getrandbits(63), self, self.clock())
         self.schedule_timer()
 
     def clock(self) -> int:
+        """Monotonic time, in microseconds."""
         return self.fleet.timeline.now + CLOCK_ORIGIN_US
 
     def post(self, address: str, message: messages.Any) -> None:
+        """Send a message to another node."""
         self.fleet.send(self, address, messages.packed(message, 0))
 
     def changed(self, record: Record, by: str) -> None:
+        """The state of a member has changed in this node's view."""
         self.fleet.changed(self, record)
 
     def twice(self, record: Record) -> None:
+        """Two instances use the same name."""
         self.fleet.counts["name twice"] += 1
 
     def receive(self, source: str, data: bytes) -> None:
+        """A datagram arrives; it is kept while the node is stopped, and lost while it is down."""
         if self.stopped:
             if len(self.queue) < SOCKET_QUEUE_LIMIT:
                 self.queue.append((source, data))
@@ -90,16 +98,17 @@
             self.schedule_timer()
 
     def schedule_timer(self) -> None:
-        """Have `woke` called when it is due, once."""
+        """Schedule one timer for when the node next has something to do."""
         if self.fleet_node is None:
             return
-        due = self.fleet_node.due() - CLOCK_ORIGIN_US
-        if self.timer_at < 0 or due < self.timer_at:
-            self.timer_at = due
-            self.fleet.timeline.at(due, self.timer_fired, self.starts, due)
-
-    def timer_fired(self, starts: int, due: int) -> None:
-        if starts != self.starts or due != self.timer_at or self.fleet_node is None:
+        due_at = self.fleet_node.due() - CLOCK_ORIGIN_US
+        if self.timer_at < 0 or due_at < self.timer_at:
+            self.timer_at = due_at
+            self.fleet.timeline.at(due_at, self.timer_fired, self.starts, due_at)
+
+    def timer_fired(self, starts: int, due_at: int) -> None:
+        """A timer is due, unless it was replaced or set by an earlier instance."""
+        if starts != self.starts or due_at != self.timer_at or self.fleet_node is None:
             return
         self.timer_at = -1
         if not self.stopped:
@@ -107,6 +116,7 @@
             self.schedule_timer()
 
     def resume(self) -> None:
+        """Go on after a stop, first with the datagrams kept meanwhile."""
         self.stopped = False
         queue, self.queue = self.queue, []
         for source, data in queue:
@@ -116,33 +126,39 @@
             self.timer_at = -1
             self.schedule_timer()
 
-    # -- trials: the balancer's companions, and what others say to it
+    # -- trials agreed on with other nodes
 
     def wall_ms(self) -> int:
+        """Wall-clock time in milliseconds."""
         return 1_800_000_000_000 + self.fleet.timeline.now // 1000
 
     def holds(self, duty: str, number: int, why: str) -> None:
+        """Count a duty won or lost."""
         self.fleet.counts["duties won" if number else "duties lost"] += 1
 
     def put_off(self, server: str, wait: int) -> None:
+        """Pass on to the balancer that its trial of a server is postponed, or due now."""
         self.fleet.counts["put off" if wait else "brought forward"] += 1
         self.on_postponed(int(server), wait)
 
     def turn(self, name: str) -> bool:
-        fellow = self.fleet_node
+        """Whether the trial of a server is this node's duty."""
+        node = self.fleet_node
         return (
-            fellow is not None
-            and fellow.trials is not None
-            and fellow.duties is not None
-            and bool(fellow.duties.number(self.clock(), fellow.trials.duty(name)))
+            node is not None
+            and node.trials is not None
+            and node.duties is not None
+            and bool(node.duties.number(self.clock(), node.trials.duty(name)))
         )
 
     def opened(self, name: str, cooldown: int, often: bool) -> None:
+        """The balancer's breaker for a server has opened."""
         if self.fleet_node is not None and self.fleet_node.trials is not None:
             self.fleet_node.trials.opened(self.clock(), name, cooldown, often)
             self.schedule_timer()
 
     def tried(self, name: str, failed: bool) -> None:
+        """The balancer has finished a trial of a server."""
         self.fleet.counts["trials failed" if failed else "trials served"] += 1
         if self.fleet_node is not None and self.fleet_node.trials is not None:
             self.fleet_node.trials.tried(self.clock(), name, failed)
@@ -150,6 +166,8 @@
 
 
 class VirtualFleet:
+    """All nodes of a fleet, and counts of what happens to them; times in microseconds."""
+
     def __init__(
         self,
         timeline: Timeline,
@@ -174,49 +192,56 @@
         self.counts: Counter[str] = Counter()
 
     def zone_name(self, number: int) -> str:
+        """The zone of a node, one of `a`, `b`, ..."""
         return chr(ord("a") + number % self.zone_count)
 
     def send(self, node: VirtualNode, address: str, data: bytes) -> None:
+        """Send a datagram; lost if nobody has the address."""
         other = self.by_address.get(address)
         if other is not None:
             self.links.carry(node.number, other.number, data, lambda data: other.receive(node.address, data))
 
     def changed(self, node: VirtualNode, record: Record) -> None:
-        what = STATES[record.state]
-        self.counts[what] += 1
+        """Count a changed state in a node's view; a death is false if that instance still runs."""
+        state = STATES[record.state]
+        self.counts[state] += 1
         other = self.by_address[record.address].membership
-        if what == "dead" and other is not None and other.me.born == record.born:
+        if state == "dead" and other is not None and other.me.born == record.born:
             self.counts["false deaths"] += 1
 
     def start(self, number: int) -> None:
+        """Start a node."""
         self.nodes[number].start()
 
     def attach_balancer(self, number: int, balancer: Any) -> None:
-        """Have the trials of these decisions agreed on, where the fleet does so."""
+        """Connect a balancer to its node, if the fleet agrees on trials."""
         if self.voting is not None and self.voting.trials and isinstance(balancer, Balancer):
             node = self.nodes[number]
             balancer.companions = node
             node.on_postponed = lambda server, wait: balancer.put_off(self.timeline.now, server, wait)
 
     def kill(self, number: int) -> None:
+        """Kill a node at once."""
         node = self.nodes[number]
         node.fleet_node, node.stopped, node.queue, node.timer_at = None, False, [], -1
 
     def stop(self, number: int) -> None:
+        """Suspend a node."""
         self.nodes[number].stopped = True
 
     def resume(self, number: int) -> None:
+        """Let a suspended node go on."""
         if self.nodes[number].stopped:
             self.nodes[number].resume()
 
     def sidecars_with_wrong_view(self, max_sampled: int = 0) -> list[str]:
-        """Names of those whose view is not what is so, of all that run or of some evenly among them."""
+        """Names of running nodes with a wrong view, of all or of an even sample of about `max_sampled`."""
         running = [node for node in self.nodes if node.membership is not None]
         names = [node.name for node in running]
-        looked = running[:: max(1, len(running) // max_sampled)] if max_sampled else running
+        sampled = running[:: max(1, len(running) // max_sampled)] if max_sampled else running
         views = {
-            node.name: [(seen.name, STATES[seen.state]) for seen in node.membership.members(0)]
-            for node in looked
+            node.name: [(member.name, STATES[member.state]) for member in node.membership.members(0)]
+            for node in sampled
             if node.membership is not None
         }
         return [name for name, view in views.items() if not is_view_correct(name, view, names)]
--- a/pumicepath/lab/virtual/run.py
+++ b/pumicepath/lab/virtual/run.py
@@ -1,4 +1,4 @@
-"""One run of a plan in virtual time, and what came of it."""
+"""Runs a plan in virtual time."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 PUMICEPATH = "pumicepath"
 ORACLE = "oracle"
 POLICIES = (PUMICEPATH, ORACLE, *TEXTBOOK_BALANCERS)
-END_MARGIN_US = 2 * SECOND  # after the longest patience: what is still out then ends
+END_MARGIN_US = 2 * SECOND  # after the longest deadline, for what is still in flight to end
 VOTER_COUNT = 3
-MAX_SAMPLED_SIDECARS = 50  # sidecars whose breakers are sampled for the picture
+MAX_SAMPLED_SIDECARS = 50  # whose breakers and views of the fleet are sampled each second
 
 
 class VirtualWorld(World):
-    """A world whose sidecars live in virtual time."""
+    """A world whose sidecars run in virtual time; `trace_lines` of their log are kept."""
 
     timeline: VirtualTimeline
 
@@ -44,25 +44,25 @@
         self.wrong_views: list[int] = []
         if plan.sidecars.peers:
             self.links = Links(self.timeline, seed, self.network.same_zone_delay)
-            every = to_microseconds(plan.sidecars.peers_every_s)
+            probe_interval = to_microseconds(plan.sidecars.peers_every_s)
             self.sidecar_fleet = VirtualFleet(
                 self.timeline,
                 self.links,
                 seed,
                 plan.sidecars.count,
-                every,
-                round(every * TIMEOUT_PART),
+                probe_interval,
+                round(probe_interval * TIMEOUT_PART),
                 voting=self.voting(),
                 zone_count=plan.fleet.halls,
             )
-        halls = plan.fleet.halls
+        zone_count = plan.fleet.halls
         for number in range(plan.sidecars.count):
-            hall = number % halls
+            zone = number % zone_count
             sidecar = Sidecar(
                 self,
                 number,
-                hall,
-                self.settings_of(number, hall),
+                zone,
+                self.settings_of(number, zone),
                 seed * 1_000_003 + number,
                 self.make_balancer,
                 to_microseconds(plan.sidecars.dial_ms / 1e3),
@@ -70,26 +70,28 @@
             )
             self.instances.append(sidecar)  # type: ignore[arg-type]
             self.make_clients(sidecar, sidecar).start()  # type: ignore[arg-type]
-        for number, trouble in enumerate(plan.troubles):
-            KINDS[trouble.kind](self, trouble, number).schedule()
+        for number, spec in enumerate(plan.troubles):
+            KINDS[spec.kind](self, spec, number).schedule()
 
     def settings_of(self, number: int, zone: int) -> Settings:
+        """The settings of one sidecar."""
         return dataclasses.replace(self.settings[zone], me=number)
 
     def voting(self) -> Voting | None:
-        """The first sidecars vote, where there are duties."""
-        asked = self.plan.sidecars
-        if not asked.trials:
+        """The first sidecars vote on duties, if trials are agreed on; None without them."""
+        sidecars = self.plan.sidecars
+        if not sidecars.trials:
             return None
-        lease = to_microseconds(asked.lease_s)
+        lease = to_microseconds(sidecars.lease_s)
         return Voting(
-            (tuple(address(each) for each in range(VOTER_COUNT if asked.count >= VOTER_COUNT else 1)),),
+            (tuple(address(each) for each in range(VOTER_COUNT if sidecars.count >= VOTER_COUNT else 1)),),
             lease,
             lease,
             trials=True,
         )
 
     def balancer_factory(self, policy: str) -> BalancerFactory:
+        """The balancer of a policy in `POLICIES`; raises KeyError for others."""
         if policy == PUMICEPATH:
             return Balancer
         if policy == ORACLE:
@@ -97,32 +99,34 @@
         return TEXTBOOK_BALANCERS[policy]
 
     def expected_latency(self, server: int, key: int, asker: TextbookBalancer) -> float:
-        one = self.servers[server]
-        if not self.network.is_connected(asker.settings.zone, one.zone):
+        """Microseconds that a mean hop would take now, for the oracle."""
+        target = self.servers[server]
+        if not self.network.is_connected(asker.settings.zone, target.zone):
             return 1e12
-        return one.expected_latency(round(self.plan.fleet.work_ms * 1000), key)
+        return target.expected_latency(round(self.plan.fleet.work_ms * 1000), key)
 
     def trace(self, sidecar: int, text: str) -> None:
+        """Keep a line of a sidecar's log, if a trace is wanted."""
         if self.log.maxlen:
             self.log.append(f"{self.timeline.now / SECOND:9.3f}  sidecar {sidecar}: {text}")
 
     def sample(self) -> None:
-        """What servers have at them, the share of sidecars that refuse them, and who sees the fleet wrong."""
+        """Record hops at servers, the fraction of sidecars whose breakers are open, and wrong fleet views."""
         if isinstance(self.sidecar_fleet, VirtualFleet):
             self.wrong_views.append(len(self.sidecar_fleet.sidecars_with_wrong_view(MAX_SAMPLED_SIDECARS)))
         self.hops_at_servers.append([self.servers[number].hop_count for number in self.server_ids])
-        refused = [0] * len(self.server_ids)
+        open_counts = [0] * len(self.server_ids)
         step = max(1, len(self.instances) // MAX_SAMPLED_SIDECARS)
-        looked = [one.balancer for one in self.instances[::step] if one.up]  # type: ignore[attr-defined]
-        for decisions in looked:
-            if isinstance(decisions, Balancer):
-                for place, number in enumerate(self.server_ids):
-                    at = decisions.index.get(number)
-                    refused[place] += at is not None and decisions.state[at] != 0
-        self.open_breakers.append([count / max(1, len(looked)) for count in refused])
+        sampled = [each.balancer for each in self.instances[::step] if each.up]  # type: ignore[attr-defined]
+        for balancer in sampled:
+            if isinstance(balancer, Balancer):
+                for slot, number in enumerate(self.server_ids):
+                    index = balancer.index.get(number)
+                    open_counts[slot] += index is not None and balancer.state[index] != 0
+        self.open_breakers.append([count / max(1, len(sampled)) for count in open_counts])
 
     def run(self, on_progress: Callable[[float], None] | None = None) -> Result:
-        """Play the plan to its end; `told` hears of each second played."""
+        """Run the plan to its end; `on_progress` gets the fraction done after each second of it."""
         second = SECOND
         while second <= self.duration:
             self.timeline.run(second)
@@ -130,9 +134,7 @@
             if on_progress is not None:
                 on_progress(second / self.duration)
             second += SECOND
-        self.timeline.run(
-            self.duration + max(tariff.patience for tariff in self.request_classes) + END_MARGIN_US
-        )
+        self.timeline.run(self.duration + max(each.patience for each in self.request_classes) + END_MARGIN_US)
         return collect_result(
             self,
             self.policy if isinstance(self.policy, str) else "other",
