--- a/pumicepath/lab/model/registry.py
+++ b/pumicepath/lab/model/registry.py
@@ -52,7 +52,7 @@
         self.timing = timing
         self.rng = random_source(seed, "list")
         self.seq = 0
-        self.truth: dict[int, Entry] = {}
+        self.actual_entries: dict[int, Entry] = {}
         self.off_since: dict[int, int] = {}  # since when each drains or is gone
         self.state_overrides: dict[int, Phase] = {}  # states published instead of the actual ones
         self.down = False
@@ -65,7 +65,7 @@
         """Servers start, change or, in state GONE, end."""
         now = self.timeline.now
         for entry in entries:
-            self.truth[entry.server] = entry
+            self.actual_entries[entry.server] = entry
             if entry.phase == Phase.READY:
                 self.off_since.pop(entry.server, None)
             else:
@@ -74,7 +74,7 @@
 
     def set_state(self, server: int, state: Phase = Phase.DRAINING) -> None:
         """Change the actual state of a server."""
-        self.update(self.truth[server]._replace(phase=state))
+        self.update(self.actual_entries[server]._replace(phase=state))
 
     def override_state(self, server: int, state: Phase | None) -> None:
         """Publish a wrong state for a server; None ends this."""
@@ -86,13 +86,13 @@
 
     def published(self, server: int) -> Entry:
         """The entry of a server as readers get it."""
-        entry = self.truth[server]
+        entry = self.actual_entries[server]
         override = self.state_overrides.get(server)
         return entry if override is None else entry._replace(phase=override)
 
     def full_list(self) -> list[Entry]:
         """The published entries of all servers that are not gone."""
-        return [entry for entry in map(self.published, self.truth) if entry.phase != Phase.GONE]
+        return [entry for entry in map(self.published, self.actual_entries) if entry.phase != Phase.GONE]
 
     def publish(self, servers: Iterable[int]) -> None:
         """Send the entries of these servers to all subscribers, each after a delay of its own."""
