--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The model, its troubles and its judge, in virtual time."""
+"""The model, injected faults and the rule checker in virtual time."""
 
 from __future__ import annotations
 
@@ -34,25 +34,25 @@
 )
 
 
-def with_fault(kind: str, plan: Plan = SMALL_PLAN, **more: object) -> Plan:
-    trouble = FaultSpec(kind=kind, **{"at_s": 2, "for_s": 3, "servers": (4,), **more})
-    return plan.model_copy(update={"troubles": (trouble,)})
+def with_fault(kind: str, plan: Plan = SMALL_PLAN, **overrides: object) -> Plan:
+    fault = FaultSpec(kind=kind, **{"at_s": 2, "for_s": 3, "servers": (4,), **overrides})
+    return plan.model_copy(update={"troubles": (fault,)})
 
 
 def summary_line(plan: Plan, policy: object, seed: int = 1) -> str:
-    """What a run comes to, in a line; a judge's finding by its name."""
+    """The result of a run in one line, with the names of violated rules."""
     result = VirtualWorld(plan, seed, policy).run()
-    told = summarize(result)
+    summary = summarize(result)
     ends = " ".join(
-        f"{name} {told[name]}"
+        f"{name} {summary[name]}"
         for name in ("offered", "good", "late", "deferred", "forfeited", "left", "lost", "refused")
     )
     broken = " ".join(name for name, count in result.violations.items() if count)
-    return f"{told['service']:.3f}  {ends}{'  BROKEN ' + broken if broken else ''}"
+    return f"{summary['service']:.3f}  {ends}{'  BROKEN ' + broken if broken else ''}"
 
 
 class ScriptedObserver:
-    """A witness to whom all work has its effect."""
+    """An observer that notes overloads; all work has an effect."""
 
     def __init__(self) -> None:
         self.overloads: list[str] = []
@@ -65,7 +65,7 @@
 
 
 class ServerHarness:
-    """Servers alone, with what they answer noted."""
+    """Servers on their own, whose answers are noted."""
 
     def __init__(self, count: int = 1, limit: int = 0) -> None:
         self.timeline = VirtualTimeline()
@@ -73,15 +73,16 @@
         self.observer = ScriptedObserver()
         shared = SharedLimit(limit) if limit else None
         self.servers = [
-            Server(self.timeline, self.observer, PARAMETERS, at, 0, 0, limit=shared) for at in range(count)
+            Server(self.timeline, self.observer, PARAMETERS, slot, 0, 0, limit=shared)
+            for slot in range(count)
         ]
 
-    def send(self, name: str, at: int = 0, key: int = 0, work: int = 100_000) -> Job:
+    def send(self, name: str, slot: int = 0, key: int = 0, work: int = 100_000) -> Job:
         def reply(outcome: Outcome) -> None:
             self.lines.append(f"{self.timeline.now / 1e6:.3f}  {name} {outcome.name.lower()}")
 
         job = Job(0, key, 1, work, reply)
-        self.servers[at].receive(job)
+        self.servers[slot].receive(job)
         return job
 
     def run_until(self, seconds: float) -> ServerHarness:
@@ -89,56 +90,56 @@
         return self
 
 
-def test_servers_queue_refuse_remember_slow_down_and_stop() -> None:
-    yard = ServerHarness()
-    one = yard.servers[0]
-    for name in "abcd":  # the core, two in the queue, one too many
-        yard.send(name)
-    yard.run_until(1).send("new key", key=5)
-    yard.run_until(2).send("known key", key=5)
-    yard.run_until(3).send("slowed")
-    yard.run_until(3.05)
-    one.set_speed_factor(0.5)
-    yard.run_until(4)
-    one.set_speed_factor(1.0)
-    yard.send("paused")
-    yard.run_until(4.05)
-    one.set_speed_factor(0.0)
-    yard.run_until(5)
-    one.set_speed_factor(1.0)
-    stopped = yard.run_until(6).send("stopped")
-    waits = yard.send("in the queue")
-    one.cancel(stopped)
-    one.cancel(waits)
-    yard.run_until(7).send("killed")
-    one.kill()
-    yard.send("nobody there")
-    one.start()
-    yard.run_until(8).send("cold")
-    one.set_speed_factor(1.0)
-    yard.run_until(9)
-    one.silence()
-    yard.send("lost")
-    compare("lab-server", yard.run_until(20).lines)
-
-
-def test_cold_server_sent_too_much_over_any_window_falls_and_stays_down() -> None:
-    yard = ServerHarness()
-    yard.run_until(1).servers[0].start()
-    for step in range(12):  # twice what it can do, in a second, is 1.0 and more of work
-        yard.run_until(1.01 + step * 0.09).send(f"{step}", work=110_000)
-    compare("lab-fall", yard.run_until(9).lines + yard.observer.overloads)
-
-
-def test_group_shares_a_limit_and_a_dead_server_leaves_its_places_to_the_others() -> None:
-    yard = ServerHarness(3, limit=2)
+def test_server_queues_refuses_caches_slows_down_and_stops() -> None:
+    harness = ServerHarness()
+    server = harness.servers[0]
+    for name in "abcd":  # one runs, two wait in the queue, one is refused
+        harness.send(name)
+    harness.run_until(1).send("new key", key=5)
+    harness.run_until(2).send("known key", key=5)
+    harness.run_until(3).send("slowed")
+    harness.run_until(3.05)
+    server.set_speed_factor(0.5)
+    harness.run_until(4)
+    server.set_speed_factor(1.0)
+    harness.send("paused")
+    harness.run_until(4.05)
+    server.set_speed_factor(0.0)
+    harness.run_until(5)
+    server.set_speed_factor(1.0)
+    stopped = harness.run_until(6).send("stopped")
+    waits = harness.send("in the queue")
+    server.cancel(stopped)
+    server.cancel(waits)
+    harness.run_until(7).send("killed")
+    server.kill()
+    harness.send("nobody there")
+    server.start()
+    harness.run_until(8).send("cold")
+    server.set_speed_factor(1.0)
+    harness.run_until(9)
+    server.silence()
+    harness.send("lost")
+    compare("lab-server", harness.run_until(20).lines)
+
+
+def test_cold_server_collapses_under_overload_in_any_window_and_stays_down() -> None:
+    harness = ServerHarness()
+    harness.run_until(1).servers[0].start()
+    for step in range(12):  # the limit in a window of 1 s is twice what it can do: 1.0 s of work or more
+        harness.run_until(1.01 + step * 0.09).send(f"{step}", work=110_000)
+    compare("lab-fall", harness.run_until(9).lines + harness.observer.overloads)
+
+
+def test_killed_server_releases_its_capacity_of_a_shared_limit_to_others() -> None:
+    harness = ServerHarness(3, limit=2)
     for at in range(3):
-        yard.send(f"server {at}", at)
-    yard.run_until(0.05).servers[0].kill()
-    compare("lab-limit", yard.run_until(1).lines)
+        harness.send(f"server {at}", at)
+    harness.run_until(0.05).servers[0].kill()
+    compare("lab-limit", harness.run_until(1).lines)
 
 
-def test_jam_lasts_until_the_server_is_nearly_idle() -> None:
+def test_congestion_lasts_until_the_server_is_nearly_idle() -> None:
     time, lines = VirtualTimeline(), []
     build = ServerParameters(1, 10, 1, 1.0, 1.0, 1, 9.0, 1, 3.0, 0.5, False)
     server = Server(time, ScriptedObserver(), build, 0, 0, 0)
@@ -150,40 +151,40 @@
     compare("lab-jam", lines)
 
 
-def test_same_seed_gives_the_same_run_and_another_one_another() -> None:
+def test_run_is_reproducible_for_a_seed_and_differs_for_another() -> None:
     plan = with_fault("vanish", for_s=4)
     runs = [VirtualWorld(plan, seed, "pumicepath", 1000).run() for seed in (3, 3, 4)]
     assert runs[0] == runs[1] and runs[0].columns != runs[2].columns
     compare("lab-run", runs[0].log[:40] + [summary_line(plan, "pumicepath", 3)])
 
 
-def test_pairs_of_policies_meet_the_same_submissions() -> None:
+def test_all_policies_get_the_same_submissions() -> None:
     plan = with_fault("pause", for_s=4)
     offered = [VirtualWorld(plan, 5, policy).run().columns["offered"] for policy in POLICIES]
-    assert all(one == offered[0] for one in offered)
+    assert all(counts == offered[0] for counts in offered)
 
 
-@pytest.mark.parametrize("kind", sorted(name for name, one in KINDS.items() if not one.needs_processes))
-def test_each_trouble_does_what_it_says(kind: str) -> None:
-    """A balancer without breakers shows it, or, for those that concern the list alone, what it is told."""
+@pytest.mark.parametrize("kind", sorted(name for name, fault in KINDS.items() if not fault.needs_processes))
+def test_each_fault_has_its_described_effect(kind: str) -> None:
+    """Effects show at a balancer without breakers, or, for faults of the list alone, in its notices."""
     base = SMALL_PLAN
     if KINDS[kind].needs_peers:
         base = SMALL_PLAN.model_copy(update={"sidecars": Sidecars(count=6, peers=True, peers_every_s=0.2)})
     plan = with_fault(kind, base, hall=1)
     world = VirtualWorld(plan, 1, "random")
-    met, calm = world.run(), VirtualWorld(base, 1, "random").run()
+    faulty, baseline = world.run(), VirtualWorld(base, 1, "random").run()
     shown = [
         f"{name}: {summary_line(given, 'random')}; at server 4 {[row[4] for row in result.hops_at_servers]}"
         + (f"; views wrong {result.wrong_views}" if result.wrong_views else "")
-        for name, given, result in (("calm", base, calm), ("met ", plan, met))
+        for name, given, result in (("calm", base, baseline), ("met ", plan, faulty))
     ]
     shown += [mark.text for mark in world.marks]
-    told = [
+    notices = [
         f"server {server}: known to be off since {since / 1e6:.3f}"
         for server, since in sorted(world.registry.subscriptions[0].notified_at.items())
     ]
-    assert calm.events != met.events
-    compare(f"lab-trouble-{kind}", shown + told)
+    assert baseline.events != faulty.events
+    compare(f"lab-trouble-{kind}", shown + notices)
 
 
 ALL_EFFECTS_LOAD = Load(
@@ -209,37 +210,39 @@
         (bad.Rush, "die", "pushed_over"),
     ],
 )
-def test_judge_catches_a_balancer_that_breaks_the_rule(maker: type, kind: str, cause: str | None) -> None:
+def test_rule_checker_finds_a_balancer_that_violates_a_rule(
+    maker: type, kind: str, cause: str | None
+) -> None:
     plan = with_fault(kind, SMALL_PLAN.model_copy(update={"load": ALL_EFFECTS_LOAD}))
-    found = VirtualWorld(plan, 1, maker).run()
-    if cause is None:  # the host itself has the last word when patience ends
-        assert found.columns["forfeited"][3] > 0
+    result = VirtualWorld(plan, 1, maker).run()
+    if cause is None:  # the host itself answers when the deadline passes
+        assert result.columns["forfeited"][3] > 0
     else:
-        assert found.violations[cause] > 0, found.violations
-    well = VirtualWorld(plan, 1, "pumicepath").run()
-    assert not any(well.violations.values()), well.first_violations
+        assert result.violations[cause] > 0, result.violations
+    correct = VirtualWorld(plan, 1, "pumicepath").run()
+    assert not any(correct.violations.values()), correct.first_violations
 
 
 @pytest.mark.parametrize("after, cause", [(None, "unanswered"), (100_000, "answered_late")])
-def test_judge_catches_a_sidecar_without_a_last_word_or_with_a_late_one(
-    after: int | None, cause: str, monkeypatch: pytest.MonkeyPatch
+def test_rule_checker_finds_missing_and_late_final_answers(
+    delay: int | None, cause: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Some balancers leave the last word to their host; here the host fails them."""
-    last_word = Sidecar.deadline_passed
+    """A balancer may leave the final answer to its host; here the host gives none, or gives it too late."""
+    deadline_passed = Sidecar.deadline_passed
 
     def late(self: Sidecar, name: int, one: OpenSubmission) -> None:
-        if after is not None:
-            self.world.timeline.at(self.world.timeline.now + after, last_word, self, name, one)
+        if delay is not None:
+            self.world.timeline.at(self.world.timeline.now + delay, deadline_passed, self, name, one)
 
     monkeypatch.setattr(Sidecar, "deadline_passed", late)
-    if after is not None:  # its client waits on, or nobody would see the late one
+    if delay is not None:  # the client must wait on to receive the late answer
         monkeypatch.setattr(Clients, "give_up", lambda *_: None)
     plan = with_fault("fail-quickly", SMALL_PLAN.model_copy(update={"load": ALL_EFFECTS_LOAD}))
-    found = VirtualWorld(plan, 1, bad.Silent).run()
-    assert found.violations[cause] > 0, found.violations
+    result = VirtualWorld(plan, 1, bad.Silent).run()
+    assert result.violations[cause] > 0, result.violations
 
 
-def test_sidecar_killed_with_submissions_open_loses_none_of_them() -> None:
+def test_killed_sidecars_lose_none_of_their_open_submissions() -> None:
     plan = with_fault("sidecars-restarted", value=1.0)
     result = VirtualWorld(plan, 1).run()
     assert result.final_answers["cut"] > 0 and not any(result.violations.values()), (
@@ -248,7 +251,7 @@
     )
 
 
-def test_a_thousand_sidecars_leave_nothing_behind() -> None:
+def test_many_sidecars_leave_no_records_behind() -> None:
     plan = Plan(
         lasts_s=3,
         warm_s=1,
@@ -260,6 +263,6 @@
     world = VirtualWorld(plan, 2)
     world.run()
     held = [len(world.rule_checker.records)] + [
-        len(one.open_submissions) + len(one.latest_names) for one in world.instances
+        len(sidecar.open_submissions) + len(sidecar.latest_names) for sidecar in world.instances
     ]
     assert sum(held) == 0
