--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -223,7 +223,7 @@
     assert not any(correct.violations.values()), correct.first_violations
 
 
-@pytest.mark.parametrize("after, cause", [(None, "unanswered"), (100_000, "answered_late")])
+@pytest.mark.parametrize("delay, cause", [(None, "unanswered"), (100_000, "answered_late")])
 def test_rule_checker_finds_missing_and_late_final_answers(
     delay: int | None, cause: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
