--- a/pumicepath/lab/model/rule_checker.py
+++ b/pumicepath/lab/model/rule_checker.py
@@ -108,14 +108,14 @@
         """A final answer reached the client: `succeeded`, `deferred` (rejected) or `forfeited` (failed)."""
         record = self.records.get(submission_id)
         if record is None or not record.awaiting_answer:
-            self.report_violation("answered_twice", f"submission {submission_id} {answer} a second time")
+            self.report_violation("answered_twice", f"submission {submission_id} {answer} once more")
             return
         self.close_try(record)
         self.final_answers[answer] += 1
         if self.timeline.now > record.deadline_at + self.answer_slack and not self.sidecar_was_stopped(
             submission_id, record
         ):
-            self.report_violation("answered_late", f"submission {submission_id} {answer} after its deadline")
+            self.report_violation("answered_late", f"submission {submission_id} {answer} after its patience")
         # The client may retry what is rejected, so no hop of it may have run; one that still travels or is
         # queued may run later.
         if (
@@ -219,8 +219,7 @@
         ):
             self.report_violation(
                 "late_sends",
-                f"sidecar {sidecar} to server {server}, "
-                f"{(now - known_since) / 1e6:.3f} s after it was notified",
+                f"sidecar {sidecar} to server {server}, {(now - known_since) / 1e6:.3f} s after it was told",
             )
 
     def hop_returned(self, submission_id: int) -> None:
@@ -269,5 +268,5 @@
         total_work = sum(job[1] for job in server.arrivals)
         if 3 * sum(senders.values()) >= 2 * total_work:
             self.report_violation(
-                "pushed_over", f"server {server.number}, by {len(senders)} sidecars that knew of its start"
+                "pushed_over", f"server {server.number}, by {len(senders)} sidecars that knew"
             )
