--- a/pumicepath/lab/model/world.py
+++ b/pumicepath/lab/model/world.py
@@ -1,4 +1,4 @@
-"""The simulated world of a run: servers, list, network, clients and rule checker, from a plan and a seed."""
+"""The world of a run: servers, list, network, clients and rule checker, from a plan and a seed."""
 
 from __future__ import annotations
 
--- a/pumicepath/lab/spec.py
+++ b/pumicepath/lab/spec.py
@@ -109,9 +109,9 @@
         """Raise ValueError unless times ascend and request classes have distinct names."""
         times = [at for at, _ in self.steps]
         if times != sorted(times) or list(self.trace_s) != sorted(self.trace_s):
-            raise ValueError("steps and traces go forward in time")
+            raise ValueError("steps and trace_s must be in ascending order of time")
         if len({each.name for each in self.tariffs}) != len(self.tariffs) or not self.tariffs:
-            raise ValueError("tariffs need names of their own, and there must be one")
+            raise ValueError("tariffs must have distinct names, and there must be at least one")
         return self
 
 
