--- a/benchmarks/calling.py
+++ b/benchmarks/call_overhead.py
@@ -25,37 +25,37 @@
 from pathlib import Path
 
 import numpy
-from hearing import configuration
-from telling import Origin, whole
+from hearing import sidecar_config
+from telling import ListSource, full_list
 from trees import ROOT
 
 from pumicepath.interface import Outcome
-from pumicepath.lab.loopback.process import Sidecar
-from pumicepath.lab.loopback.servers import ANSWERS
-from pumicepath.lab.loopback.wires import asked
+from pumicepath.lab.loopback.client_connections import encode_request
+from pumicepath.lab.loopback.process import SidecarProcess
+from pumicepath.lab.loopback.servers import RESPONSES
 
-RATE = 150.0  # calls a second
+CALLS_PER_S = 150.0  # calls a second
 KEYS = 1500
 WARM_S = 3.0
-PATIENCE_S = 2.0
+DEADLINE_S = 2.0
 SLICE_S = 2.0
 
 
-def serve(pipe: Connection) -> None:
+def run_servers(pipe: Connection) -> None:
     """All servers: answer each request at once."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
     listener.setblocking(False)
     selector = selectors.EpollSelector()
     selector.register(listener, selectors.EVENT_READ)
     pipe.send(listener.getsockname())
-    answer = ANSWERS[Outcome.OK]
+    answer = RESPONSES[Outcome.OK]
     while True:
         for key, _ in selector.select():
             sock = key.fileobj
             if sock is listener:
-                fresh, _ = listener.accept()
-                fresh.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                selector.register(fresh, selectors.EVENT_READ)
+                accepted, _ = listener.accept()
+                accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                selector.register(accepted, selectors.EVENT_READ)
                 continue
             assert isinstance(sock, socket.socket)
             try:
@@ -69,7 +69,7 @@
                 sock.close()
 
 
-def forward(pipe: Connection, where: tuple[str, int]) -> None:
+def run_forwarder(pipe: Connection, server_address: tuple[str, int]) -> None:
     """A plain process in the way: bytes both ways, a connection to the server for each of a client."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
     listener.setblocking(False)
@@ -81,7 +81,7 @@
         for key, _ in selector.select():
             sock = key.fileobj
             if sock is listener:
-                ends = listener.accept()[0], socket.create_connection(where)
+                ends = listener.accept()[0], socket.create_connection(server_address)
                 for end, other in zip(ends, reversed(ends)):
                     end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                     selector.register(end, selectors.EVENT_READ)
@@ -99,59 +99,61 @@
                 end.close()
 
 
-class Calls:
+class OpenLoopClient:
     """An open loop: calls begin when they are due, on an idle connection or a new one."""
 
-    def __init__(self, where: tuple[str, int], seed: int) -> None:
-        self.where = where
-        self.chance = random.Random(seed)
+    def __init__(self, address: tuple[str, int], seed: int) -> None:
+        self.address = address
+        self.rng = random.Random(seed)
         self.selector = selectors.EpollSelector()
         self.idle: list[socket.socket] = []
-        self.began: dict[socket.socket, float] = {}
-        self.times: list[float] = []
+        self.started_at: dict[socket.socket, float] = {}
+        self.latencies_s: list[float] = []
         self.failed = 0
         self.number = 0
 
     def run(self, seconds: float) -> None:
-        due, end = time.perf_counter(), time.perf_counter() + seconds
-        while due < end or self.began:
+        next_call_at, end = time.perf_counter(), time.perf_counter() + seconds
+        while next_call_at < end or self.started_at:
             now = time.perf_counter()
-            while due <= now and due < end:
-                self.begin()
-                due += self.chance.expovariate(RATE)
+            while next_call_at <= now and next_call_at < end:
+                self.start_call()
+                next_call_at += self.rng.expovariate(CALLS_PER_S)
             if now > end + 3.0:
-                self.failed += len(self.began)
+                self.failed += len(self.started_at)
                 return
-            for key, _ in self.selector.select(max(0.0, min(due, end + 3.0) - now) if due < end else 0.01):
-                self.read(key.fileobj)  # type: ignore[arg-type]
+            for key, _ in self.selector.select(
+                max(0.0, min(next_call_at, end + 3.0) - now) if next_call_at < end else 0.01
+            ):
+                self.on_readable(key.fileobj)  # type: ignore[arg-type]
 
-    def begin(self) -> None:
+    def start_call(self) -> None:
         if self.idle:
             sock = self.idle.pop()
         else:
-            sock = socket.create_connection(self.where)
+            sock = socket.create_connection(self.address)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.selector.register(sock, selectors.EVENT_READ)
         self.number += 1
-        data = asked(
+        data = encode_request(
             "read",
             True,
             f"{self.number:x}-1",
-            self.chance.randrange(1, KEYS),
-            round(PATIENCE_S * 1000),
+            self.rng.randrange(1, KEYS),
+            round(DEADLINE_S * 1000),
             False,
             0,
         )
-        self.began[sock] = time.perf_counter()
+        self.started_at[sock] = time.perf_counter()
         sock.send(data)
 
-    def read(self, sock: socket.socket) -> None:
+    def on_readable(self, sock: socket.socket) -> None:
         data = sock.recv(65_536)
-        began = self.began.pop(sock, None)
+        began = self.started_at.pop(sock, None)
         if not data.startswith(b"HTTP/1.1 200"):
             self.failed += began is not None
         elif began is not None:
-            self.times.append(time.perf_counter() - began)
+            self.latencies_s.append(time.perf_counter() - began)
         if data and b"onnection: close" not in data:
             self.idle.append(sock)
         else:
@@ -161,13 +163,13 @@
             sock.close()
 
 
-def direct(where: tuple[str, int], seconds: float, seed: int) -> Calls:
-    calls = Calls(where, seed)
+def run_calls(address: tuple[str, int], seconds: float, seed: int) -> OpenLoopClient:
+    calls = OpenLoopClient(address, seed)
     calls.run(seconds)
     return calls
 
 
-def process(
+def start_process(
     context: BaseContext, run: Callable[..., None], *given: object
 ) -> tuple[BaseProcess, tuple[str, int]]:
     """It, and where it listens."""
@@ -177,47 +179,49 @@
     return started, pipe.recv()
 
 
-def called(servers: int, seconds: float = 8.0, seed: int = 1) -> dict[str, float]:
+def measure_calls(servers: int, seconds: float = 8.0, seed: int = 1) -> dict[str, float]:
     context = multiprocessing.get_context("spawn")
-    stand, (host, port) = process(context, serve)
-    plain, passing = process(context, forward, (host, port))
-    dial = f"{host}:{port}"
-    origin = Origin(servers, dial)
+    servers_process, (host, port) = start_process(context, run_servers)
+    forwarder, forwarder_address = start_process(context, run_forwarder, (host, port))
+    server_address = f"{host}:{port}"
+    source = ListSource(servers, server_address)
     with tempfile.TemporaryDirectory() as folder:
-        told = {**configuration(servers, origin.where), "known": whole(servers, 1, dial)}
-        sidecar = Sidecar(told, Path(folder), ROOT, os.sched_getaffinity(0))
+        config = {**sidecar_config(servers, source.address), "known": full_list(servers, 1, server_address)}
+        sidecar = SidecarProcess(config, Path(folder), ROOT, os.sched_getaffinity(0))
         try:
             while (where := sidecar.address()) is None:
                 time.sleep(0.02)
             time.sleep(1.0)
-            direct(where, WARM_S, seed)
-            without, passed, through = (Calls(each, seed) for each in ((host, port), passing, where))
-            spent = 0.0
+            run_calls(where, WARM_S, seed)
+            direct, forwarded, through_sidecar = (
+                OpenLoopClient(each, seed) for each in ((host, port), forwarder_address, where)
+            )
+            cpu_s = 0.0
             for _ in range(round(seconds / SLICE_S)):
-                without.run(SLICE_S)
-                passed.run(SLICE_S)
-                before = sum(sidecar.cpu())
-                through.run(SLICE_S)
-                spent += sum(sidecar.cpu()) - before
-            count = len(through.times) + through.failed
+                direct.run(SLICE_S)
+                forwarded.run(SLICE_S)
+                before = sum(sidecar.cpu_seconds())
+                through_sidecar.run(SLICE_S)
+                cpu_s += sum(sidecar.cpu_seconds()) - before
+            count = len(through_sidecar.latencies_s) + through_sidecar.failed
             # One that was refused, or never answered, took all the time that it had.
-            through.times += [PATIENCE_S] * through.failed
+            through_sidecar.latencies_s += [DEADLINE_S] * through_sidecar.failed
 
-            def at(calls: Calls, part: float) -> float:
-                return float(numpy.quantile(calls.times, part)) * 1000
+            def quantile_ms(calls: OpenLoopClient, fraction: float) -> float:
+                return float(numpy.quantile(calls.latencies_s, fraction)) * 1000
 
             return {
-                "added_p50_ms": at(through, 0.5) - at(without, 0.5),
-                "added_p99_ms": at(through, 0.99) - at(without, 0.99),
-                "passed_p50_ms": at(passed, 0.5) - at(without, 0.5),
-                "passed_p99_ms": at(passed, 0.99) - at(without, 0.99),
-                "plain_p99_ms": at(without, 0.99),
-                "call_cpu_ms": spent / count * 1000,
+                "added_p50_ms": quantile_ms(through_sidecar, 0.5) - quantile_ms(direct, 0.5),
+                "added_p99_ms": quantile_ms(through_sidecar, 0.99) - quantile_ms(direct, 0.99),
+                "passed_p50_ms": quantile_ms(forwarded, 0.5) - quantile_ms(direct, 0.5),
+                "passed_p99_ms": quantile_ms(forwarded, 0.99) - quantile_ms(direct, 0.99),
+                "plain_p99_ms": quantile_ms(direct, 0.99),
+                "call_cpu_ms": cpu_s / count * 1000,
                 "calling_mb": sidecar.memory_mb(),
             }
         finally:
-            sidecar.end()
-            origin.end()
-            for each in (stand, plain):
+            sidecar.kill()
+            source.end()
+            for each in (servers_process, forwarder):
                 each.terminate()
                 each.join(10)
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -21,44 +21,44 @@
 from pathlib import Path
 
 import click
-from trees import ROOT, trees
+from trees import ROOT, checked_out_trees
 
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.loopback.apart import serving  # noqa: E402
-from pumicepath.lab.loopback.process import Sidecar  # noqa: E402
-from pumicepath.lab.loopback.wires import asked  # noqa: E402
+from pumicepath.lab.loopback.client_connections import encode_request  # noqa: E402
+from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
+from pumicepath.lab.loopback.separate_processes import run_servers  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, RequestClassSpec, Sidecars  # noqa: E402
 
 
 def plan(servers: int) -> Plan:
     """Servers that are never short of cores, and answer within a tenth of a millisecond."""
-    long = {"agreed_ms": 600, "patience_ms": 2500}
+    durations = {"agreed_ms": 600, "patience_ms": 2500}
     return Plan(
         lasts_s=3600,
         fleet=Fleet(halls=1, servers=servers, cores=1000, work_ms=0.01, near_ms=0.01, miss=1.0),
         sidecars=Sidecars(count=1),
         load=Load(
             tariffs=(
-                RequestClassSpec(name="read", **long),
-                RequestClassSpec(name="once", effect="at_most_once", gain=3.0, **long),
+                RequestClassSpec(name="read", **durations),
+                RequestClassSpec(name="once", effect="at_most_once", gain=3.0, **durations),
             )
         ),
     )
 
 
-def serve(pipe, core: int, servers: int, folder: str) -> None:
+def run_servers(pipe, core: int, servers: int, folder: str) -> None:
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
-        async with serving(plan(servers), 7, Path(folder)) as stand:
-            pipe.send(stand.told)
+        async with run_servers(plan(servers), 7, Path(folder)) as stand:
+            pipe.send(stand.configuration)
             await asyncio.Event().wait()
 
     asyncio.run(run())
 
 
-class Loop(asyncio.Protocol):
+class ClosedLoopClient(asyncio.Protocol):
     """One connection that asks again as soon as it is answered."""
 
     def __init__(self, number: int, tally: dict[int, int]) -> None:
@@ -66,30 +66,38 @@
 
     def connection_made(self, transport) -> None:
         self.transport = transport
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.number += 1
-        once = self.number % 4 == 0
+        non_idempotent = self.number % 4 == 0
         key = hash(self.number * 2654435761) % 2000 + 1
         self.transport.write(
-            asked("once" if once else "read", not once, f"{self.number:x}-1", key, 2000, False, 200)
+            encode_request(
+                "once" if non_idempotent else "read",
+                not non_idempotent,
+                f"{self.number:x}-1",
+                key,
+                2000,
+                False,
+                200,
+            )
         )
 
     def data_received(self, data: bytes) -> None:
         status = int(data[9:12])
         self.tally[status] = self.tally.get(status, 0) + 1
-        self.ask()
+        self.send_request()
 
 
-def load(where: tuple[str, int], core: int, connections: int, pipe) -> None:
+def run_clients(address: tuple[str, int], core: int, connections: int, pipe) -> None:
     os.sched_setaffinity(0, {core})
     tally: dict[int, int] = {}
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
         for number in range(connections):
-            await loop.create_connection(lambda number=number: Loop(number + 1, tally), *where)
+            await loop.create_connection(lambda number=number: ClosedLoopClient(number + 1, tally), *address)
         while True:
             await asyncio.sleep(0.02)
             while pipe.poll():
@@ -99,7 +107,7 @@
     asyncio.run(run())
 
 
-def switches(pid: int) -> int:
+def context_switches(pid: int) -> int:
     total = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
         total += sum(map(int, re.findall(r"ctxt_switches:\s+(\d+)", (task / "status").read_text())))
@@ -110,31 +118,37 @@
     context = multiprocessing.get_context("spawn")
     here, there = context.Pipe()
     with tempfile.TemporaryDirectory() as folder:
-        fleet = context.Process(target=serve, args=(there, cores[1], 4, folder), daemon=True)
+        fleet = context.Process(target=run_servers, args=(there, cores[1], 4, folder), daemon=True)
         fleet.start()
-        told = here.recv()
-        sidecar = Sidecar(told, Path(folder), root, {cores[0]})
+        config = here.recv()
+        sidecar = SidecarProcess(config, Path(folder), root, {cores[0]})
         try:
-            while (where := sidecar.address()) is None:
+            while (address := sidecar.address()) is None:
                 time.sleep(0.02)
             time.sleep(0.3)
-            ours, theirs = context.Pipe()
-            clients = context.Process(target=load, args=(where, cores[2], connections, theirs), daemon=True)
+            parent_pipe, child_pipe = context.Pipe()
+            clients = context.Process(
+                target=run_clients, args=(address, cores[2], connections, child_pipe), daemon=True
+            )
             clients.start()
 
             def served() -> dict[int, int]:
-                ours.send(None)
-                return ours.recv()
+                parent_pipe.send(None)
+                return parent_pipe.recv()
 
             time.sleep(1.5)
-            before, (own, system), turns = served(), sidecar.cpu(), switches(sidecar.process.pid)
-            calls = ""
+            before, (own, system), switches_before = (
+                served(),
+                sidecar.cpu_seconds(),
+                context_switches(sidecar.process.pid),
+            )
+            trace_output = ""
             if trace:
                 command = f"timeout -s INT {seconds} strace -c -f -p {sidecar.process.pid}"
-                calls = subprocess.run(command.split(), capture_output=True, text=True).stderr
+                trace_output = subprocess.run(command.split(), capture_output=True, text=True).stderr
             else:
                 time.sleep(seconds)
-            after, (own_then, system_then) = served(), sidecar.cpu()
+            after, (own_then, system_then) = served(), sidecar.cpu_seconds()
             count = after.get(200, 0) - before.get(200, 0)
             result = {
                 "submissions": count,
@@ -142,20 +156,20 @@
                 "ms": (own_then + system_then - own - system) * 1e3 / count,
                 "own_ms": (own_then - own) * 1e3 / count,
                 "system_ms": (system_then - system) * 1e3 / count,
-                "switches": (switches(sidecar.process.pid) - turns) / count,
+                "switches": (context_switches(sidecar.process.pid) - switches_before) / count,
                 "per_s": count / seconds,
                 "memory_mb": sidecar.memory_mb(),
-                "threads": sidecar.threads(),
+                "threads": sidecar.thread_count(),
             }
             if trace:
-                lines = re.findall(r"^ *[\d.]+ +[\d.]+ +\d+ +(\d+) +(?:\d+ +)?(\w+)$", calls, re.M)
+                lines = re.findall(r"^ *[\d.]+ +[\d.]+ +\d+ +(\d+) +(?:\d+ +)?(\w+)$", trace_output, re.M)
                 result["calls"] = {
                     name: round(int(found) / count, 2) for found, name in lines if int(found) > count / 50
                 }
             clients.terminate()
             return result
         finally:
-            sidecar.end()
+            sidecar.kill()
             fleet.terminate()
 
 
@@ -167,13 +181,13 @@
 @click.option("--cores", default="1,2,3", show_default=True, help="Sidecar's, servers' and clients' core.")
 @click.option("--trace", is_flag=True, help="Count system calls with strace; times are then of no use.")
 def main(old: str, runs: int, seconds: float, connections: int, cores: str, trace: bool) -> None:
-    places = [int(core) for core in cores.split(",")]
-    found: dict[str, list[dict]] = {}
-    with trees(old) as roots:
+    core_numbers = [int(core) for core in cores.split(",")]
+    results: dict[str, list[dict]] = {}
+    with checked_out_trees(old) as roots:
         for _ in range(runs):
             for name, root in roots.items():
-                one = measure(root, places, connections, seconds, trace)
-                found.setdefault(name, []).append(one)
+                one = measure(root, core_numbers, connections, seconds, trace)
+                results.setdefault(name, []).append(one)
                 print(
                     name,
                     json.dumps(
@@ -184,7 +198,7 @@
                     ),
                     flush=True,
                 )
-    for name, each in found.items():
+    for name, each in results.items():
         values = sorted(one["ms"] for one in each)
         print(
             f"{name}: {statistics.median(values):.3f} ms a submission in the median "
@@ -192,7 +206,7 @@
             f"{statistics.median(one['switches'] for one in each):.1f} context switches"
         )
     if old:
-        ratio = [b["ms"] / a["ms"] for a, b in zip(found["old"], found["new"])]
+        ratio = [b["ms"] / a["ms"] for a, b in zip(results["old"], results["new"])]
         print(f"new / old: {statistics.median(ratio):.2f} ({min(ratio):.2f} to {max(ratio):.2f})")
 
 
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -22,26 +22,26 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.fleet.fellow import Fellow  # noqa: E402
+from pumicepath.fleet.node import FleetNode  # noqa: E402
 from pumicepath.fleet.settings import Voting  # noqa: E402
-from pumicepath.lab.experiments.fleet import judged  # noqa: E402
+from pumicepath.lab.experiments.fleet_report import check_history  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.links import Links  # noqa: E402
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline  # noqa: E402
 from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, Sidecars  # noqa: E402
 from pumicepath.lab.virtual.peers import VirtualFleet, address  # noqa: E402
 
-CALM_S = 20.0  # at the end of the soak
+QUIET_S = 20.0  # at the end of the soak
 
 
-def soaked(count: int, seconds: float, seed: int) -> Plan:
-    by = Random(seed)
-    troubles = [FaultSpec(kind="fail-quickly", at_s=3, for_s=seconds - 3, servers=(0, 1, 2), value=1.0)]
+def soak_plan(count: int, seconds: float, seed: int) -> Plan:
+    rng = Random(seed)
+    faults = [FaultSpec(kind="fail-quickly", at_s=3, for_s=seconds - 3, servers=(0, 1, 2), value=1.0)]
     at = 8.0
-    while at < seconds - CALM_S:
-        some = tuple(by.sample(range(count), by.choice((1, 1, 2, 3, count // 2))))
-        lasts = by.choice((0.3, 1.5, 4.0, 8.0))
-        kind = by.choice(
+    while at < seconds - QUIET_S:
+        sidecars = tuple(rng.sample(range(count), rng.choice((1, 1, 2, 3, count // 2))))
+        duration_s = rng.choice((0.3, 1.5, 4.0, 8.0))
+        kind = rng.choice(
             (
                 "sidecars-killed",
                 "sidecars-stopped",
@@ -56,60 +56,64 @@
         )
         match kind:
             case "one-way":
-                troubles.append(FaultSpec(kind="peers-cut", at_s=at, for_s=lasts, from_=some))
+                faults.append(FaultSpec(kind="peers-cut", at_s=at, for_s=duration_s, from_=sidecars))
             case "peers-noisy":
-                troubles.append(
+                faults.append(
                     FaultSpec(
                         kind=kind,
                         at_s=at,
-                        for_s=lasts,
-                        value=by.uniform(0.05, 0.4),
-                        spread_ms=by.choice((20, 500, 5000)),
+                        for_s=duration_s,
+                        value=rng.uniform(0.05, 0.4),
+                        spread_ms=rng.choice((20, 500, 5000)),
                         doubled=0.1,
                         spoilt=0.02,
                     )
                 )
             case "voters":
-                troubles.append(
+                faults.append(
                     FaultSpec(
-                        kind=by.choice(("sidecars-killed", "sidecars-stopped")),
+                        kind=rng.choice(("sidecars-killed", "sidecars-stopped")),
                         at_s=at,
-                        for_s=lasts,
+                        for_s=duration_s,
                         sidecars=(0, 1, 2),
                     )
                 )
             case "clock-step":
-                troubles.append(
+                faults.append(
                     FaultSpec(
-                        kind=kind, at_s=at, for_s=lasts, sidecars=some[:2], value=by.choice((-3600.0, 3600.0))
+                        kind=kind,
+                        at_s=at,
+                        for_s=duration_s,
+                        sidecars=sidecars[:2],
+                        value=rng.choice((-3600.0, 3600.0)),
                     )
                 )
             case _:
-                troubles.append(FaultSpec(kind=kind, at_s=at, for_s=lasts, sidecars=some[:5]))
-        at += by.uniform(1.0, 6.0)
+                faults.append(FaultSpec(kind=kind, at_s=at, for_s=duration_s, sidecars=sidecars[:5]))
+        at += rng.uniform(1.0, 6.0)
     return Plan(
         lasts_s=seconds,
         fleet=Fleet(halls=1, servers=8, work_ms=5),
         load=Load(rate=20 * count),
         sidecars=Sidecars(count=count, peers=True, peers_every_s=0.5, trials=True, lease_s=2.0),
-        troubles=tuple(troubles),
+        troubles=tuple(faults),
     )
 
 
 def soak(count: int, seconds: float, seed: int) -> int:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "history"
-        result = play(soaked(count, seconds, seed), seed, history=path)
-        found = judged(path)
+        result = play(soak_plan(count, seconds, seed), seed, history=path)
+        found = check_history(path)
     print(
         f"{count} real sidecars for {seconds:g} s, seed {seed}: {found.handovers} hand-overs, "
         f"service {result.service:.4f}, {sum(result.violations.values())} rules broken"
     )
-    print("\n".join(found.lines()))
+    print("\n".join(found.summary_lines()))
     return 1 if found.violations or any(result.violations.values()) else 0
 
 
-class Wanting:
+class DutyFleet:
     """A fleet that wants some duties, whoever has the highest rank for each; no submissions."""
 
     def __init__(self, count: int, lease_s: float, duties: list[str], seed: int) -> None:
@@ -121,14 +125,14 @@
         self.duties = duties
         for number in range(count):
             self.peering.start(number)
-        self.time.at(0, self.want)
+        self.time.at(0, self.want_duties)
 
-    def want(self) -> None:
+    def want_duties(self) -> None:
         for node in self.peering.nodes:
             if node.fleet_node is not None and node.fleet_node.duties is not None:
-                node.fleet_node.duties.want(node.clock(), self.duties)
+                node.fleet_node.duties.set_wanted(node.clock(), self.duties)
                 node.schedule_timer()
-        self.time.at(self.time.now + SECOND, self.want)
+        self.time.at(self.time.now + SECOND, self.want_duties)
 
     def holder(self, duty: str) -> int:
         for node in self.peering.nodes:
@@ -137,48 +141,52 @@
                 not node.stopped
                 and fellow is not None
                 and fellow.duties is not None
-                and fellow.duties.number(node.clock(), duty)
+                and fellow.duties.fencing_number(node.clock(), duty)
             ):
                 return node.number
         return -1
 
-    def until_held(self, duty: str, but: int = -1) -> float:
+    def seconds_until_held(self, duty: str, previous: int = -1) -> float:
         began = self.time.now
-        while self.holder(duty) in (-1, but):
+        while self.holder(duty) in (-1, previous):
             self.time.run(self.time.now + 5_000)
             assert self.time.now - began < 600 * SECOND
         return (self.time.now - began) / SECOND
 
 
-def hand_over(lease_s: float, how: str, seed: int) -> float:
-    fleet = Wanting(8, lease_s, ["d"], seed)
-    fleet.until_held("d")
+def measure_hand_over(lease_s: float, how: str, seed: int) -> float:
+    fleet = DutyFleet(8, lease_s, ["d"], seed)
+    fleet.seconds_until_held("d")
     fleet.time.run(fleet.time.now + round(Random(seed).uniform(1, 2) * lease_s * SECOND))
-    fleet.until_held("d")
+    fleet.seconds_until_held("d")
     number = fleet.holder("d")
     node = fleet.peering.nodes[number]
-    every = set(range(8))
+    all_sidecars = set(range(8))
     match how:
         case "kill":
             fleet.peering.kill(number)
         case "stop":
             fleet.peering.stop(number)
         case "cut":
-            fleet.links.cut({number}, every - {number})
+            fleet.links.cut({number}, all_sidecars - {number})
         case "resign":
             assert node.fleet_node is not None
-            node.fleet_node.end(node.clock())
-    return fleet.until_held("d", number if how != "cut" else -1) if how != "cut" else gap(fleet, number)
+            node.fleet_node.stop(node.clock())
+    return (
+        fleet.seconds_until_held("d", number if how != "cut" else -1)
+        if how != "cut"
+        else seconds_without_holder(fleet, number)
+    )
 
 
-def gap(fleet: Wanting, number: int) -> float:
+def seconds_without_holder(fleet: DutyFleet, number: int) -> float:
     """From when the holder counts its time as over, which it does by itself, to the next one's."""
     while fleet.holder("d") == number:
         fleet.time.run(fleet.time.now + 5_000)
-    return fleet.until_held("d", number)
+    return fleet.seconds_until_held("d", number)
 
 
-def hand_overs(runs: int) -> None:
+def print_hand_overs(runs: int) -> None:
     print(f"| {runs} runs, virtual time; s without a holder, median (worst) | 2 s | 5 s | 10 s | 30 s |")
     print("| --- | --- | --- | --- | --- |")
     for how, text in (
@@ -189,12 +197,12 @@
     ):
         cells = []
         for lease_s in (2.0, 5.0, 10.0, 30.0):
-            values = [hand_over(lease_s, how, seed) for seed in range(1, runs + 1)]
+            values = [measure_hand_over(lease_s, how, seed) for seed in range(1, runs + 1)]
             cells.append(f"{median(values):.2f} ({max(values):.2f})")
         print(f"| {text} | " + " | ".join(cells) + " |")
 
 
-def size(duties: int) -> None:
+def print_sizes(duties: int) -> None:
     print(f"| {duties} duties, lease 10 s, virtual time | 10 | 100 | 1,000 |\n| --- | --- | --- | --- |")
     rows: dict[str, list[str]] = {
         "messages a second and sidecar": [],
@@ -204,25 +212,28 @@
         "CPU us a second each": [],
     }
     for count in (10, 100, 1000):
-        fleet = Wanting(count, 10.0, [], 1)
+        fleet = DutyFleet(count, 10.0, [], 1)
         names = [f"trial a s-{number}" for number in range(duties)]
-        mine: dict[int, list[str]] = {}
-        by = Random(1)
+        wanted_duties: dict[int, list[str]] = {}
+        rng = Random(1)
         for name in names:
-            mine.setdefault(by.randrange(count), []).append(name)
+            wanted_duties.setdefault(rng.randrange(count), []).append(name)
 
         def want(
-            fellow: Fellow, number: int, fleet: Wanting = fleet, mine: dict[int, list[str]] = mine
+            fellow: FleetNode,
+            number: int,
+            fleet: DutyFleet = fleet,
+            mine: dict[int, list[str]] = wanted_duties,
         ) -> Callable[[], None]:
             def call() -> None:
                 if fellow.duties is not None:
-                    fellow.duties.want(fleet.peering.nodes[number].clock(), mine.get(number, []))
+                    fellow.duties.set_wanted(fleet.peering.nodes[number].clock(), mine.get(number, []))
                     fleet.peering.nodes[number].schedule_timer()
 
             return call
 
         fleet.time.run(40 * SECOND)
-        fleet.want = lambda: None  # type: ignore[method-assign]
+        fleet.want_duties = lambda: None  # type: ignore[method-assign]
         for node in fleet.peering.nodes:
             if node.fleet_node is not None:
                 fleet.time.at(fleet.time.now, want(node.fleet_node, node.number))
@@ -256,14 +267,14 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--runs", type=int, default=40)
     parser.add_argument("--duties", type=int, default=1000)
-    given = parser.parse_args()
-    match given.what:
+    options = parser.parse_args()
+    match options.what:
         case "soak":
-            sys.exit(soak(given.count, given.minutes * 60, given.seed))
+            sys.exit(soak(options.count, options.minutes * 60, options.seed))
         case "handover":
-            hand_overs(given.runs)
+            print_hand_overs(options.runs)
         case _:
-            size(given.duties)
+            print_sizes(options.duties)
 
 
 if __name__ == "__main__":
--- a/benchmarks/holding.py
+++ b/benchmarks/fleet_cost.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from duties import Wanting
+from duties import DutyFleet
 
 from pumicepath.lab.model.links import Links
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline
@@ -21,64 +21,64 @@
 LEASE_S = 10.0
 
 
-def timed(node: VirtualNode, spent: dict[int, float]) -> None:
+def count_cpu(node: VirtualNode, cpu_s: dict[int, float]) -> None:
     """Add up the CPU seconds of all that one sidecar's part of the fleet decides, membership with it."""
 
     def wrapped(call: Callable[..., None]) -> Callable[..., None]:
         def timing(*given: Any) -> None:
             began = time.thread_time()
             call(*given)
-            spent[node.number] += time.thread_time() - began
+            cpu_s[node.number] += time.thread_time() - began
 
         return timing
 
     node.receive, node.timer_fired = wrapped(node.receive), wrapped(node.timer_fired)  # type: ignore[method-assign]
 
 
-def wanting(count: int, duties: int, seed: int) -> Wanting:
+def fleet_with_duties(count: int, duties: int, seed: int) -> DutyFleet:
     """A fleet 60 s after its start, its duties wanted for the last 20 of them."""
-    fleet = Wanting(count, LEASE_S, [], seed)
-    by = Random(seed)
-    mine: dict[int, list[str]] = {}
+    fleet = DutyFleet(count, LEASE_S, [], seed)
+    rng = Random(seed)
+    wanted_duties: dict[int, list[str]] = {}
     for number in range(duties):
-        mine.setdefault(by.randrange(count), []).append(f"trial a s-{number}")
+        wanted_duties.setdefault(rng.randrange(count), []).append(f"trial a s-{number}")
     fleet.time.run(40 * SECOND)
 
     def want() -> None:
         for node in fleet.peering.nodes:
             if node.fleet_node is not None and node.fleet_node.duties is not None:
-                node.fleet_node.duties.want(node.clock(), mine.get(node.number, []))
+                node.fleet_node.duties.set_wanted(node.clock(), wanted_duties.get(node.number, []))
                 node.schedule_timer()
 
-    fleet.want = want  # type: ignore[method-assign]
+    fleet.want_duties = want  # type: ignore[method-assign]
     want()
     fleet.time.run(fleet.time.now + 20 * SECOND)
     return fleet
 
 
-def held(count: int, duties: int, seed: int) -> dict[str, float]:
+def measure_voters(count: int, duties: int, seed: int) -> dict[str, float]:
     """Messages, bytes and us of CPU a second of the busiest voter, each duty wanted by one.
 
     RuntimeError if any is free then.
     """
-    fleet = wanting(count, duties, seed)
+    fleet = fleet_with_duties(count, duties, seed)
     fleet.links.sent.clear()
     fleet.links.bytes.clear()
-    spent = dict.fromkeys(range(VOTERS), 0.0)
-    for each in spent:
-        timed(fleet.peering.nodes[each], spent)
+    cpu_s = dict.fromkeys(range(VOTERS), 0.0)
+    for each in cpu_s:
+        count_cpu(fleet.peering.nodes[each], cpu_s)
     fleet.time.run(fleet.time.now + 20 * SECOND)
-    sum_ = sum(
+    held_duties = sum(
         len(node.fleet_node.duties.held(node.clock()))
         for node in fleet.peering.nodes
         if node.fleet_node is not None and node.fleet_node.duties is not None
     )
-    if sum_ != duties:
-        raise RuntimeError(f"{sum_} of {duties} duties are held")
+    if held_duties != duties:
+        raise RuntimeError(f"{held_duties} of {duties} duties are held")
     return {
         "voter_messages": max(fleet.links.sent[each] for each in range(VOTERS)) / 20,
         "voter_bytes": max(fleet.links.bytes[each] for each in range(VOTERS)) / 20,
-        "voter_cpu_us": max(spent.values()) / 20 * 1e6,
+        "voter_cpu_us": max(cpu_s.values()) / 20 * 1e6,
     }
 
 
@@ -86,7 +86,7 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1000
 
 
-def grow(pipe: Connection, count: int) -> None:
+def send_member_kb(pipe: Connection, count: int) -> None:
     time_ = VirtualTimeline()
     peering = VirtualFleet(time_, Links(time_, 1, 300), 1, count)
     before = resident_kb()
@@ -96,28 +96,31 @@
     pipe.send((resident_kb() - before) / count)
 
 
-def want(pipe: Connection, count: int, duties: int, seed: int) -> None:
-    fleet = wanting(count, duties, seed)
+def send_fleet_kb(pipe: Connection, count: int, duties: int, seed: int) -> None:
+    fleet = fleet_with_duties(count, duties, seed)
     pipe.send(resident_kb())
     del fleet
 
 
-def apart(run: Callable[..., None], *given: Any) -> float:
+def run_in_own_process(run: Callable[..., None], *given: Any) -> float:
     """What it sends, from a process of its own."""
     context = multiprocessing.get_context("spawn")
     pipe, theirs = context.Pipe()
     process = context.Process(target=run, args=(theirs, *given))
     process.start()
-    found: float = pipe.recv()
+    result: float = pipe.recv()
     process.join()
-    return found
+    return result
 
 
 def member_kb(count: int) -> float:
     """Memory of each sidecar's membership once all know each other."""
-    return apart(grow, count)
+    return run_in_own_process(send_member_kb, count)
 
 
 def voter_kb(count: int, duties: int, seed: int) -> float:
     """Memory that duties take in a fleet, all of it put down to its voters: more than one of them has."""
-    return (apart(want, count, duties, seed) - apart(want, count, 0, seed)) / VOTERS
+    return (
+        run_in_own_process(send_fleet_kb, count, duties, seed)
+        - run_in_own_process(send_fleet_kb, count, 0, seed)
+    ) / VOTERS
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -26,12 +26,12 @@
 from pathlib import Path
 
 import click
-from trees import ROOT, trees
+from trees import ROOT, checked_out_trees
 
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.loopback.apart import Met, clients, serving  # noqa: E402
-from pumicepath.lab.loopback.process import Sidecar  # noqa: E402
+from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
+from pumicepath.lab.loopback.separate_processes import ClientResults, run_clients, run_servers  # noqa: E402
 from pumicepath.lab.spec import Fleet, Load, Plan, RequestClassSpec, Sidecars  # noqa: E402
 
 CONTEXT = multiprocessing.get_context("spawn")
@@ -40,21 +40,21 @@
 
 # More cores than are ever used: the servers answer after 5 ms, give or take half of it, whatever comes.
 FLEET = Fleet(halls=1, servers=4, cores=1000, queue=1, work_ms=5, spread=0.5, miss=1.0, near_ms=0.01)
-LATE_MS = 50.0  # of the clients' own ticks, above which a run says nothing
-CLOSED = 30_000.0  # offered a second where all connections are to be busy
+MAX_CLIENT_DELAY_MS = 50.0  # of the clients' own ticks, above which a run says nothing
+CLOSED_LOOP_RATE = 30_000.0  # offered a second where all connections are to be busy
 
 
 @dataclass
-class Play:
+class Scenario:
     """What clients do; rates are submissions a second, times seconds."""
 
     steps: list[tuple[float, float]]  # from when, at what rate
-    lasts: float
-    patience: float = 0.6
+    duration_s: float
+    deadline_s: float = 0.6
     connections: int = 300
-    body: int = 200
+    body_bytes: int = 200
     retries: int = 1  # that a client makes after a deferral
-    heeds: bool = True  # the time it is told to come back at
+    honours_retry_after: bool = True  # the time it is told to come back at
     seed: int = 1
 
     def plan(self, parts: int = 1) -> Plan:
@@ -62,11 +62,11 @@
 
         def tariff(name: str, effect: str, share: float, gain: float) -> RequestClassSpec:
             return RequestClassSpec(
-                name=name, effect=effect, share=share, gain=gain, patience_ms=self.patience * 1000
+                name=name, effect=effect, share=share, gain=gain, patience_ms=self.deadline_s * 1000
             )
 
         return Plan(
-            lasts_s=self.lasts,
+            lasts_s=self.duration_s,
             warm_s=0,
             fleet=FLEET,
             sidecars=Sidecars(count=1),
@@ -76,34 +76,36 @@
                 zipf=0.5,
                 retries=self.retries,
                 back_off_ms=0.01,
-                heeds=self.heeds,
-                body=self.body,
+                heeds=self.honours_retry_after,
+                body=self.body_bytes,
                 tariffs=(tariff("read", "idempotent", 0.75, 1.0), tariff("once", "at_most_once", 0.25, 3.0)),
             ),
         )
 
 
-def serve(pipe, core: int, folder: str) -> None:
+def run_servers(pipe, core: int, folder: str) -> None:
     os.sched_setaffinity(0, {core})
 
     async def run() -> None:
-        async with serving(Play([(0.0, 1.0)], 3600).plan(), 7, Path(folder)) as stand:
-            pipe.send(stand.told)
+        async with run_servers(Scenario([(0.0, 1.0)], 3600).plan(), 7, Path(folder)) as stand:
+            pipe.send(stand.configuration)
             while True:
                 await asyncio.sleep(0.01)
                 if pipe.poll():
-                    told = pipe.recv()
-                    if isinstance(told, set):
-                        pipe.send(sum(stand.ran()[ask] > 1 for ask in told))
+                    command = pipe.recv()
+                    if isinstance(command, set):
+                        pipe.send(sum(stand.run_counts()[ask] > 1 for ask in command))
                     else:
-                        stand.slowed(told)
+                        stand.set_speed(command)
 
     asyncio.run(run())
 
 
-def load(plan: Plan, seed: int, where: tuple[str, int], number: int, most: int, core: int, pipe) -> None:
+def run_clients(
+    plan: Plan, seed: int, address: tuple[str, int], number: int, max_connections: int, core: int, pipe
+) -> None:
     os.sched_setaffinity(0, {core})
-    pipe.send(clients(plan, seed, where, number, most))
+    pipe.send(run_clients(plan, seed, address, number, max_connections))
 
 
 def spin(core: int) -> None:
@@ -112,45 +114,53 @@
         pass
 
 
-class Place:
+class SharedCoreSidecar:
     """A sidecar from one tree with its servers, and a neighbour on its core."""
 
     def __init__(self, root: Path, cores: list[int], folder: Path) -> None:
         self.cores = cores
         self.pipe, theirs = CONTEXT.Pipe()
-        self.fleet = CONTEXT.Process(target=serve, args=(theirs, cores[1], str(folder)), daemon=True)
+        self.fleet = CONTEXT.Process(target=run_servers, args=(theirs, cores[1], str(folder)), daemon=True)
         self.fleet.start()
-        self.sidecar = Sidecar(self.pipe.recv(), folder, root, {cores[0]})
-        self.neighbours = [self.neighbour()]
+        self.sidecar = SidecarProcess(self.pipe.recv(), folder, root, {cores[0]})
+        self.busy_processes = [self.start_busy_process()]
         while (where := self.sidecar.address()) is None:
             time.sleep(0.02)
-        self.where = where
-        self.most: dict[str, float] = {}
-        self.once: set[int] = set()
-        self.groups = 0  # of clients so far; each has numbers of its own
+        self.address = where
+        self.peaks: dict[str, float] = {}
+        self.non_idempotent: set[int] = set()
+        self.client_processes = 0  # of clients so far; each has numbers of its own
 
-    def neighbour(self):
+    def start_busy_process(self):
         process = CONTEXT.Process(target=spin, args=(self.cores[0],), daemon=True)
         process.start()
         return process
 
-    def play(self, play: Play, acts: list[tuple[float, Callable[[], None]]] = ()) -> Met:
+    def run(self, scenario: Scenario, actions: list[tuple[float, Callable[[], None]]] = ()) -> ClientResults:
         """Run the plan in as many processes as there are cores for clients, with acts at their times."""
         parts = self.cores[2:]
         pipes = []
         for core in parts:
             here, there = CONTEXT.Pipe()
-            plan, most = play.plan(len(parts)), play.connections // len(parts)
+            plan, most = scenario.plan(len(parts)), scenario.connections // len(parts)
             process = CONTEXT.Process(
-                target=load,
+                target=run_clients,
                 daemon=True,
-                args=(plan, play.seed + self.groups, self.where, self.groups, most, core, there),
+                args=(
+                    plan,
+                    scenario.seed + self.client_processes,
+                    self.address,
+                    self.client_processes,
+                    most,
+                    core,
+                    there,
+                ),
             )
             process.start()
             pipes.append(here)
-            self.groups += 1
+            self.client_processes += 1
         began = time.monotonic() + 0.25  # about when the clients begin
-        waiting = sorted(acts, key=lambda act: act[0])
+        waiting = sorted(actions, key=lambda act: act[0])
         while not all(pipe.poll() for pipe in pipes):
             time.sleep(0.02)
             if waiting and time.monotonic() - began >= waiting[0][0]:
@@ -158,51 +168,53 @@
             if self.sidecar.process.poll() is None:
                 for name, value in (
                     ("memory_mb", self.sidecar.memory_mb()),
-                    ("descriptors", self.sidecar.descriptors()),
-                    ("threads", self.sidecar.threads()),
+                    ("descriptors", self.sidecar.descriptor_count()),
+                    ("threads", self.sidecar.thread_count()),
                 ):
-                    self.most[name] = max(self.most.get(name, 0), value)
+                    self.peaks[name] = max(self.peaks.get(name, 0), value)
         met = pipes[0].recv()
         for pipe in pipes[1:]:
             met.merge(pipe.recv())
-        self.once |= met.once
+        self.non_idempotent |= met.once
         return met
 
     def capacity(self) -> float:
         """Submissions a second in a closed loop on 64 connections."""
-        met = self.play(Play([(0.0, CLOSED)], 4.0, connections=64, patience=2.5, retries=0, seed=99))
+        met = self.run(
+            Scenario([(0.0, CLOSED_LOOP_RATE)], 4.0, connections=64, deadline_s=2.5, retries=0, seed=99)
+        )
         return sum(met.columns["good"][1:4] + met.columns["late"][1:4]) / 3
 
-    def used(self) -> str:
-        return ", ".join(f"{value:.0f} {name}" for name, value in self.most.items())
+    def describe_peaks(self) -> str:
+        return ", ".join(f"{value:.0f} {name}" for name, value in self.peaks.items())
 
-    def doubled(self) -> int:
-        self.pipe.send(self.once)
+    def count_duplicates(self) -> int:
+        self.pipe.send(self.non_idempotent)
         return self.pipe.recv()
 
     def end(self) -> None:
-        self.sidecar.end()
-        for process in (self.fleet, *self.neighbours):
+        self.sidecar.kill()
+        for process in (self.fleet, *self.busy_processes):
             process.terminate()
 
 
 @contextmanager
-def place(root: Path, cores: list[int]) -> Iterator[Place]:
+def shared_core_sidecar(root: Path, cores: list[int]) -> Iterator[SharedCoreSidecar]:
     with tempfile.TemporaryDirectory() as folder:
-        one = Place(root, cores, Path(folder))
+        sidecar = SharedCoreSidecar(root, cores, Path(folder))
         try:
-            yield one
+            yield sidecar
         finally:
-            one.end()
+            sidecar.end()
 
 
-def places(text: str) -> list[int]:
+def parse_cores(text: str) -> list[int]:
     return [int(core) for core in text.split(",")]
 
 
-def quantile(values: list[int], share: float) -> float:
+def quantile_ms(values: list[int], fraction: float) -> float:
     """Of microseconds, in milliseconds."""
-    return sorted(values)[min(len(values) - 1, int(len(values) * share))] / 1e3 if values else 0.0
+    return sorted(values)[min(len(values) - 1, int(len(values) * fraction))] / 1e3 if values else 0.0
 
 
 @click.group()
@@ -223,40 +235,40 @@
 @click.option("--plot", default="", help="Where to write the picture (needs the extra plots).")
 def curve(cores: str, old: str, runs: int, seconds: int, loads: str, at_once: bool, plot: str) -> None:
     """Goodput against offered load, each in its own sidecar."""
-    wanted = [float(one) for one in loads.split(",")]
-    found: dict[str, dict[float, list[float]]] = {}
-    with trees(old) as roots:
+    multiples = [float(sidecar) for sidecar in loads.split(",")]
+    results: dict[str, dict[float, list[float]]] = {}
+    with checked_out_trees(old) as roots:
         for run in range(runs):
-            with place(ROOT, places(cores)) as one:
+            with shared_core_sidecar(ROOT, parse_cores(cores)) as one:
                 capacity = one.capacity()
             for name, root in roots.items():
-                for times in wanted:
-                    with place(root, places(cores)) as one:
-                        met = one.play(
-                            Play(
+                for times in multiples:
+                    with shared_core_sidecar(root, parse_cores(cores)) as one:
+                        met = one.run(
+                            Scenario(
                                 [(0.0, times * capacity)],
                                 seconds,
                                 seed=run * 16 + 1,
                                 retries=10 if at_once else 1,
-                                heeds=not at_once,
+                                honours_retry_after=not at_once,
                             )
                         )
                         columns = met.columns
                         good = sum(columns["good"][1:seconds]) / (seconds - 1)
-                        found.setdefault(name, {}).setdefault(times, []).append(good / capacity)
+                        results.setdefault(name, {}).setdefault(times, []).append(good / capacity)
                         print(
                             f"{name} run {run} load {times:4.1f} x {capacity:5.0f}/s: good {good:6.0f}/s "
-                            f"({good / capacity:.2f}), p99 {quantile(met.times, 0.99):4.0f} ms, "
+                            f"({good / capacity:.2f}), p99 {quantile_ms(met.latencies_us, 0.99):4.0f} ms, "
                             f"deferred {sum(columns['deferred'])}, "
-                            f"refusal p50 {quantile(met.deferrals, 0.5):.1f} ms, "
+                            f"refusal p50 {quantile_ms(met.rejection_times_us, 0.5):.1f} ms, "
                             f"unanswered {sum(columns['lost'])}, "
                             f"forfeited {sum(columns['forfeited'])}, "
                             f"no connection {sum(columns['refused'])}, "
-                            f"doubled {one.doubled()}, {one.used()}"
-                            f"{', VOID: clients were late' if met.behind_ms > LATE_MS else ''}",
+                            f"doubled {one.count_duplicates()}, {one.describe_peaks()}"
+                            f"{', VOID: clients were late' if met.tick_delay_ms > MAX_CLIENT_DELAY_MS else ''}",
                             flush=True,
                         )
-    for name, loads_of in found.items():
+    for name, loads_of in results.items():
         middle = {times: statistics.median(values) for times, values in loads_of.items()}
         peak = max(middle.values())
         print(
@@ -265,20 +277,20 @@
                 f"{times:g}x {value:.2f} ({min(loads_of[times]):.2f}-{max(loads_of[times]):.2f})"
                 for times, value in middle.items()
             ),
-            f" at the last {middle[wanted[-1]] / peak:.2f} of the peak",
+            f" at the last {middle[multiples[-1]] / peak:.2f} of the peak",
         )
     if plot:
-        draw(found, plot)
+        plot_curves(results, plot)
 
 
-def draw(found: dict[str, dict[float, list[float]]], path: str) -> None:
+def plot_curves(results: dict[str, dict[float, list[float]]], path: str) -> None:
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
-    for name, loads_of in found.items():
+    for name, loads_of in results.items():
         at = list(loads_of)
         axes.plot(at, [statistics.median(loads_of[times]) for times in at], marker="o", label=name)
         axes.fill_between(at, [min(loads_of[t]) for t in at], [max(loads_of[t]) for t in at], alpha=0.2)
@@ -293,13 +305,13 @@
     figure.savefig(path, dpi=110)
 
 
-def cases_of(one: Place, capacity: float) -> dict[str, tuple[Play, list, float, float]]:
+def make_cases(sidecar: SharedCoreSidecar, capacity: float) -> dict[str, tuple[Scenario, list, float, float]]:
     """Name: plan, acts, and from when to when the trouble lasts."""
-    pid = one.sidecar.process.pid
+    pid = sidecar.sidecar.process.pid
 
-    def plan(*steps: tuple[float, float], **more) -> Play:
+    def plan(*steps: tuple[float, float], **more) -> Scenario:
         lasts = more.pop("lasts", steps[-1][0] + 5)
-        return Play([(at, times * capacity) for at, times in steps], lasts, **more)
+        return Scenario([(at, times * capacity) for at, times in steps], lasts, **more)
 
     def stop() -> None:
         os.kill(pid, signal.SIGSTOP)
@@ -307,51 +319,51 @@
         os.kill(pid, signal.SIGCONT)
 
     def more_neighbours() -> None:
-        one.neighbours.extend([one.neighbour(), one.neighbour()])
+        sidecar.busy_processes.extend([sidecar.start_busy_process(), sidecar.start_busy_process()])
 
     def fewer_neighbours() -> None:
-        for process in one.neighbours[1:]:
+        for process in sidecar.busy_processes[1:]:
             process.terminate()
 
-    found: dict[str, tuple[Plan, list, float, float]] = {}
+    cases: dict[str, tuple[Plan, list, float, float]] = {}
     for times in (1.5, 2, 4, 10):
         for lasts in (1, 10):
             steps = plan((0, 0.5), (3, times), (3 + lasts, 0.5))
-            found[f"{times} x for {lasts} s"] = (steps, [], 3, 3 + lasts)
-    found["rush: 10 x for 0.2 s on 1,500 connections"] = (
+            cases[f"{times} x for {lasts} s"] = (steps, [], 3, 3 + lasts)
+    cases["rush: 10 x for 0.2 s on 1,500 connections"] = (
         plan((0, 0.5), (3, 10), (3.2, 0.5), connections=1500),
         [],
         3,
         4,
     )
-    found["4 x, clients back at once"] = (plan((0, 0.5), (3, 4), (8, 0.5), heeds=False, retries=20), [], 3, 8)
-    found["core to a third at 0.7 x"] = (
+    cases["4 x, clients back at once"] = (plan((0, 0.5), (3, 4), (8, 0.5), heeds=False, retries=20), [], 3, 8)
+    cases["core to a third at 0.7 x"] = (
         plan((0, 0.7), lasts=14),
         [(3, more_neighbours), (8, fewer_neighbours)],
         3,
         8,
     )
-    found["stopped for 300 ms at 0.7 x"] = (plan((0, 0.7), lasts=9), [(3, stop)], 3, 4)
-    found["servers 10 times slower at 0.7 x"] = (
+    cases["stopped for 300 ms at 0.7 x"] = (plan((0, 0.7), lasts=9), [(3, stop)], 3, 4)
+    cases["servers 10 times slower at 0.7 x"] = (
         plan((0, 0.7), lasts=13),
-        [(3, lambda: one.pipe.send(0.1)), (8, lambda: one.pipe.send(1.0))],
+        [(3, lambda: sidecar.pipe.send(0.1)), (8, lambda: sidecar.pipe.send(1.0))],
         3,
         8,
     )
-    found["bodies of 60 KB, 4 x for 5 s"] = (plan((0, 0.2), (3, 4), (8, 0.2), body=60_000), [], 3, 8)
-    found["SIGHUP five times, 4 x for 5 s"] = (
+    cases["bodies of 60 KB, 4 x for 5 s"] = (plan((0, 0.2), (3, 4), (8, 0.2), body=60_000), [], 3, 8)
+    cases["SIGHUP five times, 4 x for 5 s"] = (
         plan((0, 0.5), (3, 4), (8, 0.5)),
         [(3.5 + at, lambda: os.kill(pid, signal.SIGHUP)) for at in range(5)],
         3,
         8,
     )
-    found["SIGTERM at 4 x"] = (
+    cases["SIGTERM at 4 x"] = (
         plan((0, 0.5), (3, 4), lasts=6),
         [(4, lambda: os.kill(pid, signal.SIGTERM))],
         3,
         6,
     )
-    return found
+    return cases
 
 
 @main.command()
@@ -360,34 +372,34 @@
 @click.option("--old", default="", help="Play the cases on this commit instead.")
 def cases(cores: str, only: str, old: str) -> None:
     """Steps up and back, a core that shrinks or stops, rushes, bodies, signals: each in its own sidecar."""
-    with trees(old) as roots:
+    with checked_out_trees(old) as roots:
         root = roots["old"] if old else ROOT
-        with place(root, places(cores)) as one:
-            capacity = one.capacity()
-            names = list(cases_of(one, capacity))
+        with shared_core_sidecar(root, parse_cores(cores)) as sidecar:
+            capacity = sidecar.capacity()
+            names = list(make_cases(sidecar, capacity))
         print(f"capacity {capacity:.0f} a second")
         for name in names:
             if only not in name:
                 continue
-            with place(root, places(cores)) as one:
-                play, acts, begins, ends = cases_of(one, capacity)[name]
-                columns = one.play(play, acts).columns
+            with shared_core_sidecar(root, parse_cores(cores)) as sidecar:
+                scenario, actions, begins, ends = make_cases(sidecar, capacity)[name]
+                columns = sidecar.run(scenario, actions).columns
                 during = range(int(begins), int(ends))
                 good = sum(columns["good"][at] for at in during) / len(during)
-                share = good * len(during) / max(1, sum(columns["offered"][at] for at in during))
-                back = next(
+                fraction = good * len(during) / max(1, sum(columns["offered"][at] for at in during))
+                recovered_after = next(
                     (
                         at - int(ends)
-                        for at in range(int(ends), int(play.lasts))
+                        for at in range(int(ends), int(scenario.duration_s))
                         if columns["good"][at] >= 0.95 * columns["offered"][at]
                     ),
                     None,
                 )
                 print(
-                    f"{name:34} good {good / capacity:.2f} of capacity, {share:.2f} of offered; back after "
-                    f"{back} s; doubled {one.doubled()}, unanswered {sum(columns['lost'])}, "
+                    f"{name:34} good {good / capacity:.2f} of capacity, {fraction:.2f} of offered; back after "
+                    f"{recovered_after} s; doubled {sidecar.count_duplicates()}, unanswered {sum(columns['lost'])}, "
                     f"no connection {sum(columns['refused'])}; "
-                    f"{json.dumps({key: round(value) for key, value in one.most.items()})}",
+                    f"{json.dumps({key: round(value) for key, value in sidecar.peaks.items()})}",
                     flush=True,
                 )
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -18,21 +18,21 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
+from pumicepath.balancer import Balancer  # noqa: E402
 from pumicepath.compiled import FORM  # noqa: E402
 from pumicepath.http1 import writing  # noqa: E402
-from pumicepath.http1.parsing import MOST_BODY, RequestParser, ResponseParser  # noqa: E402
-from pumicepath.interface import Entry, Listing, Outcome, Phase  # noqa: E402
-from pumicepath.lab.loopback.servers import ANSWERS  # noqa: E402
-from pumicepath.lab.loopback.wires import asked as request_of  # noqa: E402
+from pumicepath.http1.parsing import MAX_BODY_BYTES, RequestParser, ResponseParser  # noqa: E402
+from pumicepath.interface import ListKind, Outcome, ServerEntry, ServerState  # noqa: E402
+from pumicepath.lab.loopback.client_connections import encode_request as request_of  # noqa: E402
+from pumicepath.lab.loopback.servers import RESPONSES  # noqa: E402
 from pumicepath.lab.spec import Load, Plan, RequestClassSpec, Sidecars  # noqa: E402
 from pumicepath.lab.spec import sidecar_settings as settings_of
-from pumicepath.logic import Balancer  # noqa: E402
 from pumicepath.sidecar import answers, config  # noqa: E402
-from pumicepath.sidecar.entrance import Entrance  # noqa: E402
-from pumicepath.sidecar.submissions import asked  # noqa: E402
+from pumicepath.sidecar.admission_gate import AdmissionGate  # noqa: E402
+from pumicepath.sidecar.submissions import parse_submission  # noqa: E402
 
 REQUEST = request_of("read", True, "12d687-1", 77, 2000, False, 0)
-ANSWER = ANSWERS[Outcome.OK]
+ANSWER = RESPONSES[Outcome.OK]
 PLAN = Plan(
     sidecars=Sidecars(count=1),
     load=Load(
@@ -44,18 +44,18 @@
 )
 
 
-class Nowhere:
+class NullCallbacks:
     """An outlet that does nothing."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *_: None
 
 
-def parts() -> dict[str, Callable[[], object]]:
-    told = config.decode_config(
+def make_parts() -> dict[str, Callable[[], object]]:
+    sidecar_config = config.decode_config(
         {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings_of(PLAN, 0, 0)}
     )
-    request, response = RequestParser(), ResponseParser(MOST_BODY)
+    request, response = RequestParser(), ResponseParser(MAX_BODY_BYTES)
 
     def feed(parser, data: bytes):
         room = parser.ring.room()
@@ -68,49 +68,55 @@
 
     def glance() -> None:
         feed(request, REQUEST)
-        seen = request.glance()
-        request.ring.drop(seen[0])
+        seen = request.peek_request()
+        request.ring.consume(seen[0])
 
     whole, answer = parse(request, REQUEST), parse(response, ANSWER)
 
-    def onward() -> bytes:
-        headers = [(name, value) for name, value in whole.passed_on() if name.lower() != "x-expires-in-ms"]
+    def write_hop() -> bytes:
+        headers = [
+            (name, value) for name, value in whole.end_to_end_headers() if name.lower() != "x-expires-in-ms"
+        ]
         return writing.request(whole.method, whole.target, [*headers, ("x-expires-in-ms", "5")], whole.body)
 
-    entrance = Entrance(told)
+    gate = AdmissionGate(sidecar_config)
 
-    def through() -> None:
-        entrance.enter(10, 10**18, 0, False, 5000.0)
-        entrance.leave()
-        entrance.again()
-        entrance.leave(100)
+    def pass_gate() -> None:
+        gate.enter(10, 10**18, 0, False, 5000.0)
+        gate.leave()
+        gate.reenter()
+        gate.leave(100)
 
-    found: dict[str, Callable[[], object]] = {
+    parts: dict[str, Callable[[], object]] = {
         "read a request": lambda: parse(request, REQUEST),
-        "what it asks": lambda: asked(whole, told.request_classes, told.settings.tariffs),
-        "through the entrance, twice": through,
-        "write the hop": onward,
+        "what it asks": lambda: parse_submission(
+            whole, sidecar_config.request_classes, sidecar_config.settings.request_classes
+        ),
+        "through the entrance, twice": pass_gate,
+        "write the hop": write_hop,
         "read the answer": lambda: parse(response, ANSWER),
         "write the answer": lambda: writing.response(*answers.succeeded(answer), True),
         "glance at a request": glance,
     }
     for servers in (4, 9, 12):
-        balancer = Balancer(told.settings, 1, Nowhere())
-        balancer.listed(0, Listing.FULL, [Entry(at, 0, 0, Phase.READY, 1.0, 0) for at in range(servers)])
-        found[f"decide, {servers} servers"] = decisions(balancer)
-    return found
+        balancer = Balancer(sidecar_config.settings, 1, NullCallbacks())
+        balancer.update_servers(
+            0, ListKind.FULL, [ServerEntry(at, 0, 0, ServerState.READY, 1.0, 0) for at in range(servers)]
+        )
+        parts[f"decide, {servers} servers"] = decision_loop(balancer)
+    return parts
 
 
-def decisions(balancer: Balancer) -> Callable[[], None]:
-    chance = random.Random(1)
-    keys = [chance.randrange(1, 1500) for _ in range(5000)]
+def decision_loop(balancer: Balancer) -> Callable[[], None]:
+    rng = random.Random(1)
+    keys = [rng.randrange(1, 1500) for _ in range(5000)]
     state = [10**9, 0]
 
     def decide() -> None:
         state[0] += 800
         state[1] += 1
-        one = balancer.take(state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000)
-        one.ended(state[0] + 5000, 0, Outcome.OK, 5000, True)
+        one = balancer.submit(state[0], state[1], 0, keys[state[1] % 5000], False, state[0] + 2_000_000)
+        one.hop_finished(state[0] + 5000, 0, Outcome.OK, 5000, True)
 
     return decide
 
@@ -121,20 +127,20 @@
 @click.option("--as-json", is_flag=True)
 def main(runs: int, times: int, as_json: bool) -> None:
     """Microseconds a part, the middle of the runs."""
-    found: dict[str, list[float]] = {}
+    results: dict[str, list[float]] = {}
     for _ in range(runs):
-        for name, part in parts().items():
+        for name, part in make_parts().items():
             began = time.process_time()
             for _ in range(times):
                 part()
-            found.setdefault(name, []).append((time.process_time() - began) / times * 1e6)
-    middle = {name: statistics.median(values) for name, values in found.items()}
+            results.setdefault(name, []).append((time.process_time() - began) / times * 1e6)
+    middle = {name: statistics.median(values) for name, values in results.items()}
     if as_json:
         print(json.dumps({"form": FORM, **middle}))
         return
     print(FORM)
     for name, value in middle.items():
-        print(f"{name:28} {value:6.1f} us  ({min(found[name]):.1f} to {max(found[name]):.1f})")
+        print(f"{name:28} {value:6.1f} us  ({min(results[name]):.1f} to {max(results[name]):.1f})")
 
 
 if __name__ == "__main__":
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -28,58 +28,58 @@
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline  # noqa: E402
 from pumicepath.lab.virtual.peers import VirtualFleet  # noqa: E402
 
-LOOK = 250_000
-LONGEST = 300 * SECOND
+CHECK_INTERVAL_US = 250_000
+MAX_WAIT_US = 300 * SECOND
 # How long lossy links and stops are played at each size, in virtual seconds: false deaths are rare.
-TROUBLED_S = {10: 3600, 100: 600, 1000: 20}
+FAULT_DURATION_S = {10: 3600, 100: 600, 1000: 20}
 
 
-def right_after(peering: VirtualFleet, time_: VirtualTimeline) -> float:
+def seconds_until_correct(peering: VirtualFleet, time_: VirtualTimeline) -> float:
     began = time_.now
-    while peering.sidecars_with_wrong_view(50) and time_.now - began < LONGEST:
-        time_.run(time_.now + LOOK)
+    while peering.sidecars_with_wrong_view(50) and time_.now - began < MAX_WAIT_US:
+        time_.run(time_.now + CHECK_INTERVAL_US)
     return (time_.now - began) / SECOND
 
 
-def virtual(count: int, seed: int) -> dict[str, float]:
+def measure_virtual(count: int, seed: int) -> dict[str, float]:
     """One fleet of that size through all that is measured; seconds, and figures a sidecar a second."""
     time_ = VirtualTimeline()
     links = Links(time_, seed, 300)
     peering = VirtualFleet(time_, links, seed, count)
     for number in range(count):
         peering.start(number)
-    found = {"join": right_after(peering, time_), "join_kb": links.bytes.total() / count / 1000}
+    results = {"join": seconds_until_correct(peering, time_), "join_kb": links.bytes.total() / count / 1000}
     time_.run(time_.now + 30 * SECOND)
     links.sent.clear()
     links.bytes.clear()
     cpu = time.process_time()
     time_.run(time_.now + 20 * SECOND)
-    found |= {
+    results |= {
         "messages": links.sent.total() / count / 20,
         "bytes": links.bytes.total() / count / 20,
         "busiest": max(links.sent.values()) / 20,
         "cpu_us": (time.process_time() - cpu) / count / 20 * 1e6,
     }
     peering.kill(count // 2)
-    found["death"] = right_after(peering, time_)
+    results["death"] = seconds_until_correct(peering, time_)
     peering.start(count // 2)
-    hit = range(count * 7 // 10)
-    for number in hit:
+    restarted = range(count * 7 // 10)
+    for number in restarted:
         peering.kill(number)
     time_.run(time_.now + SECOND)
-    for number in hit:
+    for number in restarted:
         peering.start(number)
-    found["restart"] = right_after(peering, time_)
+    results["restart"] = seconds_until_correct(peering, time_)
     time_.run(time_.now + 30 * SECOND)
     peering.counts.clear()
-    lasts = TROUBLED_S.get(count, 300)
+    duration_s = FAULT_DURATION_S.get(count, 300)
     undo = links.impair(range(0, count, 10), Impairment(loss=0.2))
-    time_.run(time_.now + lasts * SECOND)
+    time_.run(time_.now + duration_s * SECOND)
     undo()
-    hours = lasts / 3600
+    hours = duration_s / 3600
     lossy = len(range(0, count, 10))
-    found["suspicions_loss"] = peering.counts["suspected"] / count / lossy / hours
-    found["false_loss"] = peering.counts["false deaths"] / count / lossy / hours
+    results["suspicions_loss"] = peering.counts["suspected"] / count / lossy / hours
+    results["false_loss"] = peering.counts["false deaths"] / count / lossy / hours
     time_.run(time_.now + 30 * SECOND)
     peering.counts.clear()
     stops = 0
@@ -89,8 +89,8 @@
         peering.resume(number)
         time_.run(time_.now + 5 * SECOND)
         stops += 1
-    found["false_stop"] = peering.counts["false deaths"] / count / stops
-    return found
+    results["false_stop"] = peering.counts["false deaths"] / count / stops
+    return results
 
 
 ROWS = (
@@ -108,14 +108,14 @@
 )
 
 
-def by_size(sizes: list[int], seeds: int, plot: Path | None) -> None:
+def print_by_size(sizes: list[int], seeds: int, plot: Path | None) -> None:
     with ProcessPoolExecutor(max(1, (os.cpu_count() or 2) - 1)) as pool:
         jobs = {
-            (count, seed): pool.submit(virtual, count, seed)
+            (count, seed): pool.submit(measure_virtual, count, seed)
             for count in sorted(sizes, reverse=True)
             for seed in range(1, seeds + 1)
         }
-        told = {key: job.result() for key, job in jobs.items()}
+        results = {key: job.result() for key, job in jobs.items()}
     print(
         f"| {seeds} seeds, virtual time: middle (least to most) | "
         + " | ".join(f"{count:,}" for count in sizes)
@@ -125,14 +125,16 @@
     for key, text in ROWS:
         cells = []
         for count in sizes:
-            values = sorted(told[count, seed][key] for seed in range(1, seeds + 1))
+            values = sorted(results[count, seed][key] for seed in range(1, seeds + 1))
             cells.append(f"{median(values):.4g} ({values[0]:.4g} to {values[-1]:.4g})")
         print(f"| {text} | " + " | ".join(cells) + " |")
     if plot is not None:
-        draw(sizes, seeds, told, plot)
+        draw_plot(sizes, seeds, results, plot)
 
 
-def draw(sizes: list[int], seeds: int, told: dict[tuple[int, int], dict[str, float]], path: Path) -> None:
+def draw_plot(
+    sizes: list[int], seeds: int, results: dict[tuple[int, int], dict[str, float]], path: Path
+) -> None:
     import matplotlib
 
     matplotlib.use("Agg")
@@ -144,12 +146,12 @@
         (both[1], ("messages", "busiest"), "messages a second at rest"),
     ):
         for key in keys:
-            middle = [median(told[count, seed][key] for seed in range(1, seeds + 1)) for count in sizes]
+            middle = [median(results[count, seed][key] for seed in range(1, seeds + 1)) for count in sizes]
             axes.plot(sizes, middle, marker="o", label=key)
             for count in sizes:
                 axes.plot(
                     [count] * seeds,
-                    [told[count, seed][key] for seed in range(1, seeds + 1)],
+                    [results[count, seed][key] for seed in range(1, seeds + 1)],
                     ".",
                     color="grey",
                     ms=3,
@@ -160,22 +162,24 @@
     figure.savefig(path, dpi=110)
 
 
-async def really(count: int, folder: Path) -> dict[str, float]:
+async def measure_real(count: int, folder: Path) -> dict[str, float]:
     """Real processes, no load: start, rest, a mass restart; seconds, and figures a sidecar a second."""
-    from pumicepath.lab.loopback.world import LiveWorld
+    from pumicepath.lab.loopback.world import LoopbackWorld
     from pumicepath.lab.model.views import sidecars_with_wrong_view
     from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
     plan = Plan(
         lasts_s=3600, fleet=Fleet(servers=2), load=Load(rate=1), sidecars=Sidecars(count=count, peers=True)
     )
-    world = LiveWorld(plan, 1, folder)
+    world = LoopbackWorld(plan, 1, folder)
     names = [one.name for one in world.sidecars]
 
     async def until_right() -> float:
         began = time.monotonic()
         while True:
-            told = await asyncio.gather(*(one.asked("/peers", 10.0) for one in world.sidecars if one.up))
+            told = await asyncio.gather(
+                *(one.query_admin("/peers", 10.0) for one in world.sidecars if one.up)
+            )
             views = {
                 view["name"]: [(one["name"], one["state"]) for one in view["peers"]]
                 for view in told
@@ -195,18 +199,18 @@
 
     try:
         assert world.links is not None
-        await world.relays.open(count)
+        await world.datagram_proxies.open(count)
         began = time.monotonic()
         for one in world.sidecars:
             one.start()
         for one in world.sidecars:
             await one.ready.wait()
         up = time.monotonic() - began
-        found = {"up": up, "join": await until_right()}
+        results = {"up": up, "join": await until_right()}
         await asyncio.sleep(10)
         sent, size, before = world.links.sent.total(), world.links.bytes.total(), cpu()
         await asyncio.sleep(30)
-        found |= {
+        results |= {
             "cpu_ms": 1000 * median((b - a) / 30 for a, b in zip(before, cpu())),
             "messages": (world.links.sent.total() - sent) / 30 / count,
             "bytes": (world.links.bytes.total() - size) / 30 / count,
@@ -226,28 +230,28 @@
             one.start()
         for one in world.sidecars[: count * 7 // 10]:
             await one.ready.wait()
-        found["restart_up"] = time.monotonic() - began
+        results["restart_up"] = time.monotonic() - began
         await until_right()
-        found["restart"] = time.monotonic() - began
-        return found
+        results["restart"] = time.monotonic() - began
+        return results
     finally:
-        await world.end()
+        await world.close()
 
 
-def with_processes(count: int, runs: int) -> None:
-    told = []
+def print_real(count: int, runs: int) -> None:
+    results = []
     for _ in range(runs):
         with tempfile.TemporaryDirectory() as folder:
-            told.append(asyncio.run(really(count, Path(folder))))
+            results.append(asyncio.run(measure_real(count, Path(folder))))
     print(f"{count} real sidecars on loopback, {os.cpu_count()} cores, {runs} runs: middle (least to most)")
-    for key in told[0]:
-        values = sorted(run[key] for run in told)
+    for key in results[0]:
+        values = sorted(run[key] for run in results)
         print(f"  {key:<12} {median(values):8.3f}  ({values[0]:.3f} to {values[-1]:.3f})")
 
 
-def starts(other: Path, runs: int) -> None:
+def compare_starts(other: Path, runs: int) -> None:
     """Until it listens, memory then, and CPU a second at rest: this tree and the other, in turns."""
-    from pumicepath.lab.loopback.process import Sidecar
+    from pumicepath.lab.loopback.process import SidecarProcess
 
     here = Path(__file__).parent.parent
     config: dict[str, Any] = {
@@ -266,32 +270,34 @@
             ],
         },
     }
-    peered = {**config, "peers": {"listen": "127.0.0.1:0"}}
-    told: dict[str, list[tuple[float, float, float]]] = {}
+    config_with_peers = {**config, "peers": {"listen": "127.0.0.1:0"}}
+    results: dict[str, list[tuple[float, float, float]]] = {}
     for run in range(runs):
         for name, root, given in (
             ("other tree", other, config),
             ("this tree", here, config),
-            ("this tree, peers", here, peered),
+            ("this tree, peers", here, config_with_peers),
         ):
             with tempfile.TemporaryDirectory() as folder:
                 began = time.monotonic()
-                sidecar = Sidecar(given, Path(folder), root, {0, 1})
+                sidecar = SidecarProcess(given, Path(folder), root, {0, 1})
                 try:
                     while sidecar.address() is None:
                         time.sleep(0.001)
-                    up = time.monotonic() - began
+                    start_s = time.monotonic() - began
                     time.sleep(1)
-                    memory, before = sidecar.memory_mb(), sum(sidecar.cpu())
+                    memory, before = sidecar.memory_mb(), sum(sidecar.cpu_seconds())
                     time.sleep(5)
                     if run:  # the first warms the files
-                        told.setdefault(name, []).append((up, memory, 200 * (sum(sidecar.cpu()) - before)))
+                        results.setdefault(name, []).append(
+                            (start_s, memory, 200 * (sum(sidecar.cpu_seconds()) - before))
+                        )
                 finally:
-                    sidecar.end()
-    for name, values in told.items():
-        up, memory, cpu = (sorted(column) for column in zip(*values))
+                    sidecar.kill()
+    for name, values in results.items():
+        start_s, memory, cpu = (sorted(column) for column in zip(*values))
         print(
-            f"{name:<18} up {median(up):.3f} s ({up[0]:.3f} to {up[-1]:.3f})  {median(memory):.1f} MB  "
+            f"{name:<18} up {median(start_s):.3f} s ({start_s[0]:.3f} to {start_s[-1]:.3f})  {median(memory):.1f} MB  "
             f"at rest {median(cpu):.1f} ms CPU a second ({cpu[0]:.1f} to {cpu[-1]:.1f})"
         )
 
@@ -305,15 +311,15 @@
     parser.add_argument("--plot", type=Path)
     parser.add_argument("--count", type=int, default=50)
     parser.add_argument("--runs", type=int, default=3)
-    given = parser.parse_args()
-    if given.what == "virtual":
-        by_size(given.sizes, given.seeds, given.plot)
-    elif given.what == "real":
-        with_processes(given.count, given.runs)
-    elif given.other is None:
+    options = parser.parse_args()
+    if options.what == "virtual":
+        print_by_size(options.sizes, options.seeds, options.plot)
+    elif options.what == "real":
+        print_real(options.count, options.runs)
+    elif options.other is None:
         parser.error("start needs the other tree")
     else:
-        starts(given.other, given.runs)
+        compare_starts(options.other, options.runs)
 
 
 if __name__ == "__main__":
--- a/benchmarks/ranking.py
+++ b/benchmarks/ranking.py
@@ -20,17 +20,28 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from pumicepath.lab.experiments import figures, files  # noqa: E402
+from pumicepath.lab.experiments import files, statistics  # noqa: E402
 from pumicepath.lab.virtual.baselines import TEXTBOOK_BALANCERS  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
-DAYS = ("short-work", "die", "vanish", "slow", "fail-quickly", "new-id", "hall", "list", "burst", "effects")
+SCENARIOS = (
+    "short-work",
+    "die",
+    "vanish",
+    "slow",
+    "fail-quickly",
+    "new-id",
+    "hall",
+    "list",
+    "burst",
+    "effects",
+)
 
 
-def decisions(revision: str) -> Any:
+def load_balancer(revision: str) -> Any:
     """The balancer of a revision, as a module beside ours."""
     text = subprocess.run(
-        ["git", "show", f"{revision}:pumicepath/logic.py"],
+        ["git", "show", f"{revision}:pumicepath/balancer.py"],
         cwd=ROOT,
         check=True,
         capture_output=True,
@@ -45,30 +56,32 @@
     return module.Balancer
 
 
-def play(job: tuple[str, str, int]) -> float:
-    arm, day, seed = job
-    plan = files.read(ROOT / "experiments" / f"{day}.toml", 1).plan
-    maker = arm if arm in TEXTBOOK_BALANCERS or arm in ("pumicepath", "oracle") else decisions(arm)
-    return VirtualWorld(plan, seed, maker).run().service
+def run_job(job: tuple[str, str, int]) -> float:
+    arm, scenario, seed = job
+    plan = files.load_experiment(ROOT / "experiments" / f"{scenario}.toml", 1).plan
+    policy = arm if arm in TEXTBOOK_BALANCERS or arm in ("pumicepath", "oracle") else load_balancer(arm)
+    return VirtualWorld(plan, seed, policy).run().service
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(description=__doc__)
-    asked.add_argument("--revisions", nargs="*", default=[])
-    asked.add_argument("--days", nargs="+", default=list(DAYS))
-    asked.add_argument("--seeds", type=int, default=5)
-    asked.add_argument("--workers", type=int, default=os.cpu_count())
-    told = asked.parse_args()
-    arms = ["pumicepath", *told.revisions, *TEXTBOOK_BALANCERS, "oracle"]
-    jobs = [(arm, day, seed) for arm in arms for day in told.days for seed in range(1, told.seeds + 1)]
-    with ProcessPoolExecutor(told.workers) as pool:
-        service = dict(zip(jobs, pool.map(play, jobs)))
-    print(f"{'':<18}" + "".join(f"{day:>13}" for day in told.days) + "   mean over days by seed")
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--revisions", nargs="*", default=[])
+    parser.add_argument("--days", nargs="+", default=list(SCENARIOS))
+    parser.add_argument("--seeds", type=int, default=5)
+    parser.add_argument("--workers", type=int, default=os.cpu_count())
+    options = parser.parse_args()
+    arms = ["pumicepath", *options.revisions, *TEXTBOOK_BALANCERS, "oracle"]
+    jobs = [(arm, day, seed) for arm in arms for day in options.days for seed in range(1, options.seeds + 1)]
+    with ProcessPoolExecutor(options.workers) as pool:
+        service = dict(zip(jobs, pool.map(run_job, jobs)))
+    print(f"{'':<18}" + "".join(f"{day:>13}" for day in options.days) + "   mean over days by seed")
     for arm in arms:
-        seeds = range(1, told.seeds + 1)
-        means = [sum(service[arm, day, seed] for seed in seeds) / told.seeds for day in told.days]
-        whole = [sum(service[arm, day, seed] for day in told.days) / len(told.days) for seed in seeds]
-        spread = figures.interval(whole)
+        seeds = range(1, options.seeds + 1)
+        means = [sum(service[arm, day, seed] for seed in seeds) / options.seeds for day in options.days]
+        means_by_seed = [
+            sum(service[arm, day, seed] for day in options.days) / len(options.days) for seed in seeds
+        ]
+        spread = statistics.bootstrap_interval(means_by_seed)
         print(f"{arm:<18}" + "".join(f"{mean:13.3f}" for mean in means) + f"   {spread}")
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -25,63 +25,65 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from pumicepath.compiled import FORM  # noqa: E402
-from tests.relay_rig import Origin, Relay, line, until  # noqa: E402
+from tests.relay_rig import Origin, RelayProcess, list_line, wait_until  # noqa: E402
 
-HEAD = re.compile(rb"HTTP/1.1 (\d+) .*?\r\nContent-Length: (\d+)(?:\r\n[^\r]+)*\r\n\r\n", re.S)
-SEQ = re.compile(rb'{"seq":(\d+)')
-LONGEST_MS = 3000
+RESPONSE_HEAD = re.compile(rb"HTTP/1.1 (\d+) .*?\r\nContent-Length: (\d+)(?:\r\n[^\r]+)*\r\n\r\n", re.S)
+LIST_VERSION = re.compile(rb'{"seq":(\d+)')
+MAX_WAIT_MS = 3000
 WINDOW_S = 1.0
 
 
-class Asker:
-    def __init__(self, where: tuple[str, int], services: str) -> None:
+class Follower:
+    def __init__(self, address: tuple[str, int], services: str) -> None:
         self.services = services
         self.seq = -1
-        self.data = b""
-        self.sock = socket.create_connection(where)
+        self.buffer = b""
+        self.sock = socket.create_connection(address)
 
-    def ask(self, wait_ms: float) -> None:
+    def send_request(self, wait_ms: float) -> None:
         since = f"since={self.seq}&timeout_ms={int(wait_ms)}&" if self.seq >= 0 else ""
         self.sock.sendall(
             b"GET /discovery/hosts?%bservices=%b HTTP/1.1\r\nHost: r\r\n\r\n"
             % (since.encode(), self.services.encode())
         )
 
-    def hear(self) -> tuple[int, bytes] | None:
+    def receive(self) -> tuple[int, bytes] | None:
         data = self.sock.recv(1 << 20)
         if not data:
             raise ConnectionResetError("the relay has closed a connection")
-        self.data += data
-        head = HEAD.match(self.data)
-        if head is None or len(self.data) < head.end() + int(head[2]):
+        self.buffer += data
+        head = RESPONSE_HEAD.match(self.buffer)
+        if head is None or len(self.buffer) < head.end() + int(head[2]):
             return None
-        body, self.data = self.data[head.end() :], b""
+        body, self.buffer = self.buffer[head.end() :], b""
         if head[1] == b"200":
-            found = SEQ.match(body)
-            assert found is not None
-            self.seq = int(found[1])
+            version = LIST_VERSION.match(body)
+            assert version is not None
+            self.seq = int(version[1])
         return int(head[1]), body
 
 
-class Bench:
-    def __init__(self, folder: Path, followers: int, told: argparse.Namespace, rate: int) -> None:
-        self.draw = random.Random(told.seed)
-        names = [f"service-{at:04}" for at in range(told.services)]
+class RelayLoad:
+    def __init__(self, folder: Path, followers: int, options: argparse.Namespace, rate: int) -> None:
+        self.rng = random.Random(options.seed)
+        names = [f"service-{at:04}" for at in range(options.services)]
         self.origin = Origin(
             [
-                line(f"srv-{at:06}", names[at % told.services], port=9000 + at % 1000)
-                for at in range(told.servers)
+                list_line(f"srv-{at:06}", names[at % options.services], port=9000 + at % 1000)
+                for at in range(options.servers)
             ]
         )
-        self.relay = Relay(folder, {"eu": self.origin}, mostFollowers=100_000, wholeBytesPerS=rate)
-        until(lambda: self.relay.stats()["servers"] == told.servers)
+        self.relay = RelayProcess(folder, {"eu": self.origin}, mostFollowers=100_000, wholeBytesPerS=rate)
+        wait_until(lambda: self.relay.stats()["servers"] == options.servers)
         self.before_kb = self.memory_kb()
         self.selector = selectors.DefaultSelector()
-        self.askers = []
+        self.followers = []
         for _ in range(followers):
-            asker = Asker(self.relay.where, ",".join(sorted(self.draw.sample(names, told.each))))
+            asker = Follower(
+                self.relay.socket_address, ",".join(sorted(self.rng.sample(names, options.each)))
+            )
             self.selector.register(asker.sock, selectors.EVENT_READ, asker)
-            self.askers.append(asker)
+            self.followers.append(asker)
 
     def cpu_s(self) -> float:
         with open(f"/proc/{self.relay.process.pid}/schedstat") as file:
@@ -93,44 +95,44 @@
         assert found is not None
         return int(found[1])
 
-    def all(self, wait_ms: float = 1) -> tuple[list[tuple[int, bytes]], float, float]:
+    def ask_all(self, wait_ms: float = 1) -> tuple[list[tuple[int, bytes]], float, float]:
         """Everyone asks and is answered: the answers, the relay's processor time, and the time."""
         cpu, then = self.cpu_s(), time.monotonic()
-        for asker in self.askers:
+        for asker in self.followers:
             asker.ask(wait_ms)
         answers: list[tuple[int, bytes]] = []
-        while len(answers) < len(self.askers):
+        while len(answers) < len(self.followers):
             for key, _ in self.selector.select(5):
-                found = key.data.hear()
-                if found is not None:
-                    answers.append(found)
+                response = key.data.hear()
+                if response is not None:
+                    answers.append(response)
         return answers, self.cpu_s() - cpu, time.monotonic() - then
 
-    def drawn_ms(self) -> float:
-        return LONGEST_MS * (0.5 + 0.5 * self.draw.random())
+    def random_wait_ms(self) -> float:
+        return MAX_WAIT_MS * (0.5 + 0.5 * self.rng.random())
 
     def follow(self, seconds: float) -> tuple[int, int, float, float]:
         """All wait and ask anew: answers, those with a change, when the last such came, processor time."""
         cpu, then = self.cpu_s(), time.monotonic()
-        answers = told = 0
+        answers = changed = 0
         last = 0.0
         while time.monotonic() - then < seconds:
             for key, _ in self.selector.select(0.02):
-                found = key.data.hear()
-                if found is not None:
+                response = key.data.hear()
+                if response is not None:
                     answers += 1
-                    if b'"host"' in found[1]:
-                        told += 1
+                    if b'"host"' in response[1]:
+                        changed += 1
                         last = time.monotonic() - then
-                    key.data.ask(self.drawn_ms())
-        return answers, told, last, self.cpu_s() - cpu
+                    key.data.ask(self.random_wait_ms())
+        return answers, changed, last, self.cpu_s() - cpu
 
 
-def measured(followers: int, told: argparse.Namespace) -> dict[str, object]:
+def measure(followers: int, options: argparse.Namespace) -> dict[str, object]:
     folder = Path(tempfile.mkdtemp())
-    bench = Bench(folder, followers, told, rate=10**9)
-    answers, cpu, took = bench.all()
-    found: dict[str, object] = {
+    load = RelayLoad(folder, followers, options, rate=10**9)
+    answers, cpu, took = load.ask_all()
+    results: dict[str, object] = {
         "followers": followers,
         "form": FORM,
         "whole_us": round(1e6 * cpu / followers),
@@ -138,43 +140,45 @@
         "whole_bytes": round(sum(len(body) for _, body in answers) / followers),
     }
     time.sleep(1.2)  # the region's coming into touch is told
-    bench.all()
-    found["memory_kb"] = round((bench.memory_kb() - bench.before_kb) / followers, 2)
-    found["memory_mb_all"] = round(bench.memory_kb() / 1024, 1)
-    found["renewal_at_once_us"] = sorted(round(1e6 * bench.all()[1] / followers) for _ in range(told.runs))
-    for asker in bench.askers:
-        asker.ask(bench.drawn_ms())
-    count, _, _, cpu = bench.follow(told.rest)
-    rest = cpu / told.rest
-    found |= {
-        "rest_core": round(rest, 4),
-        "renewals_a_second": round(count / told.rest),
+    load.ask_all()
+    results["memory_kb"] = round((load.memory_kb() - load.before_kb) / followers, 2)
+    results["memory_mb_all"] = round(load.memory_kb() / 1024, 1)
+    results["renewal_at_once_us"] = sorted(
+        round(1e6 * load.ask_all()[1] / followers) for _ in range(options.runs)
+    )
+    for asker in load.followers:
+        asker.ask(load.random_wait_ms())
+    count, _, _, cpu = load.follow(options.rest)
+    idle_cpu_per_s = cpu / options.rest
+    results |= {
+        "rest_core": round(idle_cpu_per_s, 4),
+        "renewals_a_second": round(count / options.rest),
         "renewal_us": round(1e6 * cpu / count),
     }
     for servers in (1, 100, 590):
         runs = []
-        for run in range(told.runs):
-            some = bench.draw.sample(sorted(bench.origin.lines), min(servers, told.servers))
-            bench.origin.put(*({**bench.origin.lines[host], "block": 1000 * servers + run} for host in some))
-            _, told_to, last, cpu = bench.follow(WINDOW_S)
-            runs.append((told_to, last, 1e6 * (cpu - rest * WINDOW_S)))
-        found[f"change_of_{servers}"] = {
+        for run in range(options.runs):
+            hosts = load.rng.sample(sorted(load.origin.lines), min(servers, options.servers))
+            load.origin.put(*({**load.origin.lines[host], "block": 1000 * servers + run} for host in hosts))
+            _, changed, last, cpu = load.follow(WINDOW_S)
+            runs.append((changed, last, 1e6 * (cpu - idle_cpu_per_s * WINDOW_S)))
+        results[f"change_of_{servers}"] = {
             "told": median(run[0] for run in runs),
             "last_s": round(max(run[1] for run in runs), 3),
             "cpu_us": round(median(run[2] for run in runs)),
             "cpu_us_each": round(median(run[2] / max(1, run[0]) for run in runs)),
         }
-    bench.relay.kill()
-    bench = Bench(folder, followers, told, rate=64_000_000)
-    answers, cpu, took = bench.all()
-    found["paced"] = {
+    load.relay.kill()
+    load = RelayLoad(folder, followers, options, rate=64_000_000)
+    answers, cpu, took = load.ask_all()
+    results["paced"] = {
         "whole": sum(status == 200 for status, _ in answers),
         "in_s": round(took, 2),
         "told_503": sum(status == 503 for status, _ in answers),
         "cpu_s": round(cpu, 3),
     }
-    bench.relay.kill()
-    return found
+    load.relay.kill()
+    return results
 
 
 def main() -> None:
@@ -186,9 +190,9 @@
     parser.add_argument("--runs", type=int, default=5)
     parser.add_argument("--rest", type=float, default=10.0)
     parser.add_argument("--seed", type=int, default=1)
-    told = parser.parse_args()
-    for followers in told.followers:
-        print(json.dumps(measured(followers, told)), flush=True)
+    options = parser.parse_args()
+    for followers in options.followers:
+        print(json.dumps(measure(followers, options)), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -22,42 +22,42 @@
 SIZES = ((10, 12, 20), (100, 12, 20), (1000, 12, 20), (10, 100, 20), (100, 100, 20), (1000, 100, 60))
 
 
-def play(sidecars: int, servers: int, lasts: int, policy: str) -> None:
+def run_size(sidecars: int, servers: int, duration_s: int, policy: str) -> None:
     """One size in this process: events, submissions, CPU seconds, MB."""
     from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, Sidecars
     from pumicepath.lab.virtual.run import VirtualWorld
 
     plan = Plan(
-        lasts_s=lasts,
+        lasts_s=duration_s,
         fleet=Fleet(halls=2, servers=servers),
         sidecars=Sidecars(count=sidecars),
         load=Load(rate=1000),
-        troubles=(FaultSpec(kind="die", at_s=lasts / 3, for_s=5, count=2),),
+        troubles=(FaultSpec(kind="die", at_s=duration_s / 3, for_s=5, count=2),),
     )
     began = time.process_time()
     result = VirtualWorld(plan, 1, policy).run()
-    spent = time.process_time() - began
+    cpu_s = time.process_time() - began
     print(
         result.events,
         sum(result.columns["offered"]),
-        spent,
+        cpu_s,
         resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         int(any(result.violations.values())),
     )
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(description=__doc__)
-    asked.add_argument("--runs", type=int, default=5)
-    asked.add_argument("--play", nargs=4)
-    told = asked.parse_args()
-    if told.play:
-        play(*map(int, told.play[:3]), told.play[3])
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--runs", type=int, default=5)
+    parser.add_argument("--play", nargs=4)
+    options = parser.parse_args()
+    if options.play:
+        run_size(*map(int, options.play[:3]), options.play[3])
         return
     print("sidecars servers  policy       events/s   us/event  us/submission  times real time     MB")
-    for sidecars, servers, lasts in SIZES:
+    for sidecars, servers, duration_s in SIZES:
         for policy in ("pumicepath", "random"):
-            ended = [
+            runs = [
                 list(
                     map(
                         float,
@@ -68,7 +68,7 @@
                                 "--play",
                                 str(sidecars),
                                 str(servers),
-                                str(lasts),
+                                str(duration_s),
                                 policy,
                             ],
                             check=True,
@@ -77,15 +77,15 @@
                         ).stdout.split(),
                     )
                 )
-                for _ in range(told.runs)
+                for _ in range(options.runs)
             ]
-            events, offered, cpu = ended[0][0], ended[0][1], median(each[2] for each in ended)
-            times = sorted(lasts / each[2] for each in ended)
+            events, offered, cpu = runs[0][0], runs[0][1], median(each[2] for each in runs)
+            times = sorted(duration_s / each[2] for each in runs)
             print(
                 f"{sidecars:8d} {servers:7d}  {policy:<11} {events / cpu:9.0f} {1e6 * cpu / events:10.1f} "
-                f"{1e6 * cpu / offered:14.1f}  {lasts / cpu:5.1f} ({times[0]:.1f} to {times[-1]:.1f})  "
-                f"{max(each[3] for each in ended):6.0f}"
-                + ("  a rule was broken" if any(each[4] for each in ended) else ""),
+                f"{1e6 * cpu / offered:14.1f}  {duration_s / cpu:5.1f} ({times[0]:.1f} to {times[-1]:.1f})  "
+                f"{max(each[3] for each in runs):6.0f}"
+                + ("  a rule was broken" if any(each[4] for each in runs) else ""),
                 flush=True,
             )
 
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -21,74 +21,84 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.lab.experiments.figures import difference  # noqa: E402
-from pumicepath.lab.faults.history import read  # noqa: E402
+from pumicepath.lab.experiments.statistics import paired_difference  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.result import Result  # noqa: E402
 from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, Sidecars  # noqa: E402
+from pumicepath.lab.verification.history import read  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
-BEGINS, LASTS, ENDS = 15, 45, 100
-SICK = 3
-BACK = 0.05  # of the open breakers, below which servers count as in use again
+FAULT_START_S, FAULT_DURATION_S, RUN_DURATION_S = 15, 45, 100
+FAILING_SERVERS = 3
+RECOVERED_FRACTION = 0.05  # of the open breakers, below which servers count as in use again
 
 
-def plan(count: int, together: bool, restart: bool, servers: int, load: Load) -> Plan:
-    troubles = [FaultSpec(kind="fail-quickly", at_s=BEGINS, for_s=LASTS, count=SICK, value=1.0)]
+def plan(count: int, shared_trials: bool, restart: bool, servers: int, load: Load) -> Plan:
+    faults = [
+        FaultSpec(
+            kind="fail-quickly", at_s=FAULT_START_S, for_s=FAULT_DURATION_S, count=FAILING_SERVERS, value=1.0
+        )
+    ]
     if restart:
-        troubles.append(FaultSpec(kind="sidecars-killed", at_s=BEGINS + LASTS / 2, for_s=1, value=0.7))
+        faults.append(
+            FaultSpec(kind="sidecars-killed", at_s=FAULT_START_S + FAULT_DURATION_S / 2, for_s=1, value=0.7)
+        )
     return Plan(
-        lasts_s=ENDS,
+        lasts_s=RUN_DURATION_S,
         fleet=Fleet(halls=2, servers=servers, work_ms=20),
         load=load,
-        sidecars=Sidecars(count=count, peers=True, trials=together),
-        troubles=tuple(troubles),
+        sidecars=Sidecars(count=count, peers=True, trials=shared_trials),
+        troubles=tuple(faults),
     )
 
 
-def back(result: Result) -> float:
+def recovery_s(result: Result) -> float:
     """Seconds from the end of the trouble until nearly nobody refuses the servers; what is left if never."""
-    rows = [sum(row) / SICK for row in result.open_breakers]
+    rows = [sum(row) / FAILING_SERVERS for row in result.open_breakers]
     return float(
         next(
-            (second - BEGINS - LASTS for second in range(BEGINS + LASTS, len(rows)) if rows[second] < BACK),
-            ENDS - BEGINS - LASTS,
+            (
+                second - FAULT_START_S - FAULT_DURATION_S
+                for second in range(FAULT_START_S + FAULT_DURATION_S, len(rows))
+                if rows[second] < RECOVERED_FRACTION
+            ),
+            RUN_DURATION_S - FAULT_START_S - FAULT_DURATION_S,
         )
     )
 
 
-def virtual(count: int, seed: int, together: bool, restart: bool) -> dict[str, float]:
+def measure_virtual(count: int, seed: int, shared_trials: bool, restart: bool) -> dict[str, float]:
     servers = 100 if count >= 1000 else 20
     world = VirtualWorld(
-        plan(count, together, restart, servers, Load(part=0.4)), seed, trace_lines=10_000_000
+        plan(count, shared_trials, restart, servers, Load(part=0.4)), seed, trace_lines=10_000_000
     )
     result = world.run()
     assert world.links is not None
     return {
         "service": result.service,
         "wasted": result.failed_hops,
-        "back": back(result),
+        "back": recovery_s(result),
         "failed": sum("trial failed" in line for line in world.log),
-        "messages": world.links.sent.total() / count / ENDS,
-        "busiest": max(world.links.sent.values()) / ENDS,
+        "messages": world.links.sent.total() / count / RUN_DURATION_S,
+        "busiest": max(world.links.sent.values()) / RUN_DURATION_S,
         "broken": sum(result.violations.values()),
     }
 
 
-def real(count: int, seed: int, together: bool, restart: bool) -> dict[str, float]:
+def measure_real(count: int, seed: int, shared_trials: bool, restart: bool) -> dict[str, float]:
     with tempfile.TemporaryDirectory() as folder:
         history = Path(folder) / "history"
-        made = plan(count, together, restart, 12, Load(rate=15 * count))
-        result = play(made, seed, history=history)
+        scenario = plan(count, shared_trials, restart, 12, Load(rate=15 * count))
+        result = play(scenario, seed, history=history)
         lines = read(history)
     carried = [line for line in lines if line["what"] == "carried"][-1]
     return {
         "service": result.service,
         "wasted": result.failed_hops,
-        "back": back(result),
+        "back": recovery_s(result),
         "failed": sum("trial failed" in line.get("text", "") for line in lines if line["what"] == "log"),
-        "messages": carried["messages"] / count / ENDS,
-        "busiest": max(by[0] for by in carried["by"].values()) / ENDS,
+        "messages": carried["messages"] / count / RUN_DURATION_S,
+        "busiest": max(by[0] for by in carried["by"].values()) / RUN_DURATION_S,
         "broken": sum(result.violations.values()),
     }
 
@@ -104,16 +114,16 @@
 )
 
 
-def told(name: str, found: dict[tuple[int, bool], dict[str, float]], seeds: list[int]) -> None:
+def print_table(name: str, results: dict[tuple[int, bool], dict[str, float]], seeds: list[int]) -> None:
     print(f"\n| {name}, {len(seeds)} pairs | alone | together | difference, 95% |\n| --- | --- | --- | --- |")
     for key, text in ROWS:
         cells = []
         for together in (False, True):
-            values = sorted(found[seed, together][key] for seed in seeds)
+            values = sorted(results[seed, together][key] for seed in seeds)
             cells.append(f"{median(values):.4g} ({values[0]:.4g} to {values[-1]:.4g})")
-        pair = difference(
-            {seed: found[seed, True][key] for seed in seeds},
-            {seed: found[seed, False][key] for seed in seeds},
+        pair = paired_difference(
+            {seed: results[seed, True][key] for seed in seeds},
+            {seed: results[seed, False][key] for seed in seeds},
         )
         print(f"| {text} | {cells[0]} | {cells[1]} | {pair.mean:.4g} ({pair.low:.4g} to {pair.high:.4g}) |")
 
@@ -129,29 +139,29 @@
     parser.add_argument("--runs", type=int, default=3)
     parser.add_argument("--restart", action="store_true")
     parser.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) - 1))
-    given = parser.parse_args()
-    if given.what == "real":
-        seeds = list(range(1, given.runs + 1))
-        told(
-            f"{given.count} real sidecars",
+    options = parser.parse_args()
+    if options.what == "real":
+        seeds = list(range(1, options.runs + 1))
+        print_table(
+            f"{options.count} real sidecars",
             {
-                (seed, together): real(given.count, seed, together, given.restart)
+                (seed, together): measure_real(options.count, seed, together, options.restart)
                 for seed in seeds
                 for together in (False, True)
             },
             seeds,
         )
         return
-    seeds = list(range(1, given.seeds + 1))
-    with ProcessPoolExecutor(given.jobs) as pool:
+    seeds = list(range(1, options.seeds + 1))
+    with ProcessPoolExecutor(options.jobs) as pool:
         jobs = {
-            (count, seed, together): pool.submit(virtual, count, seed, together, given.restart)
-            for count in sorted(given.sizes, reverse=True)
+            (count, seed, together): pool.submit(measure_virtual, count, seed, together, options.restart)
+            for count in sorted(options.sizes, reverse=True)
             for seed in seeds
             for together in (False, True)
         }
-        for count in given.sizes:
-            told(
+        for count in options.sizes:
+            print_table(
                 f"{count:,} sidecars, virtual time",
                 {
                     (seed, together): jobs[count, seed, together].result()
--- a/benchmarks/trees.py
+++ b/benchmarks/worktrees.py
@@ -11,12 +11,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def git(*words: str) -> None:
-    subprocess.run(["git", "-C", str(ROOT), *words], check=True)
+def git(*arguments: str) -> None:
+    subprocess.run(["git", "-C", str(ROOT), *arguments], check=True)
 
 
 @contextmanager
-def trees(old: str) -> Iterator[dict[str, Path]]:
+def checked_out_trees(old: str) -> Iterator[dict[str, Path]]:
     """`old`, if one is named, and `new`; the older one is gone afterwards.
 
     The older one is not compiled: against a commit that could be, set PUMICEPATH_INTERPRETED=1 for both.
--- a/pumicepath/admin/calls.py
+++ b/pumicepath/admin/calls.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 from urllib.parse import unquote, urlsplit
 
-from ..http1.messages import Malformed, Request
+from ..http1.messages import MalformedMessageError, Request
 
 
 class AdminCall(Enum):
@@ -58,7 +58,7 @@
     elif len(path) == 4 and path[:2] == ("peers", "duties") and path[2] and path[3] == "resign":
         parsed = ParsedCall(AdminCall.RESIGN, unquote(path[2]))
     else:
-        raise Malformed(404, "no such call")
+        raise MalformedMessageError(404, "no such call")
     if request.method not in allowed:
-        raise Malformed(405, f"{request.method} is not {' or '.join(allowed)}")
+        raise MalformedMessageError(405, f"{request.method} is not {' or '.join(allowed)}")
     return parsed
--- a/pumicepath/commands/demo.py
+++ b/pumicepath/commands/demo.py
@@ -42,18 +42,20 @@
     except ImportError as error:
         fail(f"needs what `pip install -e '.[lab]'` installs: {error}")
     console = Console()
-    plan = loopback_demo.plan(seconds)
+    plan = loopback_demo.build_plan(seconds)
     try:
         if as_json:
             result = world.play(plan, seed)
         elif console.is_terminal:
             with Live(console=console, refresh_per_second=4) as live:
                 result = world.play(
-                    plan, seed, lambda live_world: live.update(loopback_demo.view(live_world))
+                    plan, seed, lambda live_world: live.update(loopback_demo.render_view(live_world))
                 )
         else:
-            result = world.play(plan, seed, lambda live_world: click.echo(loopback_demo.line(live_world)))
-    except world.Void as error:
+            result = world.play(
+                plan, seed, lambda live_world: click.echo(loopback_demo.render_line(live_world))
+            )
+    except world.InvalidRunError as error:
         fail(f"void: {error}", 3)
     except OSError as error:
         fail(f"loopback: {error.strerror or error}")
@@ -62,6 +64,6 @@
     if as_json:
         click.echo(orjson.dumps(loopback_demo.totals(result)).decode())
     else:
-        click.echo("\n".join(loopback_demo.verdict(result)))
+        click.echo("\n".join(loopback_demo.summary_lines(result)))
     if any(result.violations.values()):
         raise SystemExit(1)
--- a/pumicepath/commands/relay.py
+++ b/pumicepath/commands/relay.py
@@ -24,7 +24,7 @@
         fail("no configuration: name it by --config or $GW_RELAY_CONFIG")
     try:
         told = config.read(path)
-    except config.BadConfig as trouble:
+    except config.ConfigError as trouble:
         fail(trouble)
     try:
         running.run(told)
--- a/pumicepath/commands/scale.py
+++ b/pumicepath/commands/scale.py
@@ -91,14 +91,14 @@
     """
     import orjson
 
-    from ..lab.experiments.folders import Taken, owned
-    from ..lab.hollow import needs
-    from ..lab.hollow.faults import check
-    from ..lab.hollow.plan import Ask, BadAsk, Plan, checked
-    from ..lab.hollow.processes import Void
-    from ..lab.hollow.run import Run
+    from ..lab.experiments.folder_lock import FolderLockedError, locked_folder
+    from ..lab.hollow import resource_estimate
+    from ..lab.hollow.faults import check_faults
+    from ..lab.hollow.plan import Plan, RunOptions, RunOptionsError, check_options
+    from ..lab.hollow.processes import InvalidRunError
+    from ..lab.hollow.run import HollowRun
 
-    ask = Ask(
+    ask = RunOptions(
         sidecars,
         services,
         regions,
@@ -123,21 +123,21 @@
             click.echo(line, err=True)
 
     try:
-        plan = Plan(checked(ask))
-        check(ask)
-        hosts = needs.hosts_of(plan, os.cpu_count() or 1)
-        needed = needs.needs(plan, hosts)
-        progress(needed.line())
-        needs.refuse(needed)
-        before = signal.signal(signal.SIGTERM, interrupted)
+        plan = Plan(check_options(ask))
+        check_faults(ask)
+        hosts = resource_estimate.host_process_count(plan, os.cpu_count() or 1)
+        needed = resource_estimate.estimate_resources(plan, hosts)
+        progress(needed.summary())
+        resource_estimate.check_limits(needed)
+        before = signal.signal(signal.SIGTERM, on_sigterm)
         try:
-            with owned(where):
-                result = Run(plan, where.resolve(), hosts, progress).play()
+            with locked_folder(where):
+                result = HollowRun(plan, where.resolve(), hosts, progress).play()
         finally:
             signal.signal(signal.SIGTERM, before)
-    except (BadAsk, Taken) as trouble:
+    except (RunOptionsError, FolderLockedError) as trouble:
         fail(trouble)
-    except Void as trouble:
+    except InvalidRunError as trouble:
         fail(f"void: {trouble}", 3)
     except OSError as trouble:
         fail(f"{where}: {trouble.strerror or trouble}")
@@ -148,6 +148,6 @@
         raise SystemExit(1)
 
 
-def interrupted(number: int, frame: object) -> NoReturn:
+def on_sigterm(number: int, frame: object) -> NoReturn:
     """SIGTERM ends a run as ctrl-C does, with all that it started."""
     raise KeyboardInterrupt
--- a/pumicepath/compiled.py
+++ b/pumicepath/compiled.py
@@ -17,10 +17,10 @@
 from types import ModuleType
 
 ROOT = Path(__file__).resolve().parent.parent
-RECORD = "pumicepath/compiled.json"
+BUILD_RECORD = "pumicepath/compiled.json"
 
 
-class Sources:
+class SourceFinder:
     """Finds the files of some modules, and never what was built from them."""
 
     def __init__(self, files: dict[str, Path]) -> None:
@@ -36,9 +36,9 @@
         return importlib.util.spec_from_file_location(name, file, loader=loader)
 
 
-def form(root: Path, asked: bool) -> tuple[str, dict[str, Path]]:
+def detect_form(root: Path, interpreted_requested: bool) -> tuple[str, dict[str, Path]]:
     """What runs, and why; with the files of the modules that must not run from what was built, if any."""
-    record = root / RECORD
+    record = root / BUILD_RECORD
     try:
         told = json.loads(record.read_bytes())
         hashes, built = dict(told["files"]), list(told["built"])
@@ -46,11 +46,11 @@
         return "interpreted: not compiled", {}
     except (OSError, ValueError, KeyError, TypeError):
         all_files = [file for file in (root / "pumicepath").rglob("*.py") if file.stem != "__init__"]
-        return f"interpreted: {RECORD} can't be read", {
+        return f"interpreted: {BUILD_RECORD} can't be read", {
             ".".join(file.relative_to(root).with_suffix("").parts): file for file in all_files
         }
     files = {name[:-3].replace("/", "."): root / name for name in hashes}
-    if asked:
+    if interpreted_requested:
         return "interpreted: asked for", files
     for name, hash_then in hashes.items():
         if hashlib.sha256((root / name).read_bytes()).hexdigest() != hash_then:
@@ -61,14 +61,14 @@
     return "compiled", {}
 
 
-def choose() -> str:
+def select_form() -> str:
     """Have Python import the right form, before any of the modules is imported; tells which that is."""
-    chosen, files = form(ROOT, bool(os.environ.get("PUMICEPATH_INTERPRETED")))
+    chosen, files = detect_form(ROOT, bool(os.environ.get("PUMICEPATH_INTERPRETED")))
     if files:
-        sys.meta_path.insert(0, Sources(files))
+        sys.meta_path.insert(0, SourceFinder(files))
     elif chosen == "compiled" and str(ROOT) not in sys.path:
         sys.path.append(str(ROOT))  # where the library stands that all of them share
     return chosen
 
 
-FORM = choose()
+FORM = select_form()
--- a/pumicepath/distribution/interests.py
+++ b/pumicepath/distribution/interests.py
@@ -11,9 +11,9 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-MOST_NAMES = 256
-NAMES = re.compile(r"[A-Za-z0-9._-]{1,64}(,[A-Za-z0-9._-]{1,64})*")
-NAME = re.compile(r"[A-Za-z0-9._-]{0,64}")
+MAX_NAMES = 256
+NAMES_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}(,[A-Za-z0-9._-]{1,64})*")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{0,64}")
 ALL = "*"
 
 
@@ -22,26 +22,26 @@
 
     text: str
     names: tuple[str, ...]
-    every: bool
+    all_services: bool
     plain: bool
 
-    def wants(self, service: str) -> bool:
-        return self.every or service in self.names
+    def includes(self, service: str) -> bool:
+        return self.all_services or service in self.names
 
 
-PLAIN = Interest("", (), True, True)
-EVERY = Interest(ALL, (), True, False)
+ALL_PLAIN = Interest("", (), True, True)
+ALL_SERVICES = Interest(ALL, (), True, False)
 
 
 @lru_cache(1024)
-def interest_of(text: str | None) -> Interest:
+def parse_interest(text: str | None) -> Interest:
     if text is None:
-        return PLAIN
+        return ALL_PLAIN
     if text == ALL:
-        return EVERY
-    if NAMES.fullmatch(text) is None:
+        return ALL_SERVICES
+    if NAMES_PATTERN.fullmatch(text) is None:
         raise ValueError("services: names of 1 to 64 of A-Z a-z 0-9 . _ - and commas between them, or *")
     names = sorted({sys.intern(name) for name in text.split(",")})  # thousands of followers name the same
-    if len(names) > MOST_NAMES:
-        raise ValueError(f"services: {len(names)} names, at most {MOST_NAMES}")
+    if len(names) > MAX_NAMES:
+        raise ValueError(f"services: {len(names)} names, at most {MAX_NAMES}")
     return Interest(",".join(names), ("", *names), False, False)
--- a/pumicepath/distribution/origins.py
+++ b/pumicepath/distribution/origins.py
@@ -14,20 +14,20 @@
 
 from collections.abc import Callable
 
-LONGEST_WAIT_MS = 2000
-SHORTEST_PART = 0.5  # of the wait: guards an origin against all relays' waits ending together
-AT_ONCE_MS = 1
-SLACK = 400_000  # past a wait
-ANSWER = 3_000_000  # for a call that does not wait
-LIVE = LONGEST_WAIT_MS * 1000 + SLACK  # after its last answer, until a region is out of touch
-STEP = 100_000  # before the second further dial; doubled up to
-LONGEST_STEP = 1_000_000
-MOST_BACK = 3  # whole lists in a row older than the one in force, until one is believed
-FAILURES = 2  # in a row, from which on a region is out of touch; silence alone is enough
-HALF = 0.5
-
-
-class Refused(Exception):
+MAX_WAIT_MS = 2000
+MIN_WAIT_FRACTION = 0.5  # of the wait: guards an origin against all relays' waits ending together
+NO_WAIT_MS = 1
+SLACK_US = 400_000  # past a wait
+ANSWER_TIMEOUT_US = 3_000_000  # for a call that does not wait
+LIVE_TIMEOUT_US = MAX_WAIT_MS * 1000 + SLACK_US  # after its last answer, until a region is out of touch
+BACKOFF_STEP_US = 100_000  # before the second further dial; doubled up to
+MAX_BACKOFF_US = 1_000_000
+OLDER_LISTS_TO_ACCEPT = 3  # whole lists in a row older than the one in force, until one is believed
+FAILURES_TO_DISCONNECT = 2  # in a row, from which on a region is out of touch; silence alone is enough
+BACKOFF_JITTER = 0.5
+
+
+class ListRejectedError(Exception):
     """An answer that can't be meant; what is held of that region stays."""
 
 
@@ -36,28 +36,28 @@
 
     def __init__(self, region: str, share: Callable[[], float]) -> None:
         self.region = region
-        self.share = share
+        self.uniform = share
         self.seq = -1
-        self.doubted = True  # whether the next call is not to wait
-        self.afresh = False  # whether it asks for the whole list
-        self.back = 0
+        self.skip_wait = True  # whether the next call is not to wait
+        self.fetch_whole = False  # whether it asks for the whole list
+        self.older_lists = 0
         self.wait_ms = 0
         self.failures = 0  # in a row
         self.live = False
 
-    def target(self) -> str:
+    def request_target(self) -> str:
         self.wait_ms = 0
-        if self.seq < 0 or self.afresh:
+        if self.seq < 0 or self.fetch_whole:
             return "/discovery/hosts?services=*"
-        part = SHORTEST_PART + (1.0 - SHORTEST_PART) * self.share()
-        self.wait_ms = AT_ONCE_MS if self.doubted else int(LONGEST_WAIT_MS * part)
+        part = MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * self.uniform()
+        self.wait_ms = NO_WAIT_MS if self.skip_wait else int(MAX_WAIT_MS * part)
         return f"/discovery/hosts?since={self.seq}&timeout_ms={self.wait_ms}&services=*"
 
-    def silent(self) -> int:
+    def silence_limit(self) -> int:
         """For how long the call that is out may bring nothing."""
-        return self.wait_ms * 1000 + SLACK if self.wait_ms > AT_ONCE_MS else ANSWER
+        return self.wait_ms * 1000 + SLACK_US if self.wait_ms > NO_WAIT_MS else ANSWER_TIMEOUT_US
 
-    def believed(self, seq: int, whole: bool, servers: int) -> bool:
+    def validate(self, seq: int, whole: bool, servers: int) -> bool:
         """Raises Refused for what would undo the list in force; whether its versions have begun anew.
 
         Guards servers that drain against an older list, which has them ready, and all of them against an
@@ -65,44 +65,44 @@
         believe it, and a zone that goes takes as much; sidecars' own guard knows no more either.
         """
         if whole and not servers:
-            raise Refused("an empty list")
-        if not whole and (self.seq < 0 or self.afresh):
-            raise Refused("changes in place of the whole list")
+            raise ListRejectedError("an empty list")
+        if not whole and (self.seq < 0 or self.fetch_whole):
+            raise ListRejectedError("changes in place of the whole list")
         if seq >= self.seq:
-            self.back = 0
+            self.older_lists = 0
             return False
-        self.back += 1
-        if not whole or self.back < MOST_BACK:
-            raise Refused(f"version {seq} after {self.seq}")
-        self.back = 0
+        self.older_lists += 1
+        if not whole or self.older_lists < OLDER_LISTS_TO_ACCEPT:
+            raise ListRejectedError(f"version {seq} after {self.seq}")
+        self.older_lists = 0
         return True
 
-    def answered(self, seq: int) -> None:
+    def answer_accepted(self, seq: int) -> None:
         """It has answered within its bound, and is believed."""
         self.seq = seq
-        self.doubted = self.afresh = False
+        self.skip_wait = self.fetch_whole = False
         self.failures = 0
         self.live = True
 
-    def aged(self, spent: int) -> bool:
+    def check_age(self, spent: int) -> bool:
         """So long after its last answer: whether it is out of touch by that, and was not before.
 
         Guards followers, who take a relay in touch that is behind for an origin that has begun anew, against
         word as old as a dial and a call that does not wait may make it, before these have failed.
         """
-        if not self.live or spent <= LIVE:
+        if not self.live or spent <= LIVE_TIMEOUT_US:
             return False
         self.live = False
         return True
 
-    def failed(self, silent: bool = False, refused: bool = False) -> int:
+    def call_failed(self, silent: bool = False, refused: bool = False) -> int:
         """Microseconds until it is dialled anew: at once after a first failure, then more and more, drawn."""
-        self.doubted = True
-        self.afresh = refused
+        self.skip_wait = True
+        self.fetch_whole = refused
         self.failures += 1
-        if silent or self.failures >= FAILURES:
+        if silent or self.failures >= FAILURES_TO_DISCONNECT:
             self.live = False
-        if self.failures < FAILURES:
+        if self.failures < FAILURES_TO_DISCONNECT:
             return 0
-        step = min(LONGEST_STEP, STEP << min(self.failures - FAILURES, 10))
-        return int(step * (HALF + HALF * self.share()))
+        step = min(MAX_BACKOFF_US, BACKOFF_STEP_US << min(self.failures - FAILURES_TO_DISCONNECT, 10))
+        return int(step * (BACKOFF_JITTER + BACKOFF_JITTER * self.uniform()))
--- a/pumicepath/distribution/regions.py
+++ b/pumicepath/distribution/regions.py
@@ -15,23 +15,25 @@
 # For which a relay in touch has to name an older version, all the time.  It says that it is in touch by word
 # of its origin that is 2.4 s old at most (`origins.LIVE`) and a turn of its loop; what was asked later than
 # that after a newer version was held is word of an origin that has begun anew.
-BELIEVED_US = 3_000_000
-GAP_US = 4_000_000  # between two answers, past which the relay has not said so all the time
-FEWEST = 3  # answers that say so: one may be of a relay that was stopped amid a turn
-MOST_REGIONS = 64  # bounds what odd answers can fill
+RESTART_CONFIRM_US = 3_000_000
+MAX_ANSWER_GAP_US = 4_000_000  # between two answers, past which the relay has not said so all the time
+MIN_ANSWERS = 3  # answers that say so: one may be of a relay that was stopped amid a turn
+MAX_REGIONS = 64  # bounds what odd answers can fill
 
-Told = dict[str, tuple[int, bool]]  # by region: its origin's version, whether the relay is in touch with that
+RegionVersions = dict[
+    str, tuple[int, bool]
+]  # by region: its origin's version, whether the relay is in touch with that
 
 
-class Judged(NamedTuple):
+class Evaluation(NamedTuple):
     """What is to be made of an answer."""
 
-    taken: dict[str, None]  # the regions whose part counts
+    accepted: dict[str, None]  # the regions whose part counts
     restarted: list[str]  # of these or others, those whose origin has begun anew with its versions
-    again: bool  # whether a whole list is needed for what this answer can't tell
+    needs_whole: bool  # whether a whole list is needed for what this answer can't tell
 
 
-class Older(NamedTuple):
+class OlderVersion(NamedTuple):
     """How long a relay in touch has named an older version."""
 
     since: int
@@ -39,7 +41,7 @@
     answers: int
 
 
-def understood(data: Any) -> Told:
+def parse_regions(data: Any) -> RegionVersions:
     """Raises ValueError, KeyError, TypeError or AttributeError for what names no regions."""
     told = {}
     for name, one in data.items():
@@ -47,98 +49,102 @@
         if type(seq) is not int or seq < 0 or type(live) is not bool:
             raise ValueError(f"region {name!r} has seq {seq!r}, live {live!r}")
         told[intern(name)] = seq, live
-    if not 0 < len(told) <= MOST_REGIONS:
-        raise ValueError(f"{len(told)} regions, not 1 to {MOST_REGIONS}")
+    if not 0 < len(told) <= MAX_REGIONS:
+        raise ValueError(f"{len(told)} regions, not 1 to {MAX_REGIONS}")
     return told
 
 
-class Regions:
+class RegionTracker:
     """What is known of each region's versions, at one sidecar."""
 
     def __init__(self) -> None:
-        self.kept: dict[str, int] = {}  # the highest version taken
-        self.told: Told = {}  # by the relay followed, in its last answer
+        self.versions: dict[str, int] = {}  # the highest version taken
+        self.relay_versions: RegionVersions = {}  # by the relay followed, in its last answer
         # Of which what is held is what the relay followed has told: changes can be put to it.
-        self.joined: set[str] = set()
-        self.former: dict[str, int] = {}  # the highest version kept when the origin began anew
-        self.vouched: set[str] = set()  # taken from the relay followed while it was in touch
-        self.older: dict[str, Older] = {}
-
-    def moved(self) -> None:
+        self.continuous: set[str] = set()
+        self.versions_before_restart: dict[
+            str, int
+        ] = {}  # the highest version kept when the origin began anew
+        self.confirmed: set[str] = set()  # taken from the relay followed while it was in touch
+        self.older_versions: dict[str, OlderVersion] = {}
+
+    def relay_changed(self) -> None:
         """Another relay from now on: what the one before said of itself is void, what was taken stays."""
-        self.told = {}
-        self.vouched.clear()
-        self.older.clear()
+        self.relay_versions = {}
+        self.confirmed.clear()
+        self.older_versions.clear()
 
-    def out(self) -> int:
+    def disconnected_count(self) -> int:
         """How many regions the relay followed is not in touch with, or has not heard of."""
-        return sum(not live for _, live in self.told.values()) + sum(
-            region not in self.told for region in self.kept
+        return sum(not live for _, live in self.relay_versions.values()) + sum(
+            region not in self.relay_versions for region in self.versions
         )
 
-    def in_doubt(self) -> int | None:
+    def restart_check_at(self) -> int | None:
         """When the next answer can tell whether an origin has begun anew; None where none is in doubt."""
-        if not self.older:
+        if not self.older_versions:
             return None
-        return min(known.since for known in self.older.values()) + BELIEVED_US
+        return min(known.since for known in self.older_versions.values()) + RESTART_CONFIRM_US
 
-    def judge(self, now: int, told: Told, whole: bool, asked: int) -> Judged:
+    def evaluate(self, now: int, told: RegionVersions, whole: bool, asked: int) -> Evaluation:
         """Which regions' parts count, in an answer that came now to what was asked then."""
-        judged = Judged({}, [], False)
-        for region in [region for region in self.older if region not in told]:
-            del self.older[region]
+        judged = Evaluation({}, [], False)
+        for region in [region for region in self.older_versions if region not in told]:
+            del self.older_versions[region]
         for region, (seq, live) in told.items():
-            kept = self.kept.get(region, -1)
+            kept = self.versions.get(region, -1)
             if seq >= kept:
-                self.older.pop(region, None)
-            elif self.outlasted(now, region, live, asked):
+                self.older_versions.pop(region, None)
+            elif self.has_restarted(now, region, live, asked):
                 judged.restarted.append(region)
             else:
                 continue
-            fresh = kept < self.former.get(region, -1) and region not in self.vouched
+            fresh = kept < self.versions_before_restart.get(region, -1) and region not in self.confirmed
             if fresh and not live and seq >= kept:
                 continue  # guards the origin's new versions against a relay that knows the old ones only
-            if whole or kept < 0 or region in self.joined and seq >= kept:
-                judged.taken[region] = None
+            if whole or kept < 0 or region in self.continuous and seq >= kept:
+                judged.accepted[region] = None
             else:
                 # Guards against changes on another list than the one held, an older one or one of another
                 # life: who came after that list and has left since is not among them.
                 judged = judged._replace(again=True)
         return judged
 
-    def outlasted(self, now: int, region: str, live: bool, asked: int) -> bool:
+    def has_restarted(self, now: int, region: str, live: bool, asked: int) -> bool:
         """Whether an older version has been named for so long that the origin must have begun anew.
 
         Guards against a relay that lags, or that was stopped and still believes itself in touch.
         """
         if not live:
-            self.older.pop(region, None)
+            self.older_versions.pop(region, None)
             return False
-        known = self.older.get(region)
-        if known is None or now - known.last > GAP_US:
-            known = Older(now, now, 0)
-        self.older[region] = known = Older(known.since, now, known.answers + 1)
-        return asked - known.since >= BELIEVED_US and known.answers >= FEWEST
+        known = self.older_versions.get(region)
+        if known is None or now - known.last > MAX_ANSWER_GAP_US:
+            known = OlderVersion(now, now, 0)
+        self.older_versions[region] = known = OlderVersion(known.since, now, known.answers + 1)
+        return asked - known.since >= RESTART_CONFIRM_US and known.answers >= MIN_ANSWERS
 
-    def take(self, told: Told, judged: Judged) -> None:
+    def commit(self, told: RegionVersions, judged: Evaluation) -> None:
         """Keep what was judged, once the list has been read."""
         for region in judged.restarted:
-            self.older.pop(region, None)
-            self.former[region] = max(self.kept[region], self.former.get(region, -1))
-            self.kept[region] = told[region][0]
-        for region in judged.taken:
+            self.older_versions.pop(region, None)
+            self.versions_before_restart[region] = max(
+                self.versions[region], self.versions_before_restart.get(region, -1)
+            )
+            self.versions[region] = told[region][0]
+        for region in judged.accepted:
             seq, live = told[region]
-            self.kept[region] = seq
+            self.versions[region] = seq
             if live:
-                self.vouched.add(region)
-        self.joined.clear()
-        self.joined.update(judged.taken)
-        self.told = told
+                self.confirmed.add(region)
+        self.continuous.clear()
+        self.continuous.update(judged.accepted)
+        self.relay_versions = told
 
     def merge(
         self,
-        judged: Judged,
-        told: Told,
+        judged: Evaluation,
+        told: RegionVersions,
         whole: bool,
         lines: Iterable[dict[str, Any]],
         held: Mapping[str, dict[str, Any]],
@@ -152,14 +158,14 @@
             name, region = line["host"], line["region"]
             if region not in told:
                 raise ValueError(f"{name} is of {region!r}, a region that is not named")
-            if region not in judged.taken:
+            if region not in judged.accepted:
                 continue
             other = fresh.get(name)
             if other is not None:
                 # A server that has gone over to another region, for a while, is in both.
                 if other["region"] == region:
                     raise ValueError(f"{name} twice")
-                if rank(line) <= rank(other):
+                if entry_rank(line) <= entry_rank(other):
                     continue
             elif line["health"] == "left" and held.get(name, line).get("region", region) != region:
                 continue
@@ -172,11 +178,11 @@
         stays = {
             name: line
             for name, line in held.items()
-            if line.get("region") and line["region"] not in judged.taken
+            if line.get("region") and line["region"] not in judged.accepted
         }
         return list({**stays, **fresh}.values())
 
 
-def rank(line: dict[str, Any]) -> tuple[bool, int]:
+def entry_rank(line: dict[str, Any]) -> tuple[bool, int]:
     """Of two lines for one server the one that counts has more: it serves, or has started later."""
     return line["health"] != "left", int(line.get("born_ms", 0))
--- a/pumicepath/distribution/held.py
+++ b/pumicepath/distribution/relay_store.py
@@ -22,43 +22,45 @@
 
 from .interests import Interest
 
-MOST_CACHED = 2 << 20  # bytes of answers that are kept for the next that asks the same, or one answer
+MAX_CACHE_BYTES = 2 << 20  # bytes of answers that are kept for the next that asks the same, or one answer
 
 
-class Line:
+class EncodedServer:
     """One server's entry, encoded as followers get it; `gone` and `plain` are made when first wanted."""
 
-    __slots__ = ("region", "service", "text", "_gone", "_plain")
+    __slots__ = ("region", "service", "body", "_left_entry", "_plain_entry")
 
     def __init__(self, region: str, line: dict[str, Any]) -> None:
         self.region = region
         self.service = str(line.get("service", ""))
-        self.text = orjson.dumps({**line, "region": region})
-        self._gone = self._plain = b""
+        self.body = orjson.dumps({**line, "region": region})
+        self._left_entry = self._plain_entry = b""
 
-    def gone(self) -> bytes:
-        if not self._gone:
-            self._gone = orjson.dumps({**orjson.loads(self.text), "health": "left"})
-        return self._gone
+    def left_entry(self) -> bytes:
+        if not self._left_entry:
+            self._left_entry = orjson.dumps({**orjson.loads(self.body), "health": "left"})
+        return self._left_entry
 
-    def plain(self, gone: bool = False) -> bytes:
+    def plain_entry(self, gone: bool = False) -> bytes:
         """As it is without the parameter that names services."""
-        if gone or not self._plain:
-            told = orjson.loads(self.gone() if gone else self.text)
+        if gone or not self._plain_entry:
+            told = orjson.loads(self.left_entry() if gone else self.body)
             told.pop("region", None)
             told.pop("service", None)
             if gone:
                 return orjson.dumps(told)
-            self._plain = orjson.dumps(told)
-        return self._plain
+            self._plain_entry = orjson.dumps(told)
+        return self._plain_entry
 
 
-def encoded(region: str, lines: Iterable[dict[str, Any]]) -> dict[str, Line | None]:
+def encode_entries(region: str, lines: Iterable[dict[str, Any]]) -> dict[str, EncodedServer | None]:
     """Lines of an origin by server, None for one that has left; most of what it takes to read a list."""
-    return {str(line["host"]): None if line["health"] == "left" else Line(region, line) for line in lines}
+    return {
+        str(line["host"]): None if line["health"] == "left" else EncodedServer(region, line) for line in lines
+    }
 
 
-class Region:
+class RegionState:
     """`seq` is the origin's, -1 before its first whole list."""
 
     __slots__ = ("seq", "live", "lines")
@@ -66,10 +68,10 @@
     def __init__(self) -> None:
         self.seq = -1
         self.live = False
-        self.lines: dict[str, Line] = {}
+        self.entries: dict[str, EncodedServer] = {}
 
 
-class Change(NamedTuple):
+class ListChange(NamedTuple):
     """What one answer of an origin changed: the new version, how many servers, and of which services."""
 
     version: int
@@ -77,184 +79,186 @@
     services: tuple[str, ...]
 
 
-class Service:
+class ServiceState:
     """The lines of one service, their bytes, and the changes of it that are still known, the oldest first."""
 
     __slots__ = ("lines", "size", "log")
 
     def __init__(self) -> None:
-        self.lines: dict[str, Line] = {}
+        self.entries: dict[str, EncodedServer] = {}
         self.size = 0
-        self.log: deque[tuple[int, str, Line | None]] = deque()
+        self.changes: deque[tuple[int, str, EncodedServer | None]] = deque()
 
 
-class Held:
-    def __init__(self, version: int, regions: Iterable[str], most_changes: int) -> None:
+class RelayStore:
+    def __init__(self, version: int, regions: Iterable[str], max_changes: int) -> None:
         self.version = version
-        self.floor = version  # versions below can't be continued from
-        self.turn = version  # of the last change of a region's being in touch
-        self.most_changes = most_changes
-        self.regions = {name: Region() for name in regions}
-        self.shown: dict[str, Line] = {}
-        self.services: dict[str, Service] = {}
-        self.log: deque[tuple[int, str]] = deque()  # version and service of each entry of their logs
+        self.min_version = version  # versions below can't be continued from
+        self.region_change_version = version  # of the last change of a region's being in touch
+        self.max_changes = max_changes
+        self.regions = {name: RegionState() for name in regions}
+        self.visible: dict[str, EncodedServer] = {}
+        self.services: dict[str, ServiceState] = {}
+        self.change_log: deque[tuple[int, str]] = deque()  # version and service of each entry of their logs
         self.cache: dict[tuple[str, int], tuple[bytes, bool]] = {}
-        self.cached = 0
+        self.cache_bytes = 0
 
-    def known(self) -> bool:
+    def has_data(self) -> bool:
         """Whether there is anything to answer with."""
         return any(region.seq >= 0 for region in self.regions.values())
 
-    def live(self) -> int:
+    def live_regions(self) -> int:
         return sum(region.live for region in self.regions.values())
 
-    def take(self, name: str, seq: int, whole: bool, lines: Mapping[str, Line | None]) -> Change:
+    def apply(
+        self, name: str, seq: int, whole: bool, lines: Mapping[str, EncodedServer | None]
+    ) -> ListChange:
         """What an origin has answered, `encoded`; who believes it has decided before (`origins.Origin`)."""
         region = self.regions[name]
         changed: dict[str, None] = {}
         if whole:
-            changed.update((host, None) for host in region.lines if host not in lines)
+            changed.update((host, None) for host in region.entries if host not in lines)
             for host in changed:
-                del region.lines[host]
+                del region.entries[host]
         for host, new in lines.items():
             if new is None:
-                if region.lines.pop(host, None) is not None:
+                if region.entries.pop(host, None) is not None:
                     changed[host] = None
                 continue
-            old = region.lines.get(host)
-            if old is None or old.text != new.text:
-                region.lines[host] = new
+            old = region.entries.get(host)
+            if old is None or old.body != new.body:
+                region.entries[host] = new
                 changed[host] = None
-        self.cache_nothing()
+        self.clear_cache()
         region.seq = seq
         services: dict[str, None] = {}
         servers = 0
         for host in changed:
-            servers += self.show(host, services)
+            servers += self.update_visible(host, services)
         if servers:
             self.version += 1
-            self.trim()
-        return Change(self.version, servers, tuple(services))
+            self.trim_log()
+        return ListChange(self.version, servers, tuple(services))
 
-    def show(self, host: str, services: dict[str, None]) -> bool:
+    def update_visible(self, host: str, services: dict[str, None]) -> bool:
         """Choose the line that is shown for a server, and note the change of it, if it is one."""
-        before = self.shown.get(host)
-        after = None if before is None else self.regions[before.region].lines.get(host)
+        before = self.visible.get(host)
+        after = None if before is None else self.regions[before.region].entries.get(host)
         if after is None:
             after = next(
-                (region.lines[host] for region in self.regions.values() if host in region.lines), None
+                (region.entries[host] for region in self.regions.values() if host in region.entries), None
             )
         if after is before:
             return False
         for service in dict.fromkeys(line.service for line in (before, after) if line is not None):
             kept = self.services.get(service)
             if kept is None:
-                kept = self.services[service] = Service()
-            old = kept.lines.pop(host, None)
-            kept.size -= len(old.text) + 1 if old is not None else 0
-            kept.log.append((self.version + 1, host, old))
-            self.log.append((self.version + 1, service))
+                kept = self.services[service] = ServiceState()
+            old = kept.entries.pop(host, None)
+            kept.size -= len(old.body) + 1 if old is not None else 0
+            kept.changes.append((self.version + 1, host, old))
+            self.change_log.append((self.version + 1, service))
             services[service] = None
         if after is None:
-            del self.shown[host]
+            del self.visible[host]
         else:
-            self.shown[host] = after
+            self.visible[host] = after
             kept = self.services[after.service]
-            kept.lines[host] = after
-            kept.size += len(after.text) + 1
+            kept.entries[host] = after
+            kept.size += len(after.body) + 1
         return True
 
-    def trim(self) -> None:
+    def trim_log(self) -> None:
         """Guards the memory against histories without end: what falls out can't be continued from."""
-        while len(self.log) > self.most_changes:
-            self.floor, service = self.log.popleft()
+        while len(self.change_log) > self.max_changes:
+            self.min_version, service = self.change_log.popleft()
             kept = self.services[service]
-            kept.log.popleft()
-            if not kept.log and not kept.lines:
+            kept.changes.popleft()
+            if not kept.changes and not kept.entries:
                 del self.services[service]
 
-    def turned(self, name: str, live: bool) -> bool:
+    def set_live(self, name: str, live: bool) -> bool:
         """Whether that is a change; then it has a version of its own, so that nobody misses it."""
         region = self.regions[name]
         if region.live == live:
             return False
         region.live = live
         self.version += 1
-        self.turn = self.version
-        self.cache_nothing()
+        self.region_change_version = self.version
+        self.clear_cache()
         return True
 
-    def continues(self, since: int) -> bool:
-        return self.floor <= since <= self.version
+    def can_continue(self, since: int) -> bool:
+        return self.min_version <= since <= self.version
 
-    def concerned(self, interest: Interest, since: int) -> bool:
+    def has_changes(self, interest: Interest, since: int) -> bool:
         """Whether something of these services has changed after a version that continues."""
         if since >= self.version:
             return False
-        if interest.every:
-            return bool(self.log) and self.log[-1][0] > since
-        return any(kept.log and kept.log[-1][0] > since for kept in self.of(interest))
+        if interest.all_services:
+            return bool(self.change_log) and self.change_log[-1][0] > since
+        return any(kept.changes and kept.changes[-1][0] > since for kept in self.services_of(interest))
 
-    def of(self, interest: Interest) -> list[Service]:
-        if interest.every:
+    def services_of(self, interest: Interest) -> list[ServiceState]:
+        if interest.all_services:
             return list(self.services.values())
         return [self.services[name] for name in interest.names if name in self.services]
 
-    def size(self, interest: Interest) -> int:
+    def whole_size(self, interest: Interest) -> int:
         """About how many bytes the whole list of these services has."""
-        return sum(kept.size for kept in self.of(interest)) + 100
+        return sum(kept.size for kept in self.services_of(interest)) + 100
 
-    def cache_nothing(self) -> None:
+    def clear_cache(self) -> None:
         self.cache.clear()
-        self.cached = 0
+        self.cache_bytes = 0
 
     def answer(self, interest: Interest, since: int) -> tuple[bytes, bool]:
         """The changes after `since`, or the whole list where that can't be continued; and which it is."""
         known = self.cache.get((interest.text, since))
         if known is not None:
             return known
-        whole = not self.continues(since)
+        whole = not self.can_continue(since)
         if whole:
             plain = interest.plain
             lines = [
-                line.plain() if plain else line.text
-                for kept in self.of(interest)
-                for line in kept.lines.values()
+                line.plain_entry() if plain else line.body
+                for kept in self.services_of(interest)
+                for line in kept.entries.values()
             ]
         else:
-            lines = self.changes(interest, since)
-        told = self.written(interest, whole, lines), whole
-        if self.cached + len(told[0]) > MOST_CACHED:
-            self.cache_nothing()
-        self.cached += len(told[0])
+            lines = self.changed_entries(interest, since)
+        told = self.encode_answer(interest, whole, lines), whole
+        if self.cache_bytes + len(told[0]) > MAX_CACHE_BYTES:
+            self.clear_cache()
+        self.cache_bytes += len(told[0])
         self.cache[interest.text, since] = told
         return told
 
-    def nothing(self, interest: Interest) -> bytes:
+    def no_change_answer(self, interest: Interest) -> bytes:
         """For one whose services have not changed: the newest version, and how far each region is."""
         return self.answer(interest, self.version)[0]
 
-    def changes(self, interest: Interest, since: int) -> list[bytes]:
+    def changed_entries(self, interest: Interest, since: int) -> list[bytes]:
         """Each server that changed once: as it is shown now, or left where it is not, for these services."""
-        found: dict[str, Line | None] = {}
+        found: dict[str, EncodedServer | None] = {}
         if since >= self.version:
             return []
-        for kept in self.of(interest):
-            for version, host, former in reversed(kept.log):
+        for kept in self.services_of(interest):
+            for version, host, former in reversed(kept.changes):
                 if version <= since:
                     break
                 if former is not None or host not in found:
                     found[host] = former
         lines = []
         for host, former in found.items():
-            now = self.shown.get(host)
-            if now is not None and interest.wants(now.service):
-                lines.append(now.plain() if interest.plain else now.text)
+            now = self.visible.get(host)
+            if now is not None and interest.includes(now.service):
+                lines.append(now.plain_entry() if interest.plain else now.body)
             elif former is not None:
-                lines.append(former.plain(gone=True) if interest.plain else former.gone())
+                lines.append(former.plain_entry(gone=True) if interest.plain else former.left_entry())
         return lines
 
-    def written(self, interest: Interest, whole: bool, lines: list[bytes]) -> bytes:
+    def encode_answer(self, interest: Interest, whole: bool, lines: list[bytes]) -> bytes:
         regions = b""
         if not interest.plain:
             regions = b',"regions":' + orjson.dumps(
--- a/pumicepath/distribution/subscriptions.py
+++ b/pumicepath/distribution/subscriptions.py
@@ -18,11 +18,11 @@
 
 from .interests import Interest
 
-SPREAD = 1_000_000  # over which all are told what concerns all: guards against one burst of answers
+SPREAD_US = 1_000_000  # over which all are told what concerns all: guards against one burst of answers
 NEVER = 1 << 62
 
 
-class Group:
+class InterestGroup:
     """Those with one interest; `waiting` holds the version that each has."""
 
     __slots__ = ("interest", "members", "waiting")
@@ -36,45 +36,45 @@
 class Subscriptions:
     def __init__(self, batch: int, share: Callable[[], float]) -> None:
         self.batch = batch
-        self.share = share
-        self.groups: dict[str, Group] = {}
-        self.by_service: dict[str, dict[str, Group]] = {}
-        self.every: dict[str, Group] = {}
-        self.of: dict[int, Group] = {}
-        self.until: dict[int, int] = {}  # ends of waits of those that wait
-        self.ends: list[tuple[int, int]] = []  # a heap; those that no longer hold are passed over
-        self.marked: dict[int, int] = {}  # due with the batch, and the version each has
+        self.uniform = share
+        self.groups: dict[str, InterestGroup] = {}
+        self.by_service: dict[str, dict[str, InterestGroup]] = {}
+        self.all_services: dict[str, InterestGroup] = {}
+        self.group_of: dict[int, InterestGroup] = {}
+        self.wait_ends: dict[int, int] = {}  # ends of waits of those that wait
+        self.end_heap: list[tuple[int, int]] = []  # a heap; those that no longer hold are passed over
+        self.pending: dict[int, int] = {}  # due with the batch, and the version each has
         self.flush_at = NEVER
         self.ready: deque[tuple[int, int]] = deque()
 
     def join(self, number: int, interest: Interest) -> None:
         """It follows these services from now on, and no others."""
-        group = self.of.get(number)
+        group = self.group_of.get(number)
         if group is not None:
             if group.interest.text == interest.text:
                 return
             self.leave(number)
         group = self.groups.get(interest.text)
         if group is None:
-            group = self.groups[interest.text] = Group(interest)
-            if interest.every:
-                self.every[interest.text] = group
+            group = self.groups[interest.text] = InterestGroup(interest)
+            if interest.all_services:
+                self.all_services[interest.text] = group
             for name in interest.names:
                 self.by_service.setdefault(name, {})[interest.text] = group
         group.members += 1
-        self.of[number] = group
+        self.group_of[number] = group
 
     def leave(self, number: int) -> None:
-        group = self.of.pop(number, None)
+        group = self.group_of.pop(number, None)
         if group is None:
             return
-        self.marked.pop(number, None)
-        self.until.pop(number, None)
+        self.pending.pop(number, None)
+        self.wait_ends.pop(number, None)
         group.waiting.pop(number, None)
         group.members -= 1
         if not group.members:
             del self.groups[group.interest.text]
-            self.every.pop(group.interest.text, None)
+            self.all_services.pop(group.interest.text, None)
             for name in group.interest.names:
                 there = self.by_service[name]
                 del there[group.interest.text]
@@ -83,71 +83,71 @@
 
     def wait(self, number: int, since: int, until: int) -> None:
         """It has all up to this version, and waits until then."""
-        self.of[number].waiting[number] = since
-        self.end(number, until)
+        self.group_of[number].waiting[number] = since
+        self.set_end(number, until)
 
-    def due_soon(self, number: int, since: int, now: int) -> None:
+    def add_pending(self, number: int, since: int, now: int) -> None:
         """Something of its services has changed already: it is told with the next batch."""
-        self.mark(number, since, now)
+        self.mark_pending(number, since, now)
 
-    def end(self, number: int, until: int) -> None:
-        self.until[number] = until
-        heapq.heappush(self.ends, (until, number))
-        if len(self.ends) > 4 * len(self.until) + 64:
+    def set_end(self, number: int, until: int) -> None:
+        self.wait_ends[number] = until
+        heapq.heappush(self.end_heap, (until, number))
+        if len(self.end_heap) > 4 * len(self.wait_ends) + 64:
             # Guards the memory against ends that were moved again and again.
-            self.ends = [(until, number) for number, until in self.until.items()]
-            heapq.heapify(self.ends)
+            self.end_heap = [(until, number) for number, until in self.wait_ends.items()]
+            heapq.heapify(self.end_heap)
 
-    def mark(self, number: int, since: int, now: int) -> None:
-        self.until.pop(number, None)
-        if not self.marked:
+    def mark_pending(self, number: int, since: int, now: int) -> None:
+        self.wait_ends.pop(number, None)
+        if not self.pending:
             self.flush_at = now + self.batch
-        self.marked[number] = since
+        self.pending[number] = since
 
-    def changed(self, services: Iterable[str], version: int, now: int) -> int:
+    def services_changed(self, services: Iterable[str], version: int, now: int) -> int:
         """Mark those that wait for one of these; tells how many they are.
 
         Each is due from the version before this one: nothing of its services has changed since its own, and
         the log need not reach back to that.
         """
-        concerned = dict(self.every)
+        concerned = dict(self.all_services)
         for service in services:
             concerned.update(self.groups if service == "" else self.by_service.get(service, {}))
         count = 0
         for group in concerned.values():
             for number, since in group.waiting.items():
-                self.mark(number, max(since, version - 1), now)
+                self.mark_pending(number, max(since, version - 1), now)
             count += len(group.waiting)
             group.waiting.clear()
         return count
 
-    def turned(self, now: int) -> None:
+    def end_waits_soon(self, now: int) -> None:
         """What concerns all, and no server: their waits end sooner, spread over a second."""
-        for number, until in list(self.until.items()):
-            self.end(number, min(until, now + int(SPREAD * self.share())))
+        for number, until in list(self.wait_ends.items()):
+            self.set_end(number, min(until, now + int(SPREAD_US * self.uniform())))
 
-    def due(self, now: int, most: int) -> list[tuple[int, int]]:
+    def take_due(self, now: int, max_count: int) -> list[tuple[int, int]]:
         """Who is to be answered, with the version it has, -1 where its wait is over; no more than so many."""
-        if self.marked and now >= self.flush_at:
-            self.ready.extend(self.marked.items())
-            self.marked.clear()
-        while self.ends and self.ends[0][0] <= now and len(self.ready) < most:
+        if self.pending and now >= self.flush_at:
+            self.ready.extend(self.pending.items())
+            self.pending.clear()
+        while self.end_heap and self.end_heap[0][0] <= now and len(self.ready) < max_count:
             # No more than are told now.  Guards those that would stand in line, while something of theirs may
             # change, against being told that nothing has.
-            until, number = heapq.heappop(self.ends)
-            if self.until.get(number) == until:
-                del self.until[number]
-                del self.of[number].waiting[number]
+            until, number = heapq.heappop(self.end_heap)
+            if self.wait_ends.get(number) == until:
+                del self.wait_ends[number]
+                del self.group_of[number].waiting[number]
                 self.ready.append((number, -1))
-        return [self.ready.popleft() for _ in range(min(most, len(self.ready)))]
+        return [self.ready.popleft() for _ in range(min(max_count, len(self.ready)))]
 
-    def next_at(self) -> int:
+    def next_timer(self) -> int:
         if self.ready:
             return 0
-        at = self.flush_at if self.marked else NEVER
-        while self.ends and self.until.get(self.ends[0][1]) != self.ends[0][0]:
-            heapq.heappop(self.ends)  # it was told before
-        return min(at, self.ends[0][0]) if self.ends else at
+        at = self.flush_at if self.pending else NEVER
+        while self.end_heap and self.wait_ends.get(self.end_heap[0][1]) != self.end_heap[0][0]:
+            heapq.heappop(self.end_heap)  # it was told before
+        return min(at, self.end_heap[0][0]) if self.end_heap else at
 
-    def waiting(self) -> int:
-        return len(self.until)
+    def waiting_count(self) -> int:
+        return len(self.wait_ends)
--- a/pumicepath/fleet/messages.py
+++ b/pumicepath/fleet/messages.py
@@ -14,18 +14,18 @@
 import msgspec
 from msgspec import Meta
 
-from .settings import LONGEST_NAME
+from .settings import MAX_NAME_BYTES
 
-VERSION = 1
-LONGEST = 1400  # bytes of a datagram: whole on a way with an MTU of 1,500
-HEAD = 5
-ROOM = 1150  # bytes of a datagram behind the sender's own record, with the longest names
-OF_BATCH = 24
+PROTOCOL_VERSION = 1
+MAX_DATAGRAM_BYTES = 1400  # bytes of a datagram: whole on a way with an MTU of 1,500
+HEADER_BYTES = 5
+MAX_BATCH_BYTES = 1150  # bytes of a datagram behind the sender's own record, with the longest names
+MAX_BATCH_ITEMS = 24
 ALIVE, SUSPECTED, DEAD, LEFT = range(4)
 STATES = ("alive", "suspected", "dead", "left")
 
-Name = Annotated[str, Meta(max_length=LONGEST_NAME)]
-Place = Annotated[str, Meta(max_length=21)]
+Name = Annotated[str, Meta(max_length=MAX_NAME_BYTES)]
+Address = Annotated[str, Meta(max_length=21)]
 Id = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 Count = Annotated[int, Meta(ge=0, lt=1 << 32)]
 
@@ -34,12 +34,12 @@
     """What is told of one life of a sidecar; `born` names that life, `by` the one that suspects it."""
 
     name: Name
-    born: Id
-    address: Place
+    instance_id: Id
+    address: Address
     zone: Name
     incarnation: Count = 0
     state: Annotated[int, Meta(ge=ALIVE, le=LEFT)] = ALIVE
-    by: Id = 0
+    suspected_by: Id = 0
 
 
 Records = Annotated[list[Record], Meta(max_length=64)]
@@ -56,32 +56,32 @@
     """Answer with `Ack`; `to` is the life that is meant, 0 for whoever is there."""
 
     number: Count
-    to: Id
-    news: Records
+    target_id: Id
+    updates: Records
 
 
 class Ack(Message, tag=2, frozen=True):
     number: Count
-    news: Records
+    updates: Records
 
 
-class Reach(Message, tag=3, frozen=True):
+class PingRequest(Message, tag=3, frozen=True):
     """Ask a third one to ping `to` at `address`, and to pass its answer on."""
 
     number: Count
-    to: Id
-    address: Place
-    news: Records
+    target_id: Id
+    address: Address
+    updates: Records
 
 
-class Passed(Message, tag=4, frozen=True):
+class IndirectAck(Message, tag=4, frozen=True):
     """What a peer answered that was pinged on behalf of another: `of` is who did answer there."""
 
     number: Count
-    of: Record
+    responder: Record
 
 
-class Want(Message, tag=5, frozen=True):
+class PageRequest(Message, tag=5, frozen=True):
     """A page of the whole view, of lives above `after`."""
 
     after: Id
@@ -93,11 +93,11 @@
     more: bool
 
 
-class News(Message, tag=7, frozen=True):
-    news: Records
+class Updates(Message, tag=7, frozen=True):
+    updates: Records
 
 
-class Claimed(msgspec.Struct, array_like=True, frozen=True):
+class ClaimEntry(msgspec.Struct, array_like=True, frozen=True):
     """One duty that is claimed, renewed or given up, under a number."""
 
     duty: Name
@@ -110,24 +110,24 @@
 
     round: Count
     lease: Count
-    sets: Annotated[list[Id], Meta(max_length=8)]
-    claims: Annotated[list[Claimed], Meta(max_length=64)]
+    voter_set_ids: Annotated[list[Id], Meta(max_length=8)]
+    claims: Annotated[list[ClaimEntry], Meta(max_length=64)]
 
 
-class Granted(msgspec.Struct, array_like=True, frozen=True):
+class GrantEntry(msgspec.Struct, array_like=True, frozen=True):
     duty: Name
     number: Id
-    verdict: Annotated[int, Meta(ge=0, le=5)]  # of `leases.Verdict`
+    result: Annotated[int, Meta(ge=0, le=5)]  # of `leases.Verdict`
     wait: Count
-    highest: Id
+    highest_number: Id
 
 
 class Grants(Message, tag=9, frozen=True):
     round: Count
-    grants: Annotated[list[Granted], Meta(max_length=64)]
+    grants: Annotated[list[GrantEntry], Meta(max_length=64)]
 
 
-class Verdict(msgspec.Struct, array_like=True, frozen=True):
+class TrialReport(msgspec.Struct, array_like=True, frozen=True):
     """What the trial of a server came to, or, if it was not `tried`, that one sidecar has it in hand.
 
     Of two words the one with the higher `version` is newer.  `wait` is microseconds: that nobody else need
@@ -137,71 +137,73 @@
     server: Name
     version: Id
     wait: Annotated[int, Meta(ge=0, le=60_000_000)]
-    tried: bool = True
+    finished: bool = True
 
 
-class Tried(Message, tag=10, frozen=True):
+class TrialReports(Message, tag=10, frozen=True):
     """Of the sender's zone, and told on within it."""
 
-    verdicts: Annotated[list[Verdict], Meta(max_length=64)]
+    reports: Annotated[list[TrialReport], Meta(max_length=64)]
 
 
-Any = Ping | Ack | Reach | Passed | Want | Page | News | Claims | Grants | Tried
+AnyMessage = (
+    Ping | Ack | PingRequest | IndirectAck | PageRequest | Page | Updates | Claims | Grants | TrialReports
+)
 ENCODER = msgspec.msgpack.Encoder()
-DECODER = msgspec.msgpack.Decoder(Any)
+DECODER = msgspec.msgpack.Decoder(AnyMessage)
 
 
-class Foreign(Exception):
+class VersionMismatchError(Exception):
     """Of another version."""
 
 
-class Noise(Exception):
+class MalformedMessageError(Exception):
     """No message of this fleet: cut short, spoilt, out of bounds, or sealed with another name."""
 
 
-def packed(message: Any, seal: int) -> bytes:
+def encode_message(message: AnyMessage, checksum_seed: int) -> bytes:
     """`seal` is that of the fleet's name, as `sealed` gives it."""
     body = ENCODER.encode(message)
-    return bytes((VERSION,)) + crc32(body, seal).to_bytes(4, "big") + body
+    return bytes((PROTOCOL_VERSION,)) + crc32(body, checksum_seed).to_bytes(4, "big") + body
 
 
-def unpacked(data: bytes, seal: int) -> Any:
+def decode_message(data: bytes, checksum_seed: int) -> AnyMessage:
     """Raises Foreign or Noise."""
-    if len(data) <= HEAD or len(data) > LONGEST:
-        raise Noise
-    if data[0] != VERSION:
-        raise Foreign
-    body = data[HEAD:]
-    if crc32(body, seal).to_bytes(4, "big") != data[1:HEAD]:
-        raise Noise
+    if len(data) <= HEADER_BYTES or len(data) > MAX_DATAGRAM_BYTES:
+        raise MalformedMessageError
+    if data[0] != PROTOCOL_VERSION:
+        raise VersionMismatchError
+    body = data[HEADER_BYTES:]
+    if crc32(body, checksum_seed).to_bytes(4, "big") != data[1:HEADER_BYTES]:
+        raise MalformedMessageError
     try:
-        message: Any = DECODER.decode(body)
+        message: AnyMessage = DECODER.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-        raise Noise from trouble
+        raise MalformedMessageError from trouble
     return message
 
 
 Item = TypeVar("Item")
 
 
-def batches(items: Sequence[Item], name: Callable[[Item], str], besides: int) -> Iterator[list[Item]]:
+def batches(items: Sequence[Item], name: Callable[[Item], str], overhead_bytes: int) -> Iterator[list[Item]]:
     """As many as go into a message at a time: the bytes of each one's name, and `besides` for the rest."""
     batch: list[Item] = []
-    room = ROOM
+    room = MAX_BATCH_BYTES
     for each in items:
-        room -= len(name(each).encode()) + besides
-        if batch and (room < 0 or len(batch) >= OF_BATCH):
+        room -= len(name(each).encode()) + overhead_bytes
+        if batch and (room < 0 or len(batch) >= MAX_BATCH_ITEMS):
             yield batch
-            batch, room = [], ROOM - len(name(each).encode()) - besides
+            batch, room = [], MAX_BATCH_BYTES - len(name(each).encode()) - overhead_bytes
         batch.append(each)
     if batch:
         yield batch
 
 
-def sealed(fleet: str) -> int:
+def fleet_checksum_seed(fleet: str) -> int:
     return crc32(fleet.encode())
 
 
-def size(record: Record) -> int:
+def encoded_size(record: Record) -> int:
     """Bytes that it takes in a message."""
     return len(ENCODER.encode(record))
--- a/pumicepath/fleet/settings.py
+++ b/pumicepath/fleet/settings.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-LONGEST_NAME = 64  # bytes of names in messages
-MOST_SEEDS = 16
-TIMEOUT_PART = 0.3  # of the period, where the file has no time-out
+MAX_NAME_BYTES = 64  # bytes of names in messages
+MAX_SEEDS = 16
+TIMEOUT_FRACTION = 0.3  # of the period, where the file has no time-out
 KEYS = ("listen", "seeds", "advertise", "fleet", "everyS", "timeoutS", "most")
-OF_DUTIES = ("voters", "votersBefore", "leaseS", "longestS", "drift", "trials")
+DUTY_KEYS = ("voters", "votersBefore", "leaseS", "longestS", "drift", "trials")
 ENVIRONMENT = {"listen": "GW_PEERS_LISTEN", "seeds": "GW_PEERS_SEEDS", "advertise": "GW_PEERS_ADVERTISE"}
 RANGES = {
     "everyS": (0.05, 60.0),
@@ -23,7 +23,7 @@
     "longestS": (0.5, 300.0),
     "drift": (0.0, 0.1),
 }
-VOTERS = (1, 3, 5)
+VOTER_COUNTS = (1, 3, 5)
 
 
 @dataclass(frozen=True)
@@ -34,11 +34,11 @@
     `trials` has the trials of a sick server made by one sidecar of each zone at a time.
     """
 
-    sets: tuple[tuple[str, ...], ...]
+    voter_sets: tuple[tuple[str, ...], ...]
     lease: int = 10_000_000
-    longest: int = 10_000_000
+    max_lease: int = 10_000_000
     drift: float = 0.01
-    trials: bool = False
+    shared_trials: bool = False
 
 
 @dataclass(frozen=True)
@@ -53,12 +53,12 @@
     seeds: tuple[str, ...] = ()
     advertise: str = ""
     fleet: str = ""
-    every: int = 1_000_000
-    timeout: int = 300_000
-    most: int = 4096
+    probe_interval: int = 1_000_000
+    probe_timeout: int = 300_000
+    max_peers: int = 4096
     voting: Voting | None = None
 
-    def lasting(self) -> PeerSettings:
+    def without_voting(self) -> PeerSettings:
         """What is read at the start only; the rest is taken as the file changes."""
         return replace(self, voting=None)
 
@@ -73,22 +73,24 @@
             parts = [each.strip() for each in environment[name].split(",")]
             given[key] = [each for each in parts if each] if key == "seeds" else parts[0]
     for key in given:
-        if key not in KEYS + OF_DUTIES:
-            raise ValueError(f"peers.{key}: unknown; there are {', '.join(KEYS + OF_DUTIES)}")
+        if key not in KEYS + DUTY_KEYS:
+            raise ValueError(f"peers.{key}: unknown; there are {', '.join(KEYS + DUTY_KEYS)}")
     if "listen" not in given:
         raise ValueError("peers.listen is missing")
     seeds = given.get("seeds", [])
-    if not isinstance(seeds, list) or len(seeds) > MOST_SEEDS:
-        raise ValueError(f"peers.seeds is no list of at most {MOST_SEEDS} addresses")
+    if not isinstance(seeds, list) or len(seeds) > MAX_SEEDS:
+        raise ValueError(f"peers.seeds is no list of at most {MAX_SEEDS} addresses")
     for at, seed in enumerate(seeds):
-        reachable(f"peers.seeds[{at}]", seed)
-    listen = checked("peers.listen", given["listen"])
-    advertise = reachable("peers.advertise", given["advertise"]) if given.get("advertise") else ""
+        decode_reachable_address(f"peers.seeds[{at}]", seed)
+    listen = decode_address("peers.listen", given["listen"])
+    advertise = (
+        decode_reachable_address("peers.advertise", given["advertise"]) if given.get("advertise") else ""
+    )
     if listen.startswith("0.0.0.0:") and not advertise:
         raise ValueError("peers.advertise is missing: nobody can be reached at 0.0.0.0")
     fleet = given.get("fleet", "")
-    if not isinstance(fleet, str) or len(fleet.encode()) > LONGEST_NAME:
-        raise ValueError(f"peers.fleet: {fleet!r} is no name of at most {LONGEST_NAME} bytes")
+    if not isinstance(fleet, str) or len(fleet.encode()) > MAX_NAME_BYTES:
+        raise ValueError(f"peers.fleet: {fleet!r} is no name of at most {MAX_NAME_BYTES} bytes")
     for key, (least, most) in RANGES.items():
         value = given.get(key, least)
         if (
@@ -98,7 +100,7 @@
         ):
             raise ValueError(f"peers.{key}: {value!r} is not from {least} to {most}")
     every = float(given.get("everyS", 1.0))
-    timeout = float(given.get("timeoutS", every * TIMEOUT_PART))
+    timeout = float(given.get("timeoutS", every * TIMEOUT_FRACTION))
     if 2 * timeout > every:
         raise ValueError(f"peers.timeoutS: {timeout:g} is over half of everyS: no time is left to ask others")
     return PeerSettings(
@@ -108,21 +110,21 @@
         fleet,
         round(every * 1e6),
         round(timeout * 1e6),
-        given.get("most", PeerSettings.most),
-        voting(given),
+        given.get("most", PeerSettings.max_peers),
+        decode_voting(given),
     )
 
 
-def voting(given: Mapping[str, Any]) -> Voting | None:
+def decode_voting(given: Mapping[str, Any]) -> Voting | None:
     """Of the keys of duties, whose numbers have been checked; None where nobody votes."""
     if "voters" not in given:
-        for key in OF_DUTIES:
+        for key in DUTY_KEYS:
             if key in given:
                 raise ValueError(f"peers.{key}: there are no voters")
         return None
-    sets = [voters("voters", given["voters"])]
+    sets = [decode_voters("voters", given["voters"])]
     if "votersBefore" in given:
-        sets.append(voters("votersBefore", given["votersBefore"]))
+        sets.append(decode_voters("votersBefore", given["votersBefore"]))
     trials = given.get("trials", False)
     if not isinstance(trials, bool):
         raise ValueError(f"peers.trials: {trials!r} is not true or false")
@@ -133,13 +135,13 @@
     return Voting(tuple(sets), lease, longest, float(given.get("drift", Voting.drift)), trials)
 
 
-def voters(key: str, told: Any) -> tuple[str, ...]:
-    if not isinstance(told, list) or len(told) not in VOTERS or len(set(map(str, told))) != len(told):
-        raise ValueError(f"peers.{key} is no list of {', '.join(map(str, VOTERS))} different addresses")
-    return tuple(reachable(f"peers.{key}[{at}]", each) for at, each in enumerate(told))
+def decode_voters(key: str, told: Any) -> tuple[str, ...]:
+    if not isinstance(told, list) or len(told) not in VOTER_COUNTS or len(set(map(str, told))) != len(told):
+        raise ValueError(f"peers.{key} is no list of {', '.join(map(str, VOTER_COUNTS))} different addresses")
+    return tuple(decode_reachable_address(f"peers.{key}[{at}]", each) for at, each in enumerate(told))
 
 
-def checked(key: str, text: Any) -> str:
+def decode_address(key: str, text: Any) -> str:
     """An address by numbers: names are not looked up, as that may take longer than a probe."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     parts = host.split(".")
@@ -152,8 +154,8 @@
     return str(text)
 
 
-def reachable(key: str, text: Any) -> str:
+def decode_reachable_address(key: str, text: Any) -> str:
     """An address that something can be sent to."""
-    if checked(key, text).endswith(":0"):
+    if decode_address(key, text).endswith(":0"):
         raise ValueError(f"{key}: {text!r} names no port")
     return str(text)
--- a/pumicepath/http1/messages.py
+++ b/pumicepath/http1/messages.py
@@ -22,11 +22,11 @@
 )
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """The peer does not speak HTTP/1.1 as it should; `status` is the answer that says so."""
 
-    def __init__(self, status: int, what: str) -> None:
-        super().__init__(what)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
@@ -35,35 +35,39 @@
     minor: int = 1
     headers: list[tuple[str, str]] = field(default_factory=list)
     body: bytes = b""
-    index: dict[str, list[str]] = field(default_factory=dict)
+    headers_by_name: dict[str, list[str]] = field(default_factory=dict)
 
-    def add(self, name: str, value: str) -> None:
+    def add_header(self, name: str, value: str) -> None:
         self.headers.append((name, value))
-        self.index.setdefault(name.lower(), []).append(value)
+        self.headers_by_name.setdefault(name.lower(), []).append(value)
 
-    def all(self, name: str) -> list[str]:
+    def header_values(self, name: str) -> list[str]:
         """All headers of a name, which is given in lower case."""
-        return self.index.get(name, [])
+        return self.headers_by_name.get(name, [])
 
     def header(self, name: str) -> str:
         """The first header of that name, or nothing."""
-        found = self.all(name.lower())
+        found = self.header_values(name.lower())
         return found[0] if found else ""
 
     def tokens(self, name: str) -> list[str]:
-        if name not in self.index:
+        if name not in self.headers_by_name:
             return []
-        parts = ",".join(self.all(name)).split(",")
+        parts = ",".join(self.header_values(name)).split(",")
         return [part.strip().lower() for part in parts if part.strip()]
 
-    def keeps(self) -> bool:
+    def keeps_alive(self) -> bool:
         """Whether the peer goes on with the connection."""
         tokens = self.tokens("connection")
         return "close" not in tokens and (self.minor > 0 or "keep-alive" in tokens)
 
-    def passed_on(self) -> list[tuple[str, str]]:
+    def end_to_end_headers(self) -> list[tuple[str, str]]:
         """The headers that are not the connection's own."""
-        own = HOP_BY_HOP.union(self.tokens("connection")) if "connection" in self.index else HOP_BY_HOP
+        own = (
+            HOP_BY_HOP.union(self.tokens("connection"))
+            if "connection" in self.headers_by_name
+            else HOP_BY_HOP
+        )
         return [(name, value) for name, value in self.headers if name.lower() not in own]
 
 
--- a/pumicepath/http1/ring.py
+++ b/pumicepath/http1/ring.py
@@ -2,89 +2,89 @@
 
 from __future__ import annotations
 
-from ..invariants import must
+from ..invariants import check_invariant
 
-FIRST = 2048
+INITIAL_CAPACITY = 2048
 
 
 class Ring:
-    __slots__ = ("limit", "store", "view", "head", "size")
+    __slots__ = ("limit", "buffer", "view", "head", "size")
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.head = 0
         self.size = 0
-        self.resize(min(FIRST, limit))
+        self.resize(min(INITIAL_CAPACITY, limit))
 
     def __len__(self) -> int:
         return self.size
 
     def resize(self, capacity: int) -> None:
         kept = self.peek(self.size) if self.size else b""
-        self.store = bytearray(capacity)
-        self.store[: len(kept)] = kept
-        self.view = memoryview(self.store)
+        self.buffer = bytearray(capacity)
+        self.buffer[: len(kept)] = kept
+        self.view = memoryview(self.buffer)
         self.head = 0
 
-    def room(self, wanted: int = 0) -> memoryview:
+    def writable(self, wanted: int = 0) -> memoryview:
         """Where the next bytes may be written, in one piece; empty only when the limit is reached."""
-        if not self.size and wanted > len(self.store):
+        if not self.size and wanted > len(self.buffer):
             self.resize(min(wanted, self.limit))
-        elif self.size == len(self.store) < self.limit:
-            self.resize(min(2 * len(self.store), self.limit))
+        elif self.size == len(self.buffer) < self.limit:
+            self.resize(min(2 * len(self.buffer), self.limit))
         elif not self.size:
             self.head = 0
-        tail = (self.head + self.size) % len(self.store)
-        if self.size == len(self.store):
+        tail = (self.head + self.size) % len(self.buffer)
+        if self.size == len(self.buffer):
             return self.view[:0]
         return self.view[tail : self.head] if tail < self.head else self.view[tail:]
 
-    def wrote(self, count: int) -> None:
-        must(0 <= count <= len(self.store) - self.size, "ring overrun")
+    def commit(self, count: int) -> None:
+        check_invariant(0 <= count <= len(self.buffer) - self.size, "ring overrun")
         self.size += count
 
-    def put(self, data: bytes | memoryview) -> int:
+    def write(self, chunk: bytes | memoryview) -> int:
         """Store as much of the data as the limit allows, and tell how much that was."""
         done = 0
-        while done < len(data):
-            room = self.room(len(data))
-            count = min(len(room), len(data) - done)
+        while done < len(chunk):
+            room = self.writable(len(chunk))
+            count = min(len(room), len(chunk) - done)
             if not count:
                 break
-            room[:count] = data[done : done + count]
-            self.wrote(count)
+            room[:count] = chunk[done : done + count]
+            self.commit(count)
             done += count
         return done
 
-    def data(self) -> memoryview:
+    def readable(self) -> memoryview:
         """The oldest bytes held, in one piece."""
-        return self.view[self.head : min(self.head + self.size, len(self.store))]
+        return self.view[self.head : min(self.head + self.size, len(self.buffer))]
 
     def peek(self, count: int) -> bytes:
         count = min(count, self.size)
         end = self.head + count
-        if end <= len(self.store):
+        if end <= len(self.buffer):
             return bytes(self.view[self.head : end])
-        return bytes(self.view[self.head :]) + bytes(self.view[: end - len(self.store)])
+        return bytes(self.view[self.head :]) + bytes(self.view[: end - len(self.buffer)])
 
-    def take(self, count: int) -> bytes:
+    def read(self, count: int) -> bytes:
         taken = self.peek(count)
-        self.drop(count)
+        self.consume(count)
         return taken
 
-    def drop(self, count: int) -> None:
-        must(0 <= count <= self.size, "ring underrun")
+    def consume(self, count: int) -> None:
+        check_invariant(0 <= count <= self.size, "ring underrun")
         self.size -= count
-        self.head = (self.head + count) % len(self.store)
+        self.head = (self.head + count) % len(self.buffer)
 
-    def rest(self) -> None:
+    def shrink(self) -> None:
         """Guards the memory limit against many idle connections that once were busy."""
-        if not self.size and len(self.store) > FIRST:
-            self.resize(FIRST)
+        if not self.size and len(self.buffer) > INITIAL_CAPACITY:
+            self.resize(INITIAL_CAPACITY)
 
-    def find(self, what: bytes, start: int = 0) -> int:
+    def find(self, pattern: bytes, start: int = 0) -> int:
         """Where the bytes first stand from `start` on, counted from the oldest; -1 if they do not."""
-        if self.head + self.size > len(self.store):
-            self.resize(len(self.store))  # in one piece, so that nothing is missed over the edge
-        at = self.store.find(what, self.head + start, self.head + self.size)
+        if self.head + self.size > len(self.buffer):
+            self.resize(len(self.buffer))  # in one piece, so that nothing is missed over the edge
+        at = self.buffer.find(pattern, self.head + start, self.head + self.size)
         return at - self.head if at >= 0 else -1
--- a/pumicepath/http1/writing.py
+++ b/pumicepath/http1/writing.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-NO_LENGTH, WHOLE, CHUNKED = -3, -2, -1  # in place of a length
+UNTIL_CLOSE, COMPLETE, CHUNKED = -3, -2, -1  # in place of a length
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -21,36 +21,36 @@
 }
 
 
-def lines(first: str, headers: Iterable[tuple[str, str]], body: bytes) -> bytes:
-    head = [first, *(f"{name}: {value}" for name, value in headers), "", ""]
+def message(start_line: str, headers: Iterable[tuple[str, str]], body: bytes) -> bytes:
+    head = [start_line, *(f"{name}: {value}" for name, value in headers), "", ""]
     return "\r\n".join(head).encode("latin-1") + body
 
 
 def request(
-    method: str, target: str, headers: list[tuple[str, str]], body: bytes = b"", length: int = WHOLE
+    method: str, target: str, headers: list[tuple[str, str]], body: bytes = b"", length: int = COMPLETE
 ) -> bytes:
     """A whole request, or the head of one whose body follows, with its length or in chunks."""
     if length == CHUNKED:
         headers = [*headers, ("Transfer-Encoding", "chunked")]
-    elif length != WHOLE:
+    elif length != COMPLETE:
         headers = [*headers, ("Content-Length", str(length))]
     elif body or method not in ("GET", "HEAD"):
         headers = [*headers, ("Content-Length", str(len(body)))]
-    return lines(f"{method} {target} HTTP/1.1", headers, body)
+    return message(f"{method} {target} HTTP/1.1", headers, body)
 
 
 def response(
-    status: int, headers: list[tuple[str, str]], body: bytes, keep: bool, length: int = WHOLE
+    status: int, headers: list[tuple[str, str]], body: bytes, keep_alive: bool, length: int = COMPLETE
 ) -> bytes:
     """A whole answer, or the head of one whose body follows, with its length or in chunks."""
     framing = []
     if length == CHUNKED:
         framing.append(("Transfer-Encoding", "chunked"))
-    elif length != NO_LENGTH:
-        framing.append(("Content-Length", str(len(body) if length == WHOLE else length)))
-    if not keep:
+    elif length != UNTIL_CLOSE:
+        framing.append(("Content-Length", str(len(body) if length == COMPLETE else length)))
+    if not keep_alive:
         framing.append(("Connection", "close"))
-    return lines(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", [*headers, *framing], body)
+    return message(f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Unknown')}", [*headers, *framing], body)
 
 
 def chunk(piece: bytes, last: bool) -> bytes:
--- a/pumicepath/interface.py
+++ b/pumicepath/interface.py
@@ -15,10 +15,10 @@
 
     IDEMPOTENT = 0
     DEDUPLICATED = 1
-    UNREPEATABLE = 2
+    NON_IDEMPOTENT = 2
 
 
-class Group(IntEnum):
+class DedupGroup(IntEnum):
     """The servers that drop each other's repeats of a deduplicated submission."""
 
     ALL = 0
@@ -39,7 +39,7 @@
     MOOT = 7
 
 
-class Phase(IntEnum):
+class ServerState(IntEnum):
     """What the list says of a server."""
 
     GONE = 0
@@ -47,7 +47,7 @@
     DRAINING = 2
 
 
-class Listing(IntEnum):
+class ListKind(IntEnum):
     """What kind of list reached the sidecar."""
 
     CHANGES = 0
@@ -56,7 +56,7 @@
     FAILED = 3
 
 
-class Entry(NamedTuple):
+class ServerEntry(NamedTuple):
     """One line of the server list; `came_up` is 0 where the start lies long past.
 
     `name` is what people call it; where there is none, its id stands for it.  Servers of one `kind` have one
@@ -66,22 +66,22 @@
     server: int
     zone: int
     cell: int
-    phase: Phase
-    scale: float
-    came_up: int
+    state: ServerState
+    weight: float
+    started_at: int
     name: str = ""
     kind: int = -1
 
 
 @dataclass(frozen=True)
-class Tariff:
-    agreed: int
-    patience: int
-    gain: float
-    late_gain: float
+class RequestClass:
+    latency_target: int
+    deadline: int
+    value: float
+    late_value: float
     effect: Effect
-    group: Group
-    window: int
+    dedup_group: DedupGroup
+    dedup_window: int
     stream: bool = False
     name: str = ""
     zones: tuple[int, ...] | None = None  # the only ones whose servers may have it; None: any
@@ -90,68 +90,68 @@
 
 @dataclass(frozen=True)
 class Settings:
-    me: int
-    fleet: int
+    sidecar_index: int
+    fleet_size: int
     zone: int
-    tariffs: tuple[Tariff, ...]
-    crossing_price: float
-    must_ask: bool
-    ask_every: int
-    most_hops: int
-    most_retry_in: int
-    cold_from: float
-    cold_for: int
-    fall_multiple: float
-    fall_window: int
-    live: bool = False  # whether a listed scale falls with what the server holds
-    connection_price: float = 0.0  # for each open connection of a server, over 100
-    marked: bool = False  # whether clients mark what they send again
-    copies: bool = False  # whether a second copy may go out beside the first
-    full_unproven: bool = False  # whether a server that says it is full may have begun the work
-    drain_alone: bool = False  # whether only draining binds, and not being gone from the list
-    may_tell: bool = False  # whether sidecars may send each other messages
-    quotas: tuple[float, ...] = ()  # submissions a second of each tenant, at all sidecars together
-
-
-class Wakeable(Protocol):
-    def woke(self, now: int) -> None: ...
-
-
-class Outlet(Protocol):
+    request_classes: tuple[RequestClass, ...]
+    cross_zone_cost: float
+    polls_list: bool
+    poll_interval: int
+    max_hops: int
+    max_retry_after: int
+    cold_fraction: float
+    cold_duration: int
+    overload_multiple: float
+    overload_window: int
+    live_weights: bool = False  # whether a listed scale falls with what the server holds
+    connection_cost: float = 0.0  # for each open connection of a server, over 100
+    clients_mark_retries: bool = False  # whether clients mark what they send again
+    hedging_allowed: bool = False  # whether a second copy may go out beside the first
+    full_may_have_run: bool = False  # whether a server that says it is full may have begun the work
+    only_draining_removes: bool = False  # whether only draining binds, and not being gone from the list
+    peer_messages_allowed: bool = False  # whether sidecars may send each other messages
+    tenant_quotas: tuple[float, ...] = ()  # submissions a second of each tenant, at all sidecars together
+
+
+class TimerHandler(Protocol):
+    def on_timer(self, now: int) -> None: ...
+
+
+class Callbacks(Protocol):
     """Where decisions go; a host writes its messages straight from these calls."""
 
     def send(self, submission: int, server: int, timeout: int) -> None:
         """Start the next hop; a time-out of 0 lasts as long as the client waits."""
 
-    def defer(self, submission: int, retry_in: int) -> None: ...
+    def reject(self, submission: int, retry_after: int) -> None: ...
 
-    def forfeit(self, submission: int) -> None: ...
+    def fail(self, submission: int) -> None: ...
 
     def cancel(self, submission: int, hop: int) -> None: ...
 
     def probe(self, server: int) -> None: ...
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Send a short message to another sidecar, by its number; it may be lost."""
 
-    def free_links(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         """Close the idle connections to a server."""
 
-    def follow(self) -> None: ...
+    def request_server_list(self) -> None: ...
 
-    def wake(self, at: int, whom: Wakeable) -> None: ...
+    def set_timer(self, at: int, handler: TimerHandler) -> None: ...
 
     def log(self, text: str) -> None: ...
 
 
-class Companions(Protocol):
+class PeerTrials(Protocol):
     """What other sidecars have to do with breakers; asked under the host's lock, it waits for nothing."""
 
-    def turn(self, name: str) -> bool:
+    def may_try(self, name: str) -> bool:
         """Whether the half-open trial of the server with this name is this sidecar's to make."""
 
-    def opened(self, name: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, name: str, cooldown: int, sends_often: bool) -> None:
         """Its breaker is open; `often`: this sidecar would send there within a Cooldown."""
 
-    def tried(self, name: str, failed: bool) -> None:
+    def trial_finished(self, name: str, failed: bool) -> None:
         """The verdict of a trial made here; when it has failed, `opened` follows."""
--- a/pumicepath/invariants.py
+++ b/pumicepath/invariants.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-broken: dict[str, int] = {}
+violation_counts: dict[str, int] = {}
 
 
-def must(holds: bool, what: str) -> bool:
+def check_invariant(holds: bool, description: str) -> bool:
     if not holds:
-        assert not __debug__, what
-        broken[what] = broken.get(what, 0) + 1
+        assert not __debug__, description
+        violation_counts[description] = violation_counts.get(description, 0) + 1
     return holds
