--- a/pumicepath/lab/capacity/ranking.py
+++ b/pumicepath/lab/capacity/ranking.py
@@ -2,239 +2,258 @@
 
 from __future__ import annotations
 
+from .measurements import Capacity, Estimate, as_estimate, assumed_value
 from .rows import MISSING, Row
-from .slopes import Capacity, Figure, exact, reckoned
-from .target import Assumed, Target
+from .target import Assumptions, Target
 
-LISTS, CALLS, PEERS, CONTROL, OPERATOR = (
+LIST_ROLE, DATA_PATH_ROLE, MEMBERSHIP_ROLE, CONTROL_ROLE, OPERATOR_ROLE = (
     "lists and changes, from source to sidecars",
     "sidecar's data path",
     "sidecar's membership",
     "control machines",
     "an operator's change on its way",
 )
-SOURCE = "the one discovery, calls in turn (given); nothing between it and sidecars: " + MISSING
-EACH = "`discovery/watch.py`, `discovery/roster.py`: all servers of all services; a choice: " + MISSING
-PICK = "`logic.py`, `Balancer.pick`"
-MEMBERS = "`fleet/membership.py`, whole fleet, off by default; bounded by `most`"
+SOURCE_MECHANISM = "the one discovery, calls in turn (given); nothing between it and sidecars: " + MISSING
+LIST_MECHANISM = (
+    "`discovery/watch.py`, `discovery/roster.py`: all servers of all services; a choice: " + MISSING
+)
+DECISION_MECHANISM = "`logic.py`, `Balancer.pick`"
+MEMBERSHIP_MECHANISM = "`fleet/membership.py`, whole fleet, off by default; bounded by `most`"
 
 
-def changes_s(target: Target, assumed: Assumed) -> float:
+def list_changes_per_s(target: Target, assumed: Assumptions) -> float:
     """Changes of the list: the operators' own, and those of servers that fail or are replaced."""
-    return target.changes_s + (target.failed_day + target.replaced_day) * assumed.steps / 86_400
+    return (
+        target.changes_per_s
+        + (target.failures_per_day + target.replacements_per_day) * assumed.changes_per_replacement / 86_400
+    )
 
 
-def direct(capacity: Capacity, target: Target, assumed: Assumed) -> list[Row]:
+def direct_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
     """The rows in the order of their roles; `ranked` sorts them."""
-    n, peak = target.servers, changes_s(target, assumed) * assumed.peak
-    cpu_s, bytes_ = target.core * target.in_force_s, target.bytes_s * target.in_force_s
+    n, peak = target.servers, list_changes_per_s(target, assumed) * assumed.peak_factor
+    cpu_s, bytes_ = (
+        target.max_core_fraction * target.max_propagation_s,
+        target.max_bytes_per_s * target.max_propagation_s,
+    )
     told = capacity.at("told_us", n)
-    late = capacity.maybe("direct_in_force_ms", n)
-    in_force = late.over(1000) if late is not None else None
+    late = capacity.at_if_measured("direct_in_force_ms", n)
+    in_force = late.divided_by(1000) if late is not None else None
     # By its size a list's cost was measured with 20 followers.  How that grows with them was measured at one
     # size and is nearly flat; the slope of that would be noise far out, so what the largest following adds is
     # taken for all that it adds.
-    following = capacity["sent_many_us"].middles
-    more = Figure(following[-1][1] / following[0][1], "extrapolated", n / following[-1][0])
+    following = capacity["sent_many_us"].medians
+    more = Estimate(following[-1][1] / following[0][1], "extrapolated", n / following[-1][0])
     sent = capacity.at("sent_us", n).times(more)
     size = capacity.at("list_bytes", n)
     join = capacity.at("join_kb", n)
     return [
         Row(
-            LISTS,
+            LIST_ROLE,
             "all sidecars come back: whole lists to all, the source's CPU",
-            sent.times(reckoned(n / 1e6)),
+            sent.times(assumed_value(n / 1e6)),
             "s",
-            target.in_force_s,
+            target.max_propagation_s,
             "sidecars x CPU of sending a list of 20,000, as it is with 1,000 followers",
             ("sent_us", "sent_many_us"),
-            SOURCE,
+            SOURCE_MECHANISM,
         ),
         Row(
-            LISTS,
+            LIST_ROLE,
             "all sidecars come back: bytes over one 10 Gbit line",
-            size.times(reckoned(n / assumed.network)),
+            size.times(assumed_value(n / assumed.network_bytes_per_s)),
             "s",
-            target.in_force_s,
+            target.max_propagation_s,
             "sidecars x bytes of a list / 1.25 GB a second",
             ("list_bytes",),
-            SOURCE,
+            SOURCE_MECHANISM,
         ),
         Row(
-            LISTS,
+            LIST_ROLE,
             "a whole list, bytes to one sidecar within 6 s",
-            size.over(1000.0),
+            size.divided_by(1000.0),
             "kB",
             bytes_ / 1000,
             "bytes of a list of 20,000; 6 s x 7 KB",
             ("list_bytes",),
-            EACH,
+            LIST_MECHANISM,
         ),
         Row(
-            LISTS,
+            LIST_ROLE,
             "a whole list, CPU at one sidecar within 6 s",
-            capacity.at("first_us", n).over(1e6),
+            capacity.at("first_us", n).divided_by(1e6),
             "s",
             cpu_s,
             "CPU of reading the first list; 6 s x 2%",
             ("first_us",),
-            EACH,
+            LIST_MECHANISM,
         ),
         Row(
-            LISTS,
+            LIST_ROLE,
             "memory of a sidecar that has the list",
             capacity.at("rest_mb", n),
             "MB",
-            target.mb,
+            target.max_memory_mb,
             "memory at rest with 20,000 listed",
             ("rest_mb",),
-            EACH,
+            LIST_MECHANISM,
         ),
         Row(
-            LISTS,
+            LIST_ROLE,
             "memory of lists alone, by hollow sidecars",
-            capacity.maybe("direct_mb", n),
+            capacity.at_if_measured("direct_mb", n),
             "MB",
-            target.mb,
+            target.max_memory_mb,
             "runs of up to 1,850 sidecars, each with all servers",
             ("direct_mb",),
-            EACH,
+            LIST_MECHANISM,
         ),
         Row(
-            LISTS,
+            LIST_ROLE,
             "a change in force, p99, by hollow sidecars",
             in_force,
             "s",
-            target.in_force_s,
+            target.max_propagation_s,
             "the same runs; the rig was late as well: `direct_lag_ms`",
             ("direct_in_force_ms",),
-            SOURCE,
+            SOURCE_MECHANISM,
         ),
         Row(
-            LISTS,
+            LIST_ROLE,
             "a zone lost: 590 changes to all, each told for itself, the source's CPU",
-            told.times(reckoned(target.zone * n / 1e6)),
+            told.times(assumed_value(target.zone_servers * n / 1e6)),
             "s",
-            target.in_force_s,
+            target.max_propagation_s,
             "590 x sidecars x CPU of telling one",
             ("told_us",),
-            SOURCE,
+            SOURCE_MECHANISM,
         ),
         Row(
-            LISTS,
+            LIST_ROLE,
             "changes at ten times the mean, the source's CPU",
-            told.times(reckoned(n * peak / 1e6)),
+            told.times(assumed_value(n * peak / 1e6)),
             "cores",
             1.0,
             "10 x changes a second x sidecars x CPU of telling one; one thread",
             ("told_us",),
-            SOURCE,
+            SOURCE_MECHANISM,
         ),
         Row(
-            LISTS,
+            LIST_ROLE,
             "changes at ten times the mean, CPU at one sidecar",
-            capacity.at("change_us", n).times(reckoned(peak / 1e6 * 100)),
+            capacity.at("change_us", n).times(assumed_value(peak / 1e6 * 100)),
             "% of a core",
-            target.core * 100,
+            target.max_core_fraction * 100,
             "10 x changes a second x CPU of reading one among 20,000",
             ("change_us",),
-            EACH,
+            LIST_MECHANISM,
         ),
         Row(
-            LISTS,
+            LIST_ROLE,
             "watches renewed at rest, the source's CPU",
-            capacity.at("renewed_us", n).times(reckoned(n / assumed.renewal_s / 1e6)),
+            capacity.at("renewed_us", n).times(assumed_value(n / assumed.direct_renewal_interval_s / 1e6)),
             "cores",
             1.0,
             "sidecars / 15 s x CPU of a renewal; one thread",
             ("renewed_us",),
-            SOURCE,
+            SOURCE_MECHANISM,
         ),
         Row(
-            CALLS,
+            DATA_PATH_ROLE,
             "one decision, all servers in one list as today, key new",
-            capacity.at("new_us", n).over(1000.0),
+            capacity.at("new_us", n).divided_by(1000.0),
             "ms",
-            target.added_ms,
+            target.max_added_latency_ms,
             "CPU of a decision among 20,000",
             ("new_us",),
-            PICK,
+            DECISION_MECHANISM,
         ),
         Row(
-            CALLS,
+            DATA_PATH_ROLE,
             "one decision, its usual services and the largest",
-            capacity.at("new_us", assumed.listed_most).over(1000.0),
+            capacity.at("new_us", assumed.max_listed_servers).divided_by(1000.0),
             "ms",
-            target.added_ms,
+            target.max_added_latency_ms,
             "CPU of a decision among 8 x 10.5 + 2,500",
             ("new_us",),
-            PICK,
+            DECISION_MECHANISM,
         ),
         Row(
-            CALLS,
+            DATA_PATH_ROLE,
             "one decision, usual services only",
-            capacity.at("new_us", assumed.listed).over(1000.0),
+            capacity.at("new_us", assumed.typical_listed_servers).divided_by(1000.0),
             "ms",
-            target.added_ms,
+            target.max_added_latency_ms,
             "CPU of a decision among 8 x 10.5",
             ("new_us",),
-            PICK,
+            DECISION_MECHANISM,
         ),
         Row(
-            CALLS,
+            DATA_PATH_ROLE,
             "13 decisions, usual services only",
-            capacity.at("new_us", assumed.listed).times(reckoned(target.depth / 1000)),
+            capacity.at("new_us", assumed.typical_listed_servers).times(
+                assumed_value(target.call_depth / 1000)
+            ),
             "ms",
-            target.added_ms,
+            target.max_added_latency_ms,
             "13 x CPU of a decision among 8 x 10.5",
             ("new_us",),
-            PICK,
+            DECISION_MECHANISM,
         ),
         Row(
-            PEERS,
+            MEMBERSHIP_ROLE,
             "join, bytes sent by each, over 7 KB a second",
-            join.times(1000 / target.bytes_s),
+            join.times(1000 / target.max_bytes_per_s),
             "s",
             None,
             "kB sent until views are right / 7 KB a second",
             ("join_kb",),
-            MEMBERS,
+            MEMBERSHIP_MECHANISM,
         ),
         Row(
-            PEERS,
+            MEMBERSHIP_ROLE,
             "at rest, bytes",
             capacity.at("peer_bytes", n),
             "bytes a second",
-            target.bytes_s,
+            target.max_bytes_per_s,
             "bytes a second of one",
             ("peer_bytes",),
-            MEMBERS,
+            MEMBERSHIP_MECHANISM,
         ),
         Row(
-            PEERS,
+            MEMBERSHIP_ROLE,
             "at rest, CPU",
-            capacity.at("peer_cpu_us", n).over(1e4),
+            capacity.at("peer_cpu_us", n).divided_by(1e4),
             "% of a core",
-            target.core * 100,
+            target.max_core_fraction * 100,
             "CPU a second of one",
             ("peer_cpu_us",),
-            MEMBERS,
+            MEMBERSHIP_MECHANISM,
         ),
         Row(
-            PEERS,
+            MEMBERSHIP_ROLE,
             "join if a zone is the fleet, bytes over 7 KB a second",
-            capacity.at("join_kb", target.zone).times(1000 / target.bytes_s),
+            capacity.at("join_kb", target.zone_servers).times(1000 / target.max_bytes_per_s),
             "s",
             None,
             "kB sent among 590 / 7 KB a second",
             ("join_kb",),
             "a `fleet` name for each zone: a key of the file",
         ),
-        Row(CONTROL, "machines with something to do", exact(0.0), "of 20", None, "none", (), MISSING),
         Row(
-            OPERATOR,
+            CONTROL_ROLE,
+            "machines with something to do",
+            as_estimate(0.0),
+            "of 20",
+            None,
+            "none",
+            (),
+            MISSING,
+        ),
+        Row(
+            OPERATOR_ROLE,
             "ways for a change of settings to all sidecars",
-            Figure(0.0, "measured"),
+            Estimate(0.0, "measured"),
             "",
             None,
             "each file is read again at SIGHUP; who brings it there is open",
@@ -244,10 +263,10 @@
     ]
 
 
-def ranked(capacity: Capacity, target: Target, assumed: Assumed) -> list[Row]:
+def ranked_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
     """Roles by their worst factor, and within each its rows by theirs; what has no budget comes last."""
-    rows = direct(capacity, target, assumed)
+    rows = direct_rows(capacity, target, assumed)
     worst: dict[str, float] = {}
     for row in rows:
-        worst[row.role] = max(worst.get(row.role, 0.0), row.factor)
-    return sorted(rows, key=lambda row: (-worst[row.role], row.role, -row.factor))
+        worst[row.role] = max(worst.get(row.role, 0.0), row.budget_ratio)
+    return sorted(rows, key=lambda row: (-worst[row.role], row.role, -row.budget_ratio))
--- a/pumicepath/lab/capacity/rows.py
+++ b/pumicepath/lab/capacity/rows.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from .slopes import FAR, Capacity, Figure
+from .measurements import FAR_EXTRAPOLATION_RATIO, Capacity, Estimate
 
 MISSING = "*missing*"
-UNMEASURED = "*not measured*"
+NOT_MEASURED = "*not measured*"
 
 
 @dataclass(frozen=True)
@@ -18,8 +18,8 @@
     """
 
     role: str
-    what: str
-    value: Figure | None
+    quantity: str
+    value: Estimate | None
     unit: str
     budget: float | None
     formula: str
@@ -27,12 +27,12 @@
     mechanism: str
 
     @property
-    def factor(self) -> float:
+    def budget_ratio(self) -> float:
         """Over its budget; 0 where there is none."""
         return self.value.value / self.budget if self.budget and self.value is not None else 0.0
 
 
-def short(value: float) -> str:
+def format_number(value: float) -> str:
     """Three digits that count, with thousands apart."""
     if value == 0:
         return "0"
@@ -42,46 +42,50 @@
     return f"{float(f'{value:.3g}'):g}"
 
 
-def known(figure: Figure, series: tuple[str, ...] = ()) -> str:
+def provenance(figure: Estimate, series: tuple[str, ...] = ()) -> str:
     """How it is known, and from how far."""
     told = "reckoned from slopes" if figure.kind == "reckoned" and series else figure.kind
-    if figure.beyond <= 1:
+    if figure.size_ratio <= 1:
         return told
-    return f"{told}, extrapolated x {short(figure.beyond)}".replace("extrapolated, ", "", 1) + (
-        f" (**more than {FAR:g} times the largest measured size**)" if figure.beyond > FAR else ""
+    return f"{told}, extrapolated x {format_number(figure.size_ratio)}".replace("extrapolated, ", "", 1) + (
+        f" (**more than {FAR_EXTRAPOLATION_RATIO:g} times the largest measured size**)"
+        if figure.size_ratio > FAR_EXTRAPOLATION_RATIO
+        else ""
     )
 
 
-def forms(row: Row, capacity: Capacity) -> str:
+def build_forms(row: Row, capacity: Capacity) -> str:
     found = sorted({capacity[name].form for name in row.series} - {"neither"})
     return " and ".join(found)
 
 
-def against(row: Row) -> str:
+def budget_text(row: Row) -> str:
     """The factor over the budget, in bold where it is missed."""
     if not row.budget:
         return "no budget"
     if row.value is None:
-        return UNMEASURED
-    return f"**{short(row.factor)}**" if row.factor > 1 else short(row.factor)
+        return NOT_MEASURED
+    return (
+        f"**{format_number(row.budget_ratio)}**" if row.budget_ratio > 1 else format_number(row.budget_ratio)
+    )
 
 
-def cells(row: Row, capacity: Capacity) -> list[str]:
+def row_cells(row: Row, capacity: Capacity) -> list[str]:
     if row.value is None:
-        figure = how = UNMEASURED
+        figure = how = NOT_MEASURED
     else:
-        figure, form = f"{short(row.value.value)} {row.unit}".strip(), forms(row, capacity)
-        how = known(row.value, row.series) + (f", {form}" if form else "")
+        figure, form = f"{format_number(row.value.value)} {row.unit}".strip(), build_forms(row, capacity)
+        how = provenance(row.value, row.series) + (f", {form}" if form else "")
     return [
-        row.what,
+        row.quantity,
         figure,
-        f"{short(row.budget)} {row.unit}" if row.budget else "none",
-        against(row),
+        f"{format_number(row.budget)} {row.unit}" if row.budget else "none",
+        budget_text(row),
         how,
         row.formula + (f" [{', '.join(row.series)}]" if row.series else ""),
         row.mechanism,
     ]
 
 
-def table(head: list[str], lines: list[list[str]]) -> str:
+def markdown_table(head: list[str], lines: list[list[str]]) -> str:
     return "\n".join("| " + " | ".join(line) + " |" for line in [head, ["---"] * len(head), *lines])
--- a/pumicepath/lab/capacity/days.py
+++ b/pumicepath/lab/capacity/scenarios.py
@@ -5,62 +5,66 @@
 from dataclasses import dataclass
 
 from . import roles, rows
-from .ranking import changes_s
-from .rows import UNMEASURED, Row, known, short
-from .slopes import Capacity, Figure, reckoned
-from .target import Assumed, Target
+from .measurements import Capacity, Estimate, assumed_value
+from .ranking import list_changes_per_s
+from .rows import NOT_MEASURED, Row, format_number, provenance
+from .target import Assumptions, Target
 
-NEVER_TOLD = "rule 3 counts from when discovery had a change and could be reached"
-LAST_LIST = "sidecars go on with the last list, and their breakers keep them from servers that fail"
+CLOCK_START_RULE = "rule 3 counts from when discovery had a change and could be reached"
+LAST_LIST_STAYS = "sidecars go on with the last list, and their breakers keep them from servers that fail"
 
 
 @dataclass(frozen=True)
-class Day:
+class Scenario:
     """`peaks` are rows without a role; `until` is when all is in force, in s; None: not measured."""
 
     name: str
     peaks: list[Row]
-    until: Figure | None
-    until_by: str
-    stale: str
+    applied_after: Estimate | None
+    applied_after_source: str
+    stale_state: str
 
 
-def days(capacity: Capacity, target: Target, assumed: Assumed) -> list[Day]:
-    n, changed, most = assumed.followers, changes_s(target, assumed), assumed.listed_most
+def build_scenarios(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Scenario]:
+    n, changed, most = (
+        assumed.followers_per_relay,
+        list_changes_per_s(target, assumed),
+        assumed.max_listed_servers,
+    )
     one = capacity.at("relay_change_us", n)
-    renewing = capacity.at("relay_renewed_us", n).times(n / assumed.relayed_s / 1e4)
+    renewing = capacity.at("relay_renewed_us", n).times(n / assumed.relay_renewal_interval_s / 1e4)
     answer = capacity.at("relay_renewed_bytes", n).plus(
-        reckoned((target.regions - 1) * assumed.region_bytes + assumed.head_bytes)
+        assumed_value((target.regions - 1) * assumed.region_bytes + assumed.request_bytes)
     )
-    resting = answer.times(1 / assumed.relayed_s)
+    resting = answer.times(1 / assumed.relay_renewal_interval_s)
     usual_list = capacity.at("relay_whole_bytes", n)
-    line = roles.line_bytes(capacity, assumed)
-    told = capacity.maybe("hollow_in_force_ms", target.servers)
-    in_force = told.over(1000) if told is not None else None
+    line = roles.list_entry_bytes(capacity, assumed)
+    told = capacity.at_if_measured("hollow_in_force_ms", target.servers)
+    in_force = told.divided_by(1000) if told is not None else None
 
-    def hollow(fault: str, else_: Figure | None) -> tuple[Figure | None, str]:
+    def hollow(fault: str, else_: Estimate | None) -> tuple[Estimate | None, str]:
         """From the end of a fault until all is in force, by hollow runs where there are any."""
         name = f"{fault}_s"
         if name not in capacity.series:
             return else_, ""
-        size, value = capacity[name].middles[-1]
+        size, value = capacity[name].medians[-1]
         return capacity.at(name, target.servers), (
-            f"hollow runs, from its end [{name}: {short(value)} s at {short(size)}]"
+            f"hollow runs, from its end [{name}: {format_number(value)} s at {format_number(size)}]"
         )
 
-    silent = reckoned(assumed.silent_s + 0.5 + 2 * assumed.batch_s)
-    relays = target.regions * assumed.relays
+    silent = assumed_value(assumed.silence_timeout_s + 0.5 + 2 * assumed.batch_interval_s)
+    relays = target.regions * assumed.relays_per_region
 
     def relay(what: str, rate: float, times: float = 1) -> Row:
         """CPU of a relay at so many changes a second, each told for itself; so many times its followers."""
-        cpu = renewing.times(times).plus(one.times(reckoned(rate / 1e4)))
+        cpu = renewing.times(times).plus(one.times(assumed_value(rate / 1e4)))
         return Row(
             "",
             what,
             cpu,
             "% of a core",
             100.0,
-            f"renewals, and {short(rate)} changes a second",
+            f"renewals, and {format_number(rate)} changes a second",
             ("relay_renewed_us", "relay_change_us"),
             "",
         )
@@ -71,29 +75,29 @@
         return Row(
             "",
             what,
-            resting.plus(line.times(reckoned(concerned))),
+            resting.plus(line.times(assumed_value(concerned))),
             "bytes a second",
-            target.bytes_s,
+            target.max_bytes_per_s,
             "watch, and lines of what changed",
             ("relay_renewed_bytes", "relay_whole_bytes"),
             "",
         )
 
-    def wholes(sidecars: float, machines: float) -> tuple[list[Row], Figure]:
+    def wholes(sidecars: float, machines: float) -> tuple[list[Row], Estimate]:
         """Whole lists to so many from so many relays: usual ones, and with the largest service; seconds."""
-        pace = machines * assumed.whole_bytes_s
-        with_largest = usual_list.times(1 - assumed.calling_largest).plus(
-            line.times(reckoned(assumed.calling_largest * most))
+        pace = machines * assumed.full_list_bytes_per_s
+        with_largest = usual_list.times(1 - assumed.largest_service_caller_fraction).plus(
+            line.times(assumed_value(assumed.largest_service_caller_fraction * most))
         )
         lasts = with_largest.times(sidecars / pace)
         return [
             Row(
                 "",
                 "whole lists, usual",
-                usual_list.times(reckoned(sidecars / pace)),
+                usual_list.times(assumed_value(sidecars / pace)),
                 "s",
-                target.in_force_s,
-                f"sidecars x bytes / relays / {assumed.whole_bytes_s / 1e6:g} MB a second",
+                target.max_propagation_s,
+                f"sidecars x bytes / relays / {assumed.full_list_bytes_per_s / 1e6:g} MB a second",
                 ("relay_whole_bytes",),
                 "",
             ),
@@ -102,17 +106,17 @@
                 "whole lists, one in ten with the largest service",
                 lasts,
                 "s",
-                target.in_force_s,
+                target.max_propagation_s,
                 "the same, a tenth with 2,584 lines",
                 ("relay_whole_bytes",),
                 "",
             ),
         ], lasts
 
-    zone, peak = target.zone / target.in_force_s, changed * assumed.peak
-    region_hour = changed / target.regions * assumed.cut_s
-    released = target.servers * assumed.steps / assumed.release_s
-    zone_lists, zone_lists_s = wholes(target.zone, relays / target.regions)
+    zone, peak = target.zone_servers / target.max_propagation_s, changed * assumed.peak_factor
+    region_hour = changed / target.regions * assumed.partition_duration_s
+    released = target.servers * assumed.changes_per_replacement / assumed.release_duration_s
+    zone_lists, zone_lists_s = wholes(target.zone_servers, relays / target.regions)
     all_lists, all_lists_s = wholes(target.servers, relays)
     zone_s, zone_by = hollow("zone-lost", in_force)
     cut_s, cut_by = hollow("region-cut", silent)
@@ -120,47 +124,51 @@
     one_s, one_by = hollow("region-of-all-control-killed", None)
     one_lists, _ = wholes(n, 1)
     return [
-        Day(
+        Scenario(
             "ordinary",
-            [relay("a relay", changed), heard("a sidecar, usual", changed, assumed.listed)],
+            [relay("a relay", changed), heard("a sidecar, usual", changed, assumed.typical_listed_servers)],
             in_force,
             "hollow sidecars, p99",
             "nothing for longer than that",
         ),
-        Day(
+        Scenario(
             "a rack, 40 servers and sidecars",
             [
-                relay("a relay, in 6 s", assumed.rack / target.in_force_s),
-                heard("a sidecar with the largest service", assumed.rack / target.in_force_s, most),
+                relay("a relay, in 6 s", assumed.rack_servers / target.max_propagation_s),
+                heard(
+                    "a sidecar with the largest service",
+                    assumed.rack_servers / target.max_propagation_s,
+                    most,
+                ),
             ],
             in_force,
             "as on an ordinary day: its changes share batches",
-            "the rack's servers until told, " + NEVER_TOLD,
+            "the rack's servers until told, " + CLOCK_START_RULE,
         ),
-        Day(
+        Scenario(
             "a zone, 590 at once",
             [relay("a relay, in 6 s", zone), heard("a sidecar with the largest service", zone, most)],
             zone_s,
             zone_by or "as on an ordinary day, if batches hold them",
             "the zone's servers until told; breakers open before that",
         ),
-        Day(
+        Scenario(
             "the zone back",
             [relay("a relay, in 6 s", zone), *zone_lists],
             zone_lists_s,
             "590 whole lists by its region's two relays",
             "nobody is sent to who is not there: what is late is a server that could serve",
         ),
-        Day(
+        Scenario(
             "a region cut off for an hour, and healed",
             [
-                relay("a relay, in 6 s after", region_hour / target.in_force_s),
+                relay("a relay, in 6 s after", region_hour / target.max_propagation_s),
                 Row(
                     "",
                     "changes missed, of those that a relay can continue",
-                    reckoned(region_hour),
+                    assumed_value(region_hour),
                     "changes",
-                    float(assumed.history),
+                    float(assumed.retained_changes),
                     "changes / 10 regions x an hour",
                     (),
                     "",
@@ -168,23 +176,23 @@
             ],
             cut_s,
             cut_by or "a relay's next call to the region's discovery, and a batch",
-            "the region's servers as last told; " + NEVER_TOLD + "; " + LAST_LIST,
+            "the region's servers as last told; " + CLOCK_START_RULE + "; " + LAST_LIST_STAYS,
         ),
-        Day(
+        Scenario(
             "a release of everything in an hour",
             [relay("a relay", released), heard("a sidecar with the largest service", released, most)],
             in_force,
             "as on an ordinary day",
             "nothing for longer than that",
         ),
-        Day(
+        Scenario(
             "a control machine lost",
             [relay("the other, with twice the followers", changed, 2), *one_lists],
             one_s,
-            one_by or UNMEASURED,
+            one_by or NOT_MEASURED,
             "nothing for its followers until they have gone to the other",
         ),
-        Day(
+        Scenario(
             "all control machines restarted",
             [
                 *all_lists,
@@ -193,22 +201,22 @@
                     "a relay's CPU for its followers' lists",
                     capacity.at("relay_whole_us", n).times(n / 1e6),
                     "s",
-                    target.in_force_s,
+                    target.max_propagation_s,
                     "1,000 x CPU of a list",
                     ("relay_whole_us",),
                     "",
                 ),
             ],
-            restart_s if restart_s is not None else all_lists_s.plus(reckoned(4.0)),
+            restart_s if restart_s is not None else all_lists_s.plus(assumed_value(4.0)),
             restart_by
-            or "until the last whole list, after a drawn pause of up to 4 s; runs of that: " + UNMEASURED,
+            or "until the last whole list, after a drawn pause of up to 4 s; runs of that: " + NOT_MEASURED,
             "all entries as last told while no relay runs; "
-            + NEVER_TOLD
+            + CLOCK_START_RULE
             + "; "
-            + LAST_LIST
+            + LAST_LIST_STAYS
             + ". Where the whole lists take more than 6 s from when relays are back, that is a miss",
         ),
-        Day(
+        Scenario(
             "61,000 changes at ten times the mean, ten minutes",
             [relay("a relay", peak), heard("a sidecar with the largest service", peak, most)],
             in_force,
@@ -218,14 +226,18 @@
     ]
 
 
-def cells(day: Day, capacity: Capacity) -> list[list[str]]:
+def scenario_cells(day: Scenario, capacity: Capacity) -> list[list[str]]:
     """One line for each peak; the first has what is said of the day."""
-    until = f"{short(day.until.value)} s, {known(day.until)}" if day.until is not None else UNMEASURED
-    until += f": {day.until_by}"
+    until = (
+        f"{format_number(day.applied_after.value)} s, {provenance(day.applied_after)}"
+        if day.applied_after is not None
+        else NOT_MEASURED
+    )
+    until += f": {day.applied_after_source}"
     lines = []
     for row in day.peaks:
         first = row is day.peaks[0]
-        what, *found = rows.cells(row, capacity)
+        what, *found = rows.row_cells(row, capacity)
         figure, budget, over, how, formula, _ = found
         lines.append(
             [
@@ -236,7 +248,7 @@
                 how,
                 formula,
                 until if first else "",
-                day.stale if first else "",
+                day.stale_state if first else "",
             ]
         )
     return lines
--- a/pumicepath/lab/capacity/doubled.py
+++ b/pumicepath/lab/capacity/sensitivity.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterator
 from dataclasses import replace
 
-from .days import days
-from .roles import ROLES
-from .rows import Row, short, table
-from .slopes import Capacity
-from .target import Assumed, Target
+from .measurements import Capacity
+from .roles import ROLE_ROWS
+from .rows import Row, format_number, markdown_table
+from .scenarios import build_scenarios
+from .target import Assumptions, Target
 
-TAKEN = {
+ASSUMPTION_TEXTS = {
     "calls_each": "calls a second of a sidecar, 3 million by 20,000",
     "called": "services that a sidecar calls",
     "mean": "servers of a usual service, 20,000 by 1,900",
@@ -26,19 +26,21 @@
     "release_s": "seconds in which a release replaces all servers",
     "cut_s": "seconds that a region is cut off",
 }
-SHOWN = 2
+MAX_ROWS_SHOWN = 2
 
 
-def all_rows(capacity: Capacity, target: Target, assumed: Assumed) -> Iterator[tuple[str, Row]]:
-    for name, rows in ROLES.items():
+def all_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> Iterator[tuple[str, Row]]:
+    for name, rows in ROLE_ROWS.items():
         for at, row in enumerate(rows(capacity, target, assumed)):
             yield f"{name} {at}", row
-    for day in days(capacity, target, assumed):
+    for day in build_scenarios(capacity, target, assumed):
         for at, row in enumerate(day.peaks):
             yield f"{day.name} {at}", row
 
 
-def changed(capacity: Capacity, target: Target, assumed: Assumed, name: str) -> list[tuple[float, str, str]]:
+def changed_rows(
+    capacity: Capacity, target: Target, assumed: Assumptions, name: str
+) -> list[tuple[float, str, str]]:
     """What comes closest to its budget, or farthest over it, of all that differs: factor, which row, text."""
     before = dict(all_rows(capacity, target, assumed))
     twice = replace(assumed, **{name: type(getattr(assumed, name))(2 * getattr(assumed, name))})
@@ -50,26 +52,28 @@
         if abs(row.value.value - old.value.value) > 0.005 * abs(old.value.value):
             found.append(
                 (
-                    row.factor,
+                    row.budget_ratio,
                     key,
-                    f"{where(key)}{row.what}: {short(old.value.value)} to "
-                    f"{short(row.value.value)} of {short(row.budget)} {row.unit}",
+                    f"{row_prefix(key)}{row.quantity}: {format_number(old.value.value)} to "
+                    f"{format_number(row.value.value)} of {format_number(row.budget)} {row.unit}",
                 )
             )
     return sorted(found, reverse=True)
 
 
-def where(key: str) -> str:
+def row_prefix(key: str) -> str:
     return f"{key.rpartition(' ')[0]}: "
 
 
-def assumptions(capacity: Capacity, target: Target, assumed: Assumed) -> str:
+def assumptions_table(capacity: Capacity, target: Target, assumed: Assumptions) -> str:
     lines = []
-    for name, text in TAKEN.items():
-        found = changed(capacity, target, assumed, name)
-        told = "; ".join(line for _, _, line in found[:SHOWN])
-        lines.append([text, short(getattr(assumed, name)), told or "no row with a budget by half a percent"])
-    return table(
+    for name, text in ASSUMPTION_TEXTS.items():
+        found = changed_rows(capacity, target, assumed, name)
+        told = "; ".join(line for _, _, line in found[:MAX_ROWS_SHOWN])
+        lines.append(
+            [text, format_number(getattr(assumed, name)), told or "no row with a budget by half a percent"]
+        )
+    return markdown_table(
         ["open", "taken", "if twice that, the rows that it changes and that come nearest to their budgets"],
         lines,
     )
--- a/pumicepath/lab/experiments/pictures.py
+++ b/pumicepath/lab/experiments/charts.py
@@ -14,18 +14,18 @@
 from matplotlib import pyplot  # noqa: E402
 from matplotlib.axes import Axes  # noqa: E402
 
-from .comparing import Row  # noqa: E402
-from .figures import merged  # noqa: E402
+from .comparison import ArmSummary  # noqa: E402
+from .statistics import merge_histograms  # noqa: E402
 
 
-def saved(figure: Any, path: Path) -> Path:
+def save_figure(figure: Any, path: Path) -> Path:
     figure.tight_layout()
     figure.savefig(path, dpi=110)
     pyplot.close(figure)
     return path
 
 
-def mark(axes: Axes, marks: Sequence[Sequence[Any]]) -> None:
+def mark_faults(axes: Axes, marks: Sequence[Sequence[Any]]) -> None:
     for at, until, text in marks:
         axes.axvspan(at / 1e6, max(until, at + 100_000) / 1e6, color="tab:red", alpha=0.10, lw=0)
         axes.text(
@@ -40,7 +40,7 @@
         )
 
 
-def over_time(runs: Sequence[dict[str, Any]], arms: Sequence[str], path: Path) -> Path:
+def plot_service(runs: Sequence[dict[str, Any]], arms: Sequence[str], path: Path) -> Path:
     """The share of each second's submissions served in time: middle of the seeds, and from least to most."""
     figure, axes = pyplot.subplots(figsize=(9, 3.6))
     for arm in arms:
@@ -67,13 +67,13 @@
             alpha=0.12,
             lw=0,
         )
-    mark(axes, runs[0]["marks"])
+    mark_faults(axes, runs[0]["marks"])
     axes.set(xlabel="seconds", ylabel="served in time", ylim=(-0.02, 1.05))
     axes.legend(fontsize=7, loc="lower right")
-    return saved(figure, path)
+    return save_figure(figure, path)
 
 
-def by_server(run: dict[str, Any], path: Path) -> Path:
+def plot_servers(run: dict[str, Any], path: Path) -> Path:
     """Hops at each server, and the share of sidecars whose breaker refuses it, second by second."""
     figure, both = pyplot.subplots(2, 1, figsize=(9, 5), sharex=True)
     for axes, name, title, colours in (
@@ -94,15 +94,15 @@
         figure.colorbar(shown, ax=axes)
         axes.set(ylabel="server's place", title=f"{title} ({run['arm']}, seed {run['seed']})")
     both[1].set(xlabel="seconds")
-    return saved(figure, path)
+    return save_figure(figure, path)
 
 
-def latency(runs: Sequence[dict[str, Any]], arms: Sequence[str], path: Path) -> Path:
+def plot_latency(runs: Sequence[dict[str, Any]], arms: Sequence[str], path: Path) -> Path:
     """Percentiles on the scale of HdrHistogram's plots: each step to the right is a nine more."""
     figure, axes = pyplot.subplots(figsize=(9, 3.6))
     nines = numpy.linspace(0.1, 4.0, 60)
     for arm in arms:
-        held = merged([run["latency"] for run in runs if run["arm"] == arm])
+        held = merge_histograms([run["latency"] for run in runs if run["arm"] == arm])
         if held.get_total_count():
             axes.plot(
                 nines, [held.get_value_at_percentile(100 * (1 - 10**-n)) / 1000 for n in nines], label=arm
@@ -110,10 +110,10 @@
     axes.set_xticks([1, 2, 3, 4], ["90%", "99%", "99.9%", "99.99%"])
     axes.set(ylabel="ms from when it should go out", yscale="log")
     axes.legend(fontsize=7)
-    return saved(figure, path)
+    return save_figure(figure, path)
 
 
-def losses(made: Sequence[Row], path: Path) -> Path:
+def plot_losses(made: Sequence[ArmSummary], path: Path) -> Path:
     """What was not served in time, by cause."""
     figure, axes = pyplot.subplots(figsize=(9, 0.6 + 0.34 * len(made)))
     names = [f"{row.point}: {row.arm}" if row.point else row.arm for row in made][::-1]
@@ -125,10 +125,10 @@
     axes.set(xlabel="share of what was offered")
     axes.tick_params(labelsize=7)
     axes.legend(fontsize=7, ncol=5, loc="lower right")
-    return saved(figure, path)
+    return save_figure(figure, path)
 
 
-def matrix(
+def plot_liveness(
     names: Sequence[str],
     at: Sequence[float],
     rows: Sequence[Sequence[float]],
@@ -145,12 +145,12 @@
     axes.set_yticks(numpy.arange(0, len(names), step) + 0.5, names[::step], fontsize=6)
     axes.invert_yaxis()
     figure.colorbar(shown, ax=axes, label="seen as alive by")
-    mark(axes, marks)
+    mark_faults(axes, marks)
     axes.set(xlabel="seconds")
-    return saved(figure, path)
+    return save_figure(figure, path)
 
 
-def carried(
+def plot_traffic(
     at: Sequence[float],
     messages: Sequence[float],
     sizes: Sequence[float],
@@ -163,6 +163,6 @@
     other = axes.twinx()
     other.plot(at, [size / 1000 for size in sizes], lw=1.0, color="tab:orange")
     other.set_ylabel("kB a second", color="tab:orange")
-    mark(axes, marks)
+    mark_faults(axes, marks)
     axes.set(xlabel="seconds", ylabel="messages a second")
-    return saved(figure, path)
+    return save_figure(figure, path)
--- a/pumicepath/lab/experiments/comparing.py
+++ b/pumicepath/lab/experiments/comparison.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .figures import Interval, difference, interval, merged, percentiles
+from .statistics import Interval, bootstrap_interval, latency_percentiles, merge_histograms, paired_difference
 
-LOSSES = ("late", "deferred", "forfeited", "left", "lost")
+LOSS_CAUSES = ("late", "deferred", "forfeited", "left", "lost")
 
 
 @dataclass(frozen=True)
-class Row:
+class ArmSummary:
     """One arm at one point of a sweep."""
 
     point: str
@@ -20,12 +20,12 @@
     service: Interval
     latency: dict[str, float]
     losses: dict[str, float]  # by cause, as shares of what was offered
-    broken: dict[str, int]
-    first: dict[str, str]
-    against: Interval | None  # the first arm at this point
+    violations: dict[str, int]
+    first_violations: dict[str, str]
+    baseline_difference: Interval | None  # the first arm at this point
 
 
-def rows(head: dict[str, Any], runs: Sequence[dict[str, Any]]) -> list[Row]:
+def summarize_arms(head: dict[str, Any], runs: Sequence[dict[str, Any]]) -> list[ArmSummary]:
     made = []
     for point in head["points"]:
         reference: dict[int, float] = {}
@@ -42,29 +42,29 @@
                 for rule, text in run["first"].items():
                     first.setdefault(rule, f"seed {run['seed']}, {text}")
             made.append(
-                Row(
+                ArmSummary(
                     point,
                     arm,
-                    interval(list(service.values())),
-                    percentiles(merged([run["latency"] for run in mine])),
-                    {cause: sum(run[cause] for run in mine) / offered for cause in LOSSES},
+                    bootstrap_interval(list(service.values())),
+                    latency_percentiles(merge_histograms([run["latency"] for run in mine])),
+                    {cause: sum(run[cause] for run in mine) / offered for cause in LOSS_CAUSES},
                     {rule: count for rule, count in broken.items() if count},
                     first,
-                    None if service is reference else difference(service, reference),
+                    None if service is reference else paired_difference(service, reference),
                 )
             )
     return made
 
 
-def verdict(against: Interval) -> str:
+def describe_difference(against: Interval) -> str:
     if against.count < 2:
         return "one pair says nothing"
-    if against.none():
+    if against.is_inconclusive():
         return "no difference"
     return "better" if against.mean > 0 else "worse"
 
 
-def table(head: dict[str, Any], made: Sequence[Row]) -> list[str]:
+def terminal_table(head: dict[str, Any], made: Sequence[ArmSummary]) -> list[str]:
     """As lines for a terminal."""
     lines = [f"{head['title']} ({head['experiment']}; servers simulated)"]
     for row in made:
@@ -72,14 +72,16 @@
         lines.append(
             f"  {name:<34} service {row.service!s:<26} p50 {row.latency['p50']:7.1f} ms  "
             f"p99 {row.latency['p99']:7.1f} ms  rules "
-            + (", ".join(f"{rule} {count}" for rule, count in row.broken.items()) or "kept")
+            + (", ".join(f"{rule} {count}" for rule, count in row.violations.items()) or "kept")
         )
-        if row.against is not None:
-            lines.append(f"  {'':<34} against {head['arms'][0]}: {row.against}, {verdict(row.against)}")
+        if row.baseline_difference is not None:
+            lines.append(
+                f"  {'':<34} against {head['arms'][0]}: {row.baseline_difference}, {describe_difference(row.baseline_difference)}"
+            )
     return lines
 
 
-def compared(
+def compare_reports(
     one: tuple[dict[str, Any], list[dict[str, Any]]], other: tuple[dict[str, Any], list[dict[str, Any]]]
 ) -> list[str]:
     """Arms that two reports share, the second against the first, in pairs with the same seed."""
@@ -94,11 +96,11 @@
             ]
             if not service[0].keys() & service[1].keys():
                 continue
-            change = difference(service[1], service[0])
+            change = paired_difference(service[1], service[0])
             name = f"{point}: {arm}" if point else arm
             lines.append(
-                f"{name}: {interval(list(service[0].values()))} to "
-                f"{interval(list(service[1].values()))}, {change.mean:+.3f} [{change.low:+.3f}, "
-                f"{change.high:+.3f}] in {change.count} pairs: {verdict(change)}"
+                f"{name}: {bootstrap_interval(list(service[0].values()))} to "
+                f"{bootstrap_interval(list(service[1].values()))}, {change.mean:+.3f} [{change.low:+.3f}, "
+                f"{change.high:+.3f}] in {change.count} pairs: {describe_difference(change)}"
             )
     return lines or ["they share no arm, point and seed"]
--- a/pumicepath/lab/experiments/files.py
+++ b/pumicepath/lab/experiments/files.py
@@ -16,12 +16,12 @@
 from ..spec import Count, Plan, StrictModel
 from ..virtual.run import POLICIES, PUMICEPATH
 
-HEADER = re.compile(r"^\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(#.*)?$")
-KEY = re.compile(r"""^\s*("[^"]*"|'[^']*'|[\w-]+(?:\s*\.\s*[\w-]+)*)\s*=""")
+TABLE_LINE = re.compile(r"^\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(#.*)?$")
+KEY_LINE = re.compile(r"""^\s*("[^"]*"|'[^']*'|[\w-]+(?:\s*\.\s*[\w-]+)*)\s*=""")
 Scalar = float | int | bool | str
 
 
-class BadExperiment(Exception):
+class ExperimentError(Exception):
     """The file can't be used; the text names file, line and key, and what would be right."""
 
 
@@ -38,7 +38,7 @@
 
     @field_validator("policies")
     @classmethod
-    def known(cls, names: tuple[str, ...]) -> tuple[str, ...]:
+    def check_policies(cls, names: tuple[str, ...]) -> tuple[str, ...]:
         for name in names:
             if name not in POLICIES:
                 raise ValueError(f"no policy {name!r}; there are {', '.join(POLICIES)}")
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class Run:
+class ExperimentRun:
     """One run: an arm (policy and variant), a point of the sweep, a seed."""
 
     arm: str
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class Read:
+class LoadedExperiment:
     """A file that was read; `runs` come arm by arm for each seed, so that pairs end close to each other."""
 
     path: Path
@@ -68,10 +68,10 @@
     plan: Plan
     arms: tuple[str, ...]
     points: tuple[str, ...]
-    runs: tuple[Run, ...]
+    runs: tuple[ExperimentRun, ...]
 
 
-def read(path: Path, seeds: int = 0, host: str = "") -> Read:
+def load_experiment(path: Path, seeds: int = 0, host: str = "") -> LoadedExperiment:
     """Read and check; `seeds` goes before the file's own number, `host` is where it is to be played.
 
     Raises BadExperiment.
@@ -80,30 +80,36 @@
         text = path.read_text()
         told = tomllib.loads(text)
     except (OSError, UnicodeDecodeError) as trouble:
-        raise BadExperiment(f"{path}: {getattr(trouble, 'strerror', None) or trouble}") from trouble
+        raise ExperimentError(f"{path}: {getattr(trouble, 'strerror', None) or trouble}") from trouble
     except tomllib.TOMLDecodeError as trouble:
-        raise BadExperiment(f"{path}: {trouble}") from trouble
+        raise ExperimentError(f"{path}: {trouble}") from trouble
     own = {name: told.pop(name) for name in Experiment.model_fields if name in told}
-    experiment = checked(Experiment, own, path, text)
-    plan = checked(Plan, told, path, text)
-    for number, key, what in misfits(plan, host):
-        raise BadExperiment(f"{place(path, text, ('troubles', number, key))}: {what}")
+    experiment = validate(Experiment, own, path, text)
+    plan = validate(Plan, told, path, text)
+    for number, key, what in plan_errors(plan, host):
+        raise ExperimentError(f"{locate_key(path, text, ('troubles', number, key))}: {what}")
     variants: dict[str, dict[str, Scalar]] = experiment.variants or {"": {}}
     runs = []
-    points = tuple(spread(experiment.sweep))
+    points = tuple(sweep_points(experiment.sweep))
     for seed in range(experiment.first_seed, experiment.first_seed + (seeds or experiment.seeds)):
         for values in points:
             for variant, changes in variants.items():
-                given = replaced(told, changes, path, text, ("variants", variant))
-                given = replaced(given, values, path, text, ("sweep",))
-                made = checked(Plan, given, path, text)
+                given = with_changes(told, changes, path, text, ("variants", variant))
+                given = with_changes(given, values, path, text, ("sweep",))
+                made = validate(Plan, given, path, text)
                 for policy in experiment.policies:
-                    runs.append(Run(arm(policy, variant, experiment), point(values), seed, policy, made))
+                    runs.append(
+                        ExperimentRun(
+                            arm_name(policy, variant, experiment), point_name(values), seed, policy, made
+                        )
+                    )
     arms = tuple(dict.fromkeys(run.arm for run in runs))
-    return Read(path, path.stem, experiment, plan, arms, tuple(map(point, points)), tuple(runs))
+    return LoadedExperiment(
+        path, path.stem, experiment, plan, arms, tuple(map(point_name, points)), tuple(runs)
+    )
 
 
-def misfits(plan: Plan, host: str) -> Iterator[tuple[int, str, str]]:
+def plan_errors(plan: Plan, host: str) -> Iterator[tuple[int, str, str]]:
     """Troubles that can't happen in this plan: number, key, and what would be right."""
     servers, halls = plan.fleet.servers, plan.fleet.halls
     for number, trouble in enumerate(plan.troubles):
@@ -134,23 +140,23 @@
             yield number, "count", f"there are {servers} servers"
 
 
-def arm(policy: str, variant: str, experiment: Experiment) -> str:
+def arm_name(policy: str, variant: str, experiment: Experiment) -> str:
     """Named by what differs."""
     if not variant:
         return policy
     return variant if len(experiment.policies) == 1 else f"{policy}, {variant}"
 
 
-def point(values: dict[str, Scalar]) -> str:
+def point_name(values: dict[str, Scalar]) -> str:
     return ", ".join(f"{key} {value}" for key, value in values.items())
 
 
-def spread(sweep: dict[str, tuple[Scalar, ...]]) -> Iterator[dict[str, Scalar]]:
+def sweep_points(sweep: dict[str, tuple[Scalar, ...]]) -> Iterator[dict[str, Scalar]]:
     for values in itertools.product(*sweep.values()):
         yield dict(zip(sweep, values))
 
 
-def replaced(
+def with_changes(
     told: dict[str, Any], changes: dict[str, Scalar], path: Path, text: str, within: tuple[str, ...]
 ) -> dict[str, Any]:
     """A copy in which dotted keys, such as `load.part` or `troubles.0.for_s`, have other values."""
@@ -169,14 +175,14 @@
                 at = at[int(step)] if isinstance(at, list) else at.setdefault(step, {})
             at[int(last) if isinstance(at, list) else last] = value
         except (IndexError, ValueError, TypeError, AttributeError) as trouble:
-            raise BadExperiment(
-                f"{place(path, text, (*within, dotted))}: no value {dotted!r} to change; "
+            raise ExperimentError(
+                f"{locate_key(path, text, (*within, dotted))}: no value {dotted!r} to change; "
                 "name one as in load.part or troubles.0.for_s"
             ) from trouble
     return made
 
 
-def checked(kind: type[Any], told: dict[str, Any], path: Path, text: str) -> Any:
+def validate(kind: type[Any], told: dict[str, Any], path: Path, text: str) -> Any:
     try:
         return kind(**told)
     except ValidationError as trouble:
@@ -184,11 +190,11 @@
         where = tuple(first["loc"])
         what = first["msg"].removeprefix("Value error, ")
         if first["type"] == "extra_forbidden":
-            what = f"unknown; there are {', '.join(known(kind, where[:-1]))}"
-        raise BadExperiment(f"{place(path, text, where)}: {what}") from trouble
+            what = f"unknown; there are {', '.join(known_keys(kind, where[:-1]))}"
+        raise ExperimentError(f"{locate_key(path, text, where)}: {what}") from trouble
 
 
-def known(kind: Any, way: tuple[Any, ...]) -> list[str]:
+def known_keys(kind: Any, way: tuple[Any, ...]) -> list[str]:
     """The keys that there are at a place."""
     for step in way:
         if isinstance(step, int):
@@ -198,12 +204,12 @@
     return sorted(kind.model_fields)
 
 
-def place(path: Path, text: str, where: tuple[Any, ...]) -> str:
+def locate_key(path: Path, text: str, where: tuple[Any, ...]) -> str:
     """`file:line: key`; the line is where the longest part of the key that the file names is set."""
     key = ".".join(map(str, where))
     best, found, table, counts = -1, 1, "", dict[str, int]()
     for number, written in enumerate(text.splitlines(), 1):
-        header, pair = HEADER.match(written), KEY.match(written)
+        header, pair = TABLE_LINE.match(written), KEY_LINE.match(written)
         if header:
             table = re.sub(r"[\"'\s]", "", header[2])
             if header[1] == "[[":
--- a/pumicepath/lab/experiments/fleet.py
+++ b/pumicepath/lab/experiments/fleet_report.py
@@ -14,16 +14,16 @@
 
 import jinja2
 
-from ..faults import history, times
-from ..faults.checks import PROPERTIES, violations
-from ..faults.history import Line
-from . import pictures
+from ..verification import history, recovery
+from ..verification.checks import PROPERTIES, violations
+from ..verification.history import Line
+from . import charts
 
-HISTORY = "history.jsonl"
-WEIGHTS = {"alive": 1.0, "suspected": 0.5}
-SHOWN = 5  # breaches of one check on the page and in a terminal
+HISTORY_FILE = "history.jsonl"
+STATE_WEIGHTS = {"alive": 1.0, "suspected": 0.5}
+MAX_VIOLATIONS_SHOWN = 5  # breaches of one check on the page and in a terminal
 
-PAGE = """<!doctype html>
+PAGE_TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}: the fleet</title><style>
 body { font: 15px/1.45 system-ui, sans-serif; max-width: 60em; margin: 2em auto; padding: 0 1em; color: #222 }
 img { max-width: 100% } .bad { color: #b00020; font-weight: 600 } .small { color: #666; font-size: 13px }
@@ -46,59 +46,59 @@
 
 
 @dataclass(frozen=True)
-class Judged:
+class CheckedHistory:
     """Times are seconds after the last fault's end, None for never."""
 
     history: Sequence[Line]
     violations: dict[str, list[str]]
-    faults: dict[str, int]
-    views_right_s: float | None
-    full_service_s: float | None
+    fault_counts: dict[str, int]
+    view_recovery_s: float | None
+    service_recovery_s: float | None
     handovers: int = 0
 
-    def figures(self) -> dict[str, Any]:
+    def metrics(self) -> dict[str, Any]:
         broken = {name: len(each) for name, each in self.violations.items()}
         return {
-            "faults": self.faults,
+            "faults": self.fault_counts,
             "violations": broken,
-            "views_right_s": self.views_right_s,
-            "full_service_s": self.full_service_s,
+            "views_right_s": self.view_recovery_s,
+            "full_service_s": self.service_recovery_s,
             "handovers": self.handovers,
         }
 
-    def lines(self) -> list[str]:
+    def summary_lines(self) -> list[str]:
         """For people."""
         found = [
             f"BROKEN {name}: {each}"
             for name, breaches in self.violations.items()
-            for each in breaches[:SHOWN]
+            for each in breaches[:MAX_VIOLATIONS_SHOWN]
         ]
-        done = ", ".join(f"{kind} {count}" for kind, count in self.faults.items()) or "none"
+        done = ", ".join(f"{kind} {count}" for kind, count in self.fault_counts.items()) or "none"
         return [
             f"faults: {done}",
-            f"views right: {spoken(self.views_right_s)}; full service: {spoken(self.full_service_s)}",
+            f"views right: {format_duration(self.view_recovery_s)}; full service: {format_duration(self.service_recovery_s)}",
             *(found or [f"checked, and kept: {', '.join(PROPERTIES)}"]),
         ]
 
 
-def spoken(seconds: float | None) -> str:
+def format_duration(seconds: float | None) -> str:
     return "never" if seconds is None else f"{seconds:.1f} s"
 
 
-def judged(path: Path) -> Judged:
+def check_history(path: Path) -> CheckedHistory:
     """Raises BadHistory."""
     lines = history.read(path)
-    return Judged(
+    return CheckedHistory(
         lines,
         violations(lines),
-        dict(times.faults(lines)),
-        times.views_right(lines),
-        times.full_service(lines),
-        times.hand_overs(lines),
+        dict(recovery.fault_counts(lines)),
+        recovery.view_recovery_s(lines),
+        recovery.service_recovery_s(lines),
+        recovery.handover_count(lines),
     )
 
 
-def seen(lines: Sequence[Line]) -> tuple[list[str], list[float], list[list[float]]]:
+def liveness_matrix(lines: Sequence[Line]) -> tuple[list[str], list[float], list[list[float]]]:
     """Names, times in seconds, and for each time the share of the others that see each as alive.
 
     A suspicion counts half.
@@ -111,12 +111,12 @@
         count: dict[str, float] = {}
         for view in asked.values():
             for name, state in view:
-                count[name] = count.get(name, 0) + WEIGHTS.get(state, 0.0)
+                count[name] = count.get(name, 0) + STATE_WEIGHTS.get(state, 0.0)
         rows.append([count.get(name, 0) / max(1, len(asked) - (name in asked)) for name in names])
     return names, [line["at"] / 1e6 for line in views], rows
 
 
-def carried(lines: Sequence[Line]) -> tuple[list[float], list[float], list[float]]:
+def traffic_rates(lines: Sequence[Line]) -> tuple[list[float], list[float], list[float]]:
     """Times in seconds, and messages and bytes a second of all sidecars together since the time before."""
     met = [line for line in lines if line["what"] == "carried"]
     at, messages, sizes = [], [], []
@@ -128,34 +128,34 @@
     return at, messages, sizes
 
 
-def write(folder: Path, title: str, found: Judged) -> Path:
+def write_report(folder: Path, title: str, found: CheckedHistory) -> Path:
     """`folder`/fleet.html, with its pictures beside it."""
     lines = found.history
     faults = [(line["at"], line["until"], line["text"]) for line in lines if line["what"] == "fault"]
     shown = []
-    names, at, rows = seen(lines)
+    names, at, rows = liveness_matrix(lines)
     if rows:
         shown = [
             (
                 "Who is seen as alive, by how many of the others",
-                pictures.matrix(names, at, rows, faults, folder / "seen.png"),
+                charts.plot_liveness(names, at, rows, faults, folder / "seen.png"),
             ),
             (
                 "Messages and bytes a second among sidecars",
-                pictures.carried(*carried(lines), faults, folder / "messages.png"),
+                charts.plot_traffic(*traffic_rates(lines), faults, folder / "messages.png"),
             ),
         ]
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
-    page = environment.from_string(PAGE).render(
+    page = environment.from_string(PAGE_TEMPLATE).render(
         title=title,
         sidecars=lines[0]["plan"]["sidecars"]["count"],
         seed=lines[0]["seed"],
         lasts=lines[-1]["at"] / 1e6,
-        views=spoken(found.views_right_s),
-        full=spoken(found.full_service_s),
+        views=format_duration(found.view_recovery_s),
+        full=format_duration(found.service_recovery_s),
         properties=PROPERTIES,
         broken=found.violations,
-        shown=SHOWN,
+        shown=MAX_VIOLATIONS_SHOWN,
         faults=faults,
         pictures=[(name, base64.b64encode(path.read_bytes()).decode()) for name, path in shown],
     )
--- a/pumicepath/lab/experiments/folders.py
+++ b/pumicepath/lab/experiments/folder_lock.py
@@ -14,24 +14,26 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-LOCK = ".run.lock"
+LOCK_FILE = ".run.lock"
 
 
-class Taken(Exception):
+class FolderLockedError(Exception):
     """Another run writes there; the text names folder and process."""
 
 
 @contextmanager
-def owned(folder: Path) -> Iterator[None]:
+def locked_folder(folder: Path) -> Iterator[None]:
     """Have the folder, made where it is missing, for as long as the block runs.  Raises Taken or OSError."""
     folder.mkdir(parents=True, exist_ok=True)
-    file = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT, 0o644)
+    file = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o644)
     try:
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             whose = os.pread(file, 32, 0).decode("ascii", "replace").strip() or "unknown"
-            raise Taken(f"{folder}: another run (process {whose}) is writing its report there") from None
+            raise FolderLockedError(
+                f"{folder}: another run (process {whose}) is writing its report there"
+            ) from None
         os.ftruncate(file, 0)
         os.pwrite(file, f"{os.getpid()}\n".encode(), 0)
         yield
--- a/pumicepath/lab/experiments/report.py
+++ b/pumicepath/lab/experiments/report.py
@@ -9,10 +9,10 @@
 
 import jinja2
 
-from . import pictures
-from .comparing import Row, rows, verdict
+from . import charts
+from .comparison import ArmSummary, describe_difference, summarize_arms
 
-PAGE = """<!doctype html>
+PAGE_TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ head.title }}</title><style>
 body { font: 15px/1.45 system-ui, sans-serif; max-width: 60em; margin: 2em auto; padding: 0 1em; color: #222 }
 table { border-collapse: collapse; margin: 1em 0 } td, th { padding: .25em .7em; text-align: left;
@@ -46,8 +46,8 @@
 """
 
 
-def drawn(
-    head: dict[str, Any], runs: Sequence[dict[str, Any]], made: Sequence[Row], folder: Path
+def draw_charts(
+    head: dict[str, Any], runs: Sequence[dict[str, Any]], made: Sequence[ArmSummary], folder: Path
 ) -> list[tuple[str, Path]]:
     """Pictures of the first point, and of its first arm's first run; losses of all."""
     point = made[0].point
@@ -56,29 +56,29 @@
     return [
         (
             f"Service over time{at}, troubles marked",
-            pictures.over_time(shown, head["arms"], folder / "time.png"),
+            charts.plot_service(shown, head["arms"], folder / "time.png"),
         ),
-        (f"By server{at}", pictures.by_server(shown[0], folder / "servers.png")),
-        (f"Latency{at}", pictures.latency(shown, head["arms"], folder / "latency.png")),
-        ("Not served in time, by cause", pictures.losses(made, folder / "losses.png")),
+        (f"By server{at}", charts.plot_servers(shown[0], folder / "servers.png")),
+        (f"Latency{at}", charts.plot_latency(shown, head["arms"], folder / "latency.png")),
+        ("Not served in time, by cause", charts.plot_losses(made, folder / "losses.png")),
     ]
 
 
-def write(folder: Path, head: dict[str, Any], runs: Sequence[dict[str, Any]]) -> Path:
+def write_report(folder: Path, head: dict[str, Any], runs: Sequence[dict[str, Any]]) -> Path:
     """`folder`/report.html; it says so if runs are missing.  ValueError if there are none at all."""
-    made = rows(head, runs)
+    made = summarize_arms(head, runs)
     if not made:
         raise ValueError("no run has ended")
     inlined = [
         (title, base64.b64encode(path.read_bytes()).decode())
-        for title, path in drawn(head, runs, made, folder)
+        for title, path in draw_charts(head, runs, made, folder)
     ]
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
-    page = environment.from_string(PAGE).render(
+    page = environment.from_string(PAGE_TEMPLATE).render(
         head=head,
         runs=runs,
         rows=made,
-        verdict=verdict,
+        verdict=describe_difference,
         pictures=inlined,
         marks=runs[0]["marks"],
         whole=len(runs) == head["runs"],
--- a/pumicepath/lab/experiments/running.py
+++ b/pumicepath/lab/experiments/runner.py
@@ -16,18 +16,18 @@
 from ...compiled import FORM
 from ..model.result import summarize
 from ..virtual.run import VirtualWorld
-from .figures import histogram
-from .files import Read, Run
+from .files import ExperimentRun, LoadedExperiment
+from .statistics import latency_histogram
 
-RESULTS = "results.jsonl"
+RESULTS_FILE = "results.jsonl"
 
 
-def play(run: Run) -> dict[str, Any]:
+def play_run(run: ExperimentRun) -> dict[str, Any]:
     """One run in this process, and all that a report needs of it."""
     began = time.process_time()
     result = VirtualWorld(run.plan, run.seed, run.policy).run()
     told = summarize(result)
-    held = histogram([spent for times in result.latencies for spent in times])
+    held = latency_histogram([spent for times in result.latencies for spent in times])
     return {
         "arm": run.arm,
         "point": run.point,
@@ -43,19 +43,19 @@
     }
 
 
-def quietly() -> None:
+def ignore_interrupts() -> None:
     """A worker leaves an interrupt to the process that started it."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
-def play_all(runs: tuple[Run, ...], workers: int) -> Iterator[dict[str, Any]]:
+def play_runs(runs: tuple[ExperimentRun, ...], workers: int) -> Iterator[dict[str, Any]]:
     """Results as they end.  However this is left, no process stays behind, and nothing waits for one."""
     if workers <= 1:
-        yield from map(play, runs)
+        yield from map(play_run, runs)
         return
-    pool = ProcessPoolExecutor(min(workers, len(runs)), initializer=quietly)
+    pool = ProcessPoolExecutor(min(workers, len(runs)), initializer=ignore_interrupts)
     try:
-        waiting: set[Future[dict[str, Any]]] = {pool.submit(play, run) for run in runs}
+        waiting: set[Future[dict[str, Any]]] = {pool.submit(play_run, run) for run in runs}
         while waiting:
             done, waiting = wait(waiting, return_when=FIRST_COMPLETED)
             for each in done:
@@ -69,7 +69,7 @@
             process.join()
 
 
-def head(read: Read, runs: int) -> dict[str, Any]:
+def results_header(read: LoadedExperiment, runs: int) -> dict[str, Any]:
     """The first line of results: what was run, where."""
     return {
         "experiment": read.name,
@@ -87,26 +87,28 @@
     }
 
 
-def run(read: Read, folder: Path, workers: int, told: Callable[[int, int], None]) -> bool:
+def run_experiment(
+    read: LoadedExperiment, folder: Path, workers: int, on_progress: Callable[[int, int], None]
+) -> bool:
     """Play the whole experiment into `folder`/results.jsonl; False if it was interrupted."""
     folder.mkdir(parents=True, exist_ok=True)
     count = 0
-    with (folder / RESULTS).open("wb") as out:
-        out.write(orjson.dumps(head(read, len(read.runs))) + b"\n")
+    with (folder / RESULTS_FILE).open("wb") as out:
+        out.write(orjson.dumps(results_header(read, len(read.runs))) + b"\n")
         try:
-            for result in play_all(read.runs, workers):
+            for result in play_runs(read.runs, workers):
                 out.write(orjson.dumps(result) + b"\n")
                 out.flush()
                 count += 1
-                told(count, len(read.runs))
+                on_progress(count, len(read.runs))
         except KeyboardInterrupt:
             return False
     return True
 
 
-def results(path: Path) -> tuple[dict[str, Any], list[dict[str, Any]]]:
+def read_results(path: Path) -> tuple[dict[str, Any], list[dict[str, Any]]]:
     """Head and runs of a report's folder or of its file of results; ValueError if it is none."""
-    file = path / RESULTS if path.is_dir() else path
+    file = path / RESULTS_FILE if path.is_dir() else path
     lines = file.read_bytes().splitlines()
     if not lines:
         raise ValueError("no results")
--- a/pumicepath/lab/experiments/figures.py
+++ b/pumicepath/lab/experiments/statistics.py
@@ -9,28 +9,28 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-LONGEST = 120_000_000  # microseconds that a histogram holds
-DIGITS = 3
+MAX_LATENCY_US = 120_000_000  # microseconds that a histogram holds
+SIGNIFICANT_DIGITS = 3
 RESAMPLES = 4000
 PERCENTILES = (50.0, 75.0, 90.0, 95.0, 99.0, 99.9)
 
 
-def histogram(times: Sequence[int]) -> HdrHistogram:
+def latency_histogram(times: Sequence[int]) -> HdrHistogram:
     """Of microseconds from when each request should have gone out (Tene, HdrHistogram)."""
-    held = HdrHistogram(1, LONGEST, DIGITS)
+    held = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for spent in times:
-        held.record_value(max(1, min(LONGEST, spent)))
+        held.record_value(max(1, min(MAX_LATENCY_US, spent)))
     return held
 
 
-def merged(encoded: Sequence[str]) -> HdrHistogram:
-    held = HdrHistogram(1, LONGEST, DIGITS)
+def merge_histograms(encoded: Sequence[str]) -> HdrHistogram:
+    held = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for each in encoded:
         held.decode_and_add(each)
     return held
 
 
-def percentiles(held: HdrHistogram) -> dict[str, float]:
+def latency_percentiles(held: HdrHistogram) -> dict[str, float]:
     """In milliseconds; NaN where nothing was recorded."""
     if not held.get_total_count():
         return {f"p{part:g}": math.nan for part in PERCENTILES}
@@ -51,12 +51,12 @@
             return f"{self.mean:.3f} (one run)"
         return f"{self.mean:.3f} [{self.low:.3f}, {self.high:.3f}]"
 
-    def none(self) -> bool:
+    def is_inconclusive(self) -> bool:
         """Whether it says that there is no difference: zero lies within, or there is but one pair."""
         return self.count < 2 or self.low <= 0.0 <= self.high
 
 
-def interval(values: Sequence[float], seed: int = 0) -> Interval:
+def bootstrap_interval(values: Sequence[float], seed: int = 0) -> Interval:
     """The same values give the same interval on each machine (PCG64 from the seed)."""
     held = numpy.asarray(values, dtype=float)
     if not held.size:
@@ -67,6 +67,6 @@
     return Interval(float(held.mean()), float(low), float(high), int(held.size))
 
 
-def difference(ones: dict[int, float], others: dict[int, float]) -> Interval:
+def paired_difference(ones: dict[int, float], others: dict[int, float]) -> Interval:
     """Of pairs with the same seed, the first less the second."""
-    return interval([ones[seed] - others[seed] for seed in sorted(ones.keys() & others.keys())])
+    return bootstrap_interval([ones[seed] - others[seed] for seed in sorted(ones.keys() & others.keys())])
--- a/pumicepath/lab/fault_kinds/clock_step.py
+++ b/pumicepath/lab/fault_kinds/clock_step.py
@@ -22,7 +22,7 @@
         registry = self.world.registry
         for server in self.targets:
             started_at = max(1, self.world.timeline.now + step)
-            registry.update(registry.actual_entries[server.number]._replace(came_up=started_at))
+            registry.update(registry.actual_entries[server.number]._replace(started_at=started_at))
         return f"{server_names(self.targets)} by {self.value:g} s"
 
     def step_clocks(self, sign: int) -> None:
--- a/pumicepath/lab/fault_kinds/drain.py
+++ b/pumicepath/lab/fault_kinds/drain.py
@@ -1,6 +1,6 @@
 """Servers that drain, end and restart cold."""
 
-from ...interface import Phase
+from ...interface import ServerState
 from .base import Fault, server_names
 
 
@@ -12,14 +12,14 @@
     def inject(self) -> str:
         self.targets = self.target_servers()
         for server in self.targets:
-            self.world.publish_server(server, Phase.DRAINING)
+            self.world.publish_server(server, ServerState.DRAINING)
         self.world.timeline.at(self.world.timeline.now + round(self.value * 1e6), self.stop)
         return server_names(self.targets)
 
     def stop(self) -> None:
         for server in self.targets:
             server.kill()
-            self.world.publish_server(server, Phase.GONE)
+            self.world.publish_server(server, ServerState.GONE)
 
     def revert(self) -> None:
         for server in self.targets:
--- a/pumicepath/lab/fault_kinds/list_lies.py
+++ b/pumicepath/lab/fault_kinds/list_lies.py
@@ -1,6 +1,6 @@
 """A server list that reports wrong states of healthy servers."""
 
-from ...interface import Phase
+from ...interface import ServerState
 from .base import Fault, server_names
 
 
@@ -11,7 +11,7 @@
         self.targets = self.target_servers()
         for server in self.targets:
             self.world.registry.override_state(
-                server.number, Phase.GONE if self.value == 2 else Phase.DRAINING
+                server.number, ServerState.GONE if self.value == 2 else ServerState.DRAINING
             )
         return server_names(self.targets)
 
--- a/pumicepath/lab/fault_kinds/new_id.py
+++ b/pumicepath/lab/fault_kinds/new_id.py
@@ -1,6 +1,6 @@
 """Servers that are replaced by new ones with new ids at the same addresses."""
 
-from ...interface import Phase
+from ...interface import ServerState
 from .base import Fault, server_names
 
 
@@ -14,6 +14,6 @@
         old_servers = [self.world.server_at(slot) for slot in slots]
         for slot, server in zip(slots, old_servers):
             server.kill()
-            self.world.publish_server(server, Phase.GONE)
+            self.world.publish_server(server, ServerState.GONE)
             self.world.add_server(slot, cold=True)
         return f"{server_names(old_servers)} replaced"
--- a/pumicepath/lab/fault_kinds/rolling_release.py
+++ b/pumicepath/lab/fault_kinds/rolling_release.py
@@ -1,6 +1,6 @@
 """A rolling release of all servers: each drains, ends and restarts cold."""
 
-from ...interface import Phase
+from ...interface import ServerState
 from ..model.servers import Server
 from ..model.timeline import SECOND
 from .base import Fault
@@ -23,7 +23,7 @@
 
     def drain(self, slot: int) -> None:
         server = self.world.server_at(slot)
-        self.world.publish_server(server, Phase.DRAINING)
+        self.world.publish_server(server, ServerState.DRAINING)
         self.world.timeline.at(self.world.timeline.now + SECOND, self.restart, server)
 
     def restart(self, server: Server) -> None:
--- a/pumicepath/lab/hollow/forward.py
+++ b/pumicepath/lab/hollow/forward.py
@@ -15,18 +15,18 @@
 
 from . import processes
 
-MOST_HELD = 1 << 20  # bytes on their way in one direction, from which that side is not read
+MAX_BUFFERED_BYTES = 1 << 20  # bytes on their way in one direction, from which that side is not read
 
 
-class Side:
+class Endpoint:
     """One end of a forwarded connection."""
 
-    __slots__ = ("sock", "other", "out")
+    __slots__ = ("sock", "other", "outgoing")
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.other: Side
-        self.out = bytearray()  # for this end, not yet written
+        self.other: Endpoint
+        self.outgoing = bytearray()  # for this end, not yet written
 
 
 class Forwarder:
@@ -35,18 +35,18 @@
         self.selector = selectors.DefaultSelector()
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self.listener.setblocking(False)
-        self.sides: set[Side] = set()
-        self.cut = False
-        self.watch()
+        self.endpoints: set[Endpoint] = set()
+        self.is_cut = False
+        self.update_registrations()
 
-    def watch(self) -> None:
+    def update_registrations(self) -> None:
         """Register what is to be read or written now."""
-        wanted: dict[socket.socket, tuple[int, Side | None]] = {}
-        if not self.cut:
+        wanted: dict[socket.socket, tuple[int, Endpoint | None]] = {}
+        if not self.is_cut:
             wanted[self.listener] = (selectors.EVENT_READ, None)
-            for side in self.sides:
-                events = selectors.EVENT_READ if len(side.other.out) < MOST_HELD else 0
-                events |= selectors.EVENT_WRITE if side.out else 0
+            for side in self.endpoints:
+                events = selectors.EVENT_READ if len(side.other.outgoing) < MAX_BUFFERED_BYTES else 0
+                events |= selectors.EVENT_WRITE if side.outgoing else 0
                 if events:
                     wanted[side.sock] = (events, side)
         for key in list(self.selector.get_map().values()):
@@ -61,59 +61,59 @@
 
     def accept(self) -> None:
         with suppress(OSError):
-            near = Side(self.listener.accept()[0])
-            far = Side(socket.create_connection(self.target, timeout=2.0))
+            near = Endpoint(self.listener.accept()[0])
+            far = Endpoint(socket.create_connection(self.target, timeout=2.0))
             near.other, far.other = far, near
             for side in (near, far):
                 side.sock.setblocking(False)
                 side.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self.sides.add(side)
+                self.endpoints.add(side)
 
-    def move(self, side: Side, events: int) -> None:
+    def transfer(self, side: Endpoint, events: int) -> None:
         try:
             if events & selectors.EVENT_READ:
                 data = side.sock.recv(65536)
                 if not data:
                     raise ConnectionResetError
-                side.other.out += data
-                self.write(side.other)
+                side.other.outgoing += data
+                self.flush(side.other)
             if events & selectors.EVENT_WRITE:
-                self.write(side)
+                self.flush(side)
         except BlockingIOError:
             return
         except OSError:
             for end in (side, side.other):
-                self.sides.discard(end)
+                self.endpoints.discard(end)
                 with suppress(KeyError, ValueError):
                     self.selector.unregister(end.sock)
                 end.sock.close()
 
-    def write(self, side: Side) -> None:
+    def flush(self, side: Endpoint) -> None:
         with suppress(BlockingIOError):
-            while side.out:
-                del side.out[: side.sock.send(side.out)]
+            while side.outgoing:
+                del side.outgoing[: side.sock.send(side.outgoing)]
 
     def run(self) -> None:
-        orders = processes.Orders()
+        orders = processes.OrderReader()
         self.selector.register(0, selectors.EVENT_READ)
         while True:
             for key, events in self.selector.select():
                 if key.fileobj == 0:
                     for order in orders.read():
-                        self.cut = order["do"] == "cut"
-                        processes.say({"event": order["do"]})
+                        self.is_cut = order["do"] == "cut"
+                        processes.send_event({"event": order["do"]})
                 elif key.data is None:
                     self.accept()
-                elif key.data in self.sides:
-                    self.move(key.data, events)
-            self.watch()
+                elif key.data in self.endpoints:
+                    self.transfer(key.data, events)
+            self.update_registrations()
 
 
 def main() -> None:
     host, _, port = sys.argv[1].rpartition(":")
     forwarder = Forwarder((host, int(port)))
     where, bound = forwarder.listener.getsockname()[:2]
-    processes.say({"event": "started", "listen": f"{where}:{bound}"})
+    processes.send_event({"event": "started", "listen": f"{where}:{bound}"})
     forwarder.run()
 
 
--- a/pumicepath/lab/hollow/truth.py
+++ b/pumicepath/lab/hollow/ground_truth.py
@@ -22,10 +22,10 @@
 from .plan import Plan
 
 ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
-SOON = 0.25  # chance that a change goes on with a server that leaves, or one that has left
+CONTINUE_PROBABILITY = 0.25  # chance that a change goes on with a server that leaves, or one that has left
 
 
-def now() -> int:
+def now_us() -> int:
     return time.monotonic_ns() // 1000
 
 
@@ -40,25 +40,25 @@
     server: int
     state: int
     health: str
-    born: int  # unix ms, 0: long ago
+    started_at_ms: int  # unix ms, 0: long ago
 
 
-def path_of(folder: Path, region: int) -> Path:
+def ledger_path(folder: Path, region: int) -> Path:
     return folder / f"truth-{region}.jsonl"
 
 
-class Truth:
+class GroundTruth:
     """What one origin's servers are, and the changes that it makes to them."""
 
     def __init__(self, plan: Plan, servers: Iterable[int], seed: str) -> None:
         self.plan = plan
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.states = {server: Change(0, server, 0, ACTIVE, 0) for server in servers}
         self.servers = sorted(self.states)
         self.leaving: list[int] = []
         self.left: list[int] = []
 
-    def take(self, change: Change) -> None:
+    def apply(self, change: Change) -> None:
         """A change of an earlier life of this origin, or one that it makes now."""
         self.states[change.server] = change
         for where, health in ((self.leaving, LEAVING), (self.left, LEFT)):
@@ -67,27 +67,27 @@
             if change.health == health:
                 where.append(change.server)
 
-    def next(self, at: int, server: int, health: str, born: int) -> Change:
+    def next_change(self, at: int, server: int, health: str, born: int) -> Change:
         before = self.states[server]
-        return Change(at, server, before.state + 1, health, born or before.born)
+        return Change(at, server, before.state + 1, health, born or before.started_at_ms)
 
-    def draw(self, at: int) -> Change:
+    def draw_change(self, at: int) -> Change:
         """One change: a server drains, goes, comes back as a new process, or has another share."""
-        if self.left and self.chance.random() < SOON:
-            return self.next(at, self.left[0], ACTIVE, unix_ms())
-        if self.leaving and self.chance.random() < SOON:
-            return self.next(at, self.leaving[0], LEFT, 0)
-        server = self.chance.choice(self.servers)
+        if self.left and self.rng.random() < CONTINUE_PROBABILITY:
+            return self.next_change(at, self.left[0], ACTIVE, unix_ms())
+        if self.leaving and self.rng.random() < CONTINUE_PROBABILITY:
+            return self.next_change(at, self.leaving[0], LEFT, 0)
+        server = self.rng.choice(self.servers)
         health = self.states[server].health
         if health == LEFT:
-            return self.next(at, server, ACTIVE, unix_ms())
+            return self.next_change(at, server, ACTIVE, unix_ms())
         if health == LEAVING:
-            return self.next(at, server, LEAVING, 0)  # another share of one that drains
-        drains = self.chance.random() < 0.5 and len(self.leaving) < max(1, len(self.servers) // 10)
-        return self.next(at, server, LEAVING if drains else ACTIVE, 0)
+            return self.next_change(at, server, LEAVING, 0)  # another share of one that drains
+        drains = self.rng.random() < 0.5 and len(self.leaving) < max(1, len(self.servers) // 10)
+        return self.next_change(at, server, LEAVING if drains else ACTIVE, 0)
 
 
-class Ledger:
+class LedgerWriter:
     """Where an origin writes its changes down."""
 
     def __init__(self, path: Path) -> None:
@@ -97,13 +97,13 @@
         os.write(self.file, b"".join(orjson.dumps(list(change)) + b"\n" for change in changes))
 
 
-class Tail:
+class LedgerReader:
     """Reads on in a ledger; whole lines only."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.file = -1
-        self.at = 0
+        self.offset = 0
 
     def read(self) -> list[Change]:
         if self.file < 0:
@@ -112,16 +112,16 @@
             except FileNotFoundError:
                 return []
         found: list[Change] = []
-        while data := os.pread(self.file, 1 << 20, self.at):
+        while data := os.pread(self.file, 1 << 20, self.offset):
             end = data.rfind(b"\n") + 1
             if not end:
                 break
-            self.at += end
+            self.offset += end
             found += [Change(*orjson.loads(line)) for line in data[:end].splitlines()]
         return found
 
 
-def reader(folder: Path, origins: int) -> Callable[[], list[Change]]:
+def ledgers_reader(folder: Path, origins: int) -> Callable[[], list[Change]]:
     """All that the origins have written since the last call."""
-    tails = [Tail(path_of(folder, region)) for region in range(origins)]
+    tails = [LedgerReader(ledger_path(folder, region)) for region in range(origins)]
     return lambda: [change for tail in tails for change in tail.read()]
--- a/pumicepath/lab/hollow/host.py
+++ b/pumicepath/lab/hollow/host.py
@@ -20,48 +20,50 @@
 import orjson
 
 from ... import compiled
-from ...discovery.roster import Update
-from ...interface import Phase
-from . import processes, truth
-from .plan import Ask, Plan
-from .sidecar import Hollow
-from .witness import Witness
+from ...discovery.server_list import ServerListUpdate
+from ...interface import ServerState
+from . import ground_truth, processes
+from .plan import Plan, RunOptions
+from .sidecar import HollowSidecar
+from .view_checker import ViewChecker
 
 TICK_US = 50_000
-AT_ONCE = 32  # first lists that are out together: guards the start against all asking at once
-FREE = 10_000  # collections of the garbage collector, as `serve` sets them
+MAX_CONCURRENT_STARTS = 32  # first lists that are out together: guards the start against all asking at once
+GC_THRESHOLD = 10_000  # collections of the garbage collector, as `serve` sets them
 
 
-class Host:
+class SidecarHost:
     def __init__(self, plan: Plan, folder: Path, numbers: Sequence[int], places: list[str]) -> None:
         self.plan, self.folder = plan, folder
         self.selector = selectors.DefaultSelector()
-        self.base_mb = processes.mb()
-        self.alarms: list[tuple[int, int, Hollow]] = []
-        self.set_alarms = 0
-        self.sidecars = [Hollow(plan, number, self.near(places, number), self) for number in numbers]
-        origins = 1 if plan.ask.form == "direct" else plan.ask.regions
-        self.witness = Witness(plan, self.sidecars, truth.reader(folder, origins))
-        self.waiting = list(reversed(self.sidecars))
+        self.base_mb = processes.resident_mb()
+        self.timers: list[tuple[int, int, HollowSidecar]] = []
+        self.timer_count = 0
+        self.sidecars = [
+            HollowSidecar(plan, number, self.upstream_addresses(places, number), self) for number in numbers
+        ]
+        origins = 1 if plan.options.form == "direct" else plan.options.regions
+        self.view_checker = ViewChecker(plan, self.sidecars, ground_truth.ledgers_reader(folder, origins))
+        self.not_started = list(reversed(self.sidecars))
         self.starting: set[int] = set()
-        self.ready = False
-        self.judged = 0.0  # CPU seconds of the witness's
-        self.failed = 0
-        self.lag = 0  # the longest that a tick came late, in microseconds
-        self.began: tuple[float, float, float, list[int]] = (0.0, 0.0, 0.0, [])
-        self.plant()
-
-    def near(self, places: list[str], number: int) -> list[str]:
+        self.all_started = False
+        self.checker_cpu_s = 0.0  # CPU seconds of the witness's
+        self.failed_calls_before = 0
+        self.max_tick_delay_us = 0  # the longest that a tick came late, in microseconds
+        self.usage_before: tuple[float, float, float, list[int]] = (0.0, 0.0, 0.0, [])
+        self.inject_bugs()
+
+    def upstream_addresses(self, places: list[str], number: int) -> list[str]:
         """The relays of a sidecar's region, or the one discovery."""
-        if self.plan.ask.form == "direct":
+        if self.plan.options.form == "direct":
             return places
-        each = self.plan.ask.relays_per_region
+        each = self.plan.options.relays_per_region
         first = self.plan.region_of(number) * each
         return places[first : first + each]
 
     # -- what a sidecar needs
 
-    def expect(self, sidecar: Hollow, writable: bool) -> None:
+    def register(self, sidecar: HollowSidecar, writable: bool) -> None:
         events = selectors.EVENT_WRITE if writable else selectors.EVENT_READ
         assert sidecar.sock is not None
         if sidecar.sock.fileno() in self.selector.get_map():
@@ -69,136 +71,138 @@
         else:
             self.selector.register(sidecar.sock, events, sidecar)
 
-    def expect_nothing(self, sidecar: Hollow) -> None:
+    def unregister(self, sidecar: HollowSidecar) -> None:
         if sidecar.sock is not None and sidecar.sock.fileno() in self.selector.get_map():
             self.selector.unregister(sidecar.sock)
 
-    def wake(self, at: int, sidecar: Hollow) -> None:
-        self.set_alarms += 1
-        heappush(self.alarms, (at, self.set_alarms, sidecar))
+    def set_timer(self, at: int, sidecar: HollowSidecar) -> None:
+        self.timer_count += 1
+        heappush(self.timers, (at, self.timer_count, sidecar))
 
-    def updated(self, sidecar: Hollow, whole: bool) -> None:
-        if not self.ready:
+    def list_updated(self, sidecar: HollowSidecar, whole: bool) -> None:
+        if not self.all_started:
             self.starting.discard(sidecar.number)
             return
-        self.judge(lambda: self.witness.updated(sidecar, whole))
+        self.run_checker(lambda: self.view_checker.list_updated(sidecar, whole))
 
-    def judge(self, call: Callable[[], None]) -> None:
+    def run_checker(self, call: Callable[[], None]) -> None:
         began = time.thread_time()
         call()
-        self.judged += time.thread_time() - began
+        self.checker_cpu_s += time.thread_time() - began
 
     # -- faults in the rig itself, by which its judge is tested
 
-    def plant(self) -> None:
-        if "ignores-drain" in self.plan.ask.planted:
-            self.sidecars[0].plant = ignores_drain
-        if "goes-back" in self.plan.ask.planted:
-            self.sidecars[0].plant = GoesBack()
+    def inject_bugs(self) -> None:
+        if "ignores-drain" in self.plan.options.planted:
+            self.sidecars[0].injected_bug = ignore_drain
+        if "goes-back" in self.plan.options.planted:
+            self.sidecars[0].injected_bug = RevertState()
 
     # -- the run
 
-    def told(self, order: dict[str, Any]) -> None:
+    def handle_order(self, order: dict[str, Any]) -> None:
         do = order["do"]
         if do == "measure":
-            self.lag = 0
-            self.failed = sum(one.failed_calls for one in self.sidecars)
+            self.max_tick_delay_us = 0
+            self.failed_calls_before = sum(one.failed_calls for one in self.sidecars)
             before = [one.bytes for one in self.sidecars]
-            self.began = (processes.cpu(), self.judged, time.monotonic(), before)
+            self.usage_before = (processes.cpu_seconds(), self.checker_cpu_s, time.monotonic(), before)
         elif do == "measured":
-            cpu, judged, at, before = self.began
-            processes.say(
+            cpu, judged, at, before = self.usage_before
+            processes.send_event(
                 {
                     "event": "measured",
-                    "cpu_s": processes.cpu() - cpu,
-                    "judged_s": self.judged - judged,
+                    "cpu_s": processes.cpu_seconds() - cpu,
+                    "judged_s": self.checker_cpu_s - judged,
                     "seconds": time.monotonic() - at,
-                    "mb": processes.mb(),
+                    "mb": processes.resident_mb(),
                     "base_mb": self.base_mb,
                     "bytes": [one.bytes - then for one, then in zip(self.sidecars, before)],
-                    "lag_us": self.lag,
-                    "failed": sum(one.failed_calls for one in self.sidecars) - self.failed,
+                    "lag_us": self.max_tick_delay_us,
+                    "failed": sum(one.failed_calls for one in self.sidecars) - self.failed_calls_before,
                 }
             )
         elif do == "waiting":
-            self.witness.tick(truth.now())
-            processes.say({"event": "waiting", "pairs": self.witness.waiting()})
+            self.view_checker.tick(ground_truth.now_us())
+            processes.send_event({"event": "waiting", "pairs": self.view_checker.pending_count()})
         elif do == "judge":
-            self.witness.tick(truth.now())
-            self.witness.compare()
+            self.view_checker.tick(ground_truth.now_us())
+            self.view_checker.check_final_views()
             path = self.folder / f"found-{self.sidecars[0].number}.json"
-            path.write_bytes(orjson.dumps(self.witness.found()))
-            processes.say({"event": "judged", "path": str(path)})
+            path.write_bytes(orjson.dumps(self.view_checker.findings()))
+            processes.send_event({"event": "judged", "path": str(path)})
 
-    def begin_some(self, now: int) -> None:
-        while self.waiting and len(self.starting) < AT_ONCE:
-            sidecar = self.waiting.pop()
+    def start_sidecars(self, now: int) -> None:
+        while self.not_started and len(self.starting) < MAX_CONCURRENT_STARTS:
+            sidecar = self.not_started.pop()
             self.starting.add(sidecar.number)
-            sidecar.begin(now)
-        if not self.waiting and not self.starting:
-            self.ready = True
+            sidecar.connect(now)
+        if not self.not_started and not self.starting:
+            self.all_started = True
             gc.collect()
             gc.freeze()
-            gc.set_threshold(FREE)
-            processes.say(
+            gc.set_threshold(GC_THRESHOLD)
+            processes.send_event(
                 {
                     "event": "ready",
-                    "mb": processes.mb(),
+                    "mb": processes.resident_mb(),
                     "base_mb": self.base_mb,
                     "form": compiled.FORM,
-                    "held": sum(len(one.roster.lines) for one in self.sidecars),
+                    "held": sum(len(one.server_list.lines) for one in self.sidecars),
                 }
             )
 
     def run(self) -> None:
-        orders = processes.Orders()
+        orders = processes.OrderReader()
         self.selector.register(0, selectors.EVENT_READ, orders)
-        tick = truth.now()
+        tick = ground_truth.now_us()
         while True:
-            now = truth.now()
-            if not self.ready:
-                self.begin_some(now)
-            until = min(tick, self.alarms[0][0]) if self.alarms else tick
+            now = ground_truth.now_us()
+            if not self.all_started:
+                self.start_sidecars(now)
+            until = min(tick, self.timers[0][0]) if self.timers else tick
             for key, _ in self.selector.select(max(0.0, (until - now) / 1e6)):
-                if isinstance(key.data, Hollow):
-                    key.data.ready(truth.now())
+                if isinstance(key.data, HollowSidecar):
+                    key.data.on_socket_ready(ground_truth.now_us())
                 else:
                     for order in orders.read():
-                        self.told(order)
-            now = truth.now()
-            while self.alarms and self.alarms[0][0] <= now:
-                at, _, sidecar = heappop(self.alarms)
-                if sidecar.due == at:
-                    sidecar.woke(now)
+                        self.handle_order(order)
+            now = ground_truth.now_us()
+            while self.timers and self.timers[0][0] <= now:
+                at, _, sidecar = heappop(self.timers)
+                if sidecar.due_at == at:
+                    sidecar.on_timer(now)
             if now >= tick:
-                self.lag = max(self.lag, now - tick)
-                if self.ready:
-                    self.judge(lambda: self.witness.tick(truth.now()))
-                tick = max(tick + TICK_US, truth.now())
+                self.max_tick_delay_us = max(self.max_tick_delay_us, now - tick)
+                if self.all_started:
+                    self.run_checker(lambda: self.view_checker.tick(ground_truth.now_us()))
+                tick = max(tick + TICK_US, ground_truth.now_us())
 
 
-def ignores_drain(update: Update) -> Update:
+def ignore_drain(update: ServerListUpdate) -> ServerListUpdate:
     """What drains stays as it was: a fault planted for a test."""
-    kept = [at for at, entry in enumerate(update.entries) if entry.phase != Phase.DRAINING]
+    kept = [at for at, entry in enumerate(update.entries) if entry.state != ServerState.DRAINING]
     return update._replace(
         entries=[update.entries[at] for at in kept], addresses=[update.addresses[at] for at in kept]
     )
 
 
-class GoesBack:
+class RevertState:
     """Gives a server's state before the last beside the next update: a fault planted for a test."""
 
     def __init__(self) -> None:
-        self.before: dict[int, Any] = {}
+        self.previous_entries: dict[int, Any] = {}
 
-    def __call__(self, update: Update) -> Update:
+    def __call__(self, update: ServerListUpdate) -> ServerListUpdate:
         if update.whole:
-            self.before = {
+            self.previous_entries = {
                 entry.server: (entry, where) for entry, where in zip(update.entries, update.addresses)
             }
             return update
         here = {entry.server for entry in update.entries}
-        back = [self.before[server] for server in sorted(self.before) if server not in here][:AT_ONCE]
+        back = [
+            self.previous_entries[server] for server in sorted(self.previous_entries) if server not in here
+        ][:MAX_CONCURRENT_STARTS]
         return update._replace(
             entries=[*update.entries, *(entry for entry, _ in back)],
             addresses=[*update.addresses, *(where for _, where in back)],
@@ -207,9 +211,9 @@
 
 def main() -> None:
     folder, first, count = Path(sys.argv[1]), int(sys.argv[2]), int(sys.argv[3])
-    processes.most_descriptors()
-    plan = Plan(Ask.from_told(orjson.loads((folder / "ask.json").read_bytes())))
-    Host(plan, folder, plan.played()[first : first + count], sys.argv[4].split(",")).run()
+    processes.raise_descriptor_limit()
+    plan = Plan(RunOptions.from_dict(orjson.loads((folder / "ask.json").read_bytes())))
+    SidecarHost(plan, folder, plan.played_sidecars()[first : first + count], sys.argv[4].split(",")).run()
 
 
 if __name__ == "__main__":
--- a/pumicepath/lab/hollow/plan.py
+++ b/pumicepath/lab/hollow/plan.py
@@ -13,19 +13,21 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-TAIL = 0.9  # size of the r-th service ~ r ** -TAIL: 1,000 to 2,500 in the largest of 20,000
-SPREAD = (0.75, 1.3)  # and a part drawn for each
-MOST_SIDECARS = 100_000
-LEAST_PACE, MOST_PACE = 10_000, 10**10  # as `relay/config.py` has them
-STEP = 1024  # a server's share is 1 + k / STEP: k tells which of its states is held somewhere
+SIZE_EXPONENT = 0.9  # size of the r-th service ~ r ** -TAIL: 1,000 to 2,500 in the largest of 20,000
+SIZE_VARIATION = (0.75, 1.3)  # and a part drawn for each
+MAX_SIDECARS = 100_000
+MIN_FULL_LIST_BYTES_PER_S, MAX_FULL_LIST_BYTES_PER_S = 10_000, 10**10  # as `relay/config.py` has them
+STATES_PER_SHARE_UNIT = (
+    1024  # a server's share is 1 + k / STEP: k tells which of its states is held somewhere
+)
 
 
-class BadAsk(Exception):
+class RunOptionsError(Exception):
     """What was asked for can't be run; the text names the option."""
 
 
 @dataclass(frozen=True)
-class Ask:
+class RunOptions:
     """Options of one run; times in seconds."""
 
     sidecars: int
@@ -46,18 +48,18 @@
     faults: tuple[str, ...] = ()
     planted: tuple[str, ...] = field(default=())  # faults in the rig itself, by which its judge is tested
 
-    def told(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         return asdict(self)
 
     @classmethod
-    def from_told(cls, told: dict[str, Any]) -> Ask:
+    def from_dict(cls, told: dict[str, Any]) -> RunOptions:
         return cls(**{**told, "faults": tuple(told["faults"]), "planted": tuple(told["planted"])})
 
 
-def checked(ask: Ask) -> Ask:
+def check_options(ask: RunOptions) -> RunOptions:
     """Raises BadAsk for what can't be meant, naming the option."""
     for option, value, least, most in (
-        ("--sidecars", ask.sidecars, 1, MOST_SIDECARS),
+        ("--sidecars", ask.sidecars, 1, MAX_SIDECARS),
         ("--services", ask.services, 1, ask.sidecars),
         ("--regions", ask.regions, 1, 64),
         ("--zones", ask.zones, ask.regions, 1024),
@@ -71,51 +73,63 @@
         ("--fault-for", ask.fault_s, 0.5, 3600.0),
     ):
         if not least <= value <= most:
-            raise BadAsk(f"{option}: {value} is not from {least} to {most}")
+            raise RunOptionsError(f"{option}: {value} is not from {least} to {most}")
     if ask.form == "direct" and (ask.played or ask.whole_bytes_per_s):
-        raise BadAsk("--form: only with relays can regions or a relay's pace be chosen")
-    if ask.whole_bytes_per_s and not LEAST_PACE <= ask.whole_bytes_per_s <= MOST_PACE:
-        raise BadAsk(f"--whole-bytes-per-s: {ask.whole_bytes_per_s} is not from {LEAST_PACE} to {MOST_PACE}")
+        raise RunOptionsError("--form: only with relays can regions or a relay's pace be chosen")
+    if (
+        ask.whole_bytes_per_s
+        and not MIN_FULL_LIST_BYTES_PER_S <= ask.whole_bytes_per_s <= MAX_FULL_LIST_BYTES_PER_S
+    ):
+        raise RunOptionsError(
+            f"--whole-bytes-per-s: {ask.whole_bytes_per_s} is not from {MIN_FULL_LIST_BYTES_PER_S} to {MAX_FULL_LIST_BYTES_PER_S}"
+        )
     if ask.faults and ask.fault_s * len(ask.faults) > ask.seconds:
-        raise BadAsk(f"--for: {len(ask.faults)} faults of {ask.fault_s:g} s do not fit in {ask.seconds:g} s")
+        raise RunOptionsError(
+            f"--for: {len(ask.faults)} faults of {ask.fault_s:g} s do not fit in {ask.seconds:g} s"
+        )
     return ask
 
 
 class Plan:
     """The fleet as it is before any change."""
 
-    def __init__(self, ask: Ask) -> None:
-        self.ask = ask
-        chance = random.Random(f"fleet {ask.seed}")
-        self.sizes = sizes(ask.sidecars, ask.services, chance)
-        self.service_of = [service for service, size in enumerate(self.sizes) for _ in range(size)]
+    def __init__(self, options: RunOptions) -> None:
+        self.options = options
+        chance = random.Random(f"fleet {options.seed}")
+        self.service_sizes = draw_service_sizes(options.sidecars, options.services, chance)
+        self.service_of = [service for service, size in enumerate(self.service_sizes) for _ in range(size)]
         chance.shuffle(self.service_of)
-        self.zone_of = [at % ask.zones for at in range(ask.sidecars)]
+        self.zone_of = [at % options.zones for at in range(options.sidecars)]
         chance.shuffle(self.zone_of)
-        self.servers_of: list[list[int]] = [[] for _ in self.sizes]
+        self.servers_of: list[list[int]] = [[] for _ in self.service_sizes]
         for server, service in enumerate(self.service_of):
             self.servers_of[service].append(server)
-        weights = [size**ask.popular for size in self.sizes]
+        weights = [size**options.popular for size in self.service_sizes]
         even = min(weights) == max(weights)
-        self.calls = [drawn(weights, even, min(ask.calls, ask.services), chance) for _ in range(ask.sidecars)]
+        self.called_services = [
+            draw_services(weights, even, min(options.calls, options.services), chance)
+            for _ in range(options.sidecars)
+        ]
 
     def region_of_zone(self, zone: int) -> int:
-        return zone % self.ask.regions
+        return zone % self.options.regions
 
     def region_of(self, server: int) -> int:
-        return self.zone_of[server] % self.ask.regions
+        return self.zone_of[server] % self.options.regions
 
-    def regions_played(self) -> int:
-        return self.ask.played or self.ask.regions
+    def played_region_count(self) -> int:
+        return self.options.played or self.options.regions
 
-    def played(self) -> list[int]:
+    def played_sidecars(self) -> list[int]:
         """The sidecars that are started: all of some regions, as many for a relay as it will have."""
         return [
-            number for number in range(self.ask.sidecars) if self.region_of(number) < self.regions_played()
+            number
+            for number in range(self.options.sidecars)
+            if self.region_of(number) < self.played_region_count()
         ]
 
     def zone_name(self, zone: int) -> str:
-        return f"{self.region_name(zone % self.ask.regions)}-z{zone}"
+        return f"{self.region_name(zone % self.options.regions)}-z{zone}"
 
     def region_name(self, region: int) -> str:
         return f"r{region}"
@@ -126,18 +140,18 @@
     def server_name(self, server: int) -> str:
         return f"s-{server:05d}"
 
-    def dial(self, server: int) -> str:
+    def server_address(self, server: int) -> str:
         """Where it would be dialled, which nobody does: all over 127.0.0.0/8, as real ones over machines."""
         return f"127.{64 + (server >> 16)}.{server >> 8 & 255}.{server & 255}:9000"
 
-    def held(self, sidecar: int) -> int:
+    def held_servers(self, sidecar: int) -> int:
         """Servers that a sidecar holds that is sent only what concerns the services it calls."""
-        return sum(self.sizes[service] for service in self.calls[sidecar])
+        return sum(self.service_sizes[service] for service in self.called_services[sidecar])
 
 
-def sizes(servers: int, services: int, chance: random.Random) -> list[int]:
+def draw_service_sizes(servers: int, services: int, chance: random.Random) -> list[int]:
     """Servers of each service: a long tail, each at least 1, together exactly as many as asked for."""
-    weights = [(rank + 1) ** -TAIL * chance.uniform(*SPREAD) for rank in range(services)]
+    weights = [(rank + 1) ** -SIZE_EXPONENT * chance.uniform(*SIZE_VARIATION) for rank in range(services)]
     rest = servers - services
     total = sum(weights)
     exact = [rest * weight / total for weight in weights]
@@ -148,7 +162,7 @@
     return found
 
 
-def drawn(weights: list[float], even: bool, count: int, chance: random.Random) -> tuple[int, ...]:
+def draw_services(weights: list[float], even: bool, count: int, chance: random.Random) -> tuple[int, ...]:
     """Different services, the heavier the likelier."""
     if count >= len(weights):
         return tuple(range(len(weights)))
--- a/pumicepath/lab/hollow/processes.py
+++ b/pumicepath/lab/hollow/processes.py
@@ -22,58 +22,58 @@
 
 import orjson
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 ROOT = Path(__file__).resolve().parents[3]
-DIES_WITH_STARTER = 1  # PR_SET_PDEATHSIG (linux/prctl.h)
+PR_SET_PDEATHSIG = 1  # PR_SET_PDEATHSIG (linux/prctl.h)
 
 
-class Void(Exception):
+class InvalidRunError(Exception):
     """The run tells nothing: a process of the rig did not start, or ended by itself."""
 
 
-def say(line: dict[str, Any]) -> None:
+def send_event(line: dict[str, Any]) -> None:
     sys.stdout.buffer.write(orjson.dumps(line) + b"\n")
     sys.stdout.buffer.flush()
 
 
-class Orders:
+class OrderReader:
     """Lines on stdin, read as they come; the process ends when that does."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.partial_line = b""
 
     def read(self) -> list[dict[str, Any]]:
         data = os.read(0, 65536)
         if not data:
             os._exit(0)
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         return [orjson.loads(line) for line in lines]
 
 
-def most_descriptors() -> None:
+def raise_descriptor_limit() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
-def cpu(pid: int | str = "self") -> float:
+def cpu_seconds(pid: int | str = "self") -> float:
     """Seconds of CPU that a process has used."""
     if pid == "self":
         return time.process_time()
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def mb(pid: int | str = "self") -> float:
+def resident_mb(pid: int | str = "self") -> float:
     """MB resident."""
-    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE / 1e6
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
 
-def dies_with_starter() -> None:
-    ctypes.CDLL(None).prctl(DIES_WITH_STARTER, signal.SIGKILL)
+def die_with_parent() -> None:
+    ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-class Child:
+class ChildProcess:
     """A process of the run; what it says on stdout is read by a thread, so that it never has to wait."""
 
     def __init__(self, arguments: list[str], folder: Path, name: str) -> None:
@@ -81,7 +81,7 @@
         self.start()
 
     def start(self) -> None:
-        self.said: queue.SimpleQueue[dict[str, Any]] = queue.SimpleQueue()
+        self.events: queue.SimpleQueue[dict[str, Any]] = queue.SimpleQueue()
         with (self.folder / f"{self.name}.err").open("ab") as errors:
             self.process = subprocess.Popen(
                 [sys.executable, "-O", *self.arguments],
@@ -89,41 +89,41 @@
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=errors,
-                preexec_fn=dies_with_starter,
+                preexec_fn=die_with_parent,
             )
-        threading.Thread(target=self.hear, args=(self.process, self.said), daemon=True).start()
+        threading.Thread(target=self.read_events, args=(self.process, self.events), daemon=True).start()
 
-    def hear(self, process: subprocess.Popen[bytes], said: queue.SimpleQueue[dict[str, Any]]) -> None:
+    def read_events(self, process: subprocess.Popen[bytes], said: queue.SimpleQueue[dict[str, Any]]) -> None:
         assert process.stdout is not None
         for line in process.stdout:
             with suppress(ValueError):
                 said.put(orjson.loads(line))
         said.put({"event": "ended"})
 
-    def tell(self, order: dict[str, Any]) -> None:
+    def send(self, order: dict[str, Any]) -> None:
         assert self.process.stdin is not None
         with suppress(OSError):  # it has ended, which whoever waits for its answer is told
             self.process.stdin.write(orjson.dumps(order) + b"\n")
             self.process.stdin.flush()
 
-    def event(self, name: str, within: float = 120.0) -> dict[str, Any]:
+    def wait_for(self, name: str, within: float = 120.0) -> dict[str, Any]:
         """The next such line; raises Void if it ends, or says nothing for so many seconds."""
         until = time.monotonic() + within
         while True:
             try:
-                line = self.said.get(timeout=max(0.01, until - time.monotonic()))
+                line = self.events.get(timeout=max(0.01, until - time.monotonic()))
             except queue.Empty:
-                raise Void(f"{self.name}: no {name!r} within {within:g} s") from None
+                raise InvalidRunError(f"{self.name}: no {name!r} within {within:g} s") from None
             if line.get("event") == "ended":
-                raise Void(f"{self.name} has ended: {self.last_words()}")
+                raise InvalidRunError(f"{self.name} has ended: {self.last_error_line()}")
             if line.get("event") == name:
                 return line
 
-    def ask(self, order: dict[str, Any], name: str, within: float = 120.0) -> dict[str, Any]:
-        self.tell(order)
-        return self.event(name, within)
+    def request(self, order: dict[str, Any], name: str, within: float = 120.0) -> dict[str, Any]:
+        self.send(order)
+        return self.wait_for(name, within)
 
-    def last_words(self) -> str:
+    def last_error_line(self) -> str:
         lines = (self.folder / f"{self.name}.err").read_text(errors="replace").strip().splitlines()
         return lines[-1] if lines else "it said nothing"
 
@@ -132,5 +132,5 @@
             self.process.kill()
         self.process.wait()
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         self.process.send_signal(number)
--- a/pumicepath/lab/hollow/run.py
+++ b/pumicepath/lab/hollow/run.py
@@ -17,55 +17,55 @@
 
 import orjson
 
-from . import processes, truth
-from .faults import FAULTS
+from . import ground_truth, processes
+from .evaluation import MAX_PROPAGATION_US, Evaluation, OutageWindow, quantile
+from .faults import FAULT_TYPES
 from .plan import Plan
-from .processes import Child, Void
-from .verdict import TOLD_US, Verdict, Window, quantile
+from .processes import ChildProcess, InvalidRunError
 
-START_S = 60.0  # for a start, and so much more for each
-START_EACH_S = 0.05  # sidecar's first list
-SETTLE_S = TOLD_US / 1e6 + 4.0
-Figures = dict[int, dict[str, float]]  # by process id
-FILES = ("truth-*.jsonl", "found-*.json", "*.err", "relay-*.json", "ask.json")
+START_TIMEOUT_S = 60.0  # for a start, and so much more for each
+START_TIMEOUT_PER_SIDECAR_S = 0.05  # sidecar's first list
+SETTLE_TIMEOUT_S = MAX_PROPAGATION_US / 1e6 + 4.0
+ProcessUsage = dict[int, dict[str, float]]  # by process id
+RUN_FILES = ("truth-*.jsonl", "found-*.json", "*.err", "relay-*.json", "ask.json")
 
 
-class Run:
+class HollowRun:
     def __init__(
         self,
         plan: Plan,
         folder: Path,
         hosts: int,
         progress: Callable[[str], None],
-        settle_s: float = SETTLE_S,
+        settle_timeout_s: float = SETTLE_TIMEOUT_S,
     ) -> None:
         self.plan, self.folder, self.progress = plan, folder, progress
-        self.hosts_wanted, self.settle_s = hosts, settle_s
-        self.count = len(plan.played())  # of sidecars that are started
-        self.origins: list[Child] = []
-        self.relays: list[Child] = []
-        self.hosts: list[Child] = []
-        self.control: list[Child] = []  # the relays, or the origin where there are none
-        self.forwarder: Child | None = None
-        self.places: list[str] = []  # of origins
-        self.relay_places: list[str] = []
-        self.windows: list[Window] = []
-        self.ends: list[tuple[int, int]] = []  # of faults, and when changes were made after each
+        self.host_count, self.settle_timeout_s = hosts, settle_timeout_s
+        self.sidecar_count = len(plan.played_sidecars())  # of sidecars that are started
+        self.origins: list[ChildProcess] = []
+        self.relays: list[ChildProcess] = []
+        self.hosts: list[ChildProcess] = []
+        self.control: list[ChildProcess] = []  # the relays, or the origin where there are none
+        self.forwarder: ChildProcess | None = None
+        self.origin_addresses: list[str] = []  # of origins
+        self.relay_addresses: list[str] = []
+        self.outage_windows: list[OutageWindow] = []
+        self.fault_ends: list[tuple[int, int]] = []  # of faults, and when changes were made after each
 
     # -- what it starts
 
     def start(self) -> None:
-        ask = self.plan.ask
+        ask = self.plan.options
         self.folder.mkdir(parents=True, exist_ok=True)
-        for pattern in FILES:
+        for pattern in RUN_FILES:
             for file in self.folder.glob(pattern):  # of an earlier run
                 file.unlink()
-        (self.folder / "ask.json").write_bytes(orjson.dumps(ask.told()))
+        (self.folder / "ask.json").write_bytes(orjson.dumps(ask.as_dict()))
         for region in range(1 if ask.form == "direct" else ask.regions):
-            child = Child(self.origin_command(region, "127.0.0.1:0"), self.folder, f"origin-{region}")
+            child = ChildProcess(self.origin_command(region, "127.0.0.1:0"), self.folder, f"origin-{region}")
             self.origins.append(child)
-            self.places.append(child.event("started")["listen"])
-            child.arguments = self.origin_command(region, self.places[region])
+            self.origin_addresses.append(child.wait_for("started")["listen"])
+            child.arguments = self.origin_command(region, self.origin_addresses[region])
         if ask.form == "direct":
             self.control = self.origins
         else:
@@ -77,19 +77,19 @@
         return ["-m", "pumicepath.lab.hollow.origin", str(self.folder), str(region), host, port]
 
     def region_of_relay(self, relay: int) -> int:
-        return relay // self.plan.ask.relays_per_region
+        return relay // self.plan.options.relays_per_region
 
     def start_relays(self) -> None:
-        ask = self.plan.ask
+        ask = self.plan.options
         cut = ""
         if "region-cut" in ask.faults:
-            self.forwarder = Child(
-                ["-m", "pumicepath.lab.hollow.forward", self.places[0]], self.folder, "forwarder"
+            self.forwarder = ChildProcess(
+                ["-m", "pumicepath.lab.hollow.forward", self.origin_addresses[0]], self.folder, "forwarder"
             )
-            cut = self.forwarder.event("started")["listen"]
-        for relay in range(self.plan.regions_played() * ask.relays_per_region):
+            cut = self.forwarder.wait_for("started")["listen"]
+        for relay in range(self.plan.played_region_count() * ask.relays_per_region):
             region = self.region_of_relay(relay)
-            sources = {self.plan.region_name(at): place for at, place in enumerate(self.places)}
+            sources = {self.plan.region_name(at): place for at, place in enumerate(self.origin_addresses)}
             if cut and region != 0:
                 sources[self.plan.region_name(0)] = cut
             path = self.folder / f"relay-{relay}.json"
@@ -102,11 +102,13 @@
             if ask.whole_bytes_per_s:
                 told["wholeBytesPerS"] = ask.whole_bytes_per_s
             path.write_text(json.dumps(told))
-            child = Child(["-m", "pumicepath", "relay", "--config", str(path)], self.folder, f"relay-{relay}")
+            child = ChildProcess(
+                ["-m", "pumicepath", "relay", "--config", str(path)], self.folder, f"relay-{relay}"
+            )
             self.relays.append(child)
         for relay, child in enumerate(self.relays):
-            place = child.event("started")["listen"]
-            self.relay_places.append(place)
+            place = child.wait_for("started")["listen"]
+            self.relay_addresses.append(place)
             path = self.folder / f"relay-{relay}.json"
             path.write_text(json.dumps({**json.loads(path.read_text()), "listen": place}))
         self.control = self.relays
@@ -116,19 +118,19 @@
         for at in which:
             self.control[at].start()
         for at in which:
-            self.control[at].event("started")
+            self.control[at].wait_for("started")
         if self.control is self.origins:
             for child in self.control:
-                child.tell({"do": "go"})
+                child.send({"do": "go"})
 
     def start_hosts(self) -> None:
-        count = self.count
+        count = self.sidecar_count
         began = time.monotonic()
-        place = ",".join(self.relay_places) or self.places[0]
-        for at in range(self.hosts_wanted):
-            first, last = (count * each // self.hosts_wanted for each in (at, at + 1))
+        place = ",".join(self.relay_addresses) or self.origin_addresses[0]
+        for at in range(self.host_count):
+            first, last = (count * each // self.host_count for each in (at, at + 1))
             self.hosts.append(
-                Child(
+                ChildProcess(
                     [
                         "-m",
                         "pumicepath.lab.hollow.host",
@@ -141,15 +143,15 @@
                     f"host-{at}",
                 )
             )
-        within = START_S + START_EACH_S * count
-        self.told = [host.event("ready", within) for host in self.hosts]
-        self.start_s = time.monotonic() - began
+        within = START_TIMEOUT_S + START_TIMEOUT_PER_SIDECAR_S * count
+        self.ready_reports = [host.wait_for("ready", within) for host in self.hosts]
+        self.start_duration_s = time.monotonic() - began
         self.progress(
-            f"{count} sidecars have their first list after {self.start_s:.1f} s, "
-            f"{sum(one['held'] for one in self.told)} held servers"
+            f"{count} sidecars have their first list after {self.start_duration_s:.1f} s, "
+            f"{sum(one['held'] for one in self.ready_reports)} held servers"
         )
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for child in [*self.hosts, *self.relays, *self.origins]:
             child.kill()
         if self.forwarder is not None:
@@ -157,42 +159,44 @@
 
     # -- the run
 
-    def tell_origins(self, order: dict[str, Any]) -> None:
+    def send_to_origins(self, order: dict[str, Any]) -> None:
         for origin in self.origins:
-            origin.tell(order)
+            origin.send(order)
 
     def play(self) -> dict[str, Any]:
         try:
             self.start()
-            return self.measured()
+            return self.run_measurement()
         finally:
-            self.end()
+            self.stop()
 
-    def measured(self) -> dict[str, Any]:
-        ask = self.plan.ask
+    def run_measurement(self) -> dict[str, Any]:
+        ask = self.plan.options
         for host in self.hosts:
-            host.tell({"do": "measure"})
-        before = self.control_figures()
-        self.tell_origins({"do": "go"})
+            host.send({"do": "measure"})
+        before = self.control_usage()
+        self.send_to_origins({"do": "go"})
         began = time.monotonic()
         slot = ask.seconds / max(1, len(ask.faults))
         for at, name in enumerate(ask.faults):
             self.wait(began + slot * at + max(0.0, slot - ask.fault_s) / 3)
             self.progress(f"{time.monotonic() - began:.1f} s: {name}")
-            fault = FAULTS[name](self)
-            if fault.lasts:
+            fault = FAULT_TYPES[name](self)
+            if fault.has_duration:
                 self.wait(time.monotonic() + ask.fault_s)
-            self.windows += fault.end()
-            end = truth.now()
+            self.outage_windows += fault.end()
+            end = ground_truth.now_us()
             # Something has to come into force after each fault, or nobody could say when that is over.
-            self.ends.append((end, max(origin.ask({"do": "poke"}, "poked")["at"] for origin in self.origins)))
+            self.fault_ends.append(
+                (end, max(origin.request({"do": "poke"}, "poked")["at"] for origin in self.origins))
+            )
             self.progress(f"{time.monotonic() - began:.1f} s: {name} over")
         self.wait(began + ask.seconds)
-        told = [host.ask({"do": "measured"}, "measured") for host in self.hosts]
-        after = self.control_figures()
-        self.tell_origins({"do": "rest"})
+        told = [host.request({"do": "measured"}, "measured") for host in self.hosts]
+        after = self.control_usage()
+        self.send_to_origins({"do": "rest"})
         self.settle()
-        return self.judged(told, before, after, time.monotonic() - began)
+        return self.build_result(told, before, after, time.monotonic() - began)
 
     def wait(self, until: float) -> None:
         """Until a time, with a line each 5 s; raises Void if something of the rig has ended meanwhile."""
@@ -200,69 +204,79 @@
             time.sleep(min(left, 5.0))
             for host in self.hosts:
                 if host.process.poll() is not None:
-                    raise Void(f"{host.name} has ended: {host.last_words()}")
+                    raise InvalidRunError(f"{host.name} has ended: {host.last_error_line()}")
             if left > 5.0:
                 self.progress(f"{left - 5.0:.0f} s to go")
 
     def settle(self) -> None:
         """Until all is in force, or it has had more time than it may need."""
-        until = time.monotonic() + self.settle_s
-        while sum(host.ask({"do": "waiting"}, "waiting")["pairs"] for host in self.hosts):
+        until = time.monotonic() + self.settle_timeout_s
+        while sum(host.request({"do": "waiting"}, "waiting")["pairs"] for host in self.hosts):
             if time.monotonic() > until:
                 return
             time.sleep(0.1)
 
-    def control_figures(self) -> Figures:
+    def control_usage(self) -> ProcessUsage:
         """What each process of the control side has used: origins by their word, relays as the system counts.
 
         By process id, so that what a successor used is not held against what its predecessor had.
         """
-        found: Figures = {}
+        found: ProcessUsage = {}
         for origin in self.origins:
-            told = origin.ask({"do": "figures"}, "figures")
+            told = origin.request({"do": "figures"}, "figures")
             found[origin.process.pid] = {key: told[key] for key in told if key != "event"}
         for relay in self.relays:
             pid = relay.process.pid
             found[pid] = {
-                "cpu_s": processes.cpu(pid),
-                "mb": processes.mb(pid),
+                "cpu_s": processes.cpu_seconds(pid),
+                "mb": processes.resident_mb(pid),
                 "connections": len(os.listdir(f"/proc/{pid}/fd")),
             }
         return found
 
-    def used(self, before: Figures, after: Figures, of: list[Child], key: str) -> float:
+    def usage_growth(
+        self, before: ProcessUsage, after: ProcessUsage, of: list[ChildProcess], key: str
+    ) -> float:
         """How much a figure that only grows has grown."""
         pids = [child.process.pid for child in of]
         return sum(after[pid][key] - before.get(pid, {}).get(key, 0.0) for pid in pids)
 
-    def now_of(self, after: Figures, of: list[Child], key: str) -> float:
+    def total_usage(self, after: ProcessUsage, of: list[ChildProcess], key: str) -> float:
         return sum(after[child.process.pid][key] for child in of)
 
-    def judged(
-        self, told: list[dict[str, Any]], before: Figures, after: Figures, seconds: float
+    def build_result(
+        self, told: list[dict[str, Any]], before: ProcessUsage, after: ProcessUsage, seconds: float
     ) -> dict[str, Any]:
-        ask = self.plan.ask
+        ask = self.plan.options
         changes = [
             change
             for region in range(len(self.origins))
-            for change in truth.Tail(truth.path_of(self.folder, region)).read()
+            for change in ground_truth.LedgerReader(ground_truth.ledger_path(self.folder, region)).read()
         ]
         lag = max(each["lag_us"] for each in told)
-        verdict = Verdict(self.plan, changes, self.windows, lag)
+        verdict = Evaluation(self.plan, changes, self.outage_windows, lag)
         for host in self.hosts:
-            path = Path(host.ask({"do": "judge"}, "judged", START_S + START_EACH_S * self.count)["path"])
-            verdict.add(orjson.loads(path.read_bytes()))
+            path = Path(
+                host.request(
+                    {"do": "judge"},
+                    "judged",
+                    START_TIMEOUT_S + START_TIMEOUT_PER_SIDECAR_S * self.sidecar_count,
+                )["path"]
+            )
+            verdict.add_findings(orjson.loads(path.read_bytes()))
         window = told[0]["seconds"]
         each_bytes = sorted(count / window for one in told for count in one["bytes"])
         cpu = sum((one["cpu_s"] - one["judged_s"]) / one["seconds"] for one in told)
         direct = ask.form == "direct"
-        origin = {key: self.used(before, after, self.origins, key) for key in ("cpu_s", "bytes", "wholes")}
+        origin = {
+            key: self.usage_growth(before, after, self.origins, key) for key in ("cpu_s", "bytes", "wholes")
+        }
         origin_bytes = origin["bytes"] / window
-        control_cpu = self.used(before, after, self.control, "cpu_s") / window
-        figures = verdict.figures()
+        control_cpu = self.usage_growth(before, after, self.control, "cpu_s") / window
+        figures = verdict.metrics()
         return {
             "sidecars": ask.sidecars,
-            "played": self.count,
+            "played": self.sidecar_count,
             "processes": 1
             + len(self.hosts)
             + len(self.origins)
@@ -275,27 +289,29 @@
                 "p99": round(quantile(each_bytes, 0.99), 1),
                 "max": round(each_bytes[-1], 1),
             },
-            "core_share_each": round(cpu / self.count, 7),
-            "mb_each": round(sum(one["mb"] - one["base_mb"] for one in self.told) / self.count, 4),
+            "core_share_each": round(cpu / self.sidecar_count, 7),
+            "mb_each": round(
+                sum(one["mb"] - one["base_mb"] for one in self.ready_reports) / self.sidecar_count, 4
+            ),
             "control": {
                 "machines": len(self.control),
                 "core_share": round(control_cpu, 4),
-                "mb": round(self.now_of(after, self.control, "mb"), 1),
+                "mb": round(self.total_usage(after, self.control, "mb"), 1),
                 "bytes_s": round(origin_bytes + (0.0 if direct else sum(each_bytes)), 1),
-                "connections": int(self.now_of(after, self.control, "connections")),
+                "connections": int(self.total_usage(after, self.control, "connections")),
             },
-            "recovered_s": self.recovered(verdict),
-            "named": verdict.named[:20],
+            "recovered_s": self.max_recovery_s(verdict),
+            "named": verdict.violation_texts[:20],
             "origins": {
                 "processes": len(self.origins),
                 "core_share": round(origin["cpu_s"] / window, 4),
-                "mb": round(self.now_of(after, self.origins, "mb"), 1),
+                "mb": round(self.total_usage(after, self.origins, "mb"), 1),
                 "bytes_s": round(origin_bytes, 1),
-                "connections": int(self.now_of(after, self.origins, "connections")),
+                "connections": int(self.total_usage(after, self.origins, "connections")),
                 "wholes": int(origin["wholes"]),
             },
-            "held_each": round(sum(one["held"] for one in self.told) / self.count, 1),
-            "start_s": round(self.start_s, 1),
+            "held_each": round(sum(one["held"] for one in self.ready_reports) / self.sidecar_count, 1),
+            "start_s": round(self.start_duration_s, 1),
             "rig_lag_s": round(lag / 1e6, 3),
             "failed_calls": sum(one["failed"] for one in told),
             "judge_core_share": round(sum(one["judged_s"] / one["seconds"] for one in told), 3),
@@ -310,13 +326,13 @@
             "relays_per_region": 0 if direct else ask.relays_per_region,
             "faults": list(ask.faults),
             "seed": ask.seed,
-            "python": f"{sys.version.split()[0]} {self.told[0]['form']}",
+            "python": f"{sys.version.split()[0]} {self.ready_reports[0]['form']}",
             "load_average": round(os.getloadavg()[0], 2),
         }
 
-    def recovered(self, verdict: Verdict) -> float | None:
+    def max_recovery_s(self, verdict: Evaluation) -> float | None:
         """The longest of all faults; 0 where there was none, none where something never came into force."""
-        found = [verdict.recovered_s(*end) for end in self.ends]
+        found = [verdict.recovery_s(*end) for end in self.fault_ends]
         if None in found:
             return None
         return round(max([0.0, *(each for each in found if each is not None)]), 3)
--- a/pumicepath/lab/hollow/sidecar.py
+++ b/pumicepath/lab/hollow/sidecar.py
@@ -15,19 +15,19 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from ...discovery.roster import Address, BadList, Roster, Update
+from ...balancer import Balancer, SeededRandom
+from ...discovery.server_list import Address, BadList, ServerList, ServerListUpdate
 from ...discovery.watch import Overtaxed, Watch
-from ...distribution.homes import Homes
-from ...http1.messages import Malformed
-from ...interface import Listing, Phase, Wakeable
-from ...logic import Balancer, Chance
-from ...settings import decode
+from ...distribution.relay_selector import RelaySelector
+from ...http1.messages import MalformedMessageError
+from ...interface import ListKind, ServerState, TimerHandler
+from ...settings import decode_settings
 from ...sidecar import clock
 from ...sidecar.watching import CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S, RETRY_INTERVAL_S
 from .plan import Plan
 
 IP_BIND_ADDRESS_NO_PORT = 24  # linux/in.h: the port is chosen at connect, so that each pair can use all
-RESTING, DIALLING, CALLING, CHANGING = range(4)
+WAITING, CONNECTING, REQUESTING, SWITCHING = range(4)
 SETTINGS: dict[str, Any] = {
     "membershipMode": "pushed",
     "rules": {"askEveryS": 10.0, "coldFrom": 0.5, "coldS": 10.0},
@@ -48,13 +48,13 @@
 class Loop(Protocol):
     """What a hollow sidecar needs of the process that it is in."""
 
-    def expect(self, sidecar: Hollow, writable: bool) -> None: ...
+    def register(self, sidecar: HollowSidecar, writable: bool) -> None: ...
 
-    def expect_nothing(self, sidecar: Hollow) -> None: ...
+    def unregister(self, sidecar: HollowSidecar) -> None: ...
 
-    def wake(self, at: int, sidecar: Hollow) -> None: ...
+    def set_timer(self, at: int, sidecar: HollowSidecar) -> None: ...
 
-    def updated(self, sidecar: Hollow, whole: bool) -> None: ...
+    def list_updated(self, sidecar: HollowSidecar, whole: bool) -> None: ...
 
 
 class Mute:
@@ -62,21 +62,21 @@
 
     def send(self, submission: int, server: int, timeout: int) -> None: ...
 
-    def defer(self, submission: int, retry_in: int) -> None: ...
+    def reject(self, submission: int, retry_in: int) -> None: ...
 
-    def forfeit(self, submission: int) -> None: ...
+    def fail(self, submission: int) -> None: ...
 
     def cancel(self, submission: int, hop: int) -> None: ...
 
     def probe(self, server: int) -> None: ...
 
-    def tell(self, peer: int, data: bytes) -> None: ...
+    def send_to_peer(self, peer: int, data: bytes) -> None: ...
 
-    def free_links(self, server: int) -> None: ...
+    def close_idle_connections(self, server: int) -> None: ...
 
-    def follow(self) -> None: ...
+    def request_server_list(self) -> None: ...
 
-    def wake(self, at: int, whom: Wakeable) -> None: ...
+    def set_timer(self, at: int, whom: TimerHandler) -> None: ...
 
     def log(self, text: str) -> None: ...
 
@@ -84,45 +84,45 @@
 MUTE = Mute()
 
 
-def told(plan: Plan, number: int) -> dict[str, Any]:
+def sidecar_settings(plan: Plan, number: int) -> dict[str, Any]:
     """The settings that sidecar `number` is told, as a real one would find them in its file."""
-    zones = [plan.zone_name(zone) for zone in range(plan.ask.zones)]
+    zones = [plan.zone_name(zone) for zone in range(plan.options.zones)]
     return {
         **SETTINGS,
         "dcs": zones,
         "me": number,
-        "fleetSize": plan.ask.sidecars,
+        "fleetSize": plan.options.sidecars,
         "zone": plan.zone_of[number],
     }
 
 
-def come(sock: socket.socket, writable: bool) -> bool:
+def is_ready(sock: socket.socket, writable: bool) -> bool:
     """Whether a socket can be used without waiting."""
     poll = select.poll()
     poll.register(sock, select.POLLOUT if writable else select.POLLIN)
     return bool(poll.poll(0))
 
 
-class Hollow:
+class HollowSidecar:
     __slots__ = (
         "number",
         "name",
         "loop",
-        "roster",
+        "server_list",
         "balancer",
         "watch",
-        "chance",
+        "rng",
         "addresses",
         "sock",
-        "step",
-        "due",
-        "where",
-        "begun",
-        "dial",
+        "state",
+        "due_at",
+        "address",
+        "response_started",
+        "connect_timeout_s",
         "failures",
         "bytes",
         "updated_at",
-        "listed",
+        "has_list",
         "plant",
         "homes",
         "before",
@@ -132,208 +132,216 @@
     def __init__(self, plan: Plan, number: int, places: Sequence[str], loop: Loop) -> None:
         """`places` are its relays, or the one discovery."""
         self.number, self.name, self.loop = number, f"n{number}", loop
-        info = told(plan, number)
-        self.roster = Roster(info["dcs"], clock.since_unix_ms)
-        self.balancer = Balancer(decode(info), number + 1, MUTE)
-        self.chance = Chance(random.Random(f"sidecar {plan.ask.seed} {number}").getrandbits(63))
+        info = sidecar_settings(plan, number)
+        self.server_list = ServerList(info["dcs"], clock.from_unix_ms)
+        self.balancer = Balancer(decode_settings(info), number + 1, MUTE)
+        self.rng = SeededRandom(random.Random(f"sidecar {plan.options.seed} {number}").getrandbits(63))
         self.addresses: dict[int, Address] = {}
         self.sock: socket.socket | None = None
-        self.step = RESTING
-        self.due = 0  # what happens next if nothing comes: see `woke`
-        self.homes: Homes | None = None
-        self.before: socket.socket | None = None  # to the relay that is left once another is dialled
-        if plan.ask.form == "relayed":
-            self.homes = Homes(self.name, places, Chance(self.chance.bits()).share)
-        self.where = self.homes.at if self.homes else places[0]
-        self.begun = False
-        self.dial = CONNECT_TIMEOUT_S
+        self.state = WAITING
+        self.due_at = 0  # what happens next if nothing comes: see `woke`
+        self.relay_selector: RelaySelector | None = None
+        self.previous_sock: socket.socket | None = None  # to the relay that is left once another is dialled
+        if plan.options.form == "relayed":
+            self.relay_selector = RelaySelector(
+                self.name, places, SeededRandom(self.rng.next_bits()).next_float
+            )
+        self.address = self.relay_selector.current if self.relay_selector else places[0]
+        self.response_started = False
+        self.connect_timeout_s = CONNECT_TIMEOUT_S
         self.failures = 0  # in a row
         self.failed_calls = 0  # in all
         self.bytes = 0  # both ways, payload alone
         self.updated_at = 0
-        self.listed = False  # whether it has had a list
-        self.plant: Callable[[Update], Update] | None = None
-        self.watch = self.watching(plan)
+        self.has_list = False  # whether it has had a list
+        self.injected_bug: Callable[[ServerListUpdate], ServerListUpdate] | None = None
+        self.watch = self.make_watch(plan)
 
-    def watching(self, plan: Plan) -> Watch:
+    def make_watch(self, plan: Plan) -> Watch:
         wait_us = int(2e6 * SETTINGS["rules"]["askEveryS"])
-        services = [plan.service_name(service) for service in plan.calls[self.number]] if self.homes else None
-        return Watch(self.roster, self.where, -1, wait_us, self.chance.share, services)
+        services = (
+            [plan.service_name(service) for service in plan.called_services[self.number]]
+            if self.relay_selector
+            else None
+        )
+        return Watch(self.server_list, self.address, -1, wait_us, self.rng.next_float, services)
 
     # -- the socket
 
-    def begin(self, now: int) -> None:
+    def connect(self, now: int) -> None:
         """Dial, from one of many addresses, as no single one has ports for all."""
-        if self.homes is not None:
-            self.where = self.homes.at
-            if self.step != CHANGING and self.watch.host != self.where:
-                self.watch.move(self.where)
-        host, _, port = self.where.rpartition(":")
+        if self.relay_selector is not None:
+            self.address = self.relay_selector.current
+            if self.state != SWITCHING and self.watch.host != self.address:
+                self.watch.switch_to(self.address)
+        host, _, port = self.address.rpartition(":")
         self.sock = sock = socket.socket(socket.AF_INET)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
         sock.bind((f"127.{16 + (self.number >> 12 & 31)}.{self.number >> 4 & 255}.1", 0))
         found = sock.connect_ex((host, int(port)))
         if found not in (0, errno.EINPROGRESS):
-            self.failed(now, OSError(found, "dial"))
+            self.on_failure(now, OSError(found, "dial"))
             return
-        self.loop.expect(self, True)
-        if self.step == CHANGING:
-            self.alarm(now + int(1e6 * CONNECT_TIMEOUT_S))
+        self.loop.register(self, True)
+        if self.state == SWITCHING:
+            self.set_timer(now + int(1e6 * CONNECT_TIMEOUT_S))
             return
-        self.step = DIALLING
-        self.alarm(now + int(1e6 * self.dial))
-        self.dial = min(MAX_CONNECT_TIMEOUT_S, 2 * self.dial)
+        self.state = CONNECTING
+        self.set_timer(now + int(1e6 * self.connect_timeout_s))
+        self.connect_timeout_s = min(MAX_CONNECT_TIMEOUT_S, 2 * self.connect_timeout_s)
 
-    def alarm(self, at: int) -> None:
-        self.due = at
-        self.loop.wake(at, self)
+    def set_timer(self, at: int) -> None:
+        self.due_at = at
+        self.loop.set_timer(at, self)
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Nothing has come until `due`: time to dial, or too long for a dial or an answer."""
-        if self.step == RESTING:
-            self.begin(now)
+        if self.state == WAITING:
+            self.connect(now)
             return
-        due = self.due
-        if self.sock is not None and come(self.sock, self.step != CALLING):
+        due = self.due_at
+        if self.sock is not None and is_ready(self.sock, self.state != REQUESTING):
             # Guards a sidecar against being judged by how late the loop is that it shares: it has come in
             # time, and waits to be read.
-            self.ready(now)
-        if self.due == due:
-            self.failed(now, TimeoutError("silent"))
+            self.on_socket_ready(now)
+        if self.due_at == due:
+            self.on_failure(now, TimeoutError("silent"))
 
-    def ready(self, now: int) -> None:
+    def on_socket_ready(self, now: int) -> None:
         """The socket can be used."""
         try:
-            if self.step in (DIALLING, CHANGING):
-                self.dialled(now)
+            if self.state in (CONNECTING, SWITCHING):
+                self.on_connected(now)
             else:
-                self.read(now)
-        except (OSError, Malformed, BadList) as trouble:
-            self.failed(now, trouble)
+                self.read_response(now)
+        except (OSError, MalformedMessageError, BadList) as trouble:
+            self.on_failure(now, trouble)
 
-    def dialled(self, now: int) -> None:
+    def on_connected(self, now: int) -> None:
         assert self.sock is not None
         error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             raise OSError(error, "dial")
-        self.dial = CONNECT_TIMEOUT_S
+        self.connect_timeout_s = CONNECT_TIMEOUT_S
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self.before is not None:
-            self.before.close()
-            self.before = None
-            self.watch.move(self.where)
-        self.watch.restart()
-        self.step = CALLING
-        self.loop.expect(self, False)
-        self.call(now)
-
-    def call(self, now: int) -> None:
+        if self.previous_sock is not None:
+            self.previous_sock.close()
+            self.previous_sock = None
+            self.watch.switch_to(self.address)
+        self.watch.reset_connection()
+        self.state = REQUESTING
+        self.loop.register(self, False)
+        self.send_request(now)
+
+    def send_request(self, now: int) -> None:
         assert self.sock is not None
-        request = self.watch.request()
+        request = self.watch.next_request()
         if self.sock.send(request) < len(request):
             raise OSError(errno.ENOBUFS, "no room for a request")
         self.bytes += len(request)
-        self.begun = False
-        self.alarm(now + int(1e6 * self.watch.until_silent()))
+        self.response_started = False
+        self.set_timer(now + int(1e6 * self.watch.answer_timeout_s()))
 
-    def read(self, now: int) -> None:
+    def read_response(self, now: int) -> None:
         assert self.sock is not None
         parser = self.watch.parser
         while True:
             try:
-                count = self.sock.recv_into(parser.ring.room())
+                count = self.sock.recv_into(parser.ring.writable())
             except BlockingIOError:
                 return
-            parser.ring.wrote(count)
+            parser.ring.commit(count)
             self.bytes += count
-            if not self.begun:
-                self.begun = True
-                self.alarm(max(self.due, now + int(1e6 * RESPONSE_TIMEOUT_S)))
+            if not self.response_started:
+                self.response_started = True
+                self.set_timer(max(self.due_at, now + int(1e6 * RESPONSE_TIMEOUT_S)))
             if not count:
-                parser.end()
+                parser.end_input()
             response = parser.next()
             if response is not None:
                 break
             if not count:
                 raise ConnectionResetError("discovery ended the connection")
-        self.take(now, self.watch.update(response))
-        if not response.keeps():
+        self.apply_update(now, self.watch.handle_response(response))
+        if not response.keeps_alive():
             self.close()
-            self.begin(now)
-        elif self.homes is not None and self.homes.answered(
-            clock.since_monotonic(now), *self.watch.standing()
+            self.connect(now)
+        elif self.relay_selector is not None and self.relay_selector.call_answered(
+            clock.from_monotonic(now), *self.watch.region_counts()
         ):
-            self.change(now)
+            self.switch_relay(now)
         else:
-            self.call(now)
+            self.send_request(now)
 
-    def change(self, now: int) -> None:
+    def switch_relay(self, now: int) -> None:
         """Leave one relay that answers for another, once that can be dialled."""
-        self.loop.expect_nothing(self)
-        self.before, self.sock = self.sock, None
-        self.step = CHANGING
-        self.begin(now)
+        self.loop.unregister(self)
+        self.previous_sock, self.sock = self.sock, None
+        self.state = SWITCHING
+        self.connect(now)
 
-    def stay(self, now: int) -> bool:
+    def keep_relay(self, now: int) -> bool:
         """Go on at the relay that answers, where another was tried beside it in vain."""
-        if self.homes is None or self.before is None or self.homes.before is None:
+        if self.relay_selector is None or self.previous_sock is None or self.relay_selector.previous is None:
             return False
-        self.homes.failed(clock.since_monotonic(now))
+        self.relay_selector.call_failed(clock.from_monotonic(now))
         if self.sock is not None:
-            self.loop.expect_nothing(self)
+            self.loop.unregister(self)
             self.sock.close()
-        self.sock, self.before = self.before, None
-        self.where, self.step = self.homes.at, CALLING
-        self.watch.doubted = True
-        self.loop.expect(self, False)
+        self.sock, self.previous_sock = self.previous_sock, None
+        self.address, self.state = self.relay_selector.current, REQUESTING
+        self.watch.ask_immediately = True
+        self.loop.register(self, False)
         return True
 
-    def take(self, now: int, update: Update) -> None:
-        if self.plant is not None:
-            update = self.plant(update)
-        first = not self.listed or self.failures > 0
+    def apply_update(self, now: int, update: ServerListUpdate) -> None:
+        if self.injected_bug is not None:
+            update = self.injected_bug(update)
+        first = not self.has_list or self.failures > 0
         self.failures = 0
-        self.listed = True
+        self.has_list = True
         if first or update.whole or update.entries:
             if update.whole:
                 self.addresses.clear()
             for entry, where in zip(update.entries, update.addresses):
-                if entry.phase == Phase.GONE:
+                if entry.state == ServerState.GONE:
                     self.addresses.pop(entry.server, None)
                 else:
                     self.addresses[entry.server] = where
-            self.balancer.listed(
-                clock.since_monotonic(now), Listing.FULL if update.whole else Listing.CHANGES, update.entries
+            self.balancer.update_servers(
+                clock.from_monotonic(now),
+                ListKind.FULL if update.whole else ListKind.CHANGES,
+                update.entries,
             )
             self.updated_at = now
-            self.loop.updated(self, update.whole)
+            self.loop.list_updated(self, update.whole)
 
-    def failed(self, now: int, trouble: Exception) -> None:
+    def on_failure(self, now: int, trouble: Exception) -> None:
         """Ask again: at once after a first failure, else after a step; with relays, at the next of them."""
-        if self.step == CHANGING and self.stay(now):
+        if self.state == SWITCHING and self.keep_relay(now):
             try:
-                self.call(now)
+                self.send_request(now)
                 return
             except OSError:
                 pass
         self.close()
-        self.watch.doubted = True
+        self.watch.ask_immediately = True
         self.failures += 1
         self.failed_calls += 1
-        if self.homes is not None:
-            self.alarm(now + self.homes.failed(clock.since_monotonic(now)))
+        if self.relay_selector is not None:
+            self.set_timer(now + self.relay_selector.call_failed(clock.from_monotonic(now)))
         elif self.failures == 1 and not isinstance(trouble, Overtaxed):
-            self.begin(now)
+            self.connect(now)
         else:
-            self.alarm(now + int(1e6 * RETRY_INTERVAL_S))
+            self.set_timer(now + int(1e6 * RETRY_INTERVAL_S))
 
     def close(self) -> None:
-        self.step = RESTING
-        if self.before is not None:
-            self.before.close()
-            self.before = None
+        self.state = WAITING
+        if self.previous_sock is not None:
+            self.previous_sock.close()
+            self.previous_sock = None
         if self.sock is not None:
-            self.loop.expect_nothing(self)
+            self.loop.unregister(self)
             self.sock.close()
             self.sock = None
--- a/pumicepath/lab/loopback/demo.py
+++ b/pumicepath/lab/loopback/demo.py
@@ -13,13 +13,13 @@
 from ..model.result import Result
 from ..model.timeline import SECOND
 from ..spec import FaultSpec, Fleet, Load, Plan, RequestClassSpec, Sidecars
-from .world import LiveWorld
+from .world import LoopbackWorld
 
-HALLS, SERVERS, SIDECARS, RATE = 2, 8, 3, 240.0
-SHOWN = 6  # lines of the sidecars' own log
-BAR = 30
+ZONE_COUNT, SERVER_COUNT, SIDECAR_COUNT, SUBMISSIONS_PER_S = 2, 8, 3, 240.0
+MAX_SHOWN_LOG_LINES = 6  # lines of the sidecars' own log
+BAR_WIDTH = 30
 # What goes wrong in turn, and for how great a part of its turn.
-TURNS: Sequence[tuple[str, float, dict[str, Any]]] = (
+FAULT_SCHEDULE: Sequence[tuple[str, float, dict[str, Any]]] = (
     ("die", 0.7, {"servers": (1,)}),
     ("fail-quickly", 0.7, {"servers": (5,)}),
     ("hall-cut-off", 0.5, {"hall": 1}),
@@ -31,15 +31,15 @@
     ("new-id", 0.2, {"servers": (7,)}),
     ("list-down", 0.7, {}),
 )
-TURN_S = 4.0
+FAULT_INTERVAL_S = 4.0
 
 
-def plan(seconds: float) -> Plan:
+def build_plan(seconds: float) -> Plan:
     """As many turns as fit, a short one at least; the rest of the time is calm."""
-    turn = min(TURN_S, seconds / 3)
+    turn = min(FAULT_INTERVAL_S, seconds / 3)
     troubles, at, number = [], turn / 2, 0
     while at + turn <= seconds:
-        kind, part, more = TURNS[number % len(TURNS)]
+        kind, part, more = FAULT_SCHEDULE[number % len(FAULT_SCHEDULE)]
         troubles.append(FaultSpec(kind=kind, at_s=round(at, 3), for_s=round(part * turn, 3), **more))
         at, number = at + turn, number + 1
     tariffs = (
@@ -58,29 +58,31 @@
             patience_ms=1000,
         ),
     )
-    fleet = Fleet(halls=HALLS, servers=SERVERS, work_ms=20.0, cold_s=4.0)
+    fleet = Fleet(halls=ZONE_COUNT, servers=SERVER_COUNT, work_ms=20.0, cold_s=4.0)
     return Plan(
         lasts_s=seconds,
         warm_s=0,
         fleet=fleet,
-        sidecars=Sidecars(count=SIDECARS),
-        load=Load(rate=RATE, tariffs=tariffs),
+        sidecars=Sidecars(count=SIDECAR_COUNT),
+        load=Load(rate=SUBMISSIONS_PER_S, tariffs=tariffs),
         troubles=tuple(troubles),
     )
 
 
-def settled(world: LiveWorld) -> int:
+def last_settled_second(world: LoopbackWorld) -> int:
     """The last second of whose submissions nearly all have ended."""
     return min(max(0, world.timeline.now // SECOND - 2), world.duration // SECOND - 1)
 
 
-def view(world: LiveWorld) -> Group:
+def render_view(world: LoopbackWorld) -> Group:
     """What a terminal shows once a second."""
-    now, tally, at = world.timeline.now, world.tally, settled(world)
+    now, tally, at = world.timeline.now, world.tally, last_settled_second(world)
     offered, good = tally.offered[at], tally.good[at]
     share = good / offered if offered else 0.0
     head = Text(f"second {at:3d}   offered {offered:4d}   served in time {good:4d}  ")
-    head.append("#" * round(share * BAR), "green" if share > 0.97 else "yellow" if share > 0.8 else "red")
+    head.append(
+        "#" * round(share * BAR_WIDTH), "green" if share > 0.97 else "yellow" if share > 0.8 else "red"
+    )
     head.append(f" {share:.0%}")
     going = [
         mark.text
@@ -91,7 +93,7 @@
     table = Table("server", "hall", "hops", "refused by", box=None, pad_edge=False)
     for number in world.server_ids:
         server = world.servers[number]
-        refusing = [sidecar.number for sidecar in world.sidecars if f"s-{number}" in sidecar.refused]
+        refusing = [sidecar.number for sidecar in world.sidecars if f"s-{number}" in sidecar.open_breakers]
         state = "silent" if server.silent else "" if server.up else "down"
         table.add_row(
             f"s-{number}",
@@ -99,13 +101,13 @@
             f"{server.hop_count} {state}",
             ", ".join(f"sidecar {one}" for one in refusing) or "-",
         )
-    log = Text("\n".join(list(world.log)[-SHOWN:]), "dim")
+    log = Text("\n".join(list(world.log)[-MAX_SHOWN_LOG_LINES:]), "dim")
     return Group(head, trouble, table, log)
 
 
-def line(world: LiveWorld) -> str:
+def render_line(world: LoopbackWorld) -> str:
     """The same in a line, where there is no terminal."""
-    at = settled(world)
+    at = last_settled_second(world)
     from_, until = at * SECOND, (at + 1) * SECOND
     going = [
         mark.text
@@ -140,7 +142,7 @@
     }
 
 
-def verdict(result: Result) -> list[str]:
+def summary_lines(result: Result) -> list[str]:
     """For people."""
     told = totals(result)
     lines = [
--- a/pumicepath/lab/loopback/discovery.py
+++ b/pumicepath/lab/loopback/discovery.py
@@ -10,24 +10,24 @@
 import orjson
 
 from ...http1 import writing
-from ...interface import Entry, Listing, Phase
-from .ground import Ground
+from ...interface import ListKind, ServerEntry, ServerState
+from .host import LoopbackHost
 
-HEALTH = {Phase.READY: "active", Phase.DRAINING: "leaving", Phase.GONE: "left"}
-WATCH = re.compile(rb"[?&]since=(\d+)&timeout_ms=(\d+)")
+HEALTH_BY_STATE = {ServerState.READY: "active", ServerState.DRAINING: "leaving", ServerState.GONE: "left"}
+WATCH_QUERY = re.compile(rb"[?&]since=(\d+)&timeout_ms=(\d+)")
 
 
-class Desk:
+class DiscoveryServer:
     """What one sidecar's watch meets; it is that sidecar's reader of the registry."""
 
-    def __init__(self, world: Ground, number: int) -> None:
+    def __init__(self, world: LoopbackHost, number: int) -> None:
         self.world = world
         self.number = number
         self.version = 0
-        self.answers: list[tuple[bool, list[Entry]]] = []  # whole or changes, not yet fetched
-        self.failed = False
-        self.some = asyncio.Event()
-        self.base_ms = time.time() * 1000 - world.timeline.now / 1000
+        self.pending_updates: list[tuple[bool, list[ServerEntry]]] = []  # whole or changes, not yet fetched
+        self.fails_next = False
+        self.update_ready = asyncio.Event()
+        self.start_unix_ms = time.time() * 1000 - world.timeline.now / 1000
         self.listener: asyncio.Server
         self.address = ""
 
@@ -36,33 +36,33 @@
         host, port = self.listener.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
-    def receive_list(self, kind: Listing, entries: list[Entry]) -> None:
-        if kind == Listing.CACHED:
+    def receive_list(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+        if kind == ListKind.CACHED:
             return  # stands in the configuration
-        if kind == Listing.FAILED:
-            self.failed = True
-        elif kind == Listing.FULL:
-            self.answers = [(True, entries)]
+        if kind == ListKind.FAILED:
+            self.fails_next = True
+        elif kind == ListKind.FULL:
+            self.pending_updates = [(True, entries)]
         else:
-            self.answers.append((False, entries))
-        self.some.set()
+            self.pending_updates.append((False, entries))
+        self.update_ready.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                found = WATCH.search(head)
+                found = WATCH_QUERY.search(head)
                 wait = int(found[2]) / 1000 if found else 0.0
                 following = self.world.registry.subscriptions.get(self.number)
                 if following is None:
                     break
-                self.failed = False
+                self.fails_next = False
                 if not found or not following.following:
-                    self.answers.clear()
-                    self.some.clear()
+                    self.pending_updates.clear()
+                    self.update_ready.clear()
                     self.world.registry.subscribe(self.number)
                     wait = max(wait, 5.0)
-                writer.write(await self.next(wait))
+                writer.write(await self.next_response(wait))
                 await writer.drain()
         except (
             asyncio.IncompleteReadError,
@@ -74,40 +74,40 @@
         finally:
             writer.close()
 
-    async def next(self, wait: float) -> bytes:
+    async def next_response(self, wait_s: float) -> bytes:
         """The next answer: what there is, a failure, or nothing new when the wait is over."""
         try:
-            await asyncio.wait_for(self.some.wait(), wait)
+            await asyncio.wait_for(self.update_ready.wait(), wait_s)
         except TimeoutError:
-            return self.answer(False, [])
-        if self.failed:
-            self.failed = False
-            self.some.clear()
+            return self.list_response(False, [])
+        if self.fails_next:
+            self.fails_next = False
+            self.update_ready.clear()
             return writing.response(503, [], b"down", True)
-        whole, entries = self.answers.pop(0) if self.answers else (False, [])
-        if not self.answers:
-            self.some.clear()
-        return self.answer(whole, entries)
+        whole, entries = self.pending_updates.pop(0) if self.pending_updates else (False, [])
+        if not self.pending_updates:
+            self.update_ready.clear()
+        return self.list_response(whole, entries)
 
-    def answer(self, whole: bool, entries: list[Entry]) -> bytes:
+    def list_response(self, whole: bool, entries: list[ServerEntry]) -> bytes:
         self.version += 1
-        body = orjson.dumps(self.listing(whole, entries))
+        body = orjson.dumps(self.list_document(whole, entries))
         return writing.response(200, [("Content-Type", "application/json")], body, True)
 
-    def listing(self, whole: bool, entries: list[Entry]) -> dict[str, Any]:
+    def list_document(self, whole: bool, entries: list[ServerEntry]) -> dict[str, Any]:
         return {
             "seq": self.version,
             "whole": whole,
             "hosts": [
                 {
                     "host": f"s-{entry.server}",
-                    "dial": self.world.address_of(entry.server),
+                    "dial": self.world.server_address(entry.server),
                     "site": f"hall-{entry.zone}",
                     "class": "m",
                     "block": entry.cell,
-                    "health": HEALTH[entry.phase],
-                    "share": entry.scale,
-                    "born_ms": int(self.base_ms + entry.came_up / 1000) if entry.came_up else 0,
+                    "health": HEALTH_BY_STATE[entry.state],
+                    "share": entry.weight,
+                    "born_ms": int(self.start_unix_ms + entry.started_at / 1000) if entry.started_at else 0,
                 }
                 for entry in entries
             ],
--- a/pumicepath/lab/loopback/ground.py
+++ b/pumicepath/lab/loopback/host.py
@@ -6,49 +6,49 @@
 from collections.abc import Coroutine, Sequence
 from typing import Any, Protocol
 
-from ...interface import Tariff
-from ..faults.history import History
+from ...interface import RequestClass
 from ..model.links import Links
 from ..model.network import Network
 from ..model.registry import Registry
 from ..model.rule_checker import RuleChecker
 from ..spec import Plan
-from .clock import Live
+from ..verification.history import History
+from .clock import EventLoopTimeline
 
 
-class Ground(Protocol):
+class LoopbackHost(Protocol):
     plan: Plan
     seed: int
-    over: bool
+    is_closed: bool
     rule_checker: RuleChecker
     registry: Registry
     network: Network
     loop: asyncio.AbstractEventLoop
-    timeline: Live
+    timeline: EventLoopTimeline
     history: History
     links: Links | None
-    request_classes: tuple[Tariff, ...]
+    request_classes: tuple[RequestClass, ...]
     processes: list[asyncio.subprocess.Process]
 
-    def keep(self, work: Coroutine[Any, Any, Any]) -> None:
+    def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
         """Have it run, and ended with the world."""
 
     def note(self, text: str) -> None: ...
 
-    def hall_of(self, sidecar: int) -> int: ...
+    def zone_of(self, sidecar: int) -> int: ...
 
-    def address_of(self, server: int) -> str: ...
+    def server_address(self, server: int) -> str: ...
 
     def work(self, ask: int) -> int: ...
 
-    def peers_of(self, sidecar: int) -> Sequence[str]:
+    def seed_addresses(self, sidecar: int) -> Sequence[str]:
         """The addresses that it is told as seeds."""
 
-    def voters(self) -> Sequence[str]:
+    def voter_addresses(self) -> Sequence[str]:
         """The addresses of those that vote."""
 
-    def speaks(self, sidecar: int, where: tuple[str, int]) -> None:
+    def set_peer_socket(self, sidecar: int, address: tuple[str, int]) -> None:
         """A process of it has begun, whose own socket for peers is there."""
 
-    def front(self, sidecar: int) -> str:
+    def peer_address(self, sidecar: int) -> str:
         """The address at which other sidecars reach it."""
--- a/pumicepath/lab/loopback/process.py
+++ b/pumicepath/lab/loopback/process.py
@@ -9,19 +9,19 @@
 from pathlib import Path
 from typing import Any
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class Sidecar:
+class SidecarProcess:
     """`pumicepath serve` from the tree at `root`, on the cores given; its log goes to `log`."""
 
-    def __init__(self, told: dict[str, Any], folder: Path, root: Path, cores: set[int]) -> None:
+    def __init__(self, configuration: dict[str, Any], folder: Path, root: Path, cores: set[int]) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         path = folder / "config.json"
-        path.write_text(json.dumps(told))
-        self.log = folder / "log"
-        with self.log.open("wb") as log:
+        path.write_text(json.dumps(configuration))
+        self.log_path = folder / "log"
+        with self.log_path.open("wb") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-O", "-m", "pumicepath", "serve"],
                 cwd=root,
@@ -40,23 +40,23 @@
         return None
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        lines = self.log.read_bytes().split(b"\n")[:-1]
+        lines = self.log_path.read_bytes().split(b"\n")[:-1]
         return [event for event in map(json.loads, lines) if event["event"] == name]
 
-    def cpu(self) -> tuple[float, float]:
+    def cpu_seconds(self) -> tuple[float, float]:
         """Seconds of CPU used so far, of its own and in the system."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return int(fields[11]) / TICKS, int(fields[12]) / TICKS
+        return int(fields[11]) / CLOCK_TICKS_PER_S, int(fields[12]) / CLOCK_TICKS_PER_S
 
     def memory_mb(self) -> float:
-        return int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1]) * PAGE / 1e6
+        return int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
-    def descriptors(self) -> int:
+    def descriptor_count(self) -> int:
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
-    def threads(self) -> int:
+    def thread_count(self) -> int:
         return len(os.listdir(f"/proc/{self.process.pid}/task"))
 
-    def end(self) -> None:
+    def kill(self) -> None:
         self.process.kill()
         self.process.wait()
--- a/pumicepath/lab/loopback/ends.py
+++ b/pumicepath/lab/loopback/protocols.py
@@ -8,21 +8,21 @@
 import asyncio
 from typing import Any
 
-from ...http1.messages import Malformed, Request, Response
+from ...http1.messages import MalformedMessageError, Request, Response
 from ...http1.parsing import RequestParser, ResponseParser
 
 
-class End(asyncio.Protocol):
+class HttpProtocol(asyncio.Protocol):
     transport: asyncio.Transport
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
-    def malformed(self, trouble: Malformed) -> None:
+    def malformed_message(self, trouble: MalformedMessageError) -> None:
         self.transport.abort()
 
 
-class ServerEnd(End):
+class HttpServerProtocol(HttpProtocol):
     def __init__(self) -> None:
         self.parser = RequestParser()
 
@@ -30,15 +30,15 @@
         try:
             self.parser.feed(data)
             while (request := self.parser.next()) is not None:
-                self.came(request)
-        except Malformed as trouble:
-            self.malformed(trouble)
+                self.request_received(request)
+        except MalformedMessageError as trouble:
+            self.malformed_message(trouble)
 
-    def came(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         raise NotImplementedError
 
 
-class ClientEnd(End):
+class HttpClientProtocol(HttpProtocol):
     def __init__(self) -> None:
         self.parser = ResponseParser()
 
@@ -46,11 +46,11 @@
         try:
             self.parser.feed(data)
             response = self.parser.next()
-        except Malformed as trouble:
-            self.malformed(trouble)
+        except MalformedMessageError as trouble:
+            self.malformed_message(trouble)
             return
         if response is not None:
-            self.answered(response)
+            self.response_received(response)
 
-    def answered(self, response: Response) -> None:
+    def response_received(self, response: Response) -> None:
         raise NotImplementedError
--- a/pumicepath/lab/loopback/scripted.py
+++ b/pumicepath/lab/loopback/scripted.py
@@ -20,14 +20,14 @@
 from ...http1.messages import Response
 from ...http1.parsing import RequestParser, ResponseParser
 
-EVENT_S = 60.0  # that a sidecar may take to log what it must, however slow the machine is
+EVENT_TIMEOUT_S = 60.0  # that a sidecar may take to log what it must, however slow the machine is
 
 
-def answer(status: int, body: str = "", *headers: tuple[str, str]) -> bytes:
+def http_response(status: int, body: str = "", *headers: tuple[str, str]) -> bytes:
     return writing.response(status, list(headers), body.encode(), True)
 
 
-def next_of(sock: socket.socket, parser: RequestParser | ResponseParser) -> Any:
+def read_message(sock: socket.socket, parser: RequestParser | ResponseParser) -> Any:
     """The next message, or None once the peer has ended or broken the connection."""
     while (message := parser.next()) is None:
         try:
@@ -36,23 +36,23 @@
             return None
         parser.feed(data)
         if not data:
-            parser.end()
+            parser.end_input()
             return parser.next()
     return message
 
 
-class Peer:
+class ScriptedServer:
     """A stand-in on a port of its own: for each request the next thing of its script.
 
     Bytes are sent; `end`, `reset` and `wait` end the connection, reset it, or leave it silent until the
     sidecar closes it; a pair is bytes and one of these.
     """
 
-    def __init__(self, name: str, script: queue.SimpleQueue, lines: list[str]) -> None:
-        self.name, self.script, self.lines = name, script, lines
+    def __init__(self, name: str, script: queue.SimpleQueue, transcript: list[str]) -> None:
+        self.name, self.script, self.transcript = name, script, transcript
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.closed, self.met = threading.Semaphore(0), threading.Semaphore(0)
+        self.closed_connections, self.received_requests = threading.Semaphore(0), threading.Semaphore(0)
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
@@ -65,10 +65,10 @@
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
-        while (request := next_of(sock, parser)) is not None:
+        while (request := read_message(sock, parser)) is not None:
             what = (request.method, request.target, request.header("X-Trace-Id"), request.body.decode())
-            self.lines.append(f"{self.name}: {' '.join(what)}".rstrip())
-            self.met.release()
+            self.transcript.append(f"{self.name}: {' '.join(what)}".rstrip())
+            self.received_requests.release()
             step = self.script.get()
             if not isinstance(step, tuple):
                 step = (step, "") if isinstance(step, bytes) else (b"", step)
@@ -79,35 +79,35 @@
             if then in ("end", "reset"):
                 break
         sock.close()
-        self.closed.release()
+        self.closed_connections.release()
 
 
-class Log:
+class EventLog:
     """The events of one process, read as they come: no full pipe holds it up, nor it a test."""
 
     def __init__(self, process: subprocess.Popen) -> None:
         self.process = process
-        self.seen: list[dict[str, Any]] = []  # all of them so far, whoever asked for which
-        self.events: queue.SimpleQueue[dict[str, Any] | None] = queue.SimpleQueue()
-        self.reader = threading.Thread(target=self.read, daemon=True)
-        self.reader.start()
+        self.all_events: list[dict[str, Any]] = []  # all of them so far, whoever asked for which
+        self.unread_events: queue.SimpleQueue[dict[str, Any] | None] = queue.SimpleQueue()
+        self.reader_thread = threading.Thread(target=self.read, daemon=True)
+        self.reader_thread.start()
 
     def read(self) -> None:
         for line in self.process.stdout or ():
-            self.seen.append(json.loads(line))
-            self.events.put(self.seen[-1])
-        self.events.put(None)
+            self.all_events.append(json.loads(line))
+            self.unread_events.put(self.all_events[-1])
+        self.unread_events.put(None)
 
-    def next(self, names: tuple[str, ...]) -> dict[str, Any]:
+    def next_event(self, names: tuple[str, ...]) -> dict[str, Any]:
         """The next event of one of these names; raises AssertionError if it does not come."""
-        end = time.monotonic() + EVENT_S
+        end = time.monotonic() + EVENT_TIMEOUT_S
         while True:
             try:
-                event = self.events.get(timeout=max(0.0, end - time.monotonic()))
+                event = self.unread_events.get(timeout=max(0.0, end - time.monotonic()))
             except queue.Empty:
-                raise AssertionError(f"no event {' or '.join(names)} within {EVENT_S:g} s") from None
+                raise AssertionError(f"no event {' or '.join(names)} within {EVENT_TIMEOUT_S:g} s") from None
             if event is None:
-                self.events.put(None)
+                self.unread_events.put(None)
                 raise AssertionError(f"the log ended before {' or '.join(names)}")
             if event["event"] in names:
                 return event
@@ -116,12 +116,12 @@
 class Deployment:
     """One sidecar as a process of its own, with the stand-ins around it and one connection of its client."""
 
-    def __init__(self, folder: Path, servers: int, **changed: object) -> None:
-        self.lines: list[str] = []
+    def __init__(self, folder: Path, servers: int, **overrides: object) -> None:
+        self.transcript: list[str] = []
         self.script: queue.SimpleQueue = queue.SimpleQueue()
-        self.lists: queue.SimpleQueue = queue.SimpleQueue()
-        self.discovery = Peer("discovery", self.lists, [])
-        self.servers = [Peer(f"s-{at}", self.script, self.lines) for at in range(servers)]
+        self.discovery_script: queue.SimpleQueue = queue.SimpleQueue()
+        self.discovery = ScriptedServer("discovery", self.discovery_script, [])
+        self.servers = [ScriptedServer(f"s-{at}", self.script, self.transcript) for at in range(servers)]
         tariffs = [
             {"name": name, "effect": effect, "gain": 1.0, "agreedTimeS": 0.6, "patienceS": 2.5}
             for name, effect in (("read", "idempotent"), ("once", "at_most_once"))
@@ -133,13 +133,13 @@
             "retryAfter": True,
             "maxRetryAfterS": 2.0,
         }
-        self.told = {
+        self.configuration = {
             "name": "n0",
             "listen": "127.0.0.1:0",
             "discovery": self.discovery.address,
             "seed": "1f",
             "limits": {"memory_mb": 192, "sockets": 1024},
-            "known": self.listing(1, True, "active"),
+            "known": self.list_document(1, True, "active"),
             "settings": {
                 "membershipMode": "on_request",
                 "dcs": ["a"],
@@ -150,15 +150,15 @@
                 "policyLimits": limits,
                 "tariffs": tariffs,
             },
-            **changed,
+            **overrides,
         }
-        self.config = folder / "config.json"
-        self.config.write_text(json.dumps(self.told))
-        self.number = 0
+        self.config_path = folder / "config.json"
+        self.config_path.write_text(json.dumps(self.configuration))
+        self.last_submission = 0
         self.environment: dict[str, str] = {}
-        self.logs: dict[subprocess.Popen, Log] = {}
+        self.logs: dict[subprocess.Popen, EventLog] = {}
 
-    def listing(self, seq: int, whole: bool, health: str) -> dict:
+    def list_document(self, seq: int, whole: bool, health: str) -> dict:
         return {
             "seq": seq,
             "whole": whole,
@@ -179,76 +179,78 @@
 
     @contextmanager
     def running(self) -> Iterator[Deployment]:
-        self.process = self.begun()
+        self.process = self.start_process()
         try:
-            started = self.event("started")
+            started = self.next_event("started")
             host, port = started["listen"].rsplit(":", 1)
-            self.where = (host, int(port))
+            self.address = (host, int(port))
             host, _, port = started["operators"].rpartition(":")
-            self.operators = (host, int(port or 0))
-            self.client = socket.create_connection(self.where)
-            self.parser = ResponseParser()
+            self.admin_address = (host, int(port or 0))
+            self.client_socket = socket.create_connection(self.address)
+            self.client_parser = ResponseParser()
             yield self
         finally:
             self.process.kill()
             self.process.wait()
 
-    def begun(self) -> subprocess.Popen:
+    def start_process(self) -> subprocess.Popen:
         command = [sys.executable, "-m", "pumicepath", "serve"]
-        environment = {**os.environ, **self.environment, "GW_CONFIG": str(self.config)}
+        environment = {**os.environ, **self.environment, "GW_CONFIG": str(self.config_path)}
         process = subprocess.Popen(command, stdout=subprocess.PIPE, env=environment)
-        self.logs[process] = Log(process)
+        self.logs[process] = EventLog(process)
         return process
 
     def send(
         self,
-        tariff: str,
-        expires: int = 2000,
+        request_class: str,
+        expires_in_ms: int = 2000,
         method: str = "POST",
         body: str = "",
         sock: socket.socket | None = None,
     ) -> None:
-        self.number += 1
+        self.last_submission += 1
         headers = [
             ("Host", "api"),
-            ("X-Trace-Id", f"t{self.number}"),
-            ("X-Qos", tariff),
-            ("X-Expires-In-Ms", str(expires)),
+            ("X-Trace-Id", f"t{self.last_submission}"),
+            ("X-Qos", request_class),
+            ("X-Expires-In-Ms", str(expires_in_ms)),
             ("X-Object", "lot"),
         ]
-        (sock or self.client).sendall(writing.request(method, "/api?x=1", headers, body.encode()))
+        (sock or self.client_socket).sendall(writing.request(method, "/api?x=1", headers, body.encode()))
 
-    def hear(
+    def receive(
         self, sock: socket.socket | None = None, parser: ResponseParser | None = None
     ) -> Response | None:
-        response: Response | None = next_of(sock or self.client, parser or self.parser)
-        self.lines.append(
+        response: Response | None = read_message(sock or self.client_socket, parser or self.client_parser)
+        self.transcript.append(
             "client: nothing"
             if response is None
             else f"client: {response.status} {response.body.decode().strip()}"
-            f"{'' if response.keeps() else ', closed'}"
+            f"{'' if response.keeps_alive() else ', closed'}"
         )
         return response
 
-    def ask(self, tariff: str, *steps: object, expires: int = 2000, body: str = "") -> Response | None:
+    def submit(
+        self, request_class: str, *steps: object, expires_in_ms: int = 2000, body: str = ""
+    ) -> Response | None:
         """One submission; the servers do these steps, whichever of them it meets."""
         for step in steps:
             self.script.put(step)
-        self.send(tariff, expires, "POST" if body else "GET", body)
-        return self.hear()
+        self.send(request_class, expires_in_ms, "POST" if body else "GET", body)
+        return self.receive()
 
-    def call(self, method: str, path: str, where: tuple[str, int] | None = None) -> Response | None:
+    def call_admin(self, method: str, path: str, address: tuple[str, int] | None = None) -> Response | None:
         """One call of the operators."""
-        with socket.create_connection(where or self.operators) as sock:
+        with socket.create_connection(address or self.admin_address) as sock:
             sock.sendall(writing.request(method, path, [("Host", "operators")]))
-            response: Response | None = next_of(sock, ResponseParser())
+            response: Response | None = read_message(sock, ResponseParser())
             return response
 
-    def figures(self) -> dict[str, int]:
-        response = self.call("GET", "/stats")
+    def metrics(self) -> dict[str, int]:
+        response = self.call_admin("GET", "/stats")
         lines = response.body.decode().split() if response is not None else []
         return {name: int(value) for name, _, value in (line.partition("=") for line in lines)}
 
-    def event(self, *names: str, process: subprocess.Popen | None = None) -> dict[str, Any]:
+    def next_event(self, *names: str, process: subprocess.Popen | None = None) -> dict[str, Any]:
         """The next such event of the log."""
-        return self.logs[process or self.process].next(names)
+        return self.logs[process or self.process].next_event(names)
--- a/pumicepath/lab/loopback/servers.py
+++ b/pumicepath/lab/loopback/servers.py
@@ -8,32 +8,32 @@
 from typing import Any
 
 from ...http1 import writing
-from ...http1.messages import Malformed, Request
+from ...http1.messages import MalformedMessageError, Request
 from ...interface import Outcome
-from ...sidecar.servers import NEVER_RAN
+from ...sidecar.servers import NEVER_RAN_HEADER
 from ..model.servers import Job, Server
-from .ends import ServerEnd
-from .ground import Ground
+from .host import LoopbackHost
+from .protocols import HttpServerProtocol
 
 BODY = b"s" * 200
-ANSWERS = {
+RESPONSES = {
     Outcome.OK: writing.response(200, [], BODY, True),
     Outcome.ERROR: writing.response(500, [], b"failed", True),
-    Outcome.FULL: writing.response(503, [(NEVER_RAN, "1")], b"full", True),
+    Outcome.FULL: writing.response(503, [(NEVER_RAN_HEADER, "1")], b"full", True),
 }
-FILLED = 2  # connections that fill the queue of a listener with no backlog
-AT_ONCE = struct.pack("ii", 1, 0)
+BACKLOG_FILLERS = 2  # connections that fill the queue of a listener with no backlog
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-class Door:
+class ServerListener:
     """One address for good, whoever listens behind it: open, shut (refuses), or silent (drops)."""
 
-    def __init__(self, world: Ground) -> None:
+    def __init__(self, world: LoopbackHost) -> None:
         self.world = world
         self.port = 0
         self.sock: socket.socket
         self.fillers: list[socket.socket] = []
-        self.behind: LiveServer | None = None
+        self.server: LoopbackServer | None = None
         self.bind()
         self.port = self.sock.getsockname()[1]
 
@@ -58,22 +58,22 @@
         self.fillers.clear()
         self.sock.close()
 
-    def shut(self) -> None:
+    def refuse_connections(self) -> None:
         """Connections are refused: the port is held, and nobody listens."""
         self.close()
         self.bind()
 
-    def open(self, server: LiveServer) -> None:
-        self.shut()
-        self.behind = server
+    def open(self, server: LoopbackServer) -> None:
+        self.refuse_connections()
+        self.server = server
         self.sock.listen(1024)
         self.world.loop.add_reader(self.sock.fileno(), self.accept)
 
-    def silence(self) -> None:
+    def drop_connections(self) -> None:
         """The kernel drops what would connect: nobody accepts, and the queue is full."""
-        self.shut()
+        self.refuse_connections()
         self.sock.listen(0)
-        for _ in range(FILLED):
+        for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             with suppress(BlockingIOError):
@@ -85,47 +85,49 @@
             while True:
                 sock, _ = self.sock.accept()
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self.world.keep(
-                    self.world.loop.connect_accepted_socket(lambda: Connection(self.world, self.behind), sock)
+                self.world.start_task(
+                    self.world.loop.connect_accepted_socket(
+                        lambda: ServerConnection(self.world, self.server), sock
+                    )
                 )
 
 
-class LiveServer(Server):
+class LoopbackServer(Server):
     """A server of the model with connections; `door` is given once it has a place."""
 
-    door: Door | None = None
+    listener: ServerListener | None = None
 
     def __init__(self, *given: Any, **named: Any) -> None:
         super().__init__(*given, **named)
-        self.connections: set[Connection] = set()
+        self.connections: set[ServerConnection] = set()
 
     def kill(self) -> None:
         super().kill()
-        if self.door is not None and self.door.behind is self:
-            self.door.shut()
+        if self.listener is not None and self.listener.server is self:
+            self.listener.refuse_connections()
         for connection in list(self.connections):
             connection.reset()
 
     def start(self, cold: bool = True) -> None:
         super().start(cold)
-        if self.door is not None:
-            self.door.open(self)
+        if self.listener is not None:
+            self.listener.open(self)
 
     def silence(self) -> None:
         super().silence()
-        if self.door is not None:
-            self.door.silence()
+        if self.listener is not None:
+            self.listener.drop_connections()
 
 
-class Connection(ServerEnd):
+class ServerConnection(HttpServerProtocol):
     """One connection to a server: a request at a time, answered when the model says so."""
 
-    def __init__(self, world: Ground, server: LiveServer | None) -> None:
+    def __init__(self, world: LoopbackHost, server: LoopbackServer | None) -> None:
         super().__init__()
         self.world = world
         self.server = server
         self.job: Job | None = None
-        self.ask = -1
+        self.submission = -1
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
@@ -138,7 +140,7 @@
         if self.server is None:
             return
         self.server.connections.discard(self)
-        ask, self.ask = self.ask, -1
+        ask, self.submission = self.submission, -1
         if ask < 0:
             return
         if self.job is None:  # on its way, or lost where nothing answers
@@ -146,57 +148,59 @@
         elif not self.job.finished:
             self.server.cancel(self.job)
 
-    def malformed(self, trouble: Malformed) -> None:
+    def malformed_message(self, trouble: MalformedMessageError) -> None:
         self.world.note(f"server got {trouble}")
         self.reset()
 
-    def came(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         world, server = self.world, self.server
         if server is None:
             return
-        self.ask = int(request.header("x-trace-id").partition("-")[0], 16)
-        sidecar = self.ask >> 32
-        hall = world.hall_of(sidecar)
-        world.rule_checker.hop_sent(sidecar, server.number, self.ask)
-        world.network.carry(hall, server.zone, self.arrive, self.ask, sidecar, request.header("x-object"))
+        self.submission = int(request.header("x-trace-id").partition("-")[0], 16)
+        sidecar = self.submission >> 32
+        hall = world.zone_of(sidecar)
+        world.rule_checker.hop_sent(sidecar, server.number, self.submission)
+        world.network.carry(
+            hall, server.zone, self.hop_arrived, self.submission, sidecar, request.header("x-object")
+        )
 
-    def arrive(self, ask: int, sidecar: int, key: str) -> None:
+    def hop_arrived(self, submission: int, sidecar: int, key: str) -> None:
         world, server = self.world, self.server
-        if self.ask != ask or server is None:
+        if self.submission != submission or server is None:
             return  # given up on the way
 
         def reply(outcome: Outcome) -> None:
-            world.rule_checker.hop_returned(ask)
+            world.rule_checker.hop_returned(submission)
             self.job = None
-            if self.ask == ask:
-                self.ask = -1
+            if self.submission == submission:
+                self.submission = -1
                 if not server.silent:
-                    world.network.carry(server.zone, world.hall_of(sidecar), self.answer, outcome)
+                    world.network.carry(server.zone, world.zone_of(sidecar), self.send_response, outcome)
 
         job = Job(
-            ask,
+            submission,
             int(key or "0", 16),
             sidecar,
-            world.work(ask),
+            world.work(submission),
             reply,
             world.registry.start_is_known(sidecar, server.number, server.started_at),
         )
         if server.receive(job) and not job.finished:
             self.job = job
 
-    def answer(self, outcome: Outcome) -> None:
+    def send_response(self, outcome: Outcome) -> None:
         if self.transport.is_closing():
             return
-        if outcome not in ANSWERS:
+        if outcome not in RESPONSES:
             self.reset()
         elif outcome == Outcome.OK and self.server is not None and self.server.draw_stall():
-            self.transport.write(ANSWERS[outcome][: -len(BODY) // 2])  # and no more
+            self.transport.write(RESPONSES[outcome][: -len(BODY) // 2])  # and no more
         else:
-            self.transport.write(ANSWERS[outcome])
+            self.transport.write(RESPONSES[outcome])
 
     def reset(self) -> None:
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
             with suppress(OSError):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.transport.abort()
