--- a/pumicepath/lab/loopback/world.py
+++ b/pumicepath/lab/loopback/world.py
@@ -12,36 +12,36 @@
 from typing import Any
 
 from ..fault_kinds import KINDS
-from ..faults.history import VERSION, History
-from ..faults.recording import Recorded
 from ..model.links import Links
 from ..model.result import Result, collect_result
 from ..model.rule_checker import RuleChecker
 from ..model.timeline import SECOND
 from ..model.world import World
 from ..spec import Plan
-from .clock import Live
-from .relays import Relays
-from .servers import Door, LiveServer
-from .sidecars import READY_S, LiveSidecar
-
-SLACK = 60_000  # microseconds that the loop and the kernel may take between an act and its sight
-MOST_BEHIND_MS = 25.0  # ticks later than this mean that the stand-ins, not the sidecars, were too slow
-KEPT_LINES = 2000
-LOOK_S = 0.5  # between two looks at what sidecars see of each other,
-LOOK_AT_DUTIES_S = 0.1  # and at what each of them holds, where there are few of them,
-MOST_LOOKS = 100.0  # a second, of all: the rig must not be what is slow
-SEEDS = VOTERS = 3
-
-
-class Void(Exception):
+from ..verification.history import VERSION, History
+from ..verification.recording import RecordingRuleChecker
+from .clock import EventLoopTimeline
+from .datagram_proxies import DatagramProxies
+from .servers import LoopbackServer, ServerListener
+from .sidecars import READY_TIMEOUT_S, LoopbackSidecar
+
+SLACK_US = 60_000  # microseconds that the loop and the kernel may take between an act and its sight
+MAX_TICK_DELAY_MS = 25.0  # ticks later than this mean that the stand-ins, not the sidecars, were too slow
+MAX_LOG_LINES = 2000
+VIEW_POLL_INTERVAL_S = 0.5  # between two looks at what sidecars see of each other,
+MIN_DUTY_POLL_INTERVAL_S = 0.1  # and at what each of them holds, where there are few of them,
+MAX_DUTY_POLLS_PER_S = 100.0  # a second, of all: the rig must not be what is slow
+SEED_COUNT = VOTER_COUNT = 3
+
+
+class InvalidRunError(Exception):
     """The run says nothing; the text says why."""
 
 
-class LiveWorld(World):
+class LoopbackWorld(World):
     """Ports and descriptors: one listener a server and a list for each sidecar; all of it on 127.0.0.1."""
 
-    timeline: Live
+    timeline: EventLoopTimeline
 
     def __init__(
         self,
@@ -49,75 +49,83 @@
         seed: int,
         folder: Path,
         history: Path | None = None,
-        judging: Callable[..., RuleChecker] | None = None,
+        make_rule_checker: Callable[..., RuleChecker] | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        timeline = Live(self.loop)
+        timeline = EventLoopTimeline(self.loop)
         self.playing = False
         self.history = History(history, lambda: timeline.now if self.playing else 0)
-        self.history.write("rig", "run", version=VERSION, seed=seed, slack=SLACK, plan=plan.model_dump())
+        self.history.write("rig", "run", version=VERSION, seed=seed, slack=SLACK_US, plan=plan.model_dump())
         self.tasks: set[asyncio.Task[Any]] = set()
         self.processes: list[asyncio.subprocess.Process] = []
-        self.doors: dict[int, Door] = {}
-        self.log: deque[str] = deque(maxlen=KEPT_LINES)
-        self.over = False
-        self.faults: list[str] = []  # of the stand-ins themselves
-        self.loop.set_exception_handler(self.fault)
+        self.listeners: dict[int, ServerListener] = {}
+        self.log: deque[str] = deque(maxlen=MAX_LOG_LINES)
+        self.is_closed = False
+        self.internal_errors: list[str] = []  # of the stand-ins themselves
+        self.loop.set_exception_handler(self.record_internal_error)
         self.at_servers: list[list[int]] = []
         self.breakers: list[list[float]] = []
         super().__init__(
             plan,
             seed,
             timeline,
-            LiveServer,
-            SLACK,
-            judging or functools.partial(Recorded, history=self.history),
+            LoopbackServer,
+            SLACK_US,
+            make_rule_checker or functools.partial(RecordingRuleChecker, history=self.history),
         )
         if plan.sidecars.peers:
             self.links = Links(timeline, seed)
-            self.links.observer = self.carried
-            self.relays = Relays(self.links)
+            self.links.observer = self.record_datagram
+            self.datagram_proxies = DatagramProxies(self.links)
         self.sidecars = [
-            LiveSidecar(self, number, self.hall_of(number), folder) for number in range(plan.sidecars.count)
+            LoopbackSidecar(self, number, self.zone_of(number), folder)
+            for number in range(plan.sidecars.count)
         ]
         self.instances.extend(self.sidecars)
 
-    def add_server(self, place: int, cold: bool = False) -> LiveServer:
+    def add_server(self, place: int, cold: bool = False) -> LoopbackServer:
         server = super().add_server(place, cold)
-        assert isinstance(server, LiveServer)
-        if place not in self.doors:
-            self.doors[place] = Door(self)
-        server.door = self.doors[place]
-        server.door.open(server)
+        assert isinstance(server, LoopbackServer)
+        if place not in self.listeners:
+            self.listeners[place] = ServerListener(self)
+        server.listener = self.listeners[place]
+        server.listener.open(server)
         return server
 
-    def hall_of(self, sidecar: int) -> int:
+    def zone_of(self, sidecar: int) -> int:
         return sidecar % self.plan.fleet.halls
 
-    def address_of(self, server: int) -> str:
+    def server_address(self, server: int) -> str:
         door = self.servers[server].door  # type: ignore[attr-defined]
         return str(door.address)
 
-    def keep(self, work: Coroutine[Any, Any, Any]) -> None:
+    def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def peers_of(self, sidecar: int) -> list[str]:
-        return [self.front(each) for each in range(min(SEEDS, self.plan.sidecars.count)) if each != sidecar]
+    def seed_addresses(self, sidecar: int) -> list[str]:
+        return [
+            self.peer_address(each)
+            for each in range(min(SEED_COUNT, self.plan.sidecars.count))
+            if each != sidecar
+        ]
 
-    def voters(self) -> list[str]:
+    def voter_addresses(self) -> list[str]:
         """The first sidecars vote, where there are duties."""
-        return [self.front(each) for each in range(VOTERS if self.plan.sidecars.count >= VOTERS else 1)]
+        return [
+            self.peer_address(each)
+            for each in range(VOTER_COUNT if self.plan.sidecars.count >= VOTER_COUNT else 1)
+        ]
 
-    def front(self, sidecar: int) -> str:
-        return self.relays.addresses[sidecar]
+    def peer_address(self, sidecar: int) -> str:
+        return self.datagram_proxies.addresses[sidecar]
 
-    def speaks(self, sidecar: int, where: tuple[str, int]) -> None:
+    def set_peer_socket(self, sidecar: int, address: tuple[str, int]) -> None:
         if self.links is not None:
-            self.relays.bind(sidecar, where)
+            self.datagram_proxies.set_sidecar_socket(sidecar, address)
 
-    def carried(self, one: int, other: int, size: int, copies: int, why: str) -> None:
+    def record_datagram(self, one: int, other: int, size: int, copies: int, why: str) -> None:
         """What the relays saw of each datagram, once the run counts."""
         if self.playing:
             self.history.write(
@@ -138,59 +146,61 @@
     def note(self, text: str) -> None:
         self.log.append(f"{self.timeline.now / SECOND:8.3f}  {text}")
 
-    def fault(self, loop: asyncio.AbstractEventLoop, told: dict[str, Any]) -> None:
+    def record_internal_error(self, loop: asyncio.AbstractEventLoop, told: dict[str, Any]) -> None:
         """Something of our own broke in a callback: the run says nothing."""
         trouble = told.get("exception")
-        self.faults.append(f"{told.get('message', '')}: {type(trouble).__name__} {trouble}")
+        self.internal_errors.append(f"{told.get('message', '')}: {type(trouble).__name__} {trouble}")
 
-    async def run(self, told: Callable[[LiveWorld], None] | None = None) -> Result:
+    async def run(self, on_second: Callable[[LoopbackWorld], None] | None = None) -> Result:
         """Start the sidecars, play the plan, end everything.  Raises Void where that can't be done."""
         try:
             if self.links is not None:
-                await self.relays.open(len(self.sidecars))
+                await self.datagram_proxies.open(len(self.sidecars))
             for sidecar in self.sidecars:
                 sidecar.start()
             for sidecar in self.sidecars:
                 try:
-                    await asyncio.wait_for(sidecar.ready.wait(), READY_S)
+                    await asyncio.wait_for(sidecar.ready.wait(), READY_TIMEOUT_S)
                 except TimeoutError:
-                    raise Void(f"sidecar {sidecar.number} did not come up: {' '.join(self.log)}") from None
-            return await self.play(told)
+                    raise InvalidRunError(
+                        f"sidecar {sidecar.number} did not come up: {' '.join(self.log)}"
+                    ) from None
+            return await self.play(on_second)
         finally:
-            await self.end()
+            await self.close()
 
-    async def play(self, told: Callable[[LiveWorld], None] | None) -> Result:
-        self.timeline.began = self.loop.time()  # from here on seconds count
+    async def play(self, on_second: Callable[[LoopbackWorld], None] | None) -> Result:
+        self.timeline.started_at = self.loop.time()  # from here on seconds count
         self.playing = True
         self.history.write("rig", "begun")
         if self.links is not None:
-            self.keep(self.look_at_views())
+            self.start_task(self.poll_views())
             if self.plan.sidecars.trials:
                 for sidecar in self.sidecars:
-                    self.keep(self.look_at_duties(sidecar))
-        self.keep(self.timeline.tick())
+                    self.start_task(self.poll_duties(sidecar))
+        self.start_task(self.timeline.measure_ticks())
         for sidecar in self.sidecars:
             self.make_clients(sidecar, sidecar).start()
         for number, trouble in enumerate(self.plan.troubles):
             KINDS[trouble.kind](self, trouble, number).schedule()
-        patience = max(tariff.patience for tariff in self.request_classes)
+        patience = max(tariff.deadline for tariff in self.request_classes)
         second = SECOND
         while second <= self.duration + patience + SECOND:
             await asyncio.sleep(max(0.0, (second - self.timeline.now) / 1e6))
-            if self.faults:
-                raise Void(self.faults[0])
+            if self.internal_errors:
+                raise InvalidRunError(self.internal_errors[0])
             if second <= self.duration:
-                self.look()
-            if told is not None:
-                told(self)
+                self.sample_servers()
+            if on_second is not None:
+                on_second(self)
             second += SECOND
         return self.result()
 
-    async def look_at_views(self) -> None:
+    async def poll_views(self) -> None:
         """What each sidecar sees of the others, again and again; those that are stopped are not asked."""
-        while not self.over:  # wait_for may swallow that this task is cancelled
+        while not self.is_closed:  # wait_for may swallow that this task is cancelled
             asked = [sidecar for sidecar in self.sidecars if sidecar.up and not sidecar.stopped]
-            told = await asyncio.gather(*(sidecar.asked("/peers") for sidecar in asked))
+            told = await asyncio.gather(*(sidecar.query_admin("/peers") for sidecar in asked))
             self.views = {
                 sidecar.name: [(one["name"], one["state"]) for one in view["peers"]]
                 for sidecar, view in zip(asked, told)
@@ -209,13 +219,13 @@
                 dropped=links.dropped,
                 by={one.name: [links.sent[one.number], links.bytes[one.number]] for one in self.sidecars},
             )
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(VIEW_POLL_INTERVAL_S)
 
-    async def look_at_duties(self, sidecar: LiveSidecar) -> None:
+    async def poll_duties(self, sidecar: LoopbackSidecar) -> None:
         """What one sidecar says that it holds, again and again: it might act on each under that number."""
-        while not self.over:  # wait_for may swallow that this task is cancelled
+        while not self.is_closed:  # wait_for may swallow that this task is cancelled
             asked = self.timeline.now
-            view = await sidecar.asked("/peers") if sidecar.up else None
+            view = await sidecar.query_admin("/peers") if sidecar.up else None
             for held in view.get("holds", []) if view is not None else []:
                 self.history.write(
                     "rig",
@@ -226,13 +236,13 @@
                     accepted=True,
                     asked=asked,
                 )
-            await asyncio.sleep(max(LOOK_AT_DUTIES_S, len(self.sidecars) / MOST_LOOKS))
+            await asyncio.sleep(max(MIN_DUTY_POLL_INTERVAL_S, len(self.sidecars) / MAX_DUTY_POLLS_PER_S))
 
-    def look(self) -> None:
+    def sample_servers(self) -> None:
         self.at_servers.append([self.servers[number].hop_count for number in self.server_ids])
         self.breakers.append(
             [
-                sum(f"s-{number}" in sidecar.refused for sidecar in self.sidecars) / len(self.sidecars)
+                sum(f"s-{number}" in sidecar.open_breakers for sidecar in self.sidecars) / len(self.sidecars)
                 for number in self.server_ids
             ]
         )
@@ -246,15 +256,17 @@
             self, "pumicepath", self.timeline.events, self.at_servers, self.breakers, list(self.log)
         )
 
-    def check(self) -> None:
+    def check_tick_delay(self) -> None:
         """Raises Void if what was measured is the stand-ins' own slowness."""
-        behind = self.timeline.behind()
-        if behind > MOST_BEHIND_MS:
-            raise Void(f"the stand-ins were {behind:.0f} ms behind: too much load for this machine")
+        behind = self.timeline.p99_tick_delay_ms()
+        if behind > MAX_TICK_DELAY_MS:
+            raise InvalidRunError(
+                f"the stand-ins were {behind:.0f} ms behind: too much load for this machine"
+            )
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         """No process, listener or task stays behind."""
-        self.over = True
+        self.is_closed = True
         for process in self.processes:
             if process.returncode is None:
                 with suppress(ProcessLookupError):
@@ -265,25 +277,28 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         for sidecar in self.sidecars:
-            if sidecar.desk.address:
-                sidecar.desk.close()
-        for door in self.doors.values():
+            if sidecar.discovery.address:
+                sidecar.discovery.close()
+        for door in self.listeners.values():
             door.close()
         if self.links is not None:
-            self.relays.close()
+            self.datagram_proxies.close()
         self.history.close()
 
 
 def play(
-    plan: Plan, seed: int, told: Callable[[LiveWorld], None] | None = None, history: Path | None = None
+    plan: Plan,
+    seed: int,
+    on_second: Callable[[LoopbackWorld], None] | None = None,
+    history: Path | None = None,
 ) -> Result:
     """Play a plan on loopback, its history into a file.  Raises Void, and OSError without ports or files."""
 
     async def playing() -> Result:
         with tempfile.TemporaryDirectory(prefix="pumicepath-lab-") as folder:
-            world = LiveWorld(plan, seed, Path(folder), history)
-            found = await world.run(told)
-            world.check()
+            world = LoopbackWorld(plan, seed, Path(folder), history)
+            found = await world.run(on_second)
+            world.check_tick_delay()
             return found
 
     return asyncio.run(playing())
--- a/pumicepath/lab/model/clients.py
+++ b/pumicepath/lab/model/clients.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Protocol
 
-from ...interface import Tariff
+from ...interface import RequestClass
 from .rule_checker import RuleChecker
 from .timeline import SECOND, Timeline, random_source
 
@@ -120,7 +120,7 @@
 
     timeline: Timeline
     behavior: ClientBehavior
-    request_classes: Sequence[Tariff]
+    request_classes: Sequence[RequestClass]
     keys: KeyDistribution
     load_overrides: LoadOverrides
     rule_checker: RuleChecker
@@ -196,7 +196,7 @@
         ):
             key = self.load_overrides.hot_key
         self.count += 1
-        deadline_at = due_at + self.request_classes[class_index].patience
+        deadline_at = due_at + self.request_classes[class_index].deadline
         submission = ClientSubmission(
             self, (self.number << 32) + self.count, class_index, key, due_at, deadline_at
         )
@@ -204,7 +204,7 @@
         second = due_at // SECOND
         self.tally.offered[second] += 1
         if due_at >= self.tally.warm_up:
-            self.tally.offered_value += self.request_classes[class_index].gain
+            self.tally.offered_value += self.request_classes[class_index].value
         if rng.random() < self.behavior.leave_probability:
             self.timeline.at(
                 due_at + int(rng.random() * (submission.deadline_at - due_at)), self.leave, submission
@@ -248,10 +248,10 @@
             return
         now, request_class = self.timeline.now, self.request_classes[submission.class_index]
         latency = now - submission.due_at
-        in_time = latency <= request_class.agreed
+        in_time = latency <= request_class.latency_target
         if submission.due_at >= self.tally.warm_up:
             self.tally.latencies[submission.class_index].append(latency)
-            self.tally.earned_value += request_class.gain if in_time else request_class.late_gain
+            self.tally.earned_value += request_class.value if in_time else request_class.late_value
         self.finish(submission, self.tally.good if in_time else self.tally.late)
 
     def rejected(self, submission: ClientSubmission, try_number: int, retry_after: int) -> None:
@@ -305,7 +305,7 @@
     def finish(self, submission: ClientSubmission, column: list[int]) -> None:
         """Count the outcome in a column of the tally and forget the submission."""
         submission.finished = True
-        second, value = submission.due_at // SECOND, self.request_classes[submission.class_index].gain
+        second, value = submission.due_at // SECOND, self.request_classes[submission.class_index].value
         column[second] += 1
         self.tally.offered_value_per_second[second] += value
         if column is self.tally.good:
--- a/pumicepath/lab/model/registry.py
+++ b/pumicepath/lab/model/registry.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ...interface import Entry, Listing, Phase
+from ...interface import ListKind, ServerEntry, ServerState
 from .timeline import Timeline, random_source
 
 REPLACEMENT_OFFSET = 1 << 20  # added to a sidecar's number for the new process during a hot restart
@@ -15,7 +15,7 @@
 class ListReader(Protocol):
     """A sidecar that reads the list."""
 
-    def receive_list(self, kind: Listing, entries: list[Entry]) -> None:
+    def receive_list(self, kind: ListKind, entries: list[ServerEntry]) -> None:
         """A full list, changes, a cached copy, or a failure."""
 
 
@@ -52,31 +52,31 @@
         self.timing = timing
         self.rng = random_source(seed, "list")
         self.seq = 0
-        self.actual_entries: dict[int, Entry] = {}
+        self.actual_entries: dict[int, ServerEntry] = {}
         self.off_since: dict[int, int] = {}  # since when each drains or is gone
-        self.state_overrides: dict[int, Phase] = {}  # states published instead of the actual ones
+        self.state_overrides: dict[int, ServerState] = {}  # states published instead of the actual ones
         self.down = False
         self.disconnected: set[int] = set()  # sidecars that can't reach the list
         self.subscriptions: dict[int, Subscription] = {}
 
     # -- the actual servers
 
-    def update(self, *entries: Entry) -> None:
+    def update(self, *entries: ServerEntry) -> None:
         """Servers start, change or, in state GONE, end."""
         now = self.timeline.now
         for entry in entries:
             self.actual_entries[entry.server] = entry
-            if entry.phase == Phase.READY:
+            if entry.state == ServerState.READY:
                 self.off_since.pop(entry.server, None)
             else:
                 self.off_since.setdefault(entry.server, now)
         self.publish(entry.server for entry in entries)
 
-    def set_state(self, server: int, state: Phase = Phase.DRAINING) -> None:
+    def set_state(self, server: int, state: ServerState = ServerState.DRAINING) -> None:
         """Change the actual state of a server."""
-        self.update(self.actual_entries[server]._replace(phase=state))
+        self.update(self.actual_entries[server]._replace(state=state))
 
-    def override_state(self, server: int, state: Phase | None) -> None:
+    def override_state(self, server: int, state: ServerState | None) -> None:
         """Publish a wrong state for a server; None ends this."""
         if state is None:
             self.state_overrides.pop(server, None)
@@ -84,15 +84,17 @@
             self.state_overrides[server] = state
         self.publish([server])
 
-    def published(self, server: int) -> Entry:
+    def published(self, server: int) -> ServerEntry:
         """The entry of a server as readers get it."""
         entry = self.actual_entries[server]
         override = self.state_overrides.get(server)
-        return entry if override is None else entry._replace(phase=override)
+        return entry if override is None else entry._replace(state=override)
 
-    def full_list(self) -> list[Entry]:
+    def full_list(self) -> list[ServerEntry]:
         """The published entries of all servers that are not gone."""
-        return [entry for entry in map(self.published, self.actual_entries) if entry.phase != Phase.GONE]
+        return [
+            entry for entry in map(self.published, self.actual_entries) if entry.state != ServerState.GONE
+        ]
 
     def publish(self, servers: Iterable[int]) -> None:
         """Send the entries of these servers to all subscribers, each after a delay of its own."""
@@ -107,7 +109,7 @@
                         number,
                         subscription,
                         self.seq,
-                        Listing.CHANGES,
+                        ListKind.CHANGES,
                         changes,
                     )
 
@@ -121,7 +123,7 @@
         """A sidecar starts with a cached copy, which counts as a notice, and may subscribe."""
         subscription = self.subscriptions[number] = Subscription(reader)
         subscription.requested_at = self.timeline.now
-        self.deliver(number, subscription, self.seq, Listing.CACHED, self.full_list())
+        self.deliver(number, subscription, self.seq, ListKind.CACHED, self.full_list())
 
     def unregister(self, number: int) -> None:
         """A sidecar has ended."""
@@ -138,40 +140,40 @@
         subscription.failed = self.is_unreachable(number)
         if subscription.failed:
             if self.subscriptions.get(number) is subscription:
-                subscription.reader.receive_list(Listing.FAILED, [])
+                subscription.reader.receive_list(ListKind.FAILED, [])
         else:
             subscription.following = True
-            self.deliver(number, subscription, self.seq, Listing.FULL, self.full_list())
+            self.deliver(number, subscription, self.seq, ListKind.FULL, self.full_list())
 
     def deliver(
-        self, number: int, subscription: Subscription, seq: int, kind: Listing, entries: list[Entry]
+        self, number: int, subscription: Subscription, seq: int, kind: ListKind, entries: list[ServerEntry]
     ) -> None:
         """Hand entries to a reader; changes out of order are dropped and the full list is asked for again."""
         if (
             self.subscriptions.get(number) is not subscription
-            or kind == Listing.CHANGES
+            or kind == ListKind.CHANGES
             and self.is_unreachable(number)
         ):
             return
-        if kind == Listing.CHANGES and seq != subscription.seq + 1:
+        if kind == ListKind.CHANGES and seq != subscription.seq + 1:
             if seq > subscription.seq:
                 subscription.following = False
                 self.subscribe(number)
             return
         subscription.seq = seq
         now = self.timeline.now
-        if kind != Listing.CHANGES:
+        if kind != ListKind.CHANGES:
             listed = {entry.server for entry in entries}
             for server in self.off_since:
                 if server not in listed:
                     subscription.notified_at.setdefault(server, now)
         for entry in entries:
-            if entry.phase == Phase.READY:
+            if entry.state == ServerState.READY:
                 subscription.notified_at.pop(entry.server, None)
             else:
                 subscription.notified_at.setdefault(entry.server, now)
-            if entry.came_up:
-                subscription.known_starts[entry.server] = entry.came_up
+            if entry.started_at:
+                subscription.known_starts[entry.server] = entry.started_at
         subscription.reader.receive_list(kind, entries)
 
     def is_unreachable(self, number: int) -> bool:
--- a/pumicepath/lab/model/rule_checker.py
+++ b/pumicepath/lab/model/rule_checker.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ...interface import Effect, Group, Tariff
+from ...interface import DedupGroup, Effect, RequestClass
 from .registry import Registry
 from .servers import Job, Server
 from .timeline import Timeline
@@ -40,7 +40,7 @@
         "admitted_at",
     )
 
-    def __init__(self, request_class: Tariff) -> None:
+    def __init__(self, request_class: RequestClass) -> None:
         self.request_class = request_class
         self.deadline_at = 0
         self.answered_at = 0  # when the current try was answered
@@ -63,7 +63,7 @@
     def __init__(
         self,
         timeline: Timeline,
-        request_classes: tuple[Tariff, ...],
+        request_classes: tuple[RequestClass, ...],
         registry: Registry,
         drain_grace: int,
         answer_slack: int = ANSWER_SLACK_US,
@@ -122,9 +122,9 @@
             answer == "deferred"
             and (record.may_run or record.hops_in_flight > 0)
             and (
-                record.request_class.effect == Effect.UNREPEATABLE
+                record.request_class.effect == Effect.NON_IDEMPOTENT
                 or record.request_class.effect == Effect.DEDUPLICATED
-                and record.request_class.group != Group.ALL
+                and record.request_class.dedup_group != DedupGroup.ALL
             )
         ):
             self.report_violation(
@@ -243,12 +243,12 @@
         for at, zone, cell in record.effects:
             if (
                 request_class.effect == Effect.DEDUPLICATED
-                and now <= at + request_class.window
+                and now <= at + request_class.dedup_window
                 and (
-                    request_class.group == Group.ALL
-                    or request_class.group == Group.ZONE
+                    request_class.dedup_group == DedupGroup.ALL
+                    or request_class.dedup_group == DedupGroup.ZONE
                     and zone == server.zone
-                    or request_class.group == Group.CELL
+                    or request_class.dedup_group == DedupGroup.CELL
                     and cell == server.cell
                 )
             ):
--- a/pumicepath/lab/model/world.py
+++ b/pumicepath/lab/model/world.py
@@ -7,8 +7,8 @@
 from random import Random
 from typing import Any, Protocol
 
-from ...interface import Entry, Phase, Settings
-from ...settings import decode
+from ...interface import ServerEntry, ServerState, Settings
+from ...settings import decode_settings
 from ..spec import Plan, sidecar_settings, to_microseconds
 from .clients import ClientBehavior, Clients, KeyDistribution, LoadOverrides, Tally
 from .links import Links
@@ -140,9 +140,9 @@
             seed,
         )
         self.settings: list[Settings] = [
-            decode(sidecar_settings(plan, 0, zone)) for zone in range(fleet.halls)
+            decode_settings(sidecar_settings(plan, 0, zone)) for zone in range(fleet.halls)
         ]
-        self.request_classes = self.settings[0].tariffs
+        self.request_classes = self.settings[0].request_classes
         self.rule_checker = make_rule_checker(
             timeline, self.request_classes, self.registry, to_microseconds(plan.list.grace_s), answer_slack
         )
@@ -183,9 +183,11 @@
         self.publish_server(server)
         return server
 
-    def publish_server(self, server: Server, state: Phase = Phase.READY) -> None:
+    def publish_server(self, server: Server, state: ServerState = ServerState.READY) -> None:
         """Put a server on the list in a state."""
-        self.registry.update(Entry(server.number, server.zone, server.cell, state, 1.0, server.started_at))
+        self.registry.update(
+            ServerEntry(server.number, server.zone, server.cell, state, 1.0, server.started_at)
+        )
 
     def server_at(self, slot: int) -> Server:
         """The present server of a slot."""
--- a/pumicepath/lab/faults/checks/four_rules.py
+++ b/pumicepath/lab/verification/checks/four_rules.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from ..history import Line
-from ..recording import replayed
+from ..recording import replay
 
 PROPERTY = (
     "Each submission gets one final answer in time and nothing goes out afterwards; no effect comes "
@@ -15,7 +15,7 @@
 
 
 def check(lines: Sequence[Line]) -> list[str]:
-    judge = replayed(lines)
+    judge = replay(lines)
     return [
         f"{rule}: {count}, first {judge.first_violations[rule]}"
         for rule, count in judge.violations.items()
--- a/pumicepath/lab/faults/history.py
+++ b/pumicepath/lab/verification/history.py
@@ -16,7 +16,7 @@
 Line = dict[str, Any]
 
 
-class BadHistory(Exception):
+class HistoryError(Exception):
     """No history; the text names the file and the line."""
 
 
@@ -27,9 +27,9 @@
         self.clock = clock
         self.out = path.open("wb") if path is not None else None
 
-    def write(self, who: str, what: str, **figures: Any) -> None:
+    def write(self, who: str, what: str, **fields: Any) -> None:
         if self.out is not None:
-            line = {"at": self.clock(), "who": who, "what": what, **figures}
+            line = {"at": self.clock(), "who": who, "what": what, **fields}
             self.out.write(orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE, default=str))
 
     def close(self) -> None:
@@ -44,18 +44,18 @@
     try:
         data = path.read_bytes()
     except OSError as trouble:
-        raise BadHistory(f"{path}: {trouble.strerror}") from trouble
+        raise HistoryError(f"{path}: {trouble.strerror}") from trouble
     for number, text in enumerate(data.splitlines(), 1):
         try:
             line = orjson.loads(text)
             at = int(line["at"])
             line["who"], line["what"]
         except (ValueError, TypeError, KeyError) as trouble:
-            raise BadHistory(f"{path}:{number}: no line of a history") from trouble
+            raise HistoryError(f"{path}:{number}: no line of a history") from trouble
         if at < latest:
-            raise BadHistory(f"{path}:{number}: earlier than the line before it")
+            raise HistoryError(f"{path}:{number}: earlier than the line before it")
         latest = at
         lines.append(line)
     if not lines or lines[0]["what"] != "run" or lines[0].get("version") != VERSION:
-        raise BadHistory(f"{path}:1: no head of a history of version {VERSION}")
+        raise HistoryError(f"{path}:1: no head of a history of version {VERSION}")
     return lines
--- a/pumicepath/lab/faults/recording.py
+++ b/pumicepath/lab/verification/recording.py
@@ -9,8 +9,8 @@
 from types import SimpleNamespace
 from typing import Any
 
-from ...interface import Tariff
-from ...settings import decode
+from ...interface import RequestClass
+from ...settings import decode_settings
 from ..model.registry import Registry
 from ..model.rule_checker import RuleChecker
 from ..model.servers import Job, Server
@@ -19,11 +19,11 @@
 from .history import History, Line
 
 
-class Recorded(RuleChecker):
+class RecordingRuleChecker(RuleChecker):
     def __init__(
         self,
         timeline: Timeline,
-        tariffs: tuple[Tariff, ...],
+        tariffs: tuple[RequestClass, ...],
         registry: Registry,
         grace: int,
         slack: int,
@@ -94,30 +94,30 @@
         super().set_sidecar_stopped(sidecar, stopped)
 
 
-class Told:
+class ReplayedRegistry:
     """A registry that knows what was written beside each hop."""
 
     def __init__(self) -> None:
-        self.since: int | None = None
+        self.known_since: int | None = None
 
     def off_known_since(self, sidecar: int, server: int) -> int | None:
-        return self.since
+        return self.known_since
 
 
-def replayed(lines: Sequence[Line]) -> RuleChecker:
+def replay(lines: Sequence[Line]) -> RuleChecker:
     """The judge as it stood at the end of a history, by what clients and servers saw in it."""
     head = lines[0]
     plan = Plan(**head["plan"])
-    tariffs = decode(sidecar_settings(plan, 0, 0)).tariffs
-    timeline, registry = VirtualTimeline(), Told()
+    tariffs = decode_settings(sidecar_settings(plan, 0, 0)).request_classes
+    timeline, registry = VirtualTimeline(), ReplayedRegistry()
     judge = RuleChecker(timeline, tariffs, registry, to_microseconds(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
     for line in lines:
         timeline.run(line["at"])
-        tell(judge, registry, line)
+        replay_line(judge, registry, line)
     return judge
 
 
-def tell(judge: RuleChecker, registry: Told, line: Line) -> None:
+def replay_line(judge: RuleChecker, registry: ReplayedRegistry, line: Line) -> None:
     what: Any = line["what"]
     if what == "tried":
         judge.try_admitted(line["ask"], line["tariff"], line["until"])
@@ -130,7 +130,7 @@
     elif what == "closed":
         judge.client_finished(line["ask"])
     elif what == "sent":
-        registry.since = line["told"]
+        registry.known_since = line["told"]
         judge.hop_sent(line["sidecar"], line["server"], line["ask"])
     elif what == "returned":
         judge.hop_returned(line["ask"])
--- a/pumicepath/lab/faults/starter.py
+++ b/pumicepath/lab/verification/starter.py
@@ -1,4 +1,4 @@
-"""Starts a sidecar with another clock and disk: `python -m pumicepath.lab.faults.starter`, as `serve`.
+"""Starts a sidecar with another clock and disk: `python -m pumicepath.lab.verification.starter`, as `serve`.
 
 Both stand in `$PUMICEPATH_LAB_CLOCK` (see `clocks`).  Put in place before anything of the product is
 imported, so that the product needs no hook.  Waits of the system go by the true clock: only what a process
@@ -20,10 +20,10 @@
 from types import SimpleNamespace
 from typing import Any
 
-from .clocks import READ_ONLY, SLOW, VARIABLE, Page
+from .clocks import PAGE_PATH_VARIABLE, READ_ONLY_OFFSET, SLOW_OFFSET, ControlPage
 
 
-def bend(page: Page) -> SimpleNamespace:
+def install_clock(page: ControlPage) -> SimpleNamespace:
     """Give this process the page's clock; what was there before comes back."""
     before = SimpleNamespace(
         time_ns=time.time_ns, time=time.time, monotonic_ns=time.monotonic_ns, monotonic=time.monotonic
@@ -35,15 +35,15 @@
     return before
 
 
-def burden(page: Page, folder: str) -> None:
+def install_disk_faults(page: ControlPage, folder: str) -> None:
     """Give this process the page's disk: what it opens, renames or syncs there may fail or be slow."""
 
     def through(call: Callable[..., Any], changes: Callable[..., bool]) -> Callable[..., Any]:
         def burdened(*given: Any, **named: Any) -> Any:
             path = given[0] if given else ""
             if isinstance(path, int) or str(path).startswith(folder):
-                time.sleep(page.map[SLOW] / 100)
-                if page.map[READ_ONLY] and changes(*given, **named):
+                time.sleep(page.memory[SLOW_OFFSET] / 100)
+                if page.memory[READ_ONLY_OFFSET] and changes(*given, **named):
                     raise OSError(errno.EROFS, os.strerror(errno.EROFS), str(path))
             return call(*given, **named)
 
@@ -62,9 +62,9 @@
 
 
 def main() -> None:
-    page = Page(Path(os.environ[VARIABLE]))
-    true = bend(page)
-    burden(page, os.environ.get("TMPDIR") or "\0")
+    page = ControlPage(Path(os.environ[PAGE_PATH_VARIABLE]))
+    true = install_clock(page)
+    install_disk_faults(page, os.environ.get("TMPDIR") or "\0")
     from ...sidecar import arrival
 
     setattr(arrival, "time", true)  # noqa: B010
--- a/pumicepath/lab/virtual/baselines.py
+++ b/pumicepath/lab/virtual/baselines.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable, Sequence
 
-from ...interface import Effect, Entry, Listing, Outcome, Outlet, Phase, Settings
+from ...interface import Callbacks, Effect, ListKind, Outcome, ServerEntry, ServerState, Settings
 from ..model.timeline import random_source
 
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED)
@@ -20,36 +20,38 @@
 
     submission_type: type[TextbookSubmission]
 
-    def __init__(self, settings: Settings, seed: int, callbacks: Outlet) -> None:
+    def __init__(self, settings: Settings, seed: int, callbacks: Callbacks) -> None:
         self.settings = settings
         self.callbacks = callbacks
         self.rng = random_source(seed, "baseline")
-        self.states: dict[int, Phase] = {}
+        self.states: dict[int, ServerState] = {}
         self.ready: list[int] = []
         self.in_flight: dict[int, int] = {}
         self.next_index = self.rng.randrange(1 << 16)
 
-    def listed(self, now: int, kind: Listing, entries: Sequence[Entry]) -> None:
+    def update_servers(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
         """Apply a full list or changes; after a failure, ask again in a second."""
-        if kind == Listing.FAILED:
-            self.callbacks.wake(now + 1_000_000, self)
+        if kind == ListKind.FAILED:
+            self.callbacks.set_timer(now + 1_000_000, self)
             return
-        if kind == Listing.CACHED and self.settings.must_ask:
-            self.callbacks.follow()
-        if kind != Listing.CHANGES:
+        if kind == ListKind.CACHED and self.settings.polls_list:
+            self.callbacks.request_server_list()
+        if kind != ListKind.CHANGES:
             self.states.clear()
         for entry in entries:
-            self.states[entry.server] = entry.phase
-        self.ready = [server for server, state in self.states.items() if state == Phase.READY]
+            self.states[entry.server] = entry.state
+        self.ready = [server for server, state in self.states.items() if state == ServerState.READY]
         self.in_flight = {
             server: count for server, count in self.in_flight.items() if server in self.states or count
         }
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """The timer is due: ask for the list again."""
-        self.callbacks.follow()
+        self.callbacks.request_server_list()
 
-    def take(self, now: int, name: int, tariff: int, key: int, retry: bool, until: int) -> TextbookSubmission:
+    def submit(
+        self, now: int, name: int, tariff: int, key: int, retry: bool, until: int
+    ) -> TextbookSubmission:
         """Start with a submission that the sidecar has admitted."""
         submission = self.submission_type(self, name, tariff, key, until)
         submission.send_next(now)
@@ -74,18 +76,18 @@
         self.tried_servers: list[int] = []
         self.waiting = self.finished = False
 
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether it is answered and no hop is in flight."""
         return self.finished and not self.waiting
 
-    def started(self, now: int, number: int) -> None:
+    def response_started(self, now: int, number: int) -> None:
         """Ignored: textbook balancers do not consider slow responses."""
 
-    def left(self, now: int) -> None:
+    def client_left(self, now: int) -> None:
         """The client does not wait any more."""
         self.finished = True
 
-    def ended(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None:
+    def hop_finished(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None:
         """A hop has ended: done, retry or fail."""
         balancer = self.balancer
         self.waiting = False
@@ -96,34 +98,30 @@
             self.send_next(now)
         else:
             self.finished = True
-            balancer.callbacks.forfeit(self.name)
+            balancer.callbacks.fail(self.name)
 
     def may_retry(self, outcome: Outcome) -> bool:
         """Whether a further hop can do no harm."""
-        effect = self.balancer.settings.tariffs[self.class_index].effect
+        effect = self.balancer.settings.request_classes[self.class_index].effect
         return outcome in NEVER_RAN or effect == Effect.IDEMPOTENT
 
     def send_next(self, now: int) -> None:
         """Send the next hop, or reject or fail the submission if that is not possible."""
         balancer = self.balancer
         candidates = [server for server in balancer.ready if server not in self.tried_servers]
-        if (
-            len(self.tried_servers) >= balancer.settings.most_hops
-            or not candidates
-            or now >= self.deadline_at
-        ):
+        if len(self.tried_servers) >= balancer.settings.max_hops or not candidates or now >= self.deadline_at:
             self.finished = True
-            effect = balancer.settings.tariffs[self.class_index].effect
+            effect = balancer.settings.request_classes[self.class_index].effect
             # A non-idempotent submission gets here only if none of its hops ran.
-            if effect == Effect.IDEMPOTENT or not self.tried_servers or effect == Effect.UNREPEATABLE:
-                balancer.callbacks.defer(self.name, 0)
+            if effect == Effect.IDEMPOTENT or not self.tried_servers or effect == Effect.NON_IDEMPOTENT:
+                balancer.callbacks.reject(self.name, 0)
             else:
-                balancer.callbacks.forfeit(self.name)
+                balancer.callbacks.fail(self.name)
             return
         server = balancer.choose(self, candidates)
         if server < 0:
             self.finished = True
-            balancer.callbacks.defer(self.name, balancer.settings.most_retry_in // 8)
+            balancer.callbacks.reject(self.name, balancer.settings.max_retry_after // 8)
             return
         self.tried_servers.append(server)
         self.waiting = True
@@ -168,7 +166,7 @@
 
 def make_oracle(
     expected_latency: Callable[[int, int, TextbookBalancer], float],
-) -> Callable[[Settings, int, Outlet], TextbookBalancer]:
+) -> Callable[[Settings, int, Callbacks], TextbookBalancer]:
     """A balancer that knows what no sidecar can: how long a hop with a key would take at each server now.
 
     It rejects what no server could answer within the latency target.
@@ -182,7 +180,8 @@
             lowest, server = min(latencies)
             return (
                 server
-                if lowest <= self.settings.tariffs[submission.class_index].agreed or submission.tried_servers
+                if lowest <= self.settings.request_classes[submission.class_index].latency_target
+                or submission.tried_servers
                 else -1
             )
 
--- a/pumicepath/lab/virtual/duty_fleet.py
+++ b/pumicepath/lab/virtual/duty_fleet.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from ...fleet import messages
-from ...fleet.duties import Claim, Duties, Given
-from ...fleet.leases import Answer, Fence, Verdict, Voter
-from ...fleet.messages import Claimed, Claims, Granted, Grants, Record
+from ...fleet.duties import Claim, Duties, LeaseSettings
+from ...fleet.leases import ClaimAnswer, ClaimResult, Fence, Voter
+from ...fleet.messages import ClaimEntry, Claims, GrantEntry, Grants, Record
 from ..model.links import Impairment, Links
 from ..model.timeline import SECOND, VirtualTimeline, random_source
 from .peers import address
@@ -83,22 +83,26 @@
         self.life = Record(f"n{self.number}", (self.number + 1) * 1_000_000 + self.starts, self.address, "")
         self.config_index = self.pending_config_index
         self.duties = Duties(
-            self.life.born, self.config(), fleet.seed * 1000 + self.number * 10 + self.starts, self, now
+            self.life.instance_id,
+            self.config(),
+            fleet.seed * 1000 + self.number * 10 + self.starts,
+            self,
+            now,
         )
-        self.duties.want(now, fleet.names)
+        self.duties.set_wanted(now, fleet.names)
         self.voter = None
         self.update_voter(now)
         if self.voter is not None and self.starts == 1:
             self.voter.silent_until = now
         fleet.timeline.at(fleet.timeline.now, self.tick, self.starts)
 
-    def config(self) -> Given:
+    def config(self) -> LeaseSettings:
         """The configuration that the process has loaded."""
         return self.fleet.configs[self.config_index]
 
     def update_voter(self, now: int) -> None:
         """Become a voter, without knowledge of earlier grants, or cease to be one, as configured."""
-        names = sorted(self.config().names())
+        names = sorted(self.config().voter_set_ids())
         if self.address not in self.config().voters():
             self.voter = None
         elif self.voter is None:
@@ -106,13 +110,13 @@
             if not self.fleet.bugs.waits_after_restart:
                 self.voter.silent_until = now
         else:
-            self.voter.adopt(names)
+            self.voter.apply_voter_sets(names)
 
     def reload(self) -> None:
         """Load a changed configuration, as on SIGHUP; a stopped member does so when it is resumed."""
         if self.up and not self.stopped and self.config_index != self.pending_config_index:
             self.config_index = self.pending_config_index
-            self.duties.adopt(self.clock(), self.config())
+            self.duties.apply_settings(self.clock(), self.config())
             self.update_voter(self.clock())
 
     def kill(self) -> None:
@@ -124,7 +128,7 @@
         if not self.up or starts != self.starts:
             return
         if not self.stopped:
-            self.duties.woke(self.clock(), self.wall())
+            self.duties.on_timer(self.clock(), self.wall())
         self.fleet.timeline.at(self.fleet.timeline.now + TICK_US, self.tick, starts)
 
     def resume(self) -> None:
@@ -137,15 +141,15 @@
 
     # -- callbacks of its duties
 
-    def claim(self, voter: str, round_: int, claims: Sequence[Claim]) -> None:
+    def send_claims(self, voter: str, round_: int, claims: Sequence[Claim]) -> None:
         """Send claims to a voter."""
         config = self.config()
-        claimed = [Claimed(claim.duty, claim.number, claim.release) for claim in claims]
+        claimed = [ClaimEntry(claim.duty, claim.number, claim.release) for claim in claims]
         self.fleet.send(
-            self, voter, Claims(self.life, 0, round_, config.lease, sorted(config.names()), claimed)
+            self, voter, Claims(self.life, 0, round_, config.lease, sorted(config.voter_set_ids()), claimed)
         )
 
-    def holds(self, duty: str, number: int, why: str) -> None:
+    def duty_changed(self, duty: str, number: int, why: str) -> None:
         """A duty was won or lost."""
         self.fleet.changed(self, duty, number)
 
@@ -159,8 +163,8 @@
             self.queue.append((source, data))
             return
         try:
-            message = messages.unpacked(data, 0)
-        except (messages.Noise, messages.Foreign):
+            message = messages.decode_message(data, 0)
+        except (messages.MalformedMessageError, messages.VersionMismatchError):
             return
         now, sender = self.clock(), message.sender
         match message:
@@ -168,27 +172,34 @@
                 answers = []
                 for claim in message.claims:
                     if claim.release:
-                        self.voter.released(claim.duty, sender.born, claim.number)
+                        self.voter.release(claim.duty, sender.instance_id, claim.number)
                         continue
                     if not self.fleet.bugs.remembers_grants:
                         self.voter.grants.pop(claim.duty, None)
-                    answer = self.voter.asked(
-                        now, claim.duty, sender.born, claim.number, message.lease, frozenset(message.sets)
+                    answer = self.voter.answer_claim(
+                        now,
+                        claim.duty,
+                        sender.instance_id,
+                        claim.number,
+                        message.lease,
+                        frozenset(message.voter_set_ids),
                     )
                     answers.append(
-                        Granted(claim.duty, claim.number, answer.verdict, answer.wait, answer.highest)
+                        GrantEntry(
+                            claim.duty, claim.number, answer.result, answer.wait, answer.highest_number
+                        )
                     )
                 if answers:
                     self.fleet.send(self, address(source), Grants(self.life, 0, message.round, answers))
             case Grants():
                 for grant in message.grants:
-                    self.duties.answered(
+                    self.duties.receive_answer(
                         now,
                         sender.address,
                         message.round,
                         grant.duty,
                         grant.number,
-                        Answer(Verdict(grant.verdict), grant.wait, grant.highest),
+                        ClaimAnswer(ClaimResult(grant.result), grant.wait, grant.highest_number),
                     )
 
 
@@ -214,7 +225,7 @@
         before = tuple(address(number) for number in range(voters))
         after = tuple(address(number) for number in range(count - voters, count))
         joint = (before, after) if bugs.joint_voter_sets else (after,)
-        self.configs = [Given(sets, LEASE_US, DRIFT) for sets in ((before,), joint, (after,))]
+        self.configs = [LeaseSettings(sets, LEASE_US, DRIFT) for sets in ((before,), joint, (after,))]
         self.members = [
             Member(self, number, 1.0 + self.rng.choice((-max_drift, 0.0, max_drift)))
             for number in range(count)
@@ -228,14 +239,14 @@
             member.start()
         self.timeline.at(0, self.act)
 
-    def send(self, member: Member, to: str, message: messages.Any) -> None:
+    def send(self, member: Member, to: str, message: messages.AnyMessage) -> None:
         """Send a message from a member to an address."""
         recipient = self.by_address[to]
         self.run_record.messages += 1
         self.links.carry(
             member.number,
             recipient.number,
-            messages.packed(message, 0),
+            messages.encode_message(message, 0),
             lambda data: recipient.receive(member.number, data),
         )
 
@@ -251,10 +262,10 @@
         """The fencing number under which a member may act on a duty now; 0: it may not."""
         if self.bugs.holder_lease is not None:
             own = member.duties.duties[duty]
-            expires_at = own.asked_at + self.bugs.holder_lease(LEASE_US)
-            if own.until and member.duties.won(own) and member.clock() < expires_at:
+            expires_at = own.claimed_at + self.bugs.holder_lease(LEASE_US)
+            if own.expires_at and member.duties.has_majority(own) and member.clock() < expires_at:
                 return own.number
-        return member.duties.number(member.clock(), duty)
+        return member.duties.fencing_number(member.clock(), duty)
 
     def act(self) -> None:
         """All holders act at once at a place; some acts also reach a place with a fence, late."""
@@ -268,7 +279,7 @@
                 if not number:
                     continue
                 acting_count += 1
-                self.record_act(member.life.born, "place", duty, number, True)
+                self.record_act(member.life.instance_id, "place", duty, number, True)
                 if self.rng.random() < 0.05:
                     self.timeline.at(
                         now + round(3 * SECOND * self.rng.random()),
@@ -276,7 +287,7 @@
                         member,
                         duty,
                         number,
-                        member.life.born,
+                        member.life.instance_id,
                     )
             if acting_count and duty in self.unheld_since:
                 self.run_record.gaps.append(now - self.unheld_since.pop(duty))
@@ -289,9 +300,9 @@
         if not self.bugs.checks_when_acting:
             self.record_act(holder, "place", duty, number, True)
         fence = self.rng.randrange(len(self.fences))
-        accepted = self.fences[fence].admits(duty, number) or not self.bugs.checks_fence
+        accepted = self.fences[fence].accept(duty, number) or not self.bugs.checks_fence
         if not accepted and member.up:
-            member.duties.outbid(member.clock(), duty, self.fences[fence].highest[duty])
+            member.duties.reclaim_above(member.clock(), duty, self.fences[fence].highest_numbers[duty])
         self.record_act(holder, f"fence-{fence}", f"{duty} at fence {fence}", number, accepted)
 
     def record_act(self, holder: int, who: str, duty: str, number: int, accepted: bool) -> None:
--- a/pumicepath/lab/virtual/peers.py
+++ b/pumicepath/lab/virtual/peers.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from typing import Any
 
+from ...balancer import Balancer
 from ...fleet import messages
-from ...fleet.fellow import Fellow
 from ...fleet.membership import Membership
 from ...fleet.messages import STATES, Record
+from ...fleet.node import FleetNode
 from ...fleet.settings import PeerSettings, Voting
-from ...logic import Balancer
 from ..model.links import Links
 from ..model.timeline import Timeline, random_source
 from ..model.views import is_view_correct
@@ -38,7 +38,7 @@
         self.name = f"sidecar-{number}"
         self.address = address(number)
         self.starts = 0
-        self.fleet_node: Fellow | None = None
+        self.fleet_node: FleetNode | None = None
         self.stopped = False
         self.queue: list[tuple[str, bytes]] = []
         self.timer_at = -1
@@ -58,28 +58,28 @@
         settings = PeerSettings(
             self.address,
             seeds,
-            every=fleet.probe_interval,
-            timeout=fleet.timeout,
-            most=fleet.max_members,
+            probe_interval=fleet.probe_interval,
+            probe_timeout=fleet.timeout,
+            max_peers=fleet.max_members,
             voting=fleet.voting,
         )
         record = Record(self.name, rng.getrandbits(62) | 1, self.address, fleet.zone_name(self.number))
-        self.fleet_node = Fellow(record, settings, rng.getrandbits(63), self, self.clock())
+        self.fleet_node = FleetNode(record, settings, rng.getrandbits(63), self, self.clock())
         self.schedule_timer()
 
     def clock(self) -> int:
         """Monotonic time, in microseconds."""
         return self.fleet.timeline.now + CLOCK_ORIGIN_US
 
-    def post(self, address: str, message: messages.Any) -> None:
+    def send_message(self, address: str, message: messages.AnyMessage) -> None:
         """Send a message to another node."""
-        self.fleet.send(self, address, messages.packed(message, 0))
+        self.fleet.send(self, address, messages.encode_message(message, 0))
 
-    def changed(self, record: Record, by: str) -> None:
+    def peer_changed(self, record: Record, by: str) -> None:
         """The state of a member has changed in this node's view."""
         self.fleet.changed(self, record)
 
-    def twice(self, record: Record) -> None:
+    def duplicate_name(self, record: Record) -> None:
         """Two instances use the same name."""
         self.fleet.counts["name twice"] += 1
 
@@ -90,18 +90,18 @@
                 self.queue.append((source, data))
         elif self.fleet_node is not None:
             try:
-                message = messages.unpacked(data, 0)
-            except (messages.Foreign, messages.Noise):
+                message = messages.decode_message(data, 0)
+            except (messages.VersionMismatchError, messages.MalformedMessageError):
                 self.fleet.counts["noise"] += 1
                 return
-            self.fleet_node.heard(self.clock(), source, message)
+            self.fleet_node.receive(self.clock(), source, message)
             self.schedule_timer()
 
     def schedule_timer(self) -> None:
         """Schedule one timer for when the node next has something to do."""
         if self.fleet_node is None:
             return
-        due_at = self.fleet_node.due() - CLOCK_ORIGIN_US
+        due_at = self.fleet_node.next_timer() - CLOCK_ORIGIN_US
         if self.timer_at < 0 or due_at < self.timer_at:
             self.timer_at = due_at
             self.fleet.timeline.at(due_at, self.timer_fired, self.starts, due_at)
@@ -112,7 +112,7 @@
             return
         self.timer_at = -1
         if not self.stopped:
-            self.fleet_node.woke(self.clock(), self.wall_ms())
+            self.fleet_node.on_timer(self.clock(), self.wall_ms())
             self.schedule_timer()
 
     def resume(self) -> None:
@@ -122,7 +122,7 @@
         for source, data in queue:
             self.receive(source, data)
         if self.fleet_node is not None:
-            self.fleet_node.woke(self.clock(), self.wall_ms())
+            self.fleet_node.on_timer(self.clock(), self.wall_ms())
             self.timer_at = -1
             self.schedule_timer()
 
@@ -132,36 +132,36 @@
         """Wall-clock time in milliseconds."""
         return 1_800_000_000_000 + self.fleet.timeline.now // 1000
 
-    def holds(self, duty: str, number: int, why: str) -> None:
+    def duty_changed(self, duty: str, number: int, why: str) -> None:
         """Count a duty won or lost."""
         self.fleet.counts["duties won" if number else "duties lost"] += 1
 
-    def put_off(self, server: str, wait: int) -> None:
+    def postpone_trial(self, server: str, wait: int) -> None:
         """Pass on to the balancer that its trial of a server is postponed, or due now."""
         self.fleet.counts["put off" if wait else "brought forward"] += 1
         self.on_postponed(int(server), wait)
 
-    def turn(self, name: str) -> bool:
+    def may_try(self, name: str) -> bool:
         """Whether the trial of a server is this node's duty."""
         node = self.fleet_node
         return (
             node is not None
             and node.trials is not None
             and node.duties is not None
-            and bool(node.duties.number(self.clock(), node.trials.duty(name)))
+            and bool(node.duties.fencing_number(self.clock(), node.trials.duty_name(name)))
         )
 
-    def opened(self, name: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, name: str, cooldown: int, often: bool) -> None:
         """The balancer's breaker for a server has opened."""
         if self.fleet_node is not None and self.fleet_node.trials is not None:
-            self.fleet_node.trials.opened(self.clock(), name, cooldown, often)
+            self.fleet_node.trials.breaker_opened(self.clock(), name, cooldown, often)
             self.schedule_timer()
 
-    def tried(self, name: str, failed: bool) -> None:
+    def trial_finished(self, name: str, failed: bool) -> None:
         """The balancer has finished a trial of a server."""
         self.fleet.counts["trials failed" if failed else "trials served"] += 1
         if self.fleet_node is not None and self.fleet_node.trials is not None:
-            self.fleet_node.trials.tried(self.clock(), name, failed)
+            self.fleet_node.trials.trial_finished(self.clock(), name, failed)
             self.schedule_timer()
 
 
@@ -206,7 +206,7 @@
         state = STATES[record.state]
         self.counts[state] += 1
         other = self.by_address[record.address].membership
-        if state == "dead" and other is not None and other.me.born == record.born:
+        if state == "dead" and other is not None and other.own_record.instance_id == record.instance_id:
             self.counts["false deaths"] += 1
 
     def start(self, number: int) -> None:
@@ -215,10 +215,10 @@
 
     def attach_balancer(self, number: int, balancer: Any) -> None:
         """Connect a balancer to its node, if the fleet agrees on trials."""
-        if self.voting is not None and self.voting.trials and isinstance(balancer, Balancer):
+        if self.voting is not None and self.voting.shared_trials and isinstance(balancer, Balancer):
             node = self.nodes[number]
-            balancer.companions = node
-            node.on_postponed = lambda server, wait: balancer.put_off(self.timeline.now, server, wait)
+            balancer.peer_trials = node
+            node.on_postponed = lambda server, wait: balancer.postpone_trial(self.timeline.now, server, wait)
 
     def kill(self, number: int) -> None:
         """Kill a node at once."""
--- a/pumicepath/lab/virtual/run.py
+++ b/pumicepath/lab/virtual/run.py
@@ -6,9 +6,9 @@
 from collections import deque
 from collections.abc import Callable
 
-from ...fleet.settings import TIMEOUT_PART, Voting
+from ...balancer import Balancer
+from ...fleet.settings import TIMEOUT_FRACTION, Voting
 from ...interface import Settings
-from ...logic import Balancer
 from ..fault_kinds import KINDS
 from ..model.links import Links
 from ..model.result import Result, collect_result
@@ -51,7 +51,7 @@
                 seed,
                 plan.sidecars.count,
                 probe_interval,
-                round(probe_interval * TIMEOUT_PART),
+                round(probe_interval * TIMEOUT_FRACTION),
                 voting=self.voting(),
                 zone_count=plan.fleet.halls,
             )
@@ -75,7 +75,7 @@
 
     def settings_of(self, number: int, zone: int) -> Settings:
         """The settings of one sidecar."""
-        return dataclasses.replace(self.settings[zone], me=number)
+        return dataclasses.replace(self.settings[zone], sidecar_index=number)
 
     def voting(self) -> Voting | None:
         """The first sidecars vote on duties, if trials are agreed on; None without them."""
@@ -87,7 +87,7 @@
             (tuple(address(each) for each in range(VOTER_COUNT if sidecars.count >= VOTER_COUNT else 1)),),
             lease,
             lease,
-            trials=True,
+            shared_trials=True,
         )
 
     def balancer_factory(self, policy: str) -> BalancerFactory:
@@ -121,8 +121,8 @@
         for balancer in sampled:
             if isinstance(balancer, Balancer):
                 for slot, number in enumerate(self.server_ids):
-                    index = balancer.index.get(number)
-                    open_counts[slot] += index is not None and balancer.state[index] != 0
+                    index = balancer.index_by_id.get(number)
+                    open_counts[slot] += index is not None and balancer.breaker_states[index] != 0
         self.open_breakers.append([count / max(1, len(sampled)) for count in open_counts])
 
     def run(self, on_progress: Callable[[float], None] | None = None) -> Result:
@@ -134,7 +134,7 @@
             if on_progress is not None:
                 on_progress(second / self.duration)
             second += SECOND
-        self.timeline.run(self.duration + max(each.patience for each in self.request_classes) + END_MARGIN_US)
+        self.timeline.run(self.duration + max(each.deadline for each in self.request_classes) + END_MARGIN_US)
         return collect_result(
             self,
             self.policy if isinstance(self.policy, str) else "other",
--- a/pumicepath/lab/virtual/sidecar.py
+++ b/pumicepath/lab/virtual/sidecar.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from ...interface import Entry, Listing, Outcome, Outlet, Settings, Wakeable
+from ...interface import Callbacks, ListKind, Outcome, ServerEntry, Settings, TimerHandler
 from ..model.clients import ClientSubmission
 from ..model.network import Network
 from ..model.registry import Registry
@@ -21,26 +21,26 @@
 class SubmissionHandle(Protocol):
     """A balancer's object for a submission, such as `Submission` of the real balancer."""
 
-    def ended(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None: ...
+    def hop_finished(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None: ...
 
-    def started(self, now: int, number: int) -> None: ...
+    def response_started(self, now: int, number: int) -> None: ...
 
-    def left(self, now: int) -> None: ...
+    def client_left(self, now: int) -> None: ...
 
-    def over(self) -> bool: ...
+    def is_finished(self) -> bool: ...
 
 
 class BalancerLike(Protocol):
     """A balancer that a sidecar can host, the real one or a textbook one."""
 
-    def listed(self, now: int, kind: Listing, entries: Sequence[Entry]) -> None: ...
+    def listed(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None: ...
 
     def take(
         self, now: int, name: int, tariff: int, key: int, retry: bool, until: int
     ) -> SubmissionHandle: ...
 
 
-BalancerFactory = Callable[[Settings, int, Outlet], Any]
+BalancerFactory = Callable[[Settings, int, Callbacks], Any]
 
 
 class Hop:
@@ -161,10 +161,10 @@
                 submission.answered = True
                 submission.client_submission.clients.target_died(
                     submission.client_submission,
-                    self.settings.tariffs[submission.client_submission.class_index].effect != 0,
+                    self.settings.request_classes[submission.client_submission.class_index].effect != 0,
                 )
 
-    def receive_list(self, kind: Listing, entries: list[Entry]) -> None:
+    def receive_list(self, kind: ListKind, entries: list[ServerEntry]) -> None:
         """Pass entries of the server list on to the balancer."""
         self.balancer.listed(self.world.timeline.now, kind, entries)
 
@@ -205,7 +205,7 @@
         if submission is not None and not submission.answered:
             submission.answered = True
             if submission.handle is not None:
-                submission.handle.left(self.world.timeline.now)
+                submission.handle.client_left(self.world.timeline.now)
             self.discard_if_done(name, submission)
 
     def deadline_passed(self, name: int, submission: OpenSubmission) -> None:
@@ -245,7 +245,7 @@
 
     def discard_if_done(self, name: int, submission: OpenSubmission) -> None:
         """Forget a submission that is answered and has no more hops."""
-        if submission.handle is not None and submission.handle.over() and submission.answered:
+        if submission.handle is not None and submission.handle.is_finished() and submission.answered:
             self.open_submissions.pop(name, None)
             if self.latest_names.get(submission.client_submission.number) == name:
                 del self.latest_names[submission.client_submission.number]
@@ -334,7 +334,7 @@
     def response_stalled(self, name: int, hop: Hop, outcome: Outcome) -> None:
         """The beginning of a response has arrived; the rest never will."""
         if not hop.finished and hop.submission.handle is not None:
-            hop.submission.handle.started(self.world.timeline.now, hop.number)
+            hop.submission.handle.response_started(self.world.timeline.now, hop.number)
 
     def response_arrived(self, name: int, hop: Hop, outcome: Outcome) -> None:
         """The outcome of a hop has arrived from its server."""
@@ -358,7 +358,9 @@
         hop.finished = True
         submission, now = hop.submission, self.world.timeline.now
         if submission.handle is not None:
-            submission.handle.ended(now, hop.number, outcome, now - hop.started_at, submission.answered)
+            submission.handle.hop_finished(
+                now, hop.number, outcome, now - hop.started_at, submission.answered
+            )
         self.discard_if_done(name, submission)
 
     def give_up(self, hop: Hop) -> None:
@@ -398,11 +400,11 @@
         """Send a hop."""
         self.sidecar.send(submission, server)
 
-    def defer(self, submission: int, retry_in: int) -> None:
+    def reject(self, submission: int, retry_in: int) -> None:
         """Reject a submission, with the time after which to retry."""
         self.sidecar.report_answer(submission, "deferred", retry_in)
 
-    def forfeit(self, submission: int) -> None:
+    def fail(self, submission: int) -> None:
         """Answer that a submission has failed and may have run."""
         self.sidecar.report_answer(submission, "forfeited")
 
@@ -413,25 +415,25 @@
     def probe(self, server: int) -> None:
         """Unused: no balancer asks for probes."""
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """Ignored: sidecars exchange no messages of their balancers here."""
 
-    def free_links(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         """Ignored: idle connections are never lost in this model, so closing them has no use."""
 
-    def follow(self) -> None:
+    def request_server_list(self) -> None:
         """Subscribe to the server list."""
         if self.is_alive():
             self.sidecar.world.registry.subscribe(self.sidecar.number)
 
-    def wake(self, at: int, whom: Wakeable) -> None:
+    def set_timer(self, at: int, whom: TimerHandler) -> None:
         """Set a timer."""
         self.sidecar.world.timeline.at(at, self.fire_timer, whom)
 
-    def fire_timer(self, whom: Wakeable) -> None:
+    def fire_timer(self, whom: TimerHandler) -> None:
         """A timer is due."""
         if self.is_alive():
-            whom.woke(self.sidecar.world.timeline.now)
+            whom.on_timer(self.sidecar.world.timeline.now)
 
     def log(self, text: str) -> None:
         """Trace a line of the balancer's log."""
--- a/pumicepath/relay/clock.py
+++ b/pumicepath/relay/clock.py
@@ -5,5 +5,5 @@
 import time
 
 
-def clock() -> int:
+def now_us() -> int:
     return time.monotonic_ns() // 1000
--- a/pumicepath/relay/followers.py
+++ b/pumicepath/relay/followers.py
@@ -12,24 +12,24 @@
 from typing import TYPE_CHECKING, NamedTuple
 from urllib.parse import unquote
 
-from ..distribution.interests import PLAIN, Interest, interest_of
+from ..distribution.interests import ALL_PLAIN, Interest, parse_interest
 from ..http1 import writing
-from ..http1.messages import Malformed, Request
+from ..http1.messages import MalformedMessageError, Request
 from ..http1.parsing import RequestParser
 
 if TYPE_CHECKING:
     from .loop import Relay
 
-LONGEST_WAIT_MS = 60_000
-MOST_AHEAD = 16 * 1024  # bytes that may come while a call is out
-JSON = [("Content-Type", "application/json")]
-TEXT = [("Content-Type", "text/plain; charset=utf-8")]
-READING, OUT, WRITING, CLOSED = range(4)
+MAX_WAIT_MS = 60_000
+MAX_PIPELINED_BYTES = 16 * 1024  # bytes that may come while a call is out
+JSON_HEADERS = [("Content-Type", "application/json")]
+TEXT_HEADERS = [("Content-Type", "text/plain; charset=utf-8")]
+READING, PENDING, WRITING, CLOSED = range(4)
 
 
-class Call(NamedTuple):
+class ListRequest(NamedTuple):
     since: int  # -1 for the whole list
-    wait: int  # microseconds
+    wait_us: int  # microseconds
     interest: Interest
 
 
@@ -41,11 +41,11 @@
         "admin",
         "parser",
         "state",
-        "at",
+        "state_since",
         "unsent",
         "interest",
-        "keep",
-        "ahead",
+        "keep_alive",
+        "pipelined_bytes",
     )
 
     def __init__(self, number: int, sock: socket.socket, relay: Relay, now: int, admin: bool = False) -> None:
@@ -55,24 +55,24 @@
         self.admin = admin
         self.parser = RequestParser(0)
         self.state = READING
-        self.at = now  # when its state began
+        self.state_since = now  # when its state began
         self.unsent: memoryview | None = None
-        self.interest: Interest = PLAIN
-        self.keep = True
-        self.ahead = 0
+        self.interest: Interest = ALL_PLAIN
+        self.keep_alive = True
+        self.pipelined_bytes = 0
 
-    def ready(self, mask: int, now: int) -> None:
+    def handle_io(self, mask: int, now: int) -> None:
         """What its socket allows, and with no mask the next call that has come already."""
         try:
             if mask & selectors.EVENT_WRITE and self.unsent is not None:
                 self.write(now)
-            if mask & selectors.EVENT_READ and self.state in (READING, OUT):
+            if mask & selectors.EVENT_READ and self.state in (READING, PENDING):
                 self.read(now)
             if not mask and self.state == READING:
-                self.next(now)
-        except Malformed as trouble:
-            self.keep = False
-            self.tell(trouble.status, f"{trouble}\n".encode(), now, TEXT)
+                self.next_request(now)
+        except MalformedMessageError as trouble:
+            self.keep_alive = False
+            self.respond(trouble.status, f"{trouble}\n".encode(), now, TEXT_HEADERS)
         except BlockingIOError:
             return
         except OSError:
@@ -83,29 +83,31 @@
         if not data:
             self.close()
             return
-        if self.state == OUT:
-            self.ahead += len(data)
-            if self.ahead > MOST_AHEAD:
+        if self.state == PENDING:
+            self.pipelined_bytes += len(data)
+            if self.pipelined_bytes > MAX_PIPELINED_BYTES:
                 self.close()
                 return
         self.parser.feed(data)
         if self.state == READING:
-            self.next(now)
+            self.next_request(now)
 
-    def next(self, now: int) -> None:
+    def next_request(self, now: int) -> None:
         request = self.parser.next()
         if request is not None:
-            self.state = OUT
-            self.at = now
-            self.ahead = 0
-            self.keep = request.keeps()
-            self.relay.called(self, request, now)
-
-    def tell(self, status: int, body: bytes, now: int, headers: list[tuple[str, str]] = JSON) -> None:
+            self.state = PENDING
+            self.state_since = now
+            self.pipelined_bytes = 0
+            self.keep_alive = request.keeps_alive()
+            self.relay.handle_request(self, request, now)
+
+    def respond(
+        self, status: int, body: bytes, now: int, headers: list[tuple[str, str]] = JSON_HEADERS
+    ) -> None:
         """The whole answer to the call that is out."""
-        head = writing.response(status, headers, b"", self.keep, len(body))
+        head = writing.response(status, headers, b"", self.keep_alive, len(body))
         self.state = WRITING
-        self.at = now
+        self.state_since = now
         sent = 0
         try:
             sent = self.sock.sendmsg((head, body))
@@ -115,48 +117,48 @@
             self.close()
             return
         if sent == len(head) + len(body):
-            self.written(now)
+            self.response_written(now)
             return
         whole, done = (head + body, sent) if sent < len(head) else (body, sent - len(head))
         self.unsent = memoryview(whole)[done:]
-        self.relay.slow(self, len(self.unsent))
+        self.relay.add_slow(self, len(self.unsent))
         self.relay.selector.modify(self.sock, selectors.EVENT_WRITE, self)
 
     def write(self, now: int) -> None:
         assert self.unsent is not None
         sent = self.sock.send(self.unsent)
-        self.relay.unsent -= sent
+        self.relay.unsent_bytes -= sent
         self.unsent = self.unsent[sent:]
         if not self.unsent:
             self.unsent = None
-            self.relay.slowed.pop(self.number, None)
+            self.relay.slow_followers.pop(self.number, None)
             self.relay.selector.modify(self.sock, selectors.EVENT_READ, self)
-            self.written(now)
+            self.response_written(now)
 
-    def written(self, now: int) -> None:
-        if not self.keep:
+    def response_written(self, now: int) -> None:
+        if not self.keep_alive:
             self.close()
             return
         self.state = READING
-        self.at = now
-        if not self.parser.idle():
+        self.state_since = now
+        if not self.parser.is_idle():
             # Guards the stack, and the others, against a follower that sends many calls ahead.
-            self.relay.again.append(self)
+            self.relay.resume_queue.append(self)
 
     def close(self) -> None:
         if self.state != CLOSED:
             self.state = CLOSED
-            self.relay.gone(self)
+            self.relay.remove_connection(self)
             self.sock.close()
 
 
-def call_of(request: Request) -> Call:
+def parse_list_request(request: Request) -> ListRequest:
     """Raises Malformed for what is no call of discovery's protocol."""
     path, _, query = request.target.partition("?")
     if path != "/discovery/hosts":
-        raise Malformed(404, "no such call")
+        raise MalformedMessageError(404, "no such call")
     if request.method != "GET":
-        raise Malformed(400, f"{request.method} is not GET")
+        raise MalformedMessageError(400, f"{request.method} is not GET")
     since, wait, services = -1, 0, None
     try:
         for part in query.split("&") if query else ():
@@ -166,9 +168,9 @@
             if name == "since":
                 since = int(value)
             elif name == "timeout_ms":
-                wait = max(0, min(LONGEST_WAIT_MS, int(value)))
+                wait = max(0, min(MAX_WAIT_MS, int(value)))
             elif name == "services":
                 services = value
-        return Call(since, wait * 1000, interest_of(services))
+        return ListRequest(since, wait * 1000, parse_interest(services))
     except ValueError as trouble:
-        raise Malformed(400, str(trouble)) from trouble
+        raise MalformedMessageError(400, str(trouble)) from trouble
--- a/pumicepath/relay/log.py
+++ b/pumicepath/relay/log.py
@@ -10,39 +10,39 @@
 
 import orjson
 
-MOST_WAITING = 500
-MOST_LINE = 4096  # what a pipe that can be written takes without a wait (PIPE_BUF)
+MAX_QUEUED_LINES = 500
+MAX_LINE_BYTES = 4096  # what a pipe that can be written takes without a wait (PIPE_BUF)
 
 
 class Log:
     def __init__(self, name: str, descriptor: int = 1) -> None:
         self.name = name
         self.descriptor = descriptor
-        self.waiting: deque[bytes] = deque()
+        self.queue: deque[bytes] = deque()
         self.dropped = 0
         self.poll = select.poll()
         self.poll.register(descriptor, select.POLLOUT)
 
-    def event(self, event: str, **figures: Any) -> None:
-        if len(self.waiting) >= MOST_WAITING:
+    def event(self, event: str, **fields: Any) -> None:
+        if len(self.queue) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
-        line = {"time": round(time.time(), 3), "relay": self.name, "event": event, **figures}
+        line = {"time": round(time.time(), 3), "relay": self.name, "event": event, **fields}
         data = orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
-        if len(data) > MOST_LINE:
+        if len(data) > MAX_LINE_BYTES:
             line = {"time": line["time"], "relay": self.name, "event": event, "cut": len(data)}
             data = orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE)
-        self.waiting.append(data)
+        self.queue.append(data)
         self.flush()
 
     def flush(self) -> None:
         """Write what can be written now.  Guards followers against a reader of the log that has stopped."""
-        while self.waiting:
+        while self.queue:
             found = self.poll.poll(0)
             if not found or not found[0][1] & select.POLLOUT:
                 return
             try:
-                os.write(self.descriptor, self.waiting.popleft())
+                os.write(self.descriptor, self.queue.popleft())
             except OSError:
                 return  # nobody reads the log any more; that must not end the relay
         if self.dropped:
--- a/pumicepath/relay/figures.py
+++ b/pumicepath/relay/metrics.py
@@ -10,8 +10,8 @@
     from .loop import Relay
 
 
-def written(relay: Relay, now: int) -> str:
-    held = relay.held
+def render(relay: Relay, now: int) -> str:
+    held = relay.store
     names = (
         "calls",
         "answers",
@@ -29,27 +29,27 @@
         "faults",
         "turns",
     )
-    figures: dict[str, int] = {name: relay.counts[name] for name in names}
+    figures: dict[str, int] = {name: relay.counters[name] for name in names}
     figures |= {
         "version": held.version,
-        "floor": held.floor,
-        "history": len(held.log),
-        "servers": len(held.shown),
+        "floor": held.min_version,
+        "history": len(held.change_log),
+        "servers": len(held.visible),
         "services": len(held.services),
-        "live": held.live(),
+        "live": held.live_regions(),
         "followers": len(relay.followers),
-        "most_followers": relay.most,
-        "waiting": relay.subscriptions.waiting(),
+        "most_followers": relay.max_followers,
+        "waiting": relay.subscriptions.waiting_count(),
         "interests": len(relay.subscriptions.groups),
-        "whole_waiting": len(relay.pace.queue),
-        "slow": len(relay.slowed),
-        "unsent": relay.unsent,
-        "up_s": (now - relay.started) // 1_000_000,
+        "whole_waiting": len(relay.whole_list_pacer.queue),
+        "slow": len(relay.slow_followers),
+        "unsent": relay.unsent_bytes,
+        "up_s": (now - relay.started_at) // 1_000_000,
     }
     for name, region in held.regions.items():
         figures |= {
             f"region.{name}.seq": region.seq,
             f"region.{name}.live": int(region.live),
-            f"region.{name}.servers": len(region.lines),
+            f"region.{name}.servers": len(region.entries),
         }
     return "".join(f"{PREFIX}.relay.{name}={value}\n" for name, value in figures.items())
--- a/pumicepath/settings.py
+++ b/pumicepath/settings.py
@@ -5,63 +5,63 @@
 import math
 from typing import Any
 
-from .interface import Effect, Group, Settings, Tariff
+from .interface import DedupGroup, Effect, RequestClass, Settings
 
-EFFECTS = {
+EFFECT_BY_WORD = {
     "idempotent": Effect.IDEMPOTENT,
     "deduplicated": Effect.DEDUPLICATED,
-    "at_most_once": Effect.UNREPEATABLE,
+    "at_most_once": Effect.NON_IDEMPOTENT,
 }
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-DAY = 86_400.0
+DEDUP_GROUP_BY_WORD = {"all": DedupGroup.ALL, "zone": DedupGroup.ZONE, "cell": DedupGroup.CELL}
+DAY_S = 86_400.0
 
 
-def decode(info: dict[str, Any]) -> Settings:
+def decode_settings(info: dict[str, Any]) -> Settings:
     limits, rules = info.get("policyLimits", {}), info.get("rules", {})
     return Settings(
-        me=info.get("me", 0),
-        fleet=max(1, info.get("fleetSize", 1)),
+        sidecar_index=info.get("me", 0),
+        fleet_size=max(1, info.get("fleetSize", 1)),
         zone=info.get("zone", 0),
-        tariffs=tuple(tariff(entry, info) for entry in info.get("tariffs", [])),
-        crossing_price=info.get("prices", {}).get("crossZone", 0.0),
-        must_ask=info.get("membershipMode") == "on_request",
-        ask_every=down(rules.get("askEveryS", DAY)),
-        most_hops=limits.get("mostHops", 1),
-        most_retry_in=down(limits.get("maxRetryAfterS", 0.0)) if limits.get("retryAfter") else 0,
-        cold_from=rules.get("coldFrom", 1.0),
-        cold_for=math.ceil(rules.get("coldS", 0.0) * 1e6),
-        fall_multiple=rules.get("fallMultiple", 1.0),
-        fall_window=math.ceil(rules.get("overloadForS", 1.0) * 1e6),
-        live=info.get("weights") == "live",
-        connection_price=info.get("prices", {}).get("connection", 0.0),
-        marked=bool((info.get("clientHabits") or {}).get("marksRetry", False)),
-        copies=bool(limits.get("secondCopies", False)),
-        full_unproven=bool(rules.get("fullUnproven", False)),
-        drain_alone=bool(rules.get("drainBindsAlone", False)),
-        may_tell=bool(limits.get("mayTell", False)),
-        quotas=tuple(float(entry.get("quotaPerS", 0.0)) for entry in info.get("tenants", [])),
+        request_classes=tuple(decode_request_class(entry, info) for entry in info.get("tariffs", [])),
+        cross_zone_cost=info.get("prices", {}).get("crossZone", 0.0),
+        polls_list=info.get("membershipMode") == "on_request",
+        poll_interval=to_microseconds(rules.get("askEveryS", DAY_S)),
+        max_hops=limits.get("mostHops", 1),
+        max_retry_after=to_microseconds(limits.get("maxRetryAfterS", 0.0)) if limits.get("retryAfter") else 0,
+        cold_fraction=rules.get("coldFrom", 1.0),
+        cold_duration=math.ceil(rules.get("coldS", 0.0) * 1e6),
+        overload_multiple=rules.get("fallMultiple", 1.0),
+        overload_window=math.ceil(rules.get("overloadForS", 1.0) * 1e6),
+        live_weights=info.get("weights") == "live",
+        connection_cost=info.get("prices", {}).get("connection", 0.0),
+        clients_mark_retries=bool((info.get("clientHabits") or {}).get("marksRetry", False)),
+        hedging_allowed=bool(limits.get("secondCopies", False)),
+        full_may_have_run=bool(rules.get("fullUnproven", False)),
+        only_draining_removes=bool(rules.get("drainBindsAlone", False)),
+        peer_messages_allowed=bool(limits.get("mayTell", False)),
+        tenant_quotas=tuple(float(entry.get("quotaPerS", 0.0)) for entry in info.get("tenants", [])),
     )
 
 
-def tariff(entry: dict[str, Any], info: dict[str, Any]) -> Tariff:
-    patience = entry.get("patienceS", DAY)
-    return Tariff(
-        agreed=down(min(patience, entry.get("agreedTimeS", patience))),
-        patience=down(patience),
-        gain=entry.get("gain", 1.0),
-        late_gain=entry.get("lateGain", 0.0),
+def decode_request_class(entry: dict[str, Any], info: dict[str, Any]) -> RequestClass:
+    patience = entry.get("patienceS", DAY_S)
+    return RequestClass(
+        latency_target=to_microseconds(min(patience, entry.get("agreedTimeS", patience))),
+        deadline=to_microseconds(patience),
+        value=entry.get("gain", 1.0),
+        late_value=entry.get("lateGain", 0.0),
         # A word not known here is taken as the strictest, so that nothing is repeated by mistake.
-        effect=EFFECTS.get(entry.get("effect", ""), Effect.UNREPEATABLE),
-        group=GROUPS.get(entry.get("group", "cell"), Group.CELL),
-        window=down(entry.get("windowS", 0.0)),
+        effect=EFFECT_BY_WORD.get(entry.get("effect", ""), Effect.NON_IDEMPOTENT),
+        dedup_group=DEDUP_GROUP_BY_WORD.get(entry.get("group", "cell"), DedupGroup.CELL),
+        dedup_window=to_microseconds(entry.get("windowS", 0.0)),
         stream=bool(entry.get("stream", False)),
         name=str(entry.get("name", "")),
-        zones=numbers(entry.get("allowedIn"), info.get("dcs")),
-        kinds=numbers(entry.get("kindsAllowed"), info.get("kinds")),
+        zones=resolve_indexes(entry.get("allowedIn"), info.get("dcs")),
+        kinds=resolve_indexes(entry.get("kindsAllowed"), info.get("kinds")),
     )
 
 
-def numbers(places: list[Any] | None, names: list[str] | None) -> tuple[int, ...] | None:
+def resolve_indexes(places: list[Any] | None, names: list[str] | None) -> tuple[int, ...] | None:
     """Zones or kinds, each by its number or its name, by their numbers; one that has no name here is none."""
     if places is None:
         return None
@@ -69,49 +69,49 @@
     return tuple(sorted(one if isinstance(one, int) else known.get(one, -1) for one in places))
 
 
-NUMBER = (0.0, 1e9)
-TIME = (1e-6, 1e9)
-SHARE = (0.0, 1.0)
-COUNT = (0, 1 << 31)
+NUMBER_RANGE = (0.0, 1e9)
+TIME_RANGE_S = (1e-6, 1e9)
+FRACTION_RANGE = (0.0, 1.0)
+COUNT_RANGE = (0, 1 << 31)
 # Each key that is read, with its range or its words; what is not named here is skipped, as the wire asks.
-KEYS: dict[str, Any] = {
-    "me": COUNT,
+ALLOWED_VALUES: dict[str, Any] = {
+    "me": COUNT_RANGE,
     "fleetSize": (1, 1 << 31),
-    "zone": COUNT,
+    "zone": COUNT_RANGE,
     "weights": ("off", "nominal", "rough", "live"),
     "membershipMode": ("pushed", "on_request"),
-    "prices.crossZone": NUMBER,
-    "prices.connection": NUMBER,
-    "rules.askEveryS": NUMBER,
-    "rules.coldFrom": SHARE,
-    "rules.coldS": NUMBER,
-    "rules.fallMultiple": NUMBER,
-    "rules.overloadForS": NUMBER,
+    "prices.crossZone": NUMBER_RANGE,
+    "prices.connection": NUMBER_RANGE,
+    "rules.askEveryS": NUMBER_RANGE,
+    "rules.coldFrom": FRACTION_RANGE,
+    "rules.coldS": NUMBER_RANGE,
+    "rules.fallMultiple": NUMBER_RANGE,
+    "rules.overloadForS": NUMBER_RANGE,
     "policyLimits.mostHops": (1, 1 << 31),
-    "policyLimits.maxRetryAfterS": NUMBER,
+    "policyLimits.maxRetryAfterS": NUMBER_RANGE,
     "rules.drainBindsAlone": bool,
     "rules.fullUnproven": bool,
     "policyLimits.retryAfter": bool,
     "policyLimits.mayTell": bool,
     "policyLimits.secondCopies": bool,
     "clientHabits.marksRetry": bool,
-    "policyLimits.connIdleS": NUMBER,
-    "policyLimits.dialTimeoutS": NUMBER,
+    "policyLimits.connIdleS": NUMBER_RANGE,
+    "policyLimits.dialTimeoutS": NUMBER_RANGE,
 }
-IN_TARIFF: dict[str, Any] = {
-    "agreedTimeS": TIME,
-    "patienceS": TIME,
-    "gain": NUMBER,
-    "lateGain": NUMBER,
-    "windowS": NUMBER,
-    "effect": tuple(EFFECTS),
-    "group": tuple(GROUPS),
+REQUEST_CLASS_ALLOWED: dict[str, Any] = {
+    "agreedTimeS": TIME_RANGE_S,
+    "patienceS": TIME_RANGE_S,
+    "gain": NUMBER_RANGE,
+    "lateGain": NUMBER_RANGE,
+    "windowS": NUMBER_RANGE,
+    "effect": tuple(EFFECT_BY_WORD),
+    "group": tuple(DEDUP_GROUP_BY_WORD),
     "stream": bool,
 }
 # Null stands for nothing that these could mean.
-NEVER_NULL = ("agreedTimeS", "patienceS", "policyLimits.mostHops")
+NON_NULL_KEYS = ("agreedTimeS", "patienceS", "policyLimits.mostHops")
 # What a file need not have though the one before it had: optional on the wire.
-OPTIONAL = (
+OPTIONAL_KEYS = (
     "rules.drainBindsAlone",
     "rules.fullUnproven",
     "weights",
@@ -122,10 +122,10 @@
     "stream",
 )
 # Where a tariff may be served, and the names that such places have.
-PLACES = {"allowedIn": "dcs", "kindsAllowed": "kinds"}
-IN_TENANT: dict[str, Any] = {"quotaPerS": NUMBER}
+PLACEMENT_NAMES = {"allowedIn": "dcs", "kindsAllowed": "kinds"}
+TENANT_ALLOWED: dict[str, Any] = {"quotaPerS": NUMBER_RANGE}
 # What may be set and the platform of real sidecars has no way for, with the values that ask for nothing.
-IDLE_KEYS: dict[str, tuple] = {
+UNSUPPORTED_KEYS: dict[str, tuple] = {
     "policyLimits.mayTell": (None, False),
     "policyLimits.secondCopies": (None, False),
     "policyLimits.streamsPerConn": (None, 1),
@@ -133,20 +133,23 @@
 }
 
 
-def check(info: dict[str, Any]) -> None:
+def check_settings(info: dict[str, Any]) -> None:
     """Raises ValueError that names the first key whose value can't be meant."""
     for part in ("prices", "rules", "policyLimits", "clientHabits"):
         if not isinstance(info.get(part, {}), dict):
             raise ValueError(f"settings.{part} is no object")
-    for key, allowed in KEYS.items():
+    for key, allowed in ALLOWED_VALUES.items():
         part, _, name = key.rpartition(".")
-        check_one(
-            "settings." + key, found(info, key), allowed, key in NEVER_NULL and name in (info.get(part) or {})
+        check_value(
+            "settings." + key,
+            find_value(info, key),
+            allowed,
+            key in NON_NULL_KEYS and name in (info.get(part) or {}),
         )
-    for places in PLACES.values():
+    for places in PLACEMENT_NAMES.values():
         if not isinstance(info.get(places) or [], list):
             raise ValueError(f"settings.{places} is no list")
-    for part, keys in (("tariffs", IN_TARIFF), ("tenants", IN_TENANT)):
+    for part, keys in (("tariffs", REQUEST_CLASS_ALLOWED), ("tenants", TENANT_ALLOWED)):
         names = []
         if not isinstance(info.get(part) or [], list):
             raise ValueError(f"settings.{part} is no list")
@@ -154,14 +157,14 @@
             if not isinstance(entry, dict):
                 raise ValueError(f"settings.{part}[{at}] is no object")
             for key, allowed in keys.items():
-                check_one(
+                check_value(
                     f"settings.{part}[{at}].{key}",
                     entry.get(key),
                     allowed,
-                    key in NEVER_NULL and key in entry,
+                    key in NON_NULL_KEYS and key in entry,
                 )
-            for key, known in PLACES.items() if part == "tariffs" else ():
-                check_places(f"settings.{part}[{at}].{key}", entry.get(key), known, info.get(known) or [])
+            for key, known in PLACEMENT_NAMES.items() if part == "tariffs" else ():
+                check_placement(f"settings.{part}[{at}].{key}", entry.get(key), known, info.get(known) or [])
             if entry.get("effect") == "deduplicated" and entry.get("windowS", 1) == 0:
                 raise ValueError(f"settings.{part}[{at}].windowS: 0 is no time in which a repeat is dropped")
             names.append(str(entry.get("name", at)))
@@ -174,22 +177,24 @@
         raise ValueError(f"settings.zone: {info['zone']} is none of {len(info['dcs'])} dcs")
 
 
-def found(info: dict[str, Any], key: str) -> Any:
+def find_value(info: dict[str, Any], key: str) -> Any:
     part, _, name = key.rpartition(".")
     return (info.get(part) or {}).get(name) if part else info.get(name)
 
 
-def present(info: dict[str, Any]) -> frozenset[str]:
+def present_keys(info: dict[str, Any]) -> frozenset[str]:
     """The keys that are read and are there, of tariffs those that all of them have, but for optional ones."""
-    read = ("dcs", *(key for key in KEYS if key not in OPTIONAL))
-    keys = {"settings." + key for key in read if found(info, key) is not None}
-    for key in IN_TARIFF:
-        if key not in OPTIONAL and all(entry.get(key) is not None for entry in info.get("tariffs") or []):
+    read = ("dcs", *(key for key in ALLOWED_VALUES if key not in OPTIONAL_KEYS))
+    keys = {"settings." + key for key in read if find_value(info, key) is not None}
+    for key in REQUEST_CLASS_ALLOWED:
+        if key not in OPTIONAL_KEYS and all(
+            entry.get(key) is not None for entry in info.get("tariffs") or []
+        ):
             keys.add(f"settings.tariffs[].{key}")
     return frozenset(keys)
 
 
-def check_one(key: str, value: Any, allowed: Any, needed: bool = False) -> None:
+def check_value(key: str, value: Any, allowed: Any, needed: bool = False) -> None:
     if value is None and not needed:
         return
     if allowed is bool:
@@ -210,7 +215,7 @@
         raise ValueError(f"{key}: {value!r} is not {wanted}")
 
 
-def check_places(key: str, places: Any, known: str, names: list[str]) -> None:
+def check_placement(key: str, places: Any, known: str, names: list[str]) -> None:
     """One that can't be told would leave its tariff nowhere to go, or anywhere."""
     if places is None:
         return
@@ -222,10 +227,10 @@
             raise ValueError(f"{key}: {one!r} is none of {known}")
 
 
-def without_effect(info: dict[str, Any]) -> list[str]:
+def unsupported_keys(info: dict[str, Any]) -> list[str]:
     """Keys that are set and do nothing in a real sidecar."""
-    return [key for key, nothing in IDLE_KEYS.items() if found(info, key) not in nothing]
+    return [key for key, nothing in UNSUPPORTED_KEYS.items() if find_value(info, key) not in nothing]
 
 
-def down(seconds: float) -> int:
+def to_microseconds(seconds: float) -> int:
     return math.floor(seconds * 1e6 + 0.001)
--- a/pumicepath/sidecar/admin_server.py
+++ b/pumicepath/sidecar/admin_server.py
@@ -11,15 +11,15 @@
 import orjson
 
 from ..admin.calls import AdminCall, parse_call
-from ..discovery.roster import Address
+from ..discovery.server_list import Address
 from ..http1 import writing
-from ..http1.messages import Malformed, Request
+from ..http1.messages import MalformedMessageError, Request
 from ..http1.parsing import RequestParser
 from . import answers, clock
 from .clients import Clients
 from .dispatch import Dispatcher
 from .hot_restart import HotRestart
-from .servers import start
+from .servers import start_thread
 
 if TYPE_CHECKING:
     from .peers import Peers
@@ -28,11 +28,11 @@
 CALL_TIMEOUT_US = 5_000_000  # for a whole request to arrive
 SOCKET_TIMEOUT = struct.pack("ll", 5, 0)  # struct timeval: 5 s
 MAX_BODY_BYTES = 4096
-DONE = answers.plain(200, "done")
-SERVING = answers.plain(200, "serving")
-NO_SERVER = answers.plain(404, "no such server")
-NOT_HELD = answers.plain(404, "this sidecar does not hold that duty")
-NO_PEERS = answers.plain(404, "no peers in the configuration")
+DONE = answers.text_answer(200, "done")
+SERVING = answers.text_answer(200, "serving")
+NO_SERVER = answers.text_answer(404, "no such server")
+NOT_HELD = answers.text_answer(404, "this sidecar does not hold that duty")
+NO_PEERS = answers.text_answer(404, "no peers in the configuration")
 
 
 class AdminServer:
@@ -85,7 +85,7 @@
                         oldest.shutdown(socket.SHUT_RDWR)
             if needs_thread:
                 try:
-                    start(self.run)
+                    start_thread(self.run)
                 except RuntimeError:  # no thread can be started: this one accepts again after this call
                     with self.lock:
                         self.idle_threads -= 1
@@ -113,7 +113,7 @@
         continue_sent = False
         try:
             while (request := parser.next()) is None:
-                if not continue_sent and parser.awaited():
+                if not continue_sent and parser.awaits_continue():
                     continue_sent = True
                     sock.sendall(writing.CONTINUE)
                 data = sock.recv(4096)
@@ -121,9 +121,9 @@
                     return
                 parser.feed(data)
             answer = self.answer(request)
-        except Malformed as error:
+        except MalformedMessageError as error:
             request = None
-            answer = answers.plain(error.status, str(error))
+            answer = answers.text_answer(error.status, str(error))
         if request is not None and request.method == "HEAD":
             head = writing.response(answer.status, answer.headers, b"", False, len(answer.body))
             sock.sendall(head)
@@ -141,7 +141,7 @@
             case AdminCall.HEALTH_CHECK:
                 return SERVING
             case AdminCall.STATS:
-                return answers.plain(200, self.metrics().rstrip("\n"))
+                return answers.text_answer(200, self.metrics().rstrip("\n"))
             case AdminCall.PEERS:
                 if self.peers is None:
                     return NO_PEERS
@@ -157,26 +157,26 @@
                     return NOT_HELD
             case AdminCall.TAKE_OUT | AdminCall.PUT_BACK:
                 out = parsed.call == AdminCall.TAKE_OUT
-                if not dispatcher.by_hand(parsed.target, out):
+                if not dispatcher.set_out_of_service(parsed.target, out):
                     return NO_SERVER
                 self.hot_restart.propagate({"server": parsed.target, "out": out})
             case AdminCall.FAIL_HEALTH_CHECK | AdminCall.PASS_HEALTH_CHECK:
-                self.clients.empty(parsed.call == AdminCall.FAIL_HEALTH_CHECK)
+                self.clients.set_out_of_service(parsed.call == AdminCall.FAIL_HEALTH_CHECK)
                 self.hot_restart.propagate({"emptied": parsed.call == AdminCall.FAIL_HEALTH_CHECK})
         return DONE
 
     def metrics(self) -> str:
         """Return all metrics, one line each."""
         dispatcher = self.dispatcher
-        listed, avoided = dispatcher.standing()
-        return dispatcher.figures.render(
-            dispatcher.serving[0].request_classes,
+        listed, avoided = dispatcher.server_counts()
+        return dispatcher.metrics.render(
+            dispatcher.active_config[0].request_classes,
             {
-                "current": self.clients.under_way(),
+                "current": self.clients.active_submissions(),
                 "cluster_size": listed,
                 "cluster_unhealthy": avoided,
-                "conf_loaded": dispatcher.loaded,
-                "conf_invalid": dispatcher.invalid,
+                "conf_loaded": dispatcher.config_loads,
+                "conf_invalid": dispatcher.config_failures,
                 **(self.peers.metrics() if self.peers is not None else {}),
             },
         )
--- a/pumicepath/sidecar/answers.py
+++ b/pumicepath/sidecar/answers.py
@@ -13,22 +13,22 @@
     body: bytes
 
 
-def plain(status: int, text: str) -> Answer:
+def text_answer(status: int, text: str) -> Answer:
     return Answer(status, [("Content-Type", "text/plain; charset=utf-8")], text.encode() + b"\n")
 
 
-FORFEITED = plain(502, "forfeited")
-READY = plain(200, "ready")
-NOT_READY = plain(503, "no server known that may be used")
-SENT_AWAY = plain(503, "clients are sent away")
+FAILED = text_answer(502, "forfeited")
+READY = text_answer(200, "ready")
+NOT_READY = text_answer(503, "no server known that may be used")
+OUT_OF_SERVICE = text_answer(503, "clients are sent away")
 
 
-def deferred(retry_in: int) -> Answer:
-    status, headers, body = plain(503, "deferred")
-    if retry_in > 0:
-        headers = [*headers, ("Retry-After", f"{retry_in / 1e6:.3f}")]
+def rejected(retry_after: int) -> Answer:
+    status, headers, body = text_answer(503, "deferred")
+    if retry_after > 0:
+        headers = [*headers, ("Retry-After", f"{retry_after / 1e6:.3f}")]
     return Answer(status, headers, body)
 
 
 def succeeded(response: Response) -> Answer:
-    return Answer(200, response.passed_on(), response.body)
+    return Answer(200, response.end_to_end_headers(), response.body)
--- a/pumicepath/sidecar/arrival.py
+++ b/pumicepath/sidecar/arrival.py
@@ -14,42 +14,42 @@
 
 from . import clock
 
-ESTABLISHED = 1  # of the kernel's states (tcp_states.h)
-RECEIVED = slice(128, 136)  # tcpi_bytes_received of struct tcp_info (linux/tcp.h)
-STAMP = 35  # SO_TIMESTAMPNS of asm-generic/socket.h, on all machines this is meant for
-LATEST = slice(52, 56)  # tcpi_last_data_recv, in milliseconds
-PAIR = struct.Struct("qq")
-SPACE = socket.CMSG_SPACE(PAIR.size)
+TCP_ESTABLISHED = 1  # of the kernel's states (tcp_states.h)
+BYTES_RECEIVED = slice(128, 136)  # tcpi_bytes_received of struct tcp_info (linux/tcp.h)
+SO_TIMESTAMPNS = 35  # SO_TIMESTAMPNS of asm-generic/socket.h, on all machines this is meant for
+LAST_DATA_RECV = slice(52, 56)  # tcpi_last_data_recv, in milliseconds
+TIMESPEC = struct.Struct("qq")
+CONTROL_BYTES = socket.CMSG_SPACE(TIMESPEC.size)
 
 
-def mark(sock: socket.socket) -> None:
+def enable_timestamps(sock: socket.socket) -> None:
     """Have the kernel stamp what comes on this connection."""
     with suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, STAMP, 1)
+        sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
 
 
-def latest(sock: socket.socket, now: int) -> int:
+def last_received_at(sock: socket.socket, now: int) -> int:
     """When something came on a connection last, or it was made, as far as the kernel tells; else `now`.
 
     Guards against taking what has waited to be accepted for new: after a process was stopped, or had no core,
     clients have long gone, and what they asked for must not be done any more.
     """
     with suppress(OSError):
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, RECEIVED.stop)
-        if len(told) >= LATEST.stop:
-            return now - int.from_bytes(told[LATEST], sys.byteorder) * 1000
+        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, BYTES_RECEIVED.stop)
+        if len(told) >= LAST_DATA_RECV.stop:
+            return now - int.from_bytes(told[LAST_DATA_RECV], sys.byteorder) * 1000
     return now
 
 
-def receive(sock: socket.socket, room: memoryview, since: int) -> tuple[int, int]:
+def receive(sock: socket.socket, buffer: memoryview, since: int) -> tuple[int, int]:
     """Read once, and tell how many bytes that were and when they came, no earlier than `since`.
 
     Raises OSError as reading does.
     """
-    count, told, _, _ = sock.recvmsg_into((room,), SPACE)
+    count, told, _, _ = sock.recvmsg_into((buffer,), CONTROL_BYTES)
     now = clock.now()
-    if told and len(told[0][2]) == PAIR.size:
-        seconds, nanoseconds = PAIR.unpack(told[0][2])
+    if told and len(told[0][2]) == TIMESPEC.size:
+        seconds, nanoseconds = TIMESPEC.unpack(told[0][2])
         waited = (time.time_ns() - seconds * 1_000_000_000 - nanoseconds) // 1000
         if waited > 0:
             # The bound guards against a clock of the machine that was set between the two.
@@ -57,18 +57,21 @@
     return count, now
 
 
-def quiet(sock: socket.socket, got: int) -> bool:
+def is_quiet(sock: socket.socket, bytes_read: int) -> bool:
     """Whether the connection stands and nothing waits on it, after so many bytes that were read from it.
 
     By TCP_INFO (tcp(7)), in which, unlike in a look at the next byte, a thread never loses the interpreter to
     another.
     """
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, RECEIVED.stop)
-        if told[0] != ESTABLISHED:
+        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, BYTES_RECEIVED.stop)
+        if told[0] != TCP_ESTABLISHED:
             return False
-        if len(told) == RECEIVED.stop and (count := int.from_bytes(told[RECEIVED], sys.byteorder)) >= got:
-            return count == got
+        if (
+            len(told) == BYTES_RECEIVED.stop
+            and (count := int.from_bytes(told[BYTES_RECEIVED], sys.byteorder)) >= bytes_read
+        ):
+            return count == bytes_read
         # An older kernel, or one that keeps no such count: it can't have received less than was read.
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -78,21 +81,21 @@
     return False
 
 
-def gone(sock: socket.socket) -> bool:
+def is_closed(sock: socket.socket) -> bool:
     """Whether the peer has closed the connection, as far as that has come."""
     try:
-        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != ESTABLISHED
+        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != TCP_ESTABLISHED
     except OSError:
         return True
 
 
-def ended(sock: socket.socket, how: int) -> bool:
+def shutdown(sock: socket.socket, how: int) -> bool:
     """Shut a connection's reading, or both ways; whether `gone` is true since, though its peer had not gone.
 
     Guards what crossed that end, on a platform where our own shutdown looks like the peer's: whether it has
     gone can't be known from there on.
     """
-    before = gone(sock)
+    before = is_closed(sock)
     with suppress(OSError):  # the peer was first
         sock.shutdown(how)
-    return not before and gone(sock)
+    return not before and is_closed(sock)
--- a/pumicepath/sidecar/config.py
+++ b/pumicepath/sidecar/config.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..discovery.roster import Address, BadList, Roster, address
+from ..discovery.server_list import Address, BadList, ServerList, parse_address
 from ..interface import Settings
-from ..settings import check, decode, present, without_effect
+from ..settings import check_settings, decode_settings, present_keys, unsupported_keys
 
 if TYPE_CHECKING:
     from ..fleet.settings import PeerSettings
@@ -105,7 +105,7 @@
     this address.
     """
     text = os.environ.get("GW_ADMIN_ADDR") or raw.get("admin_addr")
-    return address(str(text)) if text else None
+    return parse_address(str(text)) if text else None
 
 
 def decode_peers(raw: dict[str, Any]) -> PeerSettings | None:
@@ -119,8 +119,8 @@
 
     peer_settings = fleet.decode(raw.get("peers"), os.environ)
     name = str(raw.get("name", ""))
-    if not 0 < len(name.encode()) <= fleet.LONGEST_NAME:
-        raise ValueError(f"name: {name!r} is no name of 1 to {fleet.LONGEST_NAME} bytes, as peers need one")
+    if not 0 < len(name.encode()) <= fleet.MAX_NAME_BYTES:
+        raise ValueError(f"name: {name!r} is no name of 1 to {fleet.MAX_NAME_BYTES} bytes, as peers need one")
     return peer_settings
 
 
@@ -177,7 +177,7 @@
 def decode_config(raw: dict[str, Any]) -> Config:
     """Decode the file's object; raises KeyError, ValueError and others that `read` turns into ConfigError."""
     info = raw["settings"]
-    check(info)
+    check_settings(info)
     limits = info.get("policyLimits", {})
     names = [str(entry["name"]) for entry in info["tariffs"]]
     if not names:
@@ -185,11 +185,11 @@
     zones = tuple(str(zone) for zone in info.get("dcs", []))
     known_list = raw.get("known") or {"seq": 0, "whole": True, "hosts": []}
     with key_in_errors("known"):
-        Roster(zones, lambda started_at: started_at).read(known_list)
+        ServerList(zones, lambda started_at: started_at).apply(known_list)
     with key_in_errors("listen"):
-        listen = address(raw["listen"])
+        listen = parse_address(raw["listen"])
     with key_in_errors("discovery"):
-        discovery = address(raw["discovery"])
+        discovery = parse_address(raw["discovery"])
     with key_in_errors("seed"):
         seed = int(str(raw.get("seed", "0")), 16)
     relays, services = decode_relays(raw)
@@ -203,13 +203,13 @@
         zones=zones,
         kinds=tuple(str(kind) for kind in info.get("kinds", [])),
         request_classes={name: at for at, name in enumerate(names)},
-        settings=replace(decode(info), copies=False),  # a client's thread carries one hop at a time
+        settings=replace(decode_settings(info), copies=False),  # a client's thread carries one hop at a time
         pushed=info.get("membershipMode") != "on_request",
         idle_timeout_us=int(limits.get("connIdleS", 30.0) * 1e6),
         connect_timeout_us=int(limits.get("dialTimeoutS", 1.0) * 1e6),
-        keys_without_effect=tuple(without_effect(info)),
+        keys_without_effect=tuple(unsupported_keys(info)),
         admin=admin_address(raw),
-        present_keys=present(info) | {key for key in TOP_LEVEL_KEYS if key in raw},
+        present_keys=present_keys(info) | {key for key in TOP_LEVEL_KEYS if key in raw},
         peers=decode_peers(raw),
         relays=relays,
         services=services,
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -8,129 +8,129 @@
 from heapq import heappop, heappush
 
 from ..admin.metrics import Metrics
-from ..discovery.roster import Update, stable
+from ..balancer import Balancer, ClassState, Submission
+from ..discovery.server_list import ServerListUpdate, stable_id
 from ..http1 import writing
 from ..http1.messages import Response
 from ..http1.parsing import ResponseParser
-from ..interface import Companions, Listing, Outcome, Wakeable
-from ..invariants import must
-from ..logic import Balancer, Submission, Terms
+from ..interface import ListKind, Outcome, PeerTrials, TimerHandler
+from ..invariants import check_invariant
 from . import answers, clock
+from .admission_gate import AdmissionGate
 from .config import Config
-from .entrance import Entrance
+from .delay_monitor import DelayMonitor
 from .exchange import Exchange, Hop
 from .log import Log
-from .pace import Pace
-from .servers import Link, Pool
+from .servers import Pool, ServerConnection
 
-FOREVER = (1 << 63) - 1
-TOO_LATE = 10_000  # from when our own threads' delay tells on what servers are judged by
+NO_DEADLINE_US = (1 << 63) - 1
+MAX_THREAD_DELAY_US = 10_000  # from when our own threads' delay tells on what servers are judged by
 
 
-Serving = tuple[Config, tuple[Terms, ...]]
+ActiveConfig = tuple[Config, tuple[ClassState, ...]]
 
 
-class Turn:
+class PendingCall:
     """A call on the balancer, and what it led to."""
 
     __slots__ = ("call", "after", "fault", "done")
 
     def __init__(self, call: Callable[[int], None]) -> None:
         self.call = call
-        self.after: list[Callable[[], None]] = []
-        self.fault: Exception | None = None
+        self.after_unlock: list[Callable[[], None]] = []
+        self.error: Exception | None = None
         self.done: threading.Lock | None = None
 
 
-class Later:
+class PostponedTimer:
     """A submission's alarm, put off once."""
 
-    __slots__ = ("whom",)
+    __slots__ = ("handler",)
 
-    def __init__(self, whom: Submission) -> None:
-        self.whom = whom
+    def __init__(self, handler: Submission) -> None:
+        self.handler = handler
 
-    def over(self) -> bool:
-        return self.whom.over()
+    def is_finished(self) -> bool:
+        return self.handler.is_finished()
 
-    def woke(self, now: int) -> None:
-        self.whom.woke(now)
+    def on_timer(self, now: int) -> None:
+        self.handler.on_timer(now)
 
 
 class Dispatcher:
-    def __init__(self, config: Config, log: Log, follow: Callable[[], None]) -> None:
+    def __init__(self, config: Config, log: Log, on_list_request: Callable[[], None]) -> None:
         self.events = log
-        self.on_follow = follow
+        self.on_list_request = on_list_request
         self.lock = threading.Lock()
-        self.waiting: deque[Turn] = deque()
-        self.due = threading.Event()
-        self.rest: float | None = None
-        self.alarms: list[tuple[int, int, Wakeable]] = []
-        self.set_alarms = 0
-        self.closing: list[Callable[[], None]] = []
-        self.after: list[Callable[[], None]] = []
+        self.pending_calls: deque[PendingCall] = deque()
+        self.timers_changed = threading.Event()
+        self.timer_wait_s: float | None = None
+        self.timers: list[tuple[int, int, TimerHandler]] = []
+        self.timer_sequence = 0
+        self.pending_closes: list[Callable[[], None]] = []
+        self.after_unlock: list[Callable[[], None]] = []
         self.exchanges: dict[int, Exchange] = {}
-        self.taken = 0
+        self.admitted = 0
         self.draining = False  # since SIGTERM
-        self.ends = FOREVER  # by when all that is taken has to be answered, known from then on
-        self.emptied = False  # by an operator, until it is called back
-        self.figures = Metrics()
-        self.loaded = self.invalid = 0
+        self.shutdown_at = NO_DEADLINE_US  # by when all that is taken has to be answered, known from then on
+        self.out_of_service = False  # by an operator, until it is called back
+        self.metrics = Metrics()
+        self.config_loads = self.config_failures = 0
         self.pool = Pool(self, config, log)
-        self.traces: set[str] = set()
-        self.expiring: deque[tuple[int, str]] = deque()
+        self.trace_ids: set[str] = set()
+        self.trace_expiries: deque[tuple[int, str]] = deque()
         self.balancer = Balancer(config.settings, config.seed, self)
         # What requests are read by, replaced as one: whoever reads one takes it once and keeps to it.
-        self.serving: Serving = (config, self.balancer.terms)
-        self.longest = max(tariff.patience for tariff in config.settings.tariffs)
-        self.entrance = Entrance(config)
-        self.pace = Pace(self, self.entrance)
+        self.active_config: ActiveConfig = (config, self.balancer.class_states)
+        self.max_deadline = max(tariff.deadline for tariff in config.settings.request_classes)
+        self.admission_gate = AdmissionGate(config)
+        self.delay_monitor = DelayMonitor(self, self.admission_gate)
 
     # -- the lock and the timers
 
-    def decide(self, call: Callable[[int], None]) -> None:
+    def run_locked(self, call: Callable[[int], None]) -> None:
         """Run a call on the balancer under the lock, then what it led to without it.
 
         Guards against a convoy: with hundreds of threads at the lock, each would have to wait for the
         interpreter while it owns it.  Whoever has the lock runs the calls of those that wait, and wakes them.
         """
-        turn = Turn(call)
+        turn = PendingCall(call)
         if self.lock.acquire(False):
-            self.run(turn)
-            self.run_waiting()
+            self.run_call(turn)
+            self.run_pending_calls()
         else:
             turn.done = threading.Lock()
             turn.done.acquire()
-            self.waiting.append(turn)
+            self.pending_calls.append(turn)
             if self.lock.acquire(False):  # let go just before
-                self.run_waiting()
+                self.run_pending_calls()
             turn.done.acquire()
-        self.act(turn.after)
-        if turn.fault is not None:
-            raise turn.fault
+        self.run_actions(turn.after_unlock)
+        if turn.error is not None:
+            raise turn.error
 
-    def run(self, turn: Turn) -> None:
+    def run_call(self, pending: PendingCall) -> None:
         try:
-            turn.call(clock.now())
+            pending.call(clock.now())
         except Exception as trouble:  # told to the caller once what was decided before it is done
-            turn.fault = trouble
-        turn.after, self.after = self.closing + self.after, []
-        self.closing = []
+            pending.error = trouble
+        pending.after_unlock, self.after_unlock = self.pending_closes + self.after_unlock, []
+        self.pending_closes = []
 
-    def run_waiting(self) -> None:
+    def run_pending_calls(self) -> None:
         """With the lock, which is free afterwards; what waits then has found it free or is run here."""
         while True:
-            while self.waiting:
-                turn = self.waiting.popleft()
-                self.run(turn)
+            while self.pending_calls:
+                turn = self.pending_calls.popleft()
+                self.run_call(turn)
                 if turn.done is not None:
                     turn.done.release()
             self.lock.release()
-            if not self.waiting or not self.lock.acquire(False):
+            if not self.pending_calls or not self.lock.acquire(False):
                 return
 
-    def act(self, after: list[Callable[[], None]]) -> None:
-        for each in after:
+    def run_actions(self, actions: list[Callable[[], None]]) -> None:
+        for each in actions:
             try:
                 each()
             except Exception as trouble:  # one connection's fault must not keep others from their answers
@@ -138,318 +138,335 @@
 
     def run_timers(self) -> None:
         while True:
-            self.decide(self.ring)
-            self.due.wait(self.rest)
-            self.due.clear()
-
-    def ring(self, now: int) -> None:
-        while self.alarms and self.alarms[0][0] <= now:
-            whom = heappop(self.alarms)[2]
-            if type(whom) is Submission and self.pace.behind > TOO_LATE and not whom.over():
+            self.run_locked(self.fire_timers)
+            self.timers_changed.wait(self.timer_wait_s)
+            self.timers_changed.clear()
+
+    def fire_timers(self, now: int) -> None:
+        while self.timers and self.timers[0][0] <= now:
+            whom = heappop(self.timers)[2]
+            if (
+                type(whom) is Submission
+                and self.delay_monitor.delay > MAX_THREAD_DELAY_US
+                and not whom.over()
+            ):
                 # Guards servers against being judged by how late our own threads are: the answer may have
                 # come, and wait to be read.
-                self.wake(now + self.pace.behind, Later(whom))
+                self.set_timer(now + self.delay_monitor.delay, PostponedTimer(whom))
                 continue
             try:
-                whom.woke(now)
+                whom.on_timer(now)
             except Exception as trouble:  # the thread answers for all silent servers and must go on
                 self.events.event("fault", text=f"{type(trouble).__name__}: {trouble}")
-        self.drop_idle_alarms()
-        self.rest = max(0.0, (self.alarms[0][0] - now) / 1e6) if self.alarms else None
+        self.drop_finished_timers()
+        self.timer_wait_s = max(0.0, (self.timers[0][0] - now) / 1e6) if self.timers else None
 
-    def drop_idle_alarms(self) -> None:
+    def drop_finished_timers(self) -> None:
         """Guards the core against being woken for each submission that has ended long before its alarms."""
-        while self.alarms:
-            whom = self.alarms[0][2]
-            if not isinstance(whom, (Submission, Exchange, Later)) or not whom.over():
+        while self.timers:
+            whom = self.timers[0][2]
+            if not isinstance(whom, (Submission, Exchange, PostponedTimer)) or not whom.is_finished():
                 return
-            heappop(self.alarms)
+            heappop(self.timers)
 
     # -- what happens to submissions
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """Go by another configuration, in one step; what has been read ends under what it was read by."""
 
         def call(now: int) -> None:
-            self.balancer.adopt(now, config.settings)
-            self.pool.adopt(config)
-            self.serving = (config, self.balancer.terms)
-            self.longest = max(self.longest, *(tariff.patience for tariff in config.settings.tariffs))
+            self.balancer.apply_settings(now, config.settings)
+            self.pool.apply_config(config)
+            self.active_config = (config, self.balancer.class_states)
+            self.max_deadline = max(
+                self.max_deadline, *(tariff.deadline for tariff in config.settings.request_classes)
+            )
 
-        self.entrance.adopt(config)
-        self.decide(call)
+        self.admission_gate.apply_config(config)
+        self.run_locked(call)
 
-    def take(self, exchange: Exchange, terms: Terms, key: int, retry: bool) -> bool:
+    def submit(self, exchange: Exchange, terms: ClassState, key: int, retry: bool) -> bool:
         """Whether it was taken.
 
         Guards a submission that may still run against another one under its id, until its patience is over.
         """
 
         def call(now: int) -> None:
-            while self.expiring and self.expiring[0][0] <= now:
-                self.traces.discard(self.expiring.popleft()[1])
-            if exchange.trace in self.traces:
+            while self.trace_expiries and self.trace_expiries[0][0] <= now:
+                self.trace_ids.discard(self.trace_expiries.popleft()[1])
+            if exchange.trace_id in self.trace_ids:
                 return
-            self.traces.add(exchange.trace)
-            self.expiring.append((min(exchange.until, now + self.longest), exchange.trace))
-            self.taken += 1
-            exchange.number = self.taken
+            self.trace_ids.add(exchange.trace_id)
+            self.trace_expiries.append(
+                (min(exchange.deadline_at, now + self.max_deadline), exchange.trace_id)
+            )
+            self.admitted += 1
+            exchange.number = self.admitted
             self.exchanges[exchange.number] = exchange
-            exchange.handle = self.balancer.take_under(
-                now, exchange.number, terms, key, retry, exchange.until, exchange.upload is not None
+            exchange.submission = self.balancer.submit_with(
+                now, exchange.number, terms, key, retry, exchange.deadline_at, exchange.upload is not None
             )
             if not exchange.answered and exchange.upload is None:
-                self.wake(exchange.until, exchange)
-            self.forget(exchange)
+                self.set_timer(exchange.deadline_at, exchange)
+            self.remove_if_finished(exchange)
 
-        self.decide(call)
+        self.run_locked(call)
         return exchange.number > 0
 
-    def carry(self, exchange: Exchange) -> None:
+    def run_hops(self, exchange: Exchange) -> None:
         """By the client's thread: carry out the hops, one after the other, until none follows."""
-        while exchange.pending:
-            hop = exchange.pending.popleft()
-            link = hop.link
-            assert isinstance(link, Link)
+        while exchange.pending_hops:
+            hop = exchange.pending_hops.popleft()
+            link = hop.connection
+            assert isinstance(link, ServerConnection)
             try:
-                outcome, response, reuse = link.carry(hop)
+                outcome, response, reuse = link.run_hop(hop)
             except Exception:
-                self.decide(lambda now, link=link: self.dropped(link))  # type: ignore[misc]
+                self.run_locked(lambda now, link=link: self.discard_connection(link))  # type: ignore[misc]
                 raise
-            exchange.client.resume()
+            exchange.client.acquire_slot()
             try:
-                self.returned(hop, link, outcome, response, reuse)
+                self.complete_hop(hop, link, outcome, response, reuse)
             finally:
-                exchange.client.leave(clock.now() - hop.came if hop.came else 0)
+                exchange.client.release_slot(clock.now() - hop.received_at if hop.received_at else 0)
 
-    def dropped(self, link: Link) -> None:
-        link.hop = None
-        link.kill()
+    def discard_connection(self, connection: ServerConnection) -> None:
+        connection.hop = None
+        connection.close()
 
-    def whole(self, hop: Hop) -> None:
+    def upload_received(self, hop: Hop) -> None:
         exchange = hop.exchange
 
         def call(now: int) -> None:
-            if exchange.answered or exchange.handle is None:
+            if exchange.answered or exchange.submission is None:
                 return
-            exchange.until = min(now + exchange.patience, self.ends)
-            exchange.handle.whole(now, hop.number, exchange.until)
-            self.wake(exchange.until, exchange)
+            exchange.deadline_at = min(now + exchange.deadline, self.shutdown_at)
+            exchange.submission.body_complete(now, hop.number, exchange.deadline_at)
+            self.set_timer(exchange.deadline_at, exchange)
 
-        self.decide(call)
+        self.run_locked(call)
 
-    def returned(
-        self, hop: Hop, link: Link, outcome: Outcome, response: Response | None, reuse: bool
+    def complete_hop(
+        self, hop: Hop, connection: ServerConnection, outcome: Outcome, response: Response | None, reuse: bool
     ) -> None:
         """A hop has ended; its connection is ready for another, or it is closed."""
         exchange = hop.exchange
-        left = outcome != Outcome.OK and not exchange.answered and exchange.client.gone()
+        left = outcome != Outcome.OK and not exchange.answered and exchange.client.has_left()
 
         def call(now: int) -> None:
-            link.hop = None
+            connection.hop = None
             if reuse:
-                self.pool.put(now, link)
+                self.pool.release(now, connection)
             else:
-                link.kill()
-            if left and not exchange.answered and exchange.handle is not None:
+                connection.close()
+            if left and not exchange.answered and exchange.submission is not None:
                 # Nobody waits for a further hop.
-                exchange.answered = exchange.left = True
-                exchange.handle.left(now)
+                exchange.answered = exchange.client_left = True
+                exchange.submission.client_left(now)
             if hop.ended:
                 return
             if outcome == Outcome.OK and response is not None and not exchange.answered:
                 self.answer(exchange, answers.succeeded(response))
-            self.end(now, hop, Outcome.CANCELLED if hop.cancelled else outcome)
+            self.end_hop(now, hop, Outcome.CANCELLED if hop.cancelled else outcome)
 
-        self.decide(call)
+        self.run_locked(call)
 
-    def started(self, hop: Hop) -> None:
+    def response_started(self, hop: Hop) -> None:
         def call(now: int) -> None:
-            if not hop.ended and hop.exchange.handle is not None:
-                hop.exchange.handle.started(now, hop.number)
+            if not hop.ended and hop.exchange.submission is not None:
+                hop.exchange.submission.response_started(now, hop.number)
 
-        self.decide(call)
+        self.run_locked(call)
 
-    def pass_on(self, hop: Hop, parser: ResponseParser) -> bool:
+    def stream_response(self, hop: Hop, parser: ResponseParser) -> bool:
         """Guards the memory limit: an answer too long to be held is passed on as it comes.
 
         For the balancer the hop has ended: what slows the rest may be the client, and nothing cuts it.
         """
-        exchange, begun = hop.exchange, parser.begun()
+        exchange, begun = hop.exchange, parser.incoming()
         if begun is None:
             return False
         head, length = begun
         if not isinstance(head, Response) or head.status != 200:
             return False
         if length == writing.CHUNKED and not exchange.request.minor:
-            length = writing.NO_LENGTH
+            length = writing.UNTIL_CLOSE
 
         def call(now: int) -> None:
-            if not exchange.answered and not hop.ended and not hop.cancelled and exchange.handle is not None:
+            if (
+                not exchange.answered
+                and not hop.ended
+                and not hop.cancelled
+                and exchange.submission is not None
+            ):
                 exchange.answered = hop.ended = True
-                exchange.handle.ended(now, hop.number, Outcome.OK, max(hop.at, hop.came) - hop.at, True)
-                self.forget(exchange)
+                exchange.submission.hop_finished(
+                    now, hop.number, Outcome.OK, max(hop.started_at, hop.received_at) - hop.started_at, True
+                )
+                self.remove_if_finished(exchange)
                 passed.append(True)
 
         passed: list[bool] = []
-        self.decide(call)
+        self.run_locked(call)
         if passed:
-            exchange.client.begin(answers.succeeded(head), length, not self.leaving())
+            exchange.client.start_response(answers.succeeded(head), length, not self.closes_connections())
         return bool(passed)
 
-    def failed(self, exchange: Exchange) -> None:
+    def abort_exchange(self, exchange: Exchange) -> None:
         """A fault of our own on the client's side: hops are called off and the client is told."""
 
         def call(now: int) -> None:
             for hop in exchange.hops:
                 hop.ended = True
-                hop.link.hop = None
-                hop.link.kill()
+                hop.connection.hop = None
+                hop.connection.close()
             if not exchange.answered:
-                self.answer(exchange, answers.FORFEITED)
+                self.answer(exchange, answers.FAILED)
             self.exchanges.pop(exchange.number, None)
 
-        self.decide(call)
+        self.run_locked(call)
 
-    def end(self, now: int, hop: Hop, outcome: Outcome) -> None:
+    def end_hop(self, now: int, hop: Hop, outcome: Outcome) -> None:
         if hop.ended:
             return
         hop.ended = True
-        if hop.link.hop is hop:
-            hop.link.kill()
+        if hop.connection.hop is hop:
+            hop.connection.close()
         exchange = hop.exchange
-        if exchange.handle is not None:
+        if exchange.submission is not None:
             # By when it reached this machine: what our threads took to read it is not the server's.
-            came = max(hop.at, hop.came) if outcome == Outcome.OK and hop.came else now
-            exchange.handle.ended(now, hop.number, outcome, came - hop.at, exchange.answered)
-        self.forget(exchange)
+            came = max(hop.started_at, hop.received_at) if outcome == Outcome.OK and hop.received_at else now
+            exchange.submission.hop_finished(
+                now, hop.number, outcome, came - hop.started_at, exchange.answered
+            )
+        self.remove_if_finished(exchange)
 
     def answer(self, exchange: Exchange, answer: answers.Answer) -> None:
-        if must(not exchange.answered, "second final answer"):
+        if check_invariant(not exchange.answered, "second final answer"):
             exchange.answered = True
             client = exchange.client
-            self.after.append(lambda: client.answer(answer, not self.leaving()))
+            self.after_unlock.append(lambda: client.answer(answer, not self.closes_connections()))
 
-    def forget(self, exchange: Exchange) -> None:
-        if exchange.over():
+    def remove_if_finished(self, exchange: Exchange) -> None:
+        if exchange.is_finished():
             self.exchanges.pop(exchange.number, None)
             exchange.hops.clear()  # they know it, and would keep each other until the next collection
 
-    def leaving(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether clients are sent away: every answer ends its connection."""
-        return self.draining or self.emptied
+        return self.draining or self.out_of_service
 
-    def by_hand(self, name: str, out: bool, certain: bool = False) -> bool:
+    def set_out_of_service(self, name: str, out: bool, certain: bool = False) -> bool:
         """Take a server out, or let it serve again; nothing more goes to it from the return on."""
 
         def call(now: int) -> None:
-            if self.balancer.hand(now, stable(name), out, certain):
-                self.pool.by_hand(stable(name), out)
+            if self.balancer.set_out_of_service(now, stable_id(name), out, certain):
+                self.pool.set_out_of_service(stable_id(name), out)
                 done.append(True)
 
         done: list[bool] = []
-        self.decide(call)
+        self.run_locked(call)
         return bool(done)
 
-    def accompany(self, companions: Companions | None) -> None:
+    def set_peer_trials(self, peer_trials: PeerTrials | None) -> None:
         """Have trials of sick servers agreed on with other sidecars, or each one's own again."""
 
         def call(now: int) -> None:
-            self.balancer.companions = companions
+            self.balancer.peer_trials = peer_trials
 
-        self.decide(call)
+        self.run_locked(call)
 
-    def put_off(self, server: int, wait: int) -> None:
+    def postpone_trial(self, server: int, wait: int) -> None:
         """What another sidecar says of a server whose breaker may be open here."""
-        self.decide(lambda now: self.balancer.put_off(now, server, wait))
+        self.run_locked(lambda now: self.balancer.postpone_trial(now, server, wait))
 
-    def handed(self) -> tuple[dict[int, int], dict[int, int]]:
+    def operator_state(self) -> tuple[dict[int, int], dict[int, int]]:
         """The servers out by hand and those back that may be cold, with the times since when."""
 
         def call(now: int) -> None:
-            told.append((dict(self.balancer.by_hand), dict(self.balancer.returned)))
+            told.append((dict(self.balancer.out_of_service), dict(self.balancer.returned_at)))
 
         told: list[tuple[dict[int, int], dict[int, int]]] = []
-        self.decide(call)
+        self.run_locked(call)
         return told[0]
 
-    def inherit(self, by_hand: dict[int, int], returned: dict[int, int]) -> None:
+    def inherit_operator_state(self, out_of_service: dict[int, int], back_in_service: dict[int, int]) -> None:
         """Before the first list: what the process before this one was told by hand."""
-        self.balancer.by_hand, self.balancer.returned = by_hand, returned
-        self.pool.barred = set(by_hand)
+        self.balancer.out_of_service, self.balancer.returned_at = out_of_service, back_in_service
+        self.pool.out_of_service = set(out_of_service)
 
-    def share(self, part: int, parts: int) -> None:
+    def scale_connection_limit(self, numerator: int, denominator: int) -> None:
         """Hold only so many connections to servers: guards the limits while two processes share them."""
-        self.decide(lambda now: self.pool.share(part, parts))
+        self.run_locked(lambda now: self.pool.scale_limit(numerator, denominator))
 
-    def standing(self) -> tuple[int, int]:
+    def server_counts(self) -> tuple[int, int]:
         """How many servers are listed, and how many of them avoided."""
 
         def call(now: int) -> None:
-            told.append(self.balancer.standing())
+            told.append(self.balancer.server_counts())
 
         told: list[tuple[int, int]] = []
-        self.decide(call)
+        self.run_locked(call)
         return told[0]
 
-    def listed(self, kind: Listing, update: Update, spent: int = 0) -> None:
+    def update_servers(self, kind: ListKind, update: ServerListUpdate, elapsed: int = 0) -> None:
         def call(now: int) -> None:
-            alone = self.balancer.settings.drain_alone
-            if kind != Listing.FAILED:
-                self.pool.listed(update, alone)
-            self.balancer.listed(now, kind, update.entries, spent)
+            alone = self.balancer.settings.only_draining_removes
+            if kind != ListKind.FAILED:
+                self.pool.update_servers(update, alone)
+            self.balancer.update_servers(now, kind, update.entries, elapsed)
             if alone:
-                self.pool.prune(self.balancer.index)
+                self.pool.keep_only(self.balancer.index_by_id)
 
-        self.decide(call)
+        self.run_locked(call)
 
     # -- the outlet of the balancer, called under the lock
 
     def send(self, submission: int, server: int, timeout: int) -> None:
         exchange = self.exchanges[submission]
         now = clock.now()
-        ends = min(exchange.until, now + timeout) if timeout > 0 else exchange.until
+        ends = min(exchange.deadline_at, now + timeout) if timeout > 0 else exchange.deadline_at
         hop = Hop(exchange, len(exchange.hops), server, now, ends)
         exchange.hops.append(hop)
-        hop.link = self.pool.link_for(now, hop)
-        exchange.pending.append(hop)
+        hop.connection = self.pool.connection_for(now, hop)
+        exchange.pending_hops.append(hop)
         if timeout > 0:
-            self.wake(now + timeout, hop)
+            self.set_timer(now + timeout, hop)
 
-    def defer(self, submission: int, retry_in: int) -> None:
-        self.answer(self.exchanges[submission], answers.deferred(retry_in))
+    def reject(self, submission: int, retry_in: int) -> None:
+        self.answer(self.exchanges[submission], answers.rejected(retry_in))
 
-    def forfeit(self, submission: int) -> None:
-        self.answer(self.exchanges[submission], answers.FORFEITED)
+    def fail(self, submission: int) -> None:
+        self.answer(self.exchanges[submission], answers.FAILED)
 
-    def sent(self) -> None:
-        self.figures.count("sends")
+    def hop_sent(self) -> None:
+        self.metrics.count("sends")
 
     def cancel(self, submission: int, hop: int) -> None:
         given_up = self.exchanges[submission].hops[hop]
         given_up.cancelled = True
-        given_up.link.kill()
+        given_up.connection.close()
 
     def probe(self, server: int) -> None:
         """No decision asks for probes yet."""
 
-    def free_links(self, server: int) -> None:
-        self.pool.free(server)
+    def close_idle_connections(self, server: int) -> None:
+        self.pool.close_idle(server)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         """The platform says nothing of messages between sidecars: the hint is lost, as hints may be."""
 
-    def follow(self) -> None:
-        self.after.append(self.on_follow)
+    def request_server_list(self) -> None:
+        self.after_unlock.append(self.on_list_request)
 
-    def close(self, act: Callable[[], None]) -> None:
-        self.closing.append(act)
+    def close_after_unlock(self, action: Callable[[], None]) -> None:
+        self.pending_closes.append(action)
 
-    def wake(self, at: int, whom: Wakeable) -> None:
-        self.set_alarms += 1
-        heappush(self.alarms, (at, self.set_alarms, whom))
-        if self.alarms[0][1] == self.set_alarms:
-            self.due.set()
+    def set_timer(self, at: int, whom: TimerHandler) -> None:
+        self.timer_sequence += 1
+        heappush(self.timers, (at, self.timer_sequence, whom))
+        if self.timers[0][1] == self.timer_sequence:
+            self.timers_changed.set()
 
     def log(self, text: str) -> None:
-        self.after.append(lambda: self.events.event("mode", text=text))
+        self.after_unlock.append(lambda: self.events.event("mode", text=text))
--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -6,37 +6,37 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
+from ..balancer import Submission
 from ..http1.messages import Request
 from ..http1.parsing import ResponseParser
-from ..interface import Effect, Outcome, Wakeable
-from ..invariants import must
-from ..logic import Submission
+from ..interface import Effect, Outcome, TimerHandler
+from ..invariants import check_invariant
 from . import answers
 
-LATE = 5_000  # from when a client that waits may have gone
+CLIENT_CHECK_AFTER_US = 5_000  # from when a client that waits may have gone
 
 
-class Answerer(Protocol):
-    def answer(self, answer: answers.Answer, keep: bool) -> None: ...
+class ExchangeClient(Protocol):
+    def answer(self, answer: answers.Answer, keep_alive: bool) -> None: ...
 
-    def begin(self, answer: answers.Answer, length: int, keep: bool) -> None: ...
+    def start_response(self, answer: answers.Answer, length: int, keep_alive: bool) -> None: ...
 
-    def more(self, piece: bytes, last: bool) -> bool: ...
+    def write_body(self, piece: bytes, last: bool) -> bool: ...
 
-    def cut(self) -> None: ...
+    def abort_response(self) -> None: ...
 
-    def gone(self) -> bool: ...
+    def has_left(self) -> bool: ...
 
-    def resume(self) -> None: ...
+    def acquire_slot(self) -> None: ...
 
-    def leave(self, out: int) -> None: ...
+    def release_slot(self, delay: int) -> None: ...
 
 
-class Carrier(Protocol):
+class HopConnection(Protocol):
     hop: Hop | None
-    dead: bool
+    closed: bool
 
-    def kill(self) -> None:
+    def close(self) -> None:
         """Nothing goes out on it from now on."""
 
 
@@ -44,36 +44,36 @@
     """A body that is too long to be held."""
 
     length: int
-    begun: bool
+    started: bool
 
     def pieces(self) -> Iterator[tuple[bytes, bool]]:
         """What comes of it, and whether that is the last; raises Abandoned if its client ends it."""
 
 
-class Abandoned(Exception):
+class UploadError(Exception):
     """The client has broken its body off, or sends too slowly."""
 
 
-class Owner(Protocol):
-    def started(self, hop: Hop) -> None:
+class ExchangeOwner(Protocol):
+    def response_started(self, hop: Hop) -> None:
         """More of a hop's answer has come, but not all of it."""
 
-    def whole(self, hop: Hop) -> None:
+    def upload_received(self, hop: Hop) -> None:
         """The last of the body that a hop carries has come."""
 
-    def sent(self) -> None:
+    def hop_sent(self) -> None:
         """A hop has been written whole."""
 
-    def pass_on(self, hop: Hop, parser: ResponseParser) -> bool:
+    def stream_response(self, hop: Hop, parser: ResponseParser) -> bool:
         """Whether a hop's answer becomes the final one before it is whole; its head is written then."""
 
-    def end(self, now: int, hop: Hop, outcome: Outcome) -> None: ...
+    def end_hop(self, now: int, hop: Hop, outcome: Outcome) -> None: ...
 
     def answer(self, exchange: Exchange, answer: answers.Answer) -> None: ...
 
-    def wake(self, at: int, whom: Wakeable) -> None: ...
+    def set_timer(self, at: int, whom: TimerHandler) -> None: ...
 
-    def close(self, act: Callable[[], None]) -> None:
+    def close_after_unlock(self, action: Callable[[], None]) -> None:
         """Do it once the lock is free, before whatever else was decided under it."""
 
     def log(self, text: str) -> None: ...
@@ -85,90 +85,100 @@
     __slots__ = (
         "number",
         "client",
-        "trace",
+        "trace_id",
         "request",
-        "until",
+        "deadline_at",
         "owner",
         "handle",
         "hops",
         "pending",
         "answered",
-        "left",
+        "client_left",
         "upload",
-        "patience",
-        "arrived",
+        "deadline",
+        "received_at",
     )
 
     def __init__(
         self,
-        client: Answerer,
-        trace: str,
+        client: ExchangeClient,
+        trace_id: str,
         request: Request,
-        until: int,
-        owner: Owner,
+        deadline_at: int,
+        owner: ExchangeOwner,
         upload: Upload | None = None,
-        patience: int = 0,
-        arrived: int = 0,
+        deadline: int = 0,
+        received_at: int = 0,
     ) -> None:
         self.number = 0
         self.client = client
-        self.trace = trace
+        self.trace_id = trace_id
         self.request = request
-        self.until = until
+        self.deadline_at = deadline_at
         self.owner = owner
-        self.handle: Submission | None = None
+        self.submission: Submission | None = None
         self.hops: list[Hop] = []
-        self.pending: deque[Hop] = deque()
+        self.pending_hops: deque[Hop] = deque()
         self.answered = False
-        self.left = False
+        self.client_left = False
         self.upload = upload
-        self.patience = patience  # from the last byte of such a body on
-        self.arrived = arrived
+        self.deadline = deadline  # from the last byte of such a body on
+        self.received_at = received_at
 
-    def over(self) -> bool:
-        return self.handle is not None and self.handle.over()
+    def is_finished(self) -> bool:
+        return self.submission is not None and self.submission.is_finished()
 
-    def begins(self, now: int, hop: Hop) -> bool:
+    def may_write(self, now: int, hop: Hop) -> bool:
         """Whether a hop may still be written: the last moment at which that can be known.
 
         Guards what was true when it was chosen against a dial that took long and a thread that waited: its
         client may have gone or have been answered, and the servers that would have dropped a copy of what an
         earlier hop did may not know of it any more.
         """
-        if hop.ended or self.answered or now >= self.until:
+        if hop.ended or self.answered or now >= self.deadline_at:
             return False
-        if hop.number and self.handle is not None:
-            tariff, before = self.handle.terms.tariff, self.handle.hops[: hop.number]
+        if hop.number and self.submission is not None:
+            tariff, before = self.submission.class_state.request_class, self.submission.hops[: hop.number]
             if tariff.effect == Effect.DEDUPLICATED and any(
-                one.may_have_run and now > one.at + tariff.window for one in before
+                one.may_have_run and now > one.sent_at + tariff.dedup_window for one in before
             ):
                 return False
-        return now - self.arrived <= LATE or not self.client.gone()
+        return now - self.received_at <= CLIENT_CHECK_AFTER_US or not self.client.has_left()
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Its patience is over: answers for servers that say nothing."""
         for hop in list(self.hops):
-            self.owner.end(now, hop, Outcome.TIMEOUT)
-        if not must(self.answered, "no final answer when patience ended"):
-            self.owner.answer(self, answers.FORFEITED)
+            self.owner.end_hop(now, hop, Outcome.TIMEOUT)
+        if not check_invariant(self.answered, "no final answer when patience ended"):
+            self.owner.answer(self, answers.FAILED)
 
 
 class Hop:
     """`ends` is when it is over at the latest: its time-out or the deadline, whichever comes first."""
 
-    __slots__ = ("exchange", "number", "server", "at", "ends", "came", "link", "ended", "cancelled")
+    __slots__ = (
+        "exchange",
+        "number",
+        "server",
+        "started_at",
+        "ends_at",
+        "received_at",
+        "link",
+        "ended",
+        "cancelled",
+    )
 
-    def __init__(self, exchange: Exchange, number: int, server: int, at: int, ends: int) -> None:
+    def __init__(self, exchange: Exchange, number: int, server: int, started_at: int, ends_at: int) -> None:
         self.exchange = exchange
         self.number = number
         self.server = server
-        self.at = at
-        self.ends = ends
-        self.came = 0  # when the last bytes of its answer reached this machine
-        self.link: Carrier
+        self.started_at = started_at
+        self.ends_at = ends_at
+        self.received_at = 0  # when the last bytes of its answer reached this machine
+        self.connection: HopConnection
         self.ended = False
         self.cancelled = False
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Its time-out has come, where the balancer sets one."""
-        self.exchange.owner.end(now, self, Outcome.TIMEOUT)
+        self.exchange.owner.end_hop(now, self, Outcome.TIMEOUT)
--- a/pumicepath/sidecar/following.py
+++ b/pumicepath/sidecar/following.py
@@ -9,20 +9,20 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from ..discovery.roster import Address, BadList, address
-from ..http1.messages import Malformed
+from ..discovery.server_list import Address, BadList, parse_address
+from ..http1.messages import MalformedMessageError
 from . import clock
 from .watching import CONNECT_TIMEOUT_S, new_socket
 
 if TYPE_CHECKING:
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
     from .watching import Watcher
 
 
 class RelayWatch:
     """The watch at relays; used by the watcher's thread alone."""
 
-    def __init__(self, watcher: Watcher, relay_selector: Homes) -> None:
+    def __init__(self, watcher: Watcher, relay_selector: RelaySelector) -> None:
         self.watcher = watcher
         self.relay_selector = relay_selector
         self.current_relay = ""  # the relay that answered last
@@ -33,9 +33,9 @@
 
     def relay_address(self) -> Address:
         """Return the address of the relay to connect to, and set the watch to it."""
-        if self.watcher.watch.host != self.relay_selector.at:
-            self.watcher.watch.move(self.relay_selector.at)
-        return address(self.relay_selector.at)
+        if self.watcher.watch.host != self.relay_selector.current:
+            self.watcher.watch.switch_to(self.relay_selector.current)
+        return parse_address(self.relay_selector.current)
 
     def handle_failure(self, error: Exception) -> None:
         """Go on with the next relay after a wait that grows with each consecutive failure.
@@ -46,12 +46,12 @@
         watcher, relay_selector = self.watcher, self.relay_selector
         watcher.failures += 1
         self.last_error = f"{type(error).__name__}: {error}"
-        expected = isinstance(error, (OSError, Malformed, BadList))
+        expected = isinstance(error, (OSError, MalformedMessageError, BadList))
         if watcher.failures == 1 or not expected:
             watcher.dispatcher.events.event(
-                "watch_failed" if expected else "fault", text=self.last_error, relay=relay_selector.at
+                "watch_failed" if expected else "fault", text=self.last_error, relay=relay_selector.current
             )
-        wait_us = relay_selector.failed(clock.now(), watcher.connecting)
+        wait_us = relay_selector.call_failed(clock.now(), watcher.connecting)
         if watcher.failures > len(relay_selector.order):
             watcher.first_call_done.set()
         watcher.skip_wait.wait(wait_us / 1e6)
@@ -61,13 +61,13 @@
         """Log what an answer changes: the relay followed, and regions that are now stale or no longer so."""
         watcher, relay_selector = self.watcher, self.relay_selector
         now, events, watch = monotonic(), watcher.dispatcher.events, watcher.watch
-        if relay_selector.at != self.current_relay:
-            why = relay_selector.why or "start"
-            live, out = watch.standing()
+        if relay_selector.current != self.current_relay:
+            why = relay_selector.change_reason or "start"
+            live, out = watch.region_counts()
             events.event(
                 "relay_changed",
                 **{"from": self.current_relay},
-                to=relay_selector.at,
+                to=relay_selector.current,
                 why=self.last_error if why == "failed" else why,
                 failures=watcher.failures,
                 live=live,
@@ -75,30 +75,32 @@
                 silent_s=round(now - self.answered_at, 3) if self.current_relay else 0.0,
             )
             if self.current_relay:
-                watcher.dispatcher.figures.count("relay_changes")
-            self.current_relay = relay_selector.at
+                watcher.dispatcher.metrics.count("relay_changes")
+            self.current_relay = relay_selector.current
         self.answered_at = now
-        stale = watch.stale()
+        stale = watch.stale_regions()
         for region, seq in stale.items():
             if region not in self.stale_since:
                 self.stale_since[region] = now
-                events.event("region_stale", region=region, seq=seq, relay=relay_selector.at)
+                events.event("region_stale", region=region, seq=seq, relay=relay_selector.current)
         for region in [region for region in self.stale_since if region not in stale]:
             since = self.stale_since.pop(region)
-            events.event("region_back", region=region, relay=relay_selector.at, after_s=round(now - since, 3))
+            events.event(
+                "region_back", region=region, relay=relay_selector.current, after_s=round(now - since, 3)
+            )
 
     def switch_relay(self) -> None:
         """Leave a relay that answers for the selected one, once a connection to that one is open."""
         watcher, relay_selector = self.watcher, self.relay_selector
         try:
-            sock = connect_to(address(relay_selector.at))
+            sock = connect_to(parse_address(relay_selector.current))
         except OSError:
-            if relay_selector.before is None:
+            if relay_selector.previous is None:
                 watcher.connecting = True
                 raise
             # The other relay cannot be reached, or there is no file descriptor for it: the watch that works
             # is kept.
-            relay_selector.failed(clock.now())
+            relay_selector.call_failed(clock.now())
             return
         with watcher.lock:
             old, watcher.sock = watcher.sock, sock
@@ -106,8 +108,8 @@
             old.close()
         if watcher.moved:
             raise ConnectionAbortedError("the relays have changed")
-        watcher.watch.move(relay_selector.at)
-        watcher.watch.restart()
+        watcher.watch.switch_to(relay_selector.current)
+        watcher.watch.reset_connection()
 
 
 def connect_to(where: Address) -> socket.socket:
--- a/pumicepath/sidecar/hot_restart.py
+++ b/pumicepath/sidecar/hot_restart.py
@@ -16,11 +16,11 @@
 
 import orjson
 
-from ..discovery.roster import Address
+from ..discovery.server_list import Address
 from . import clock
 from .clients import Clients
 from .dispatch import Dispatcher
-from .servers import start
+from .servers import start_thread
 
 SOCKET_NAME = "pumicepath.succession"
 PROTOCOL_VERSION = 1
@@ -122,7 +122,7 @@
 
 def decode_times(times: list[list[int]]) -> dict[int, int]:
     """Decode what `encode_times` has made into times of this process's clock."""
-    return {int(server): clock.since_monotonic(int(time)) for server, time in times}
+    return {int(server): clock.from_monotonic(int(time)) for server, time in times}
 
 
 def socket_path() -> Path | None:
@@ -198,14 +198,14 @@
     def take_over(self, old_process: Channel) -> None:
         """Tell the old process that this one accepts clients now; the old one stops accepting them."""
         self.channels[old_process] = None
-        self.dispatcher.share(1, 2)
-        self.clients.share(2, 3)
+        self.dispatcher.scale_connection_limit(1, 2)
+        self.clients.scale_limit(2, 3)
         with suppress(OSError):
             old_process.send({"taking": True})
         # Logged only after the message is sent: whoever reads the log may end this process then.  If the old
         # one did not know by that time that it had stopped accepting, it would never log that it is alone.
         self.dispatcher.events.event("succeeding")
-        start(lambda: self.serve_channel(old_process, False))
+        start_thread(lambda: self.serve_channel(old_process, False))
 
     def open_socket(self) -> None:
         """Listen for a process that is to replace this one; without $TMPDIR none can."""
@@ -227,7 +227,7 @@
             # This process can still be replaced, but without a handover: what waits in its queue is lost.
             self.dispatcher.events.event("no_succession", text=str(error))
             return
-        start(lambda: self.accept_channels(listener))
+        start_thread(lambda: self.accept_channels(listener))
 
     def accept_channels(self, listener: socket.socket) -> None:
         """Serve each new process that connects, in a thread of its own."""
@@ -237,7 +237,7 @@
             except OSError as error:
                 self.dispatcher.events.event("no_succession", text=str(error))
                 return
-            start(lambda channel=channel: self.serve_channel(channel, True))  # type: ignore[misc]
+            start_thread(lambda channel=channel: self.serve_channel(channel, True))  # type: ignore[misc]
 
     def serve_channel(self, channel: Channel, to_new_process: bool) -> None:
         """Handle the messages of the other process until the channel ends."""
@@ -249,8 +249,8 @@
                 message, _ = channel.receive()
                 if message.get("taking") and to_new_process:
                     new_process_serves = self.superseded = True
-                    self.clients.pause(True)
-                    self.dispatcher.share(1, 2)
+                    self.clients.pause_accepting(True)
+                    self.dispatcher.scale_connection_limit(1, 2)
                     self.dispatcher.events.event("succeeded", clients=len(self.clients.open))
                 if "done" in message:
                     with channel.confirmation:
@@ -268,10 +268,10 @@
             if new_process_serves:
                 # The new process has gone before this one was asked to end: this one accepts clients again.
                 self.superseded = False
-                self.clients.pause(False)
+                self.clients.pause_accepting(False)
             if new_process_serves or not to_new_process:
-                self.dispatcher.share(1, 1)
-                self.clients.share(1, 1)
+                self.dispatcher.scale_connection_limit(1, 1)
+                self.clients.scale_limit(1, 1)
                 self.dispatcher.events.event("alone")
 
     def hand_over(self, channel: Channel) -> None:
@@ -281,11 +281,11 @@
         with channel.write_lock:
             # Changes from now on are sent after the answer, and may also be contained in it.
             self.channels[channel] = None
-            out_of_service, back_in_service = dispatcher.handed()
+            out_of_service, back_in_service = dispatcher.operator_state()
             answer = {
                 "version": PROTOCOL_VERSION,
                 "known": self.known_list(),
-                "emptied": dispatcher.emptied,
+                "emptied": dispatcher.out_of_service,
                 "by_hand": encode_times(out_of_service),
                 "returned": encode_times(back_in_service),
             }
@@ -295,9 +295,9 @@
     def apply(self, message: dict[str, Any]) -> None:
         """Apply a change that an operator has made at the other process."""
         if "server" in message:
-            self.dispatcher.by_hand(str(message["server"]), bool(message["out"]), True)
+            self.dispatcher.set_out_of_service(str(message["server"]), bool(message["out"]), True)
         if "emptied" in message:
-            self.clients.empty(bool(message["emptied"]))
+            self.clients.set_out_of_service(bool(message["emptied"]))
 
     def propagate(self, message: dict[str, Any]) -> None:
         """Have all connected processes apply an operator's change, and wait for each of them."""
--- a/pumicepath/sidecar/peers.py
+++ b/pumicepath/sidecar/peers.py
@@ -15,11 +15,11 @@
 from time import monotonic, sleep, time_ns
 from typing import Any
 
-from ..discovery.roster import stable
+from ..discovery.server_list import stable_id
 from ..fleet import messages
-from ..fleet.fellow import Fellow
-from ..fleet.membership import Seen
+from ..fleet.membership import PeerView
 from ..fleet.messages import STATES, Record
+from ..fleet.node import FleetNode
 from ..fleet.settings import PeerSettings, Voting
 from ..fleet.trials import Trials
 from . import clock
@@ -29,7 +29,7 @@
 MAX_LOGGED_NAMES = 5  # in one list of a log line
 LOG_INTERVAL_S = 1.0
 BIND_RETRY_S = 0.1
-READ_BYTES = messages.LONGEST + 1
+READ_BYTES = messages.MAX_DATAGRAM_BYTES + 1
 # Reports of the balancer that wait for the thread: more than it makes in `MAX_REPORT_DELAY_S`.
 MAX_PENDING_REPORTS = 4096
 MAX_REPORT_DELAY_S = 0.1
@@ -46,19 +46,19 @@
         self.reports: deque[Callable[[Trials], None]] = deque(maxlen=MAX_PENDING_REPORTS)
         self.may_try_until: dict[str, int] = {}  # by the servers' names; replaced as a whole
 
-    def turn(self, name: str) -> bool:
+    def may_try(self, name: str) -> bool:
         """Whether this sidecar may make the half-open trial of a server now."""
         return clock.now() < self.may_try_until.get(name, 0)
 
-    def opened(self, name: str, cooldown: int, often: bool) -> None:
+    def breaker_opened(self, name: str, cooldown: int, often: bool) -> None:
         """Report that a server's breaker opened; `often`: this sidecar would send there within a cooldown."""
         now = clock.now()
-        self.reports.append(lambda trials: trials.opened(now, name, cooldown, often))
+        self.reports.append(lambda trials: trials.breaker_opened(now, name, cooldown, often))
 
-    def tried(self, name: str, failed: bool) -> None:
+    def trial_finished(self, name: str, failed: bool) -> None:
         """Report the result of a trial that this sidecar made."""
         now = clock.now()
-        self.reports.append(lambda trials: trials.tried(now, name, failed))
+        self.reports.append(lambda trials: trials.trial_finished(now, name, failed))
 
 
 class Peers:
@@ -76,8 +76,8 @@
         self.settings = settings
         self.log = log
         self.lock = threading.Lock()
-        self.checksum_seed = messages.sealed(settings.fleet)
-        self.outbox: list[tuple[str, messages.Any]] = []
+        self.checksum_seed = messages.fleet_checksum_seed(settings.fleet)
+        self.outbox: list[tuple[str, messages.AnyMessage]] = []
         self.counts = Counter[str]()
         self.state_changes: dict[str, list[str]] = {}  # not logged yet: names by state
         self.next_log_at = 0.0
@@ -85,7 +85,7 @@
         self.listen_address = ""
         self.closed = False
         self.sock: socket.socket | None = None
-        self.node: Fellow | None = None
+        self.node: FleetNode | None = None
         self.voting = settings.voting
         self.shared_trials = SharedTrials()
         self.postponed_trials: list[tuple[str, int]] = []  # by other sidecars; not passed to the balancer yet
@@ -100,7 +100,7 @@
     @property
     def address(self) -> str:
         """The address at which other sidecars reach this one; empty before the socket is bound."""
-        return self.node.me.address if self.node is not None else ""
+        return self.node.own_record.address if self.node is not None else ""
 
     def bind(self) -> None:
         """Bind the socket and create the node; raises OSError if the address is in use."""
@@ -115,8 +115,8 @@
         # Random each time, so that others never take this process for an earlier one of this name or address.
         instance_id = int.from_bytes(os.urandom(8)) >> 1 | 1
         me = Record(self.name, instance_id, self.settings.advertise or self.listen_address, self.zone)
-        self.node = Fellow(me, self.settings, int.from_bytes(os.urandom(8)), self, clock.now())
-        self.node.adopt(clock.now(), self.voting)
+        self.node = FleetNode(me, self.settings, int.from_bytes(os.urandom(8)), self, clock.now())
+        self.node.apply_voting(clock.now(), self.voting)
         self.sock = sock
 
     # -- the thread
@@ -143,7 +143,7 @@
         second, read = monotonic(), 0
         while not self.closed:
             with self.lock:
-                left = (node.due() - clock.now()) / 1e6
+                left = (node.next_timer() - clock.now()) / 1e6
                 if node.trials is not None:
                     left = min(left, MAX_REPORT_DELAY_S)
             data = None
@@ -156,13 +156,13 @@
                 read += 1
             with self.lock:
                 self.apply_reports(node)
-                if node.due() <= clock.now():
-                    node.woke(clock.now(), time_ns() // 1_000_000)
+                if node.next_timer() <= clock.now():
+                    node.on_timer(clock.now(), time_ns() // 1_000_000)
                 if node.trials is not None:
-                    self.shared_trials.may_try_until = node.trials.turns(clock.now())
+                    self.shared_trials.may_try_until = node.trials.allowed_trials(clock.now())
                 postponed, self.postponed_trials = self.postponed_trials, []
             for server, wait in postponed:
-                self.on_trial_postponed(stable(server), wait)
+                self.on_trial_postponed(stable_id(server), wait)
             self.send_outbox()
             self.log_changes()
             now = monotonic()
@@ -172,26 +172,26 @@
                 # A flood of datagrams must not use up a core.  The pause is short enough for probes to be
                 # sent and answered; the kernel drops all else.
                 self.counts["floods"] += 1
-                sleep(min(self.settings.timeout / 4e6, second + 1.0 - now))
+                sleep(min(self.settings.probe_timeout / 4e6, second + 1.0 - now))
                 second, read = monotonic(), MAX_DATAGRAMS_PER_S * 3 // 4
 
     def receive(self, address: str, data: bytes) -> None:
         """Decode and handle one datagram; an invalid one is only counted."""
         try:
-            message = messages.unpacked(data, self.checksum_seed)
-        except messages.Foreign:
+            message = messages.decode_message(data, self.checksum_seed)
+        except messages.VersionMismatchError:
             self.counts["foreign"] += 1
             return
-        except messages.Noise:
+        except messages.MalformedMessageError:
             self.counts["noise"] += 1
             return
         self.counts["in"] += 1
         self.counts["in_bytes"] += len(data)
         assert self.node is not None
         with self.lock:
-            self.node.heard(clock.now(), address, message)
+            self.node.receive(clock.now(), address, message)
 
-    def apply_reports(self, node: Fellow) -> None:
+    def apply_reports(self, node: FleetNode) -> None:
         """Pass on what the balancer has reported since the last call, in its order."""
         reports = self.shared_trials.reports
         while reports:
@@ -206,7 +206,7 @@
             outbox, self.outbox = self.outbox, []
         for address, message in outbox:
             host, _, port = address.rpartition(":")
-            data = messages.packed(message, self.checksum_seed)
+            data = messages.encode_message(message, self.checksum_seed)
             # A datagram that cannot be sent is lost, as any may be: full buffers, no route, a bad address.
             with suppress(OSError, ValueError, OverflowError):
                 self.sock.sendto(data, (host, int(port)))
@@ -223,8 +223,8 @@
         with self.lock:
             state_changes, self.state_changes = self.state_changes, {}
             duty_changes, self.duty_changes = self.duty_changes, {}
-            counts = list(self.node.membership.roll.counts)
-            slow = self.node.membership.sick
+            counts = list(self.node.membership.member_table.state_counts)
+            slow = self.node.membership.local_health_score
             held = len(self.node.duties.held(clock.now())) if self.node.duties is not None else 0
         if duty_changes:
             changes = [f"{duty}: {what}" for duty, what in duty_changes.items()]
@@ -256,25 +256,25 @@
 
     # -- callbacks of the node, called under the lock
 
-    def post(self, address: str, message: messages.Any) -> None:
+    def send_message(self, address: str, message: messages.AnyMessage) -> None:
         """Queue a message, which is sent once the lock is released."""
         self.outbox.append((address, message))
 
-    def changed(self, record: Record, by: str) -> None:
+    def peer_changed(self, record: Record, by: str) -> None:
         """Note the new state of a peer for the log."""
         names = self.state_changes.setdefault(STATES[record.state], [])
         names.append(record.name)
 
-    def twice(self, record: Record) -> None:
+    def duplicate_name(self, record: Record) -> None:
         """Log that another process uses this sidecar's name."""
         self.log.event("peers_name_twice", name=record.name, other=record.address)
 
-    def holds(self, duty: str, number: int, why: str) -> None:
+    def duty_changed(self, duty: str, number: int, why: str) -> None:
         """Note for the log that a duty is held from now on or, with number 0, no longer."""
         self.counts["duties_won" if number else "duties_lost"] += 1
         self.duty_changes[duty] = f"held, {why}" if number else why
 
-    def put_off(self, server: str, wait: int) -> None:
+    def postpone_trial(self, server: str, wait: int) -> None:
         """Note that a trial is postponed by `wait` microseconds, or is to be made now if that is 0."""
         self.postponed_trials.append((server, wait))
 
@@ -298,11 +298,11 @@
         with self.lock:
             membership = node.membership
             by_state, refused, slow = (
-                list(membership.roll.counts),
-                membership.roll.refused,
-                membership.sick,
+                list(membership.member_table.state_counts),
+                membership.member_table.refused,
+                membership.local_health_score,
             )
-            bounds = membership.bounds(now)
+            bounds = membership.fleet_size_bounds(now)
             if node.duties is not None:
                 values |= {
                     "duties_held": len(node.duties.held(now)),
@@ -315,13 +315,13 @@
             "peers_dead": by_state[messages.DEAD],
             "peers_refused": refused,
             "peers_slow": slow,
-            "fleet_least": bounds.least,
+            "fleet_least": bounds.minimum,
             "fleet_likely": bounds.likely,
-            "fleet_most": bounds.most,
+            "fleet_most": bounds.maximum,
             **values,
         }
 
-    def members(self) -> list[Seen]:
+    def members(self) -> list[PeerView]:
         """Return the peers as this sidecar sees them."""
         if self.node is None:
             return []
@@ -333,12 +333,12 @@
 
         `heard_s` is None for a peer that only other sidecars have reported.
         """
-        me = self.node.membership.me if self.node is not None else None
+        me = self.node.membership.own_record if self.node is not None else None
         members = self.members()
         return {
             "name": self.name,
             "address": self.address,
-            "born": f"{me.born:x}" if me else "",
+            "born": f"{me.instance_id:x}" if me else "",
             "incarnation": me.incarnation if me else 0,
             "figures": self.metrics(),
             **self.duties_view(members),
@@ -347,30 +347,34 @@
                     "name": member.name,
                     "address": member.address,
                     "zone": member.zone,
-                    "born": f"{member.born:x}",
+                    "born": f"{member.instance_id:x}",
                     "incarnation": member.incarnation,
                     "state": STATES[member.state],
-                    "since_s": round(member.for_ / 1e6, 3),
-                    "heard_s": round(member.heard_ago / 1e6, 3) if member.heard_ago >= 0 else None,
-                    "by": member.by,
+                    "since_s": round(member.state_age / 1e6, 3),
+                    "heard_s": round(member.last_contact_age / 1e6, 3)
+                    if member.last_contact_age >= 0
+                    else None,
+                    "by": member.reported_by,
                 }
                 for member in members
             ],
         }
 
-    def duties_view(self, members: list[Seen]) -> dict[str, Any]:
+    def duties_view(self, members: list[PeerView]) -> dict[str, Any]:
         """Return the duties held and, if this sidecar is a voter, its grants; empty without voters."""
         node = self.node
         if node is None or node.duties is None:
             return {}
-        names = {member.born: member.name for member in members} | {node.me.born: self.name}
+        names = {member.instance_id: member.name for member in members} | {
+            node.own_record.instance_id: self.name
+        }
         now = clock.now()
         with self.lock:
             duties, voter = node.duties, node.voter
             held = duties.held(now)
-            granted = voter.granted(now) if voter is not None else []
+            granted = voter.active_grants(now) if voter is not None else []
             silent_us = max(0, voter.silent_until - now) if voter is not None else 0
-            fit = duties.fit
+            fit = duties.eligible
         view: dict[str, Any] = {
             "fit": fit,
             "holds": [
@@ -398,7 +402,7 @@
         with self.lock:
             self.voting = voting
             if self.node is not None:
-                self.node.adopt(clock.now(), voting)
+                self.node.apply_voting(clock.now(), voting)
         self.shared_trials.may_try_until = {}
 
     def resign_duty(self, duty: str) -> bool:
@@ -407,7 +411,7 @@
             return False
         self.shared_trials.may_try_until = {}
         with self.lock:
-            resigned = self.node.take_away(clock.now(), duty)
+            resigned = self.node.resign_duty(clock.now(), duty)
         self.send_outbox()
         return resigned
 
@@ -416,7 +420,7 @@
         if self.node is not None and self.sock is not None:
             self.shared_trials.may_try_until = {}
             with self.lock:
-                self.node.end(clock.now())
+                self.node.stop(clock.now())
             self.send_outbox()
 
     def leave(self) -> None:
--- a/pumicepath/sidecar/relay_keys.py
+++ b/pumicepath/sidecar/relay_keys.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from ..discovery.roster import address
+from ..discovery.server_list import parse_address
 from .config import key_in_errors
 
 MAX_RELAYS = 64
@@ -24,7 +24,7 @@
         raise ValueError(f"relays: {relays!r} is no list of 1 to {MAX_RELAYS} addresses")
     for at, text in enumerate(relays):
         with key_in_errors(f"relays[{at}]"):
-            if not isinstance(text, str) or not address(text).port:
+            if not isinstance(text, str) or not parse_address(text).port:
                 raise ValueError(f"{text!r} is no address")
             if text in relays[:at]:
                 raise ValueError(f"{text!r} is named twice")
--- a/pumicepath/sidecar/running.py
+++ b/pumicepath/sidecar/running.py
@@ -15,10 +15,10 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import compiled, invariants
-from ..discovery.roster import Address, BadList, Roster, Update, stable
+from ..balancer import SeededRandom
+from ..discovery.server_list import Address, BadList, ServerList, ServerListUpdate, stable_id
 from ..discovery.watch import Watch
-from ..interface import Listing
-from ..logic import Chance
+from ..interface import ListKind
 from . import clock
 from . import config as configuration
 from .admin_server import AdminServer
@@ -27,11 +27,11 @@
 from .dispatch import Dispatcher
 from .hot_restart import Handover, HotRestart, request_handover
 from .log import Log
-from .servers import start
+from .servers import start_thread
 from .watching import Watcher
 
 if TYPE_CHECKING:
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
     from ..fleet.settings import PeerSettings
     from .peers import Peers
 
@@ -70,20 +70,20 @@
     # of threads a short interval uses up a whole core, and is not needed: all of them soon wait for a socket.
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     log = Log(config.name)
-    server_list = Roster(config.zones, clock.since_unix_ms, config.kinds)
+    server_list = ServerList(config.zones, clock.from_unix_ms, config.kinds)
     config = with_list_numbers(config, server_list)
     handover = request_handover(config.listen) if config.admin else None
     known, raw_list = initial_list(server_list, config, handover)
     relay_selector = create_relay_selector(config)
     watch = Watch(
         server_list,
-        relay_selector.at if relay_selector else f"{config.discovery.host}:{config.discovery.port}",
+        relay_selector.current if relay_selector else f"{config.discovery.host}:{config.discovery.port}",
         -1 if relay_selector or "regions" in raw_list else known.version,
-        2 * config.settings.ask_every,
-        Chance(config.seed).share,
+        2 * config.settings.poll_interval,
+        SeededRandom(config.seed).next_float,
         config.services,
     )
-    watch.inherit(raw_list)
+    watch.import_state(raw_list)
     watcher = Watcher(watch, config.discovery, config.pushed, relay_selector)
     dispatcher = Dispatcher(config, log, watcher.request_list)
     watcher.dispatcher = dispatcher
@@ -93,7 +93,7 @@
         raise ConfigError(f"cannot listen on {format_address(config.listen)}: {error.strerror}") from error
     # With the actual port, which the file may leave to the kernel (port 0): a new process may know only this.
     serving = config.listen._replace(port=clients.listener.getsockname()[1])
-    hot_restart = HotRestart(dispatcher, clients, watch.known, serving)
+    hot_restart = HotRestart(dispatcher, clients, watch.export_state, serving)
     peers = create_peers(config, log, handover is not None)
     try:
         admin_server = (
@@ -101,27 +101,27 @@
         )
     except OSError as error:
         raise ConfigError(f"cannot listen on {format_address(config.admin)}: {error.strerror}") from error
-    start(log.run)
-    start(dispatcher.run_timers)
-    start(watcher.run)
+    start_thread(log.run)
+    start_thread(dispatcher.run_timers)
+    start_thread(watcher.run)
     if peers is not None:
-        peers.on_trial_postponed = dispatcher.put_off
+        peers.on_trial_postponed = dispatcher.postpone_trial
         if shares_trials(config.peers):
-            dispatcher.accompany(peers.shared_trials)
-        start(peers.run)
+            dispatcher.set_peer_trials(peers.shared_trials)
+        start_thread(peers.run)
     if handover is not None:
-        dispatcher.inherit(handover.out_of_service, handover.back_in_service)
-        dispatcher.emptied = handover.drained_by_operator
-    dispatcher.listed(Listing.CACHED, known)
+        dispatcher.inherit_operator_state(handover.out_of_service, handover.back_in_service)
+        dispatcher.out_of_service = handover.drained_by_operator
+    dispatcher.update_servers(ListKind.CACHED, known)
     if config.pushed:
         watcher.request_list()
         # From here on this sidecar counts as notified of whatever discovery has, while the file's list is
         # old: without waiting, requests could go to servers that are draining.
         watcher.first_call_done.wait(FIRST_LIST_TIMEOUT_S)
-    dispatcher.decide(dispatcher.pool.woke)
-    dispatcher.decide(clients.woke)
-    dispatcher.decide(dispatcher.pace.woke)
-    dispatcher.decide(ProblemReporter(dispatcher, clients).woke)
+    dispatcher.run_locked(dispatcher.pool.on_timer)
+    dispatcher.run_locked(clients.on_timer)
+    dispatcher.run_locked(dispatcher.delay_monitor.on_timer)
+    dispatcher.run_locked(ProblemReporter(dispatcher, clients).on_timer)
     gc.collect()
     gc.freeze()
     # Reference counting frees what a submission used when it ends; little is left to collect.
@@ -142,11 +142,11 @@
         **({"peers": peers.listen_address} if peers is not None else {}),
         **({"relays": len(config.relays)} if config.relays else {}),
     )
-    start(clients.run)
+    start_thread(clients.run)
     if admin_server is not None:
         if handover is not None:
             hot_restart.take_over(handover.channel)
-        start(admin_server.run)
+        start_thread(admin_server.run)
     while signal.sigwait(signals) == signal.SIGHUP:
         config = reload(config, path, dispatcher, watcher, log, peers)
     drain(dispatcher, clients, log, peers)
@@ -169,23 +169,27 @@
         raise ConfigError(f"peers.listen: cannot listen on {where}: {error.strerror}") from error
 
 
-def initial_list(server_list: Roster, config: Config, handover: Handover | None) -> tuple[Update, Any]:
+def initial_list(
+    server_list: ServerList, config: Config, handover: Handover | None
+) -> tuple[ServerListUpdate, Any]:
     """Return the list to start with, decoded and raw: the old process's last one, or the one in the file."""
     if handover is not None:
         with suppress(BadList):
-            return server_list.read(handover.known_list), handover.known_list
-    return server_list.read(config.known_list), config.known_list
+            return server_list.apply(handover.known_list), handover.known_list
+    return server_list.apply(config.known_list), config.known_list
 
 
-def create_relay_selector(config: Config) -> Homes | None:
+def create_relay_selector(config: Config) -> RelaySelector | None:
     """Create the choice among the relays, in this sidecar's order; not even imported without relays."""
     if not config.relays:
         return None
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
 
     # Not seeded by the configured seed alone: sidecars that share one would all wait equally long and reach
     # the relays at the same moments.
-    return Homes(config.name, config.relays, Chance(config.seed ^ stable(config.name)).share)
+    return RelaySelector(
+        config.name, config.relays, SeededRandom(config.seed ^ stable_id(config.name)).next_float
+    )
 
 
 def format_address(address: Address | None) -> str:
@@ -215,7 +219,7 @@
     try:
         new = configuration.read_replacement(path, config)
     except ConfigError as error:
-        dispatcher.invalid += 1
+        dispatcher.config_failures += 1
         log.event("reload_failed", text=str(error))
         return config
     needs_restart = [
@@ -232,27 +236,27 @@
     )
     if peers is not None and new.peers is not None and new.peers != config.peers:
         peers.apply_voting(new.peers.voting)
-        dispatcher.accompany(peers.shared_trials if shares_trials(new.peers) else None)
-    before, after = config.settings, with_list_numbers(new, watcher.watch.roster).settings
+        dispatcher.set_peer_trials(peers.shared_trials if shares_trials(new.peers) else None)
+    before, after = config.settings, with_list_numbers(new, watcher.watch.server_list).settings
     changed = after != before or (new.zones, new.idle_timeout_us, new.connect_timeout_us) != (
         config.zones,
         config.idle_timeout_us,
         config.connect_timeout_us,
     )
     if changed:
-        dispatcher.adopt(replace(new, settings=after))
-    wait_us = 2 * min(before.ask_every, after.ask_every)
+        dispatcher.apply_config(replace(new, settings=after))
+    wait_us = 2 * min(before.poll_interval, after.poll_interval)
     if (new.relays, new.services) != (config.relays, config.services):
         relay_selector = watcher.relay_selector if new.relays == config.relays else create_relay_selector(new)
         watcher.move(new.discovery, wait_us, new.pushed, relay_selector, new.services)
     elif new.relays:
         # The call in progress goes on, as waits at relays are short.  If it were broken off, all sidecars
         # that are reloaded together would request the whole list from the relays.
-        watcher.watch.waits(wait_us)
+        watcher.watch.set_max_wait(wait_us)
     elif changed or new.discovery != config.discovery:
         # The old wait, and what the old discovery reported, will soon no longer be valid.
         watcher.move(new.discovery, wait_us, new.pushed)
-    dispatcher.loaded += 1
+    dispatcher.config_loads += 1
     log.event(
         "reloaded",
         discovery=f"{new.discovery.host}:{new.discovery.port}",
@@ -268,7 +272,7 @@
 def restart_only_value(config: Config, key: str) -> object:
     """Return the part of the configuration that belongs to one of `RESTART_ONLY_KEYS`."""
     if key == "peers":
-        return config.peers.lasting() if config.peers is not None else None
+        return config.peers.without_voting() if config.peers is not None else None
     return config.max_connections if key == "limits" else getattr(config, key)
 
 
@@ -281,21 +285,21 @@
 
 def shares_trials(peers: PeerSettings | None) -> bool:
     """Whether the sidecars of a zone coordinate the breakers' trials."""
-    return peers is not None and peers.voting is not None and peers.voting.trials
+    return peers is not None and peers.voting is not None and peers.voting.shared_trials
 
 
-def with_list_numbers(config: Config, server_list: Roster) -> Config:
+def with_list_numbers(config: Config, server_list: ServerList) -> Config:
     """Return the configuration with zones and kinds by the numbers that the server list has for them."""
     settings, zone = config.settings, config.settings.zone
     if config.zones:
-        zone = server_list.zone(config.zones[zone])
+        zone = server_list.zone_number(config.zones[zone])
     request_classes = tuple(
         replace(
             request_class,
-            zones=list_numbers(request_class.zones, config.zones, server_list.zone),
-            kinds=list_numbers(request_class.kinds, config.kinds, server_list.kind),
+            zones=list_numbers(request_class.zones, config.zones, server_list.zone_number),
+            kinds=list_numbers(request_class.kinds, config.kinds, server_list.kind_number),
         )
-        for request_class in settings.tariffs
+        for request_class in settings.request_classes
     )
     return replace(config, settings=replace(settings, zone=zone, tariffs=request_classes))
 
@@ -317,19 +321,19 @@
         self.clients = clients
         self.reported = 0
 
-    def woke(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Log what has been counted since the last call, and set the timer for the next one."""
-        self.dispatcher.figures.apply_pending()
-        count = sum(invariants.broken.values())
+        self.dispatcher.metrics.apply_pending()
+        count = sum(invariants.violation_counts.values())
         if count > self.reported:
             self.reported = count
-            self.dispatcher.events.event("invariant_broken", counts=dict(invariants.broken))
-        bad_answers = self.dispatcher.pool.spoilt
-        for event, counts in (("bad_requests", self.clients.refused), ("bad_answers", bad_answers)):
+            self.dispatcher.events.event("invariant_broken", counts=dict(invariants.violation_counts))
+        bad_answers = self.dispatcher.pool.bad_answers
+        for event, counts in (("bad_requests", self.clients.bad_requests), ("bad_answers", bad_answers)):
             if counts:
                 self.dispatcher.events.event(event, counts=dict(counts))
                 counts.clear()
-        self.dispatcher.wake(now + 1_000_000, self)
+        self.dispatcher.set_timer(now + 1_000_000, self)
 
 
 def drain(dispatcher: Dispatcher, clients: Clients, log: Log, peers: Peers | None) -> None:
@@ -339,16 +343,16 @@
     """
     started_at = monotonic()
     dispatcher.draining = True
-    deadline_s = dispatcher.longest / 1e6
-    dispatcher.ends = clock.now() + dispatcher.longest + LATE_ANSWER_GRACE_US
+    deadline_s = dispatcher.max_deadline / 1e6
+    dispatcher.shutdown_at = clock.now() + dispatcher.max_deadline + LATE_ANSWER_GRACE_US
     if peers is not None:
         peers.release_duties()
     log.event("draining", clients=len(clients.open), out=len(dispatcher.exchanges))
     while monotonic() - started_at < ACCEPT_AFTER_SIGTERM_S:
         sleep(0.01)
-    clients.stop()
+    clients.stop_accepting()
     while monotonic() - started_at < deadline_s + SHUTDOWN_GRACE_S:
-        queue_empty = clients.empty_queue()
+        queue_empty = clients.drain_backlog()
         clients.close_idle()
         if queue_empty and not clients.open:
             break
@@ -359,8 +363,8 @@
         "stopped",
         after_s=round(monotonic() - started_at, 3),
         clients=len(clients.open),
-        taken=dispatcher.taken,
-        broken=invariants.broken,
+        taken=dispatcher.admitted,
+        broken=invariants.violation_counts,
     )
     log.flush()
     os._exit(0)  # nobody waits for anything that the remaining threads hold
--- a/pumicepath/sidecar/submissions.py
+++ b/pumicepath/sidecar/submissions.py
@@ -4,39 +4,48 @@
 
 from typing import NamedTuple
 
-from ..discovery.roster import stable
-from ..http1.messages import Malformed, Request
-from ..interface import Tariff
+from ..discovery.server_list import stable_id
+from ..http1.messages import MalformedMessageError, Request
+from ..interface import RequestClass
 
-MOST_DIGITS = 9  # of milliseconds
-MOST_ID = 256
-TRACE_ID, TARIFF, EXPIRES = "x-trace-id", "x-qos", "x-expires-in-ms"
+MAX_EXPIRES_DIGITS = 9  # of milliseconds
+MAX_TRACE_ID_BYTES = 256
+TRACE_ID_HEADER, CLASS_HEADER, EXPIRES_HEADER = "x-trace-id", "x-qos", "x-expires-in-ms"
 
 
-class Asked(NamedTuple):
-    trace: str
-    tariff: int
+class SubmissionParams(NamedTuple):
+    trace_id: str
+    request_class: int
     key: int
     retry: bool
-    patience: int
+    deadline: int
 
 
-def asked(request: Request, names: dict[str, int], tariffs: tuple[Tariff, ...]) -> Asked:
+def parse_submission(
+    request: Request, class_numbers: dict[str, int], request_classes: tuple[RequestClass, ...]
+) -> SubmissionParams:
     """Raises Malformed for what no server may be asked: servers count on ids and deadlines."""
-    for name in (TRACE_ID, TARIFF, EXPIRES):
-        if len(request.all(name)) > 1:
-            raise Malformed(400, f"more than one {name}")
-    trace = request.header(TRACE_ID)
-    if not trace or len(trace) > MOST_ID:
-        raise Malformed(400, "no id" if not trace else "id too long")
-    tariff = names.get(request.header(TARIFF))
+    for name in (TRACE_ID_HEADER, CLASS_HEADER, EXPIRES_HEADER):
+        if len(request.header_values(name)) > 1:
+            raise MalformedMessageError(400, f"more than one {name}")
+    trace = request.header(TRACE_ID_HEADER)
+    if not trace or len(trace) > MAX_TRACE_ID_BYTES:
+        raise MalformedMessageError(400, "no id" if not trace else "id too long")
+    tariff = class_numbers.get(request.header(CLASS_HEADER))
     if tariff is None:
-        raise Malformed(400, "no such class")
-    patience = tariffs[tariff].patience
-    if request.all(EXPIRES):
-        expires = request.header(EXPIRES)
-        if not expires.isascii() or not expires.isdigit() or len(expires) > MOST_DIGITS or not int(expires):
-            raise Malformed(400, "deadline is no number of milliseconds")
+        raise MalformedMessageError(400, "no such class")
+    patience = request_classes[tariff].deadline
+    if request.header_values(EXPIRES_HEADER):
+        expires = request.header(EXPIRES_HEADER)
+        if (
+            not expires.isascii()
+            or not expires.isdigit()
+            or len(expires) > MAX_EXPIRES_DIGITS
+            or not int(expires)
+        ):
+            raise MalformedMessageError(400, "deadline is no number of milliseconds")
         patience = min(patience, int(expires) * 1000)
     key = request.header("x-object")
-    return Asked(trace, tariff, stable(key) if key else 0, request.header("x-second-try") == "1", patience)
+    return SubmissionParams(
+        trace, tariff, stable_id(key) if key else 0, request.header("x-second-try") == "1", patience
+    )
