--- a/pumicepath/sidecar/upload.py
+++ b/pumicepath/sidecar/upload.py
@@ -7,74 +7,74 @@
 from collections.abc import Iterator
 from typing import Protocol
 
-from ..http1.messages import Malformed
+from ..http1.messages import MalformedMessageError
 from ..http1.parsing import RequestParser
 from . import clock
-from .exchange import Abandoned
+from .exchange import UploadError
 
-SLOWEST = 0.048  # bytes in a microsecond of waiting that a client must send on the whole
-FIRST = 2_400_000  # that it may take until then
-FAR = 900_000_000  # past what the longest body takes at that
-LOOK = struct.pack("ll", 0, 500_000)
-UNBOUND = struct.pack("ll", 0, 0)
+MIN_BYTES_PER_US = 0.048  # bytes in a microsecond of waiting that a client must send on the whole
+INITIAL_ALLOWANCE_US = 2_400_000  # that it may take until then
+MAX_UPLOAD_US = 900_000_000  # past what the longest body takes at that
+POLL_TIMEOUT = struct.pack("ll", 0, 500_000)
+NO_TIMEOUT = struct.pack("ll", 0, 0)
 
 
-class Sender(Protocol):
+class UploadClient(Protocol):
     """The client's connection."""
 
     sock: socket.socket
-    broken: bool
+    upload_failed: bool
 
-    def leave(self) -> None: ...
+    def release_slot(self) -> None: ...
 
-    def cut_short(self) -> bool: ...
+    def is_read_shutdown(self) -> bool: ...
 
 
 class Upload:
-    def __init__(self, client: Sender, parser: RequestParser) -> None:
-        begun = parser.begun()
+    def __init__(self, client: UploadClient, parser: RequestParser) -> None:
+        incoming = parser.incoming()
         self.client = client
         self.parser = parser
-        self.length = begun[1] if begun else 0
-        self.begun = False
-        self.whole = False
-        self.waited = self.got = 0
+        self.length = incoming[1] if incoming else 0
+        self.started = False
+        self.complete = False
+        self.waited = self.bytes_read = 0
 
     def pieces(self) -> Iterator[tuple[bytes, bool]]:
         """What comes of it, and whether that is the last; raises Abandoned if its client ends it."""
         sock = self.client.sock
-        self.client.leave()  # guards the places against clients that send slowly
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, LOOK)
+        self.client.release_slot()  # guards the places against clients that send slowly
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, POLL_TIMEOUT)
         try:
-            while not self.whole:
-                piece = self.parser.taken()
+            while not self.complete:
+                piece = self.parser.take_body()
                 if piece:
-                    self.begun = True
+                    self.started = True
                     yield piece, False
-                self.receive()
+                self.read_more()
                 request = self.parser.next()
                 if request is not None:
-                    self.begun = self.whole = True
+                    self.started = self.complete = True
                     yield request.body, True
-        except (Malformed, OSError) as trouble:
-            self.client.broken = True
-            raise Abandoned(str(trouble)) from trouble
+        except (MalformedMessageError, OSError) as trouble:
+            self.client.upload_failed = True
+            raise UploadError(str(trouble)) from trouble
         finally:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, UNBOUND)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, NO_TIMEOUT)
 
-    def receive(self) -> None:
+    def read_more(self) -> None:
         """More of it.  Only waiting counts against its client: a server that reads slowly holds it up too."""
         began = clock.now()
         try:
-            count = self.client.sock.recv_into(self.parser.ring.room(65536))
-            if not count and not self.client.cut_short():
+            count = self.client.sock.recv_into(self.parser.ring.writable(65536))
+            if not count and not self.client.is_read_shutdown():
                 raise ConnectionResetError("body broken off")
-            self.parser.ring.wrote(count)
-            self.got += count
+            self.parser.ring.commit(count)
+            self.bytes_read += count
         except BlockingIOError:
             pass
         self.waited += clock.now() - began
-        if self.waited > FIRST + self.got / SLOWEST:
+        if self.waited > INITIAL_ALLOWANCE_US + self.bytes_read / MIN_BYTES_PER_US:
             raise ConnectionAbortedError("body too slow")
 
     def discard(self) -> None:
--- a/pumicepath/sidecar/watching.py
+++ b/pumicepath/sidecar/watching.py
@@ -8,15 +8,15 @@
 from time import monotonic, sleep
 from typing import TYPE_CHECKING
 
-from ..discovery.roster import NOTHING, Address, BadList
+from ..discovery.server_list import EMPTY_UPDATE, Address, BadList
 from ..discovery.watch import Overtaxed, Watch
-from ..http1.messages import Malformed, Response
-from ..interface import Listing
+from ..http1.messages import MalformedMessageError, Response
+from ..interface import ListKind
 from . import clock
 from .dispatch import Dispatcher
 
 if TYPE_CHECKING:
-    from ..distribution.homes import Homes
+    from ..distribution.relay_selector import RelaySelector
     from .following import RelayWatch
 
 # A watch that has fallen silent leaves 2 s for the next call; doubled each time a connect takes longer.
@@ -34,13 +34,17 @@
     """
 
     def __init__(
-        self, watch: Watch, discovery: Address, pushed: bool = False, relay_selector: Homes | None = None
+        self,
+        watch: Watch,
+        discovery: Address,
+        pushed: bool = False,
+        relay_selector: RelaySelector | None = None,
     ) -> None:
         self.watch = watch
         self.relay_watch: RelayWatch | None = None
         self.set_relay_selector(relay_selector)
         # The relay selector and the services that take effect with the next connection after a move.
-        self.pending_move: tuple[Homes | None, tuple[str, ...] | None] = relay_selector, None
+        self.pending_move: tuple[RelaySelector | None, tuple[str, ...] | None] = relay_selector, None
         self.skip_wait = threading.Event()  # set: connect to the next relay without waiting
         self.discovery = discovery
         self.pushed = pushed  # whatever discovery has counts as received, whether or not it has been read
@@ -58,11 +62,11 @@
         self.sock: socket.socket | None = None
 
     @property
-    def relay_selector(self) -> Homes | None:
+    def relay_selector(self) -> RelaySelector | None:
         """What chooses among the relays; None if the list comes from discovery."""
         return self.relay_watch.relay_selector if self.relay_watch is not None else None
 
-    def set_relay_selector(self, relay_selector: Homes | None) -> None:
+    def set_relay_selector(self, relay_selector: RelaySelector | None) -> None:
         """Follow these relays, or discovery if None; then the code that follows relays is not imported."""
         if relay_selector is None:
             self.relay_watch = None
@@ -82,13 +86,13 @@
         discovery: Address,
         wait_us: int,
         pushed: bool,
-        relay_selector: Homes | None = None,
+        relay_selector: RelaySelector | None = None,
         services: tuple[str, ...] | None = None,
     ) -> None:
         """Get the list from elsewhere from now on, or with other waits; requests the whole list at once."""
         with self.lock:
             self.discovery, self.pushed, self.pending_move = discovery, pushed, (relay_selector, services)
-            self.watch.waits(wait_us)
+            self.watch.set_max_wait(wait_us)
             self.moved_at = monotonic()
             self.moved = True
             if self.sock is not None:
@@ -110,7 +114,7 @@
     def handle_failure(self, error: Exception) -> None:
         """Call again: at once, after `RETRY_INTERVAL_S`, or when the balancer requests it."""
         self.close()
-        self.watch.doubted = True
+        self.watch.ask_immediately = True
         if self.relay_watch is not None and not self.moved:
             self.relay_watch.handle_failure(error)
             return
@@ -122,7 +126,7 @@
             self.call_requested.set()
             return
         self.failures += 1
-        expected = isinstance(error, (OSError, Malformed, BadList))
+        expected = isinstance(error, (OSError, MalformedMessageError, BadList))
         if self.failures == 1 or not expected:
             self.dispatcher.events.event(
                 "watch_failed" if expected else "fault", text=f"{type(error).__name__}: {error}"
@@ -141,7 +145,7 @@
             # Changes since this call began count as received 6 s later.  The balancer gets the time that has
             # passed since then: the call may have been given up late, and a long pause may follow.
             elapsed = max(0.0, monotonic() - self.call_started_at)
-            self.dispatcher.listed(Listing.FAILED, NOTHING, int(elapsed * 1e6))
+            self.dispatcher.update_servers(ListKind.FAILED, EMPTY_UPDATE, int(elapsed * 1e6))
 
     def watch_until_failure(self) -> None:
         """Make one call after the other; raises what makes a call fail."""
@@ -149,9 +153,9 @@
         while True:
             self.call_started_at = monotonic()
             response = self.call(self.sock if self.sock is not None else self.connect())
-            update = self.watch.update(response)
+            update = self.watch.handle_response(response)
             if first or update.whole or update.entries:
-                self.dispatcher.listed(Listing.FULL if update.whole else Listing.CHANGES, update)
+                self.dispatcher.update_servers(ListKind.FULL if update.whole else ListKind.CHANGES, update)
             first = False
             self.first_call_done.set()
             relay_watch = self.relay_watch
@@ -160,10 +164,10 @@
             if self.failures > 1:
                 self.dispatcher.events.event("watch_back", failures=self.failures, seq=update.version)
             self.failures = 0
-            if not response.keeps():
+            if not response.keeps_alive():
                 self.close()
-            if relay_watch is not None and relay_watch.relay_selector.answered(
-                clock.now(), *self.watch.standing()
+            if relay_watch is not None and relay_watch.relay_selector.call_answered(
+                clock.now(), *self.watch.region_counts()
             ):
                 relay_watch.switch_relay()
 
@@ -178,8 +182,8 @@
                 self.skip_wait.clear()
                 relay_selector, services = self.pending_move
                 self.set_relay_selector(relay_selector)
-                self.watch.wants(services)
-                self.watch.move(f"{where.host}:{where.port}")
+                self.watch.set_services(services)
+                self.watch.switch_to(f"{where.host}:{where.port}")
             if self.relay_watch is not None:
                 where = self.relay_watch.relay_address()
             self.connecting = False
@@ -191,7 +195,7 @@
         sock.connect(where)
         self.connect_timeout, self.connecting = CONNECT_TIMEOUT_S, False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.watch.restart()
+        self.watch.reset_connection()
         if self.moved:
             raise ConnectionAbortedError("discovery has moved")
         return sock
@@ -201,9 +205,9 @@
 
         Raises TimeoutError if nothing arrives in time, at its beginning or in the middle.
         """
-        request = self.watch.request()
+        request = self.watch.next_request()
         self.call_started_at += self.watch.wait_ms / 1000
-        deadline = monotonic() + self.watch.until_silent()
+        deadline = monotonic() + self.watch.answer_timeout_s()
         parser = self.watch.parser
         begun = False
         while True:
@@ -215,12 +219,12 @@
                 sock.sendall(request)
                 request = b""
                 continue
-            count = sock.recv_into(parser.ring.room())
-            parser.ring.wrote(count)
+            count = sock.recv_into(parser.ring.writable())
+            parser.ring.commit(count)
             if not begun:
                 begun, deadline = True, max(deadline, monotonic() + RESPONSE_TIMEOUT_S)
             if not count:
-                parser.end()
+                parser.end_input()
             response = parser.next()
             if response is not None:
                 return response
--- a/pumicepath/wirehost/__main__.py
+++ b/pumicepath/wirehost/__main__.py
@@ -2,12 +2,12 @@
 
 import sys
 
-from .frames import Malformed
+from .frames import MalformedFrameError
 from .host import serve
 
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except Malformed as trouble:
+    except MalformedFrameError as trouble:
         print(f"wirehost: {trouble}", file=sys.stderr)
         sys.exit(2)
--- a/pumicepath/wirehost/frames.py
+++ b/pumicepath/wirehost/frames.py
@@ -5,11 +5,11 @@
 import struct
 from typing import BinaryIO, NamedTuple
 
-EVENT, ACTION, ENTRY = 40, 24, 23
+EVENT_BYTES, ACTION_BYTES, ENTRY_BYTES = 40, 24, 23
 BATCH_HEADER = struct.Struct("<IdI")
 REPLY_HEADER = struct.Struct("<II")
 ENTRY_FIELDS = struct.Struct("<IHHHBfd")
-CODE = struct.Struct("<H")
+EVENT_CODE = struct.Struct("<H")
 CREATE, CHANGED, INGRESS, STARTED, REPORT, VANISHED, TICK, PROBED, DATAGRAM, EXIT, SHEET = range(1, 12)
 EVENT_FIELDS = {
     CREATE: struct.Struct("<HQII"),
@@ -26,7 +26,7 @@
 }
 
 
-class Malformed(Exception):
+class MalformedFrameError(Exception):
     """The input is not what the wire allows."""
 
 
@@ -36,33 +36,33 @@
     tail: memoryview
 
 
-def part(tail: memoryview, offset: int, size: int) -> memoryview:
+def tail_slice(tail: memoryview, offset: int, size: int) -> memoryview:
     if offset + size > len(tail):
-        raise Malformed(f"tail of {len(tail)} bytes has no {size} bytes at {offset}")
+        raise MalformedFrameError(f"tail of {len(tail)} bytes has no {size} bytes at {offset}")
     return tail[offset : offset + size]
 
 
-def read(stream: BinaryIO) -> Batch | None:
+def read_batch(stream: BinaryIO) -> Batch | None:
     """The next batch, or None at the end of the input."""
     head = stream.read(BATCH_HEADER.size)
     if not head:
         return None
     if len(head) < BATCH_HEADER.size:
-        raise Malformed(f"batch header of {len(head)} bytes")
+        raise MalformedFrameError(f"batch header of {len(head)} bytes")
     length, now, count = BATCH_HEADER.unpack(head)
     body = memoryview(stream.read(length))
     if len(body) < length:
-        raise Malformed(f"batch of {length} bytes ends after {len(body)}")
-    if count * EVENT > length:
-        raise Malformed(f"{count} records do not fit {length} bytes")
+        raise MalformedFrameError(f"batch of {length} bytes ends after {len(body)}")
+    if count * EVENT_BYTES > length:
+        raise MalformedFrameError(f"{count} records do not fit {length} bytes")
     records = []
-    for at in range(0, count * EVENT, EVENT):
-        (code,) = CODE.unpack_from(body, at)
+    for at in range(0, count * EVENT_BYTES, EVENT_BYTES):
+        (code,) = EVENT_CODE.unpack_from(body, at)
         fields = EVENT_FIELDS.get(code)
         if fields is None:
-            raise Malformed(f"unknown event code {code}")
+            raise MalformedFrameError(f"unknown event code {code}")
         records.append((code, fields.unpack_from(body, at + 2)))
-    return Batch(now, records, body[count * EVENT :])
+    return Batch(now, records, body[count * EVENT_BYTES :])
 
 
 class Reply:
@@ -73,7 +73,7 @@
         self.tail = bytearray()
 
     def add(self, code: int, layout: str, *fields: float) -> None:
-        self.records.append(struct.pack("<H" + layout, code, *fields).ljust(ACTION, b"\0"))
+        self.records.append(struct.pack("<H" + layout, code, *fields).ljust(ACTION_BYTES, b"\0"))
 
     def add_text(self, code: int, instance: int, text: str) -> None:
         data = text.encode()
--- a/pumicepath/wirehost/host.py
+++ b/pumicepath/wirehost/host.py
@@ -6,11 +6,11 @@
 import math
 from typing import Any, BinaryIO
 
-from ..interface import Entry, Listing, Outcome, Phase, Wakeable
-from ..logic import Balancer, Submission
-from ..settings import decode
+from ..balancer import Balancer, Submission
+from ..interface import ListKind, Outcome, ServerEntry, ServerState, TimerHandler
+from ..settings import decode_settings
 from . import frames
-from .frames import Malformed, Reply
+from .frames import MalformedFrameError, Reply
 
 PROBE, SHED, PRINT, FOLLOW, FREE, TRANSMIT, WAKE, FAIL, REVOKE, TELL, DIE = 1, 2, 3, 4, 5, 6, 7, 8, 9, 11, 12
 OUTCOMES = {
@@ -25,7 +25,7 @@
 }
 
 
-def micros(seconds: float) -> int:
+def to_microseconds(seconds: float) -> int:
     return math.floor(seconds * 1_000_000 + 0.001)
 
 
@@ -35,18 +35,18 @@
     def __init__(self, number: int, info: dict[str, Any], seed: int, host: Host) -> None:
         self.number = number
         self.host = host
-        self.handles: dict[int, Submission] = {}
-        self.alarms: dict[int, Wakeable] = {}
-        self.next_alarm = 0
-        self.balancer = Balancer(decode(info), seed, self)
+        self.submissions: dict[int, Submission] = {}
+        self.timers: dict[int, TimerHandler] = {}
+        self.last_timer_id = 0
+        self.balancer = Balancer(decode_settings(info), seed, self)
 
     def send(self, submission: int, server: int, timeout: int) -> None:
         self.host.reply.add(TRANSMIT, "HIdI", self.number, submission, timeout / 1e6, server)
 
-    def defer(self, submission: int, retry_in: int) -> None:
+    def reject(self, submission: int, retry_in: int) -> None:
         self.host.reply.add(SHED, "HId", self.number, submission, retry_in / 1e6)
 
-    def forfeit(self, submission: int) -> None:
+    def fail(self, submission: int) -> None:
         self.host.reply.add(FAIL, "HI", self.number, submission)
 
     def cancel(self, submission: int, hop: int) -> None:
@@ -55,20 +55,20 @@
     def probe(self, server: int) -> None:
         self.host.reply.add(PROBE, "HI", self.number, server)
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         self.host.reply.add(TELL, "HIII", self.number, peer, len(self.host.reply.tail), len(data))
         self.host.reply.tail += data
 
-    def free_links(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         self.host.reply.add(FREE, "HI", self.number, server)
 
-    def follow(self) -> None:
+    def request_server_list(self) -> None:
         self.host.reply.add(FOLLOW, "HB", self.number, 1)
 
-    def wake(self, at: int, whom: Wakeable) -> None:
-        self.next_alarm += 1
-        self.alarms[self.next_alarm] = whom
-        self.host.reply.add(WAKE, "HdQ", self.number, at / 1e6, self.next_alarm)
+    def set_timer(self, at: int, whom: TimerHandler) -> None:
+        self.last_timer_id += 1
+        self.timers[self.last_timer_id] = whom
+        self.host.reply.add(WAKE, "HdQ", self.number, at / 1e6, self.last_timer_id)
 
     def log(self, text: str) -> None:
         self.host.reply.add_text(PRINT, self.number, text)
@@ -77,42 +77,44 @@
 class Host:
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.sheets: dict[int, list[Entry]] = {}
+        self.sheets: dict[int, list[ServerEntry]] = {}
         self.reply = Reply()
 
-    def batch(self, batch: frames.Batch) -> Reply:
+    def handle_batch(self, batch: frames.Batch) -> Reply:
         self.reply = Reply()
-        now = micros(batch.now)
+        now = to_microseconds(batch.now)
         for code, fields in batch.records:
             if code == frames.SHEET:
-                self.sheet(batch.tail, *fields)
+                self.store_sheet(batch.tail, *fields)
                 continue
             number = fields[0]
             try:
-                self.event(now, code, batch.tail, fields)
-            except Malformed:
+                self.handle_event(now, code, batch.tail, fields)
+            except MalformedFrameError:
                 raise
             except Exception as trouble:  # a fault of the module ends the day with its text, not the process
                 self.reply.add_text(DIE, number, f"{type(trouble).__name__}: {trouble}")
         return self.reply
 
-    def sheet(self, tail: memoryview, number: int, offset: int, count: int) -> None:
-        data = frames.part(tail, offset, count * frames.ENTRY)
+    def store_sheet(self, tail: memoryview, number: int, offset: int, count: int) -> None:
+        data = frames.tail_slice(tail, offset, count * frames.ENTRY_BYTES)
         entries = []
         for server, zone, kind, cell, phase, scale, up in frames.ENTRY_FIELDS.iter_unpack(data):
-            if phase > Phase.DRAINING:
-                raise Malformed(f"unknown phase {phase} of a server")
-            entries.append(Entry(server, zone, cell, Phase(phase), scale, micros(up), "", kind))
+            if phase > ServerState.DRAINING:
+                raise MalformedFrameError(f"unknown phase {phase} of a server")
+            entries.append(
+                ServerEntry(server, zone, cell, ServerState(phase), scale, to_microseconds(up), "", kind)
+            )
         self.sheets[number] = entries
 
-    def event(self, now: int, code: int, tail: memoryview, fields: tuple) -> None:
+    def handle_event(self, now: int, code: int, tail: memoryview, fields: tuple) -> None:
         number = fields[0]
         if code == frames.CREATE:
             _, seed, offset, size = fields
             try:
-                info = json.loads(bytes(frames.part(tail, offset, size)))
+                info = json.loads(bytes(frames.tail_slice(tail, offset, size)))
             except ValueError as trouble:
-                raise Malformed(f"settings of instance {number}: {trouble}") from trouble
+                raise MalformedFrameError(f"settings of instance {number}: {trouble}") from trouble
             self.instances[number] = Instance(number, info, seed, self)
             return
         if code == frames.EXIT:
@@ -123,51 +125,51 @@
             return
         if code == frames.INGRESS:
             _, name, _, key, marks, _, until, tariff = fields
-            instance.handles[name] = instance.balancer.take(
-                now, name, tariff, key, bool(marks & 2), micros(until)
+            instance.submissions[name] = instance.balancer.submit(
+                now, name, tariff, key, bool(marks & 2), to_microseconds(until)
             )
         elif code == frames.REPORT:
             _, name, complete, status, spent, _, hop = fields
             if status not in OUTCOMES:
-                raise Malformed(f"unknown outcome {status}")
-            handle = instance.handles.get(name)
+                raise MalformedFrameError(f"unknown outcome {status}")
+            handle = instance.submissions.get(name)
             if handle is not None:
-                handle.ended(now, hop, OUTCOMES[status], micros(spent), bool(complete))
-                self.forget(instance, name, handle)
+                handle.hop_finished(now, hop, OUTCOMES[status], to_microseconds(spent), bool(complete))
+                self.forget_if_finished(instance, name, handle)
         elif code == frames.TICK:
-            whom = instance.alarms.pop(fields[1], None)
+            whom = instance.timers.pop(fields[1], None)
             if whom is not None:
-                whom.woke(now)
+                whom.on_timer(now)
                 if isinstance(whom, Submission):
-                    self.forget(instance, whom.name, whom)
+                    self.forget_if_finished(instance, whom.id, whom)
         elif code == frames.CHANGED:
             _, _, form, sheet = fields
-            if form > Listing.FAILED or form != Listing.FAILED and sheet not in self.sheets:
-                raise Malformed(f"list of form {form} names sheet {sheet}")
-            entries = [] if form == Listing.FAILED else self.sheets[sheet]
-            instance.balancer.listed(now, Listing(form), entries)
+            if form > ListKind.FAILED or form != ListKind.FAILED and sheet not in self.sheets:
+                raise MalformedFrameError(f"list of form {form} names sheet {sheet}")
+            entries = [] if form == ListKind.FAILED else self.sheets[sheet]
+            instance.balancer.update_servers(now, ListKind(form), entries)
         elif code == frames.VANISHED:
-            handle = instance.handles.get(fields[1])
+            handle = instance.submissions.get(fields[1])
             if handle is not None:
-                handle.left(now)
-                self.forget(instance, fields[1], handle)
+                handle.client_left(now)
+                self.forget_if_finished(instance, fields[1], handle)
         elif code == frames.STARTED:
-            handle = instance.handles.get(fields[1])
+            handle = instance.submissions.get(fields[1])
             if handle is not None:
-                handle.started(now, fields[2])
+                handle.response_started(now, fields[2])
         elif code == frames.DATAGRAM:
             _, _, offset, size = fields
-            instance.balancer.told(now, bytes(frames.part(tail, offset, size)))
+            instance.balancer.receive_peer_message(now, bytes(frames.tail_slice(tail, offset, size)))
         elif code == frames.PROBED and fields[2] not in OUTCOMES:
-            raise Malformed(f"unknown outcome {fields[2]}")
+            raise MalformedFrameError(f"unknown outcome {fields[2]}")
 
     @staticmethod
-    def forget(instance: Instance, name: int, handle: Submission) -> None:
-        if handle.over():
-            instance.handles.pop(name, None)
+    def forget_if_finished(instance: Instance, name: int, handle: Submission) -> None:
+        if handle.is_finished():
+            instance.submissions.pop(name, None)
 
 
 def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
     host = Host()
-    while (batch := frames.read(stdin)) is not None:
-        host.batch(batch).write(stdout)
+    while (batch := frames.read_batch(stdin)) is not None:
+        host.handle_batch(batch).write(stdout)
--- a/setup.py
+++ b/setup.py
@@ -13,8 +13,8 @@
 from setuptools.command.build_ext import build_ext
 
 HERE = Path(__file__).resolve().parent
-MODULES = [
-    "pumicepath/logic.py",
+COMPILED_MODULES = [
+    "pumicepath/balancer.py",
     "pumicepath/interface.py",
     "pumicepath/settings.py",
     "pumicepath/invariants.py",
@@ -22,16 +22,16 @@
     "pumicepath/http1/messages.py",
     "pumicepath/http1/parsing.py",
     "pumicepath/http1/writing.py",
-    "pumicepath/intake/queue.py",
+    "pumicepath/admission/queue.py",
 ]
-BUILT = HERE / "pumicepath" / "compiled.json"
+BUILD_RECORD = HERE / "pumicepath" / "compiled.json"
 
 
-class WhereItWorks(build_ext):
+class OptionalBuildExt(build_ext):
     """Compiles all or nothing: guards against a part that was built from other files than the rest."""
 
     def run(self) -> None:
-        BUILT.unlink(missing_ok=True)
+        BUILD_RECORD.unlink(missing_ok=True)
         try:
             super().run()
         except BaseException as trouble:  # no compiler, no headers, a refusal: setuptools exits as well
@@ -39,23 +39,25 @@
             self.extensions = []
             return
         if self.extensions:
-            hashes = {name: hashlib.sha256((HERE / name).read_bytes()).hexdigest() for name in MODULES}
+            hashes = {
+                name: hashlib.sha256((HERE / name).read_bytes()).hexdigest() for name in COMPILED_MODULES
+            }
             built = sorted(
                 str(file.relative_to(HERE))
                 for where in (HERE, HERE / "pumicepath")
                 for file in (where.glob("*.so") if where == HERE else where.rglob("*.so"))
             )
-            BUILT.write_text(json.dumps({"files": hashes, "built": built}, indent=1) + "\n")
+            BUILD_RECORD.write_text(json.dumps({"files": hashes, "built": built}, indent=1) + "\n")
 
 
 def extensions() -> list:
     try:
         from mypyc.build import mypycify
 
-        return mypycify(["--config-file=", *MODULES], opt_level="3", debug_level="0")
+        return mypycify(["--config-file=", *COMPILED_MODULES], opt_level="3", debug_level="0")
     except BaseException as trouble:  # mypyc exits where it can't go on
         print(f"pumicepath is not compiled, and runs as it is: {trouble}", file=sys.stderr)
         return []
 
 
-setup(ext_modules=extensions(), cmdclass={"build_ext": WhereItWorks})
+setup(ext_modules=extensions(), cmdclass={"build_ext": OptionalBuildExt})
--- a/tests/bad_balancers.py
+++ b/tests/bad_balancers.py
@@ -6,87 +6,87 @@
 from pumicepath.lab.virtual.baselines import RandomChoice, RoundRobin, TextbookBalancer, TextbookSubmission
 
 
-class SilentHandle(TextbookSubmission):
-    def ended(self, now, number, outcome, spent, finished):
+class NeverAnswersHandle(TextbookSubmission):
+    def hop_finished(self, now, number, outcome, spent, finished):
         self.waiting = False
         self.finished = self.finished or finished
 
-    def over(self):
+    def is_finished(self):
         return self.finished and not self.waiting
 
 
-class Silent(RandomChoice):
+class NeverAnswers(RandomChoice):
     """Never answers a submission whose first hop failed."""
 
-    submission_type = SilentHandle
+    submission_type = NeverAnswersHandle
 
 
-class Twice(RandomChoice):
+class RejectsTwice(RandomChoice):
     """Defers what it has sent, and says so once more."""
 
-    def take(self, now, name, tariff, key, retry, until):
-        one = super().take(now, name, tariff, key, retry, until)
-        if self.settings.tariffs[tariff].effect == Effect.IDEMPOTENT:
-            self.callbacks.defer(name, 0)
-            self.callbacks.defer(name, 0)
+    def submit(self, now, name, tariff, key, retry, until):
+        one = super().submit(now, name, tariff, key, retry, until)
+        if self.settings.request_classes[tariff].effect == Effect.IDEMPOTENT:
+            self.callbacks.reject(name, 0)
+            self.callbacks.reject(name, 0)
         return one
 
 
-class AfterHandle(TextbookSubmission):
-    def ended(self, now, number, outcome, spent, finished):
-        super().ended(now, number, outcome, spent, finished)
+class SendsAfterAnswerHandle(TextbookSubmission):
+    def hop_finished(self, now, number, outcome, spent, finished):
+        super().hop_finished(now, number, outcome, spent, finished)
         if finished and len(self.tried_servers) < 2:
             self.finished = False
             self.send_next(now)
 
 
-class After(RandomChoice):
+class SendsAfterAnswer(RandomChoice):
     """Sends once more after the final answer."""
 
-    submission_type = AfterHandle
+    submission_type = SendsAfterAnswerHandle
 
 
-class RepeatsHandle(TextbookSubmission):
+class RetriesNonIdempotentHandle(TextbookSubmission):
     def may_retry(self, outcome):
         return True
 
 
-class Repeats(RandomChoice):
+class RetriesNonIdempotent(RandomChoice):
     """Sends what may not be repeated again after an error, as if it had not run."""
 
-    submission_type = RepeatsHandle
+    submission_type = RetriesNonIdempotentHandle
 
 
-class PromisesHandle(TextbookSubmission):
-    def ended(self, now, number, outcome, spent, finished):
+class RejectsPossiblyRunHandle(TextbookSubmission):
+    def hop_finished(self, now, number, outcome, spent, finished):
         self.waiting = False
         if not finished and not self.finished and outcome != Outcome.OK:
             self.finished = True
-            self.balancer.callbacks.defer(self.name, 0)
+            self.balancer.callbacks.reject(self.name, 0)
         self.finished = True
 
 
-class Promises(RandomChoice):
+class RejectsPossiblyRun(RandomChoice):
     """Defers what may have run, as if trying again were harmless."""
 
-    submission_type = PromisesHandle
+    submission_type = RejectsPossiblyRunHandle
 
 
-class Deaf(RoundRobin):
+class IgnoresListUpdates(RoundRobin):
     """Does not heed the list once it has one."""
 
-    def listed(self, now, kind, entries):
+    def update_servers(self, now, kind, entries):
         if not self.ready:
-            super().listed(now, kind, entries)
+            super().update_servers(now, kind, entries)
 
 
-class Rush(TextbookBalancer):
+class FloodsNewestServer(TextbookBalancer):
     """Sends everything to the server that came up last."""
 
-    def listed(self, now, kind, entries):
-        super().listed(now, kind, entries)
+    def update_servers(self, now, kind, entries):
+        super().update_servers(now, kind, entries)
         for entry in entries:
-            if entry.came_up:
+            if entry.started_at:
                 self.newest = entry.server
 
     def choose(self, one, among):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,37 +11,37 @@
 
 import pytest
 
-NAME = "KNOWN-RED.txt"
-MOST = 3
-LINE = re.compile(r"(\S+?::.+?): (.+) \(issue (\d+)\)")
+FILE_NAME = "KNOWN-RED.txt"
+MAX_ENTRIES = 3
+ENTRY_PATTERN = re.compile(r"(\S+?::.+?): (.+) \(issue (\d+)\)")
 
 
-def known_red(path: Path) -> dict[str, str]:
+def read_known_failures(path: Path) -> dict[str, str]:
     """Tests by their ids, with cause and issue."""
     known: dict[str, str] = {}
     for number, line in enumerate(path.read_text().splitlines() if path.exists() else [], 1):
-        found = LINE.fullmatch(line)
-        if found is None:
-            raise pytest.UsageError(f"{NAME}:{number}: not 'test: cause (issue N)': {line!r}")
-        if found[1] in known:
-            raise pytest.UsageError(f"{NAME}:{number}: {found[1]} is there twice")
-        known[found[1]] = f"{found[2]} (issue {found[3]})"
-    if len(known) > MOST:
-        raise pytest.UsageError(f"{NAME}: {len(known)} lines, where {MOST} are allowed")
+        match = ENTRY_PATTERN.fullmatch(line)
+        if match is None:
+            raise pytest.UsageError(f"{FILE_NAME}:{number}: not 'test: cause (issue N)': {line!r}")
+        if match[1] in known:
+            raise pytest.UsageError(f"{FILE_NAME}:{number}: {match[1]} is there twice")
+        known[match[1]] = f"{match[2]} (issue {match[3]})"
+    if len(known) > MAX_ENTRIES:
+        raise pytest.UsageError(f"{FILE_NAME}: {len(known)} lines, where {MAX_ENTRIES} are allowed")
     return known
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    known = known_red(config.rootpath / NAME)
+    known = read_known_failures(config.rootpath / FILE_NAME)
     named = {item.nodeid: item for item in items if item.nodeid in known}
     missing = sorted(set(known) - set(named))
     if missing and config.args_source != pytest.Config.ArgsSource.ARGS:  # else it may only not be asked for
-        raise pytest.UsageError(f"{NAME}: {missing[0]} names no test")
+        raise pytest.UsageError(f"{FILE_NAME}: {missing[0]} names no test")
     for name, item in named.items():
         item.add_marker(pytest.mark.xfail(strict=True, reason=f"known red: {known[name]}"))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for name, cause in known_red(config.rootpath / NAME).items():
+    for name, cause in read_known_failures(config.rootpath / FILE_NAME).items():
         terminalreporter.write_line(f"known red: {name}: {cause}")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,26 +7,35 @@
 import socket
 from pathlib import Path
 
-from pumicepath.interface import Effect, Entry, Group, Listing, Outcome, Phase, Settings, Tariff
-from pumicepath.logic import Balancer, Submission
+from pumicepath.balancer import Balancer, Submission
+from pumicepath.interface import (
+    DedupGroup,
+    Effect,
+    ListKind,
+    Outcome,
+    RequestClass,
+    ServerEntry,
+    ServerState,
+    Settings,
+)
 
 socket.setdefaulttimeout(20)  # what should come and does not must fail a test, not hold it up
 TRACES = Path(__file__).parent / "traces"
 SECOND = 1_000_000
-READ = Tariff(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, Group.ALL, 0)
-ONCE = Tariff(600_000, 1_500_000, 5.0, 0.0, Effect.UNREPEATABLE, Group.ALL, 0)
+READ_CLASS = RequestClass(600_000, 2_500_000, 3.0, 0.0, Effect.IDEMPOTENT, DedupGroup.ALL, 0)
+ONCE_CLASS = RequestClass(600_000, 1_500_000, 5.0, 0.0, Effect.NON_IDEMPOTENT, DedupGroup.ALL, 0)
 
 
-def marked(group: Group) -> Tariff:
-    return Tariff(1_000_000, 5_000_000, 3.0, 0.2, Effect.DEDUPLICATED, group, 2 * SECOND)
+def deduplicated_class(group: DedupGroup) -> RequestClass:
+    return RequestClass(1_000_000, 5_000_000, 3.0, 0.2, Effect.DEDUPLICATED, group, 2 * SECOND)
 
 
-def settings(*tariffs: Tariff, **changed: object) -> Settings:
+def make_settings(*tariffs: RequestClass, **changed: object) -> Settings:
     values: dict = {
         "me": 0,
         "fleet": 3,
         "zone": 0,
-        "tariffs": tariffs or (READ, ONCE),
+        "tariffs": tariffs or (READ_CLASS, ONCE_CLASS),
         "crossing_price": 0.0,
         "must_ask": False,
         "ask_every": 10 * SECOND,
@@ -40,33 +49,35 @@
     return Settings(**{**values, **changed})
 
 
-def entry(server: int, zone: int = 0, cell: int = 0, phase: Phase = Phase.READY, came_up: int = 0) -> Entry:
-    return Entry(server, zone, cell, phase, 1.0, came_up)
+def make_entry(
+    server: int, zone: int = 0, cell: int = 0, state: ServerState = ServerState.READY, started_at: int = 0
+) -> ServerEntry:
+    return ServerEntry(server, zone, cell, state, 1.0, started_at)
 
 
-class Bench:
+class ScriptedHost:
     """An outlet that notes every decision; `at` moves the clock and delivers the wakes that are due."""
 
-    def __init__(self, given: Settings, servers: list[Entry], seed: int = 7) -> None:
-        self.given, self.servers = given, servers
+    def __init__(self, given: Settings, servers: list[ServerEntry], seed: int = 7) -> None:
+        self.initial_settings, self.servers = given, servers
         self.now = 0
         self.lines: list[str] = []
-        self.wakes: list[tuple[int, int, object]] = []
-        self.sent: list[int] = []
+        self.timers: list[tuple[int, int, object]] = []
+        self.sent_to: list[int] = []
         self.balancer = Balancer(given, seed, self)
-        self.balancer.listed(0, Listing.CACHED, servers)
+        self.balancer.update_servers(0, ListKind.CACHED, servers)
 
     def note(self, text: str) -> None:
         self.lines.append(f"{self.now / SECOND:8.3f}  {text}")
 
     def send(self, submission: int, server: int, timeout: int) -> None:
-        self.sent.append(server)
+        self.sent_to.append(server)
         self.note(f"submission {submission}: hop to {server}")
 
-    def defer(self, submission: int, retry_in: int) -> None:
+    def reject(self, submission: int, retry_after: int) -> None:
         self.note(f"submission {submission}: deferred")
 
-    def forfeit(self, submission: int) -> None:
+    def fail(self, submission: int) -> None:
         self.note(f"submission {submission}: forfeited")
 
     def cancel(self, submission: int, hop: int) -> None:
@@ -75,68 +86,76 @@
     def probe(self, server: int) -> None:
         self.note(f"probe of {server}")
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_to_peer(self, peer: int, data: bytes) -> None:
         self.note(f"tells {peer}: {data.hex()}")
 
-    def free_links(self, server: int) -> None:
+    def close_idle_connections(self, server: int) -> None:
         self.note(f"connections to {server} freed")
 
-    def follow(self) -> None:
+    def request_server_list(self) -> None:
         self.note("asks to follow the list")
 
-    def wake(self, at: int, whom: object) -> None:
-        heapq.heappush(self.wakes, (at, len(self.wakes), whom))
+    def set_timer(self, at: int, handler: object) -> None:
+        heapq.heappush(self.timers, (at, len(self.timers), handler))
 
     def log(self, text: str) -> None:
         self.note(f"log: {text}")
 
-    def at(self, seconds: float) -> Bench:
+    def advance_to(self, seconds: float) -> ScriptedHost:
         until = int(seconds * SECOND)
-        while self.wakes and self.wakes[0][0] <= until:
-            self.now, _, whom = heapq.heappop(self.wakes)
+        while self.timers and self.timers[0][0] <= until:
+            self.now, _, whom = heapq.heappop(self.timers)
             whom.woke(self.now)
         self.now = until
         return self
 
-    def take(
-        self, name: int, key: int = 1, tariff: int = 0, patience: float = 2.0, retry: bool = False
+    def submit(
+        self, name: int, key: int = 1, request_class: int = 0, deadline: float = 2.0, retry: bool = False
     ) -> Submission:
-        return self.balancer.take(self.now, name, tariff, key, retry, self.now + int(patience * SECOND))
+        return self.balancer.submit(
+            self.now, name, request_class, key, retry, self.now + int(deadline * SECOND)
+        )
 
-    def end(self, one: Submission, outcome: Outcome, hop: int = -1) -> None:
+    def finish_hop(self, one: Submission, outcome: Outcome, hop: int = -1) -> None:
         """One hop, the last unless named, ends; only a success finishes the submission."""
         if not one.hops:
             return
         number = hop % len(one.hops)
-        one.ended(self.now, number, outcome, self.now - one.hops[number].at, outcome == Outcome.OK)
+        one.hop_finished(
+            self.now, number, outcome, self.now - one.hops[number].sent_at, outcome == Outcome.OK
+        )
 
-    def alike(self, key: int, count: int) -> list[int]:
+    def keys_with_same_server(self, key: int, count: int) -> list[int]:
         """Keys that go where the key goes, so that none of them is popular."""
-        fresh = Bench(self.given, self.servers)
+        fresh = ScriptedHost(self.initial_settings, self.servers)
         for other in range(1, 100 * count):
-            fresh.end(fresh.at(other).take(other, other), Outcome.OK)
-        return [other + 1 for other, server in enumerate(fresh.sent) if server == fresh.sent[key - 1]][:count]
-
-    def quick(self, first: int, count: int, key: int, outcome: Outcome, every: float = 0.1) -> None:
+            fresh.finish_hop(fresh.advance_to(other).submit(other, other), Outcome.OK)
+        return [other + 1 for other, server in enumerate(fresh.sent_to) if server == fresh.sent_to[key - 1]][
+            :count
+        ]
+
+    def run_submissions(
+        self, first: int, count: int, key: int, outcome: Outcome, interval: float = 0.1
+    ) -> None:
         """Submissions one after the other, each ended 10 ms after its first hop, later hops answered."""
         start = self.now / SECOND
         for step in range(count):
-            one = self.at(start + step * every).take(first + step, key)
-            self.at(start + step * every + 0.01).end(one, outcome)
-            if not one.over():
-                self.end(one, Outcome.OK)
+            one = self.advance_to(start + step * interval).submit(first + step, key)
+            self.advance_to(start + step * interval + 0.01).finish_hop(one, outcome)
+            if not one.is_finished():
+                self.finish_hop(one, Outcome.OK)
 
 
-def interruptible() -> None:
+def restore_sigint() -> None:
     """For a child that is to be interrupted: who runs the tests may ignore SIGINT, as background jobs do."""
     signal.signal(signal.SIGINT, signal.SIG_DFL)
 
 
-def check(name: str, bench: Bench, *more: str) -> None:
-    compare(name, [*bench.lines, *more])
+def check_host_trace(name: str, bench: ScriptedHost, *more: str) -> None:
+    check_trace(name, [*bench.lines, *more])
 
 
-def compare(name: str, lines: list[str]) -> None:
+def check_trace(name: str, lines: list[str]) -> None:
     """The trace must be the one kept in the repository."""
     got = "\n".join(lines) + "\n"
     kept = TRACES / f"{name}.txt"
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -4,20 +4,20 @@
 from hashlib import sha256
 from pathlib import Path
 
-from pumicepath import compiled, logic
+from pumicepath import balancer, compiled
 from pumicepath.http1 import parsing
 
-from .helpers import compare
+from .helpers import check_trace
 
 
 def test_only_a_whole_build_of_the_files_as_they_are_runs(tmp_path: Path) -> None:
     (tmp_path / "pumicepath").mkdir()
     file, library = tmp_path / "pumicepath" / "a.py", tmp_path / "pumicepath" / "a.so"
-    record = tmp_path / compiled.RECORD
+    record = tmp_path / compiled.BUILD_RECORD
     lines = []
 
     def look(name: str, asked: bool = False) -> None:
-        chosen, files = compiled.form(tmp_path, asked)
+        chosen, files = compiled.detect_form(tmp_path, asked)
         lines.append(f"{name}: {chosen}; from files {sorted(files)}")
 
     file.write_text("A = 1\n")
@@ -34,7 +34,7 @@
     look("half of it gone")
     record.write_text("{")
     look("record torn")
-    compare("compiled", lines)
+    check_trace("compiled", lines)
 
 
 def test_the_form_that_is_told_is_the_one_that_runs() -> None:
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -13,10 +13,10 @@
 from click.testing import CliRunner
 
 from pumicepath.command import main
-from pumicepath.lab.experiments import comparing, figures, files, running
-from tests.helpers import compare, interruptible
+from pumicepath.lab.experiments import comparison, files, runner, statistics
+from tests.helpers import check_trace, restore_sigint
 
-SHIPPED = Path(__file__).parent.parent / "experiments"
+SHIPPED_FOLDER = Path(__file__).parent.parent / "experiments"
 SMALL = """title = "Small"
 seeds = 3
 policies = ["pumicepath", "random"]
@@ -33,25 +33,25 @@
 """
 
 
-def spoilt(old: str, new: str) -> str:
+def replaced(old: str, new: str) -> str:
     assert old in SMALL
     return SMALL.replace(old, new)
 
 
-WRONG = {
+INVALID_FILES = {
     "no such file": None,
-    "no TOML": spoilt("seeds = 3", "seeds ="),
-    "unknown key": spoilt("servers = 4", "server = 4"),
-    "unknown table": spoilt("[load]", "[loads]"),
-    "wrong type": spoilt("servers = 4", 'servers = "many"'),
-    "unknown policy": spoilt('"random"', '"magic"'),
-    "unknown trouble": spoilt('"die"', '"dye"'),
-    "trouble after the end": spoilt("at_s = 1", "at_s = 9"),
+    "no TOML": replaced("seeds = 3", "seeds ="),
+    "unknown key": replaced("servers = 4", "server = 4"),
+    "unknown table": replaced("[load]", "[loads]"),
+    "wrong type": replaced("servers = 4", 'servers = "many"'),
+    "unknown policy": replaced('"random"', '"magic"'),
+    "unknown trouble": replaced('"die"', '"dye"'),
+    "trouble after the end": replaced("at_s = 1", "at_s = 9"),
     "hall that is not there": SMALL + "hall = 1\n",
     "server that is not there": SMALL + "servers = [4]\n",
     "too many servers hit": SMALL + "count = 5\n",
-    "no title": spoilt('title = "Small"\n', ""),
-    "negative time": spoilt("for_s = 2", "for_s = -2"),
+    "no title": replaced('title = "Small"\n', ""),
+    "negative time": replaced("for_s = 2", "for_s = -2"),
     "sweep of nothing": SMALL + '[sweep]\n"fleet.serers" = [1, 2]\n',
     "sweep past the list": SMALL + '[sweep]\n"troubles.1.at_s" = [1, 2]\n',
     "variant with a wrong value": SMALL + '[variants.other]\n"load.part" = "much"\n',
@@ -60,20 +60,20 @@
 
 def test_wrong_files_are_refused_with_file_line_and_key(tmp_path: Path) -> None:
     lines = []
-    for name, text in WRONG.items():
+    for name, text in INVALID_FILES.items():
         path = tmp_path / "x.toml"
         path.unlink(missing_ok=True)
         if text is not None:
             path.write_text(text)
         ended = CliRunner().invoke(main, ["lab", "show", str(path)])
         lines.append(f"{name}: {ended.exit_code} {ended.output.strip().replace(str(tmp_path), '')}")
-    compare("experiments-wrong", lines)
+    check_trace("experiments-wrong", lines)
 
 
 def test_all_that_are_shipped_can_be_read_and_cover_every_trouble() -> None:
     from pumicepath.lab.fault_kinds import KINDS
 
-    made = [files.read(path) for path in sorted(SHIPPED.glob("*.toml"))]
+    made = [files.load_experiment(path) for path in sorted(SHIPPED_FOLDER.glob("*.toml"))]
     met = {trouble.kind for read in made for trouble in read.plan.troubles}
     assert len(made) >= 12 and met == set(KINDS)
     assert any(read.plan.sidecars.count >= 1000 for read in made)
@@ -95,13 +95,13 @@
     page = (tmp_path / "one" / "report.html").read_text()
     assert page.count("data:image/png;base64,") == 4 and "http" not in page.replace("http-equiv", "")
     assert len(list((tmp_path / "one").glob("*.png"))) == 4
-    compare("experiments-run", outputs[0] + both.stdout.splitlines())
+    check_trace("experiments-run", outputs[0] + both.stdout.splitlines())
 
 
 def test_interrupted_run_leaves_no_process_and_a_report_of_what_had_ended(tmp_path: Path) -> None:
     path = tmp_path / "long.toml"
     path.write_text(SMALL.replace("seeds = 3", "seeds = 500"))
-    results = tmp_path / "out" / running.RESULTS
+    results = tmp_path / "out" / runner.RESULTS_FILE
     with subprocess.Popen(
         [
             sys.executable,
@@ -119,7 +119,7 @@
         stderr=subprocess.PIPE,
         text=True,
         start_new_session=True,
-        preexec_fn=interruptible,
+        preexec_fn=restore_sigint,
     ) as process:
         give_up = time.monotonic() + 60
         while time.monotonic() < give_up and (not results.exists() or results.read_bytes().count(b"\n") < 4):
@@ -128,7 +128,7 @@
         os.killpg(process.pid, signal.SIGINT)
         out, err = process.communicate(timeout=60)
     assert process.returncode == 130 and "interrupted after" in err, (process.returncode, err)
-    head, runs = running.results(tmp_path / "out")
+    head, runs = runner.read_results(tmp_path / "out")
     assert 3 <= len(runs) < head["runs"]
     assert "Unfinished" in (tmp_path / "out" / "report.html").read_text() and "report:" in out
     with pytest.raises(ProcessLookupError):  # nobody is left of its group
@@ -136,15 +136,15 @@
 
 
 def test_intervals_hold_their_values_and_say_when_there_is_no_difference() -> None:
-    same = figures.difference({1: 0.5, 2: 0.7, 3: 0.6}, {1: 0.6, 2: 0.6, 3: 0.6})
-    less = figures.difference({1: 0.5, 2: 0.51, 4: 0.0}, {1: 0.6, 2: 0.6, 3: 0.6})
-    one = figures.difference({1: 0.5}, {1: 0.6})
-    held = figures.histogram(range(1, 100_001))
-    shares = figures.percentiles(figures.merged([held.encode().decode()] * 2))
-    compare(
+    same = statistics.paired_difference({1: 0.5, 2: 0.7, 3: 0.6}, {1: 0.6, 2: 0.6, 3: 0.6})
+    less = statistics.paired_difference({1: 0.5, 2: 0.51, 4: 0.0}, {1: 0.6, 2: 0.6, 3: 0.6})
+    one = statistics.paired_difference({1: 0.5}, {1: 0.6})
+    held = statistics.latency_histogram(range(1, 100_001))
+    shares = statistics.latency_percentiles(statistics.merge_histograms([held.encode().decode()] * 2))
+    check_trace(
         "experiments-figures",
         [
-            *(f"{each}: {comparing.verdict(each)}" for each in (same, less, one)),
+            *(f"{each}: {comparison.describe_difference(each)}" for each in (same, less, one)),
             *(f"{name} {value:.3f} ms" for name, value in shares.items()),
         ],
     )
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,17 +12,17 @@
 from click.testing import CliRunner
 
 from pumicepath.command import main
-from pumicepath.lab.experiments import files, fleet
-from pumicepath.lab.faults import checks, history, times
-from pumicepath.lab.faults.clocks import VARIABLE, Page
-from pumicepath.lab.faults.disks import Disk
-from pumicepath.lab.faults.history import BadHistory, History
+from pumicepath.lab.experiments import files, fleet_report
 from pumicepath.lab.model.links import Impairment, Links
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline
 from pumicepath.lab.spec import FaultSpec, Plan, Sidecars
+from pumicepath.lab.verification import checks, history, recovery
+from pumicepath.lab.verification.clocks import PAGE_PATH_VARIABLE, ControlPage
+from pumicepath.lab.verification.disks import StateFolder
+from pumicepath.lab.verification.history import History, HistoryError
 from pumicepath.lab.virtual.run import VirtualWorld
 
-from .helpers import compare
+from .helpers import check_trace
 
 HEAD = {
     "at": 0,
@@ -134,7 +134,7 @@
         found = checks.violations(in_order(name))
         lines.append(f"{name}:")
         lines += [f"    {check}: {each}" for check, breaches in found.items() for each in breaches]
-    compare("faults-planted", lines)
+    check_trace("faults-planted", lines)
     assert set(checks.PROPERTIES) == {"four_rules", "one_holder", "fencing", "budgets"}
 
 
@@ -156,9 +156,9 @@
             for at, share in enumerate(shares)
         ),
     ]
-    assert times.views_right(met) == 1.3 and times.full_service(met) == 1.8
-    assert times.views_right(met[:-10]) is None and times.full_service(met[:-3]) is None
-    assert times.faults(met) == {"sidecars-killed": 1}
+    assert recovery.view_recovery_s(met) == 1.3 and recovery.service_recovery_s(met) == 1.8
+    assert recovery.view_recovery_s(met[:-10]) is None and recovery.service_recovery_s(met[:-3]) is None
+    assert recovery.fault_counts(met) == {"sidecars-killed": 1}
 
 
 @pytest.mark.parametrize(
@@ -176,7 +176,7 @@
     path = tmp_path / "history.jsonl"
     if data is not None:
         path.write_bytes(data)
-    with pytest.raises(BadHistory, match=why):
+    with pytest.raises(HistoryError, match=why):
         history.read(path)
     ended = CliRunner().invoke(main, ["lab", "judge", str(path)])
     assert ended.exit_code == 2 and str(path) in ended.stderr
@@ -230,30 +230,30 @@
     cut.timeline.run(1)  # type: ignore[attr-defined]
     lines.append(f"cut one way: {len(met)} of 3")
     undo()
-    compare("faults-links", lines)
+    check_trace("faults-links", lines)
 
 
 def test_a_bent_clock_runs_at_its_rate_and_steps_only_on_the_wall(tmp_path: Path) -> None:
     now = [0]
-    page = Page(tmp_path / "clock")
-    page.real = lambda: now[0]
-    page.set(1.0)
+    page = ControlPage(tmp_path / "clock")
+    page.real_monotonic_ns = lambda: now[0]
+    page.set_clock(1.0)
     began, wall = page.monotonic_ns(), page.wall_ns(5_000_000_000)
-    page.set(1.01, 3_600_000_000_000)
+    page.set_clock(1.01, 3_600_000_000_000)
     assert page.monotonic_ns() == began and page.wall_ns(5_000_000_000) - wall == 3_600_000_000_000
     now[0] += 10_000_000_000
-    assert Page(tmp_path / "clock").slot() == page.slot(), "both processes see the same"
+    assert ControlPage(tmp_path / "clock").active_slot() == page.active_slot(), "both processes see the same"
     assert page.monotonic_ns() - began == 10_100_000_000
-    page.set(1.0)
+    page.set_clock(1.0)
     now[0] += 1_000_000_000
     assert page.monotonic_ns() - began == 11_100_000_000
 
 
 def test_the_starter_bends_what_a_process_reads(tmp_path: Path) -> None:
-    Page(tmp_path / "clock").set(1.0, -3_600_000_000_000)
+    ControlPage(tmp_path / "clock").set_clock(1.0, -3_600_000_000_000)
     code = (
         "import os, time; from pathlib import Path; true = time.time()\n"
-        "from pumicepath.lab.faults import clocks, starter\n"
+        "from pumicepath.lab.verification import clocks, starter\n"
         "starter.bend(clocks.Page(Path(os.environ[clocks.VARIABLE])))\n"
         "from pumicepath.sidecar import clock\n"
         "print(round(true - time.time()), clock.now() > 0)"
@@ -263,19 +263,19 @@
         text=True,
         capture_output=True,
         timeout=60,
-        env={"PATH": "/usr/bin", VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."},
+        env={"PATH": "/usr/bin", PAGE_PATH_VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."},
     )
     assert ended.stdout.split() == ["3600", "True"], ended.stderr
 
 
 def test_the_starter_makes_a_disk_read_only_and_slow(tmp_path: Path) -> None:
-    page = Page(tmp_path / "clock")
-    page.disk(True, 50)
+    page = ControlPage(tmp_path / "clock")
+    page.set_disk(True, 50)
     (tmp_path / "own").mkdir()
     (tmp_path / "own" / "kept").write_text("x")
     code = (
         "import os, sys, time; from pathlib import Path\n"
-        "from pumicepath.lab.faults import clocks, starter\n"
+        "from pumicepath.lab.verification import clocks, starter\n"
         "starter.burden(clocks.Page(Path(os.environ[clocks.VARIABLE])), sys.argv[1])\n"
         "own, began = Path(sys.argv[1]), time.monotonic()\n"
         "def tried(what):\n"
@@ -286,7 +286,7 @@
         "      os.O_CREAT)), tried(lambda: (own.parent / 'other').write_text('z')),\n"
         "      time.monotonic() - began > 0.2, sep='; ')"
     )
-    around = {"PATH": "/usr/bin", VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."}
+    around = {"PATH": "/usr/bin", PAGE_PATH_VARIABLE: str(tmp_path / "clock"), "PYTHONPATH": "."}
     ended = subprocess.run(
         [sys.executable, "-c", code, str(tmp_path / "own")],
         text=True,
@@ -324,16 +324,16 @@
 
 
 def test_disks_tear_lose_keep_and_fill(tmp_path: Path) -> None:
-    disk, other = (Disk(tmp_path / name, tmp_path / f"copy-{name}") for name in ("a", "b"))
+    disk, other = (StateFolder(tmp_path / name, tmp_path / f"copy-{name}") for name in ("a", "b"))
     (disk.folder / "state").write_bytes(bytes(1000))
-    assert disk.keep() == 1
+    assert disk.save_copy() == 1
     cuts = set()
     for seed in range(40):
-        assert disk.tear(random.Random(seed)) == 1
+        assert disk.corrupt(random.Random(seed)) == 1
         cuts.add((len((disk.folder / "state").read_bytes()), any((disk.folder / "state").read_bytes())))
-        disk.put_back()
+        disk.restore_copy()
     assert len({size for size, _ in cuts}) > 10 and (1000, True) in cuts
-    assert disk.lose() == 1 and not disk.files() and other.take_from(disk.copies) == 1
+    assert disk.delete_all() == 1 and not disk.files() and other.replace_with(disk.copy_folder) == 1
     code = (
         "import sys; print('up', flush=True); sys.stdin.read(1)\n"
         "with open(sys.argv[1], 'wb') as file: file.write(b'x')"
@@ -346,7 +346,7 @@
     ) as process:
         assert process.stdout is not None
         process.stdout.readline()
-        disk.fill(process.pid, True)
+        disk.set_full(process.pid, True)
         _, trouble = process.communicate(b"\n", timeout=60)
     assert b"File too large" in trouble and process.returncode == 1
 
@@ -392,14 +392,14 @@
     path = tmp_path / "one.toml"
     path.write_text(SMALL.replace(old, new))
     if key:
-        with pytest.raises(files.BadExperiment, match=key):
-            files.read(path)
+        with pytest.raises(files.ExperimentError, match=key):
+            files.load_experiment(path)
     path.write_text(SMALL.replace("peers = true", "").replace("sidecars-killed", "peers-cut"))
-    with pytest.raises(files.BadExperiment, match="14: troubles.0.kind: peers-cut needs peers = true"):
-        files.read(path)
+    with pytest.raises(files.ExperimentError, match="14: troubles.0.kind: peers-cut needs peers = true"):
+        files.load_experiment(path)
     path.write_text(SMALL)
-    with pytest.raises(files.BadExperiment, match="troubles.1.kind: sidecars-stopped needs real processes"):
-        files.read(path, host="virtual")
+    with pytest.raises(files.ExperimentError, match="troubles.1.kind: sidecars-stopped needs real processes"):
+        files.load_experiment(path, host="virtual")
 
 
 def test_an_experiment_with_real_processes_ends_in_one_object_and_a_page(tmp_path: Path) -> None:
@@ -429,11 +429,11 @@
     assert told["faults"] == {"sidecars-killed": 1, "sidecars-stopped": 1, "clock-rate": 1}
     assert ended.returncode == bool(told["violations"])
     assert [told[name] for name in ("duplicated", "late_sends", "pushed_over")] == [0, 0, 0], told
-    again = fleet.judged(folder / fleet.HISTORY)
-    assert again.figures().items() <= told.items(), "the history alone says the same"
+    again = fleet_report.check_history(folder / fleet_report.HISTORY_FILE)
+    assert again.metrics().items() <= told.items(), "the history alone says the same"
     page = (folder / "fleet.html").read_text()
     assert page.count("data:image/png;base64,") == 2 and "sidecars-stopped: sidecar 2" in page
-    names, at, rows = fleet.seen(again.history)
+    names, at, rows = fleet_report.liveness_matrix(again.history)
     assert names == ["sidecar-0", "sidecar-1", "sidecar-2"] and len(at) == len(rows) > 5
 
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -7,12 +7,14 @@
 from types import SimpleNamespace
 from typing import Any
 
-from pumicepath.discovery.roster import BadList
-from pumicepath.distribution.origins import LIVE
+from pumicepath.discovery.server_list import BadList
+from pumicepath.distribution.origins import LIVE_TIMEOUT_US
 
-from .test_never_back import SECOND, Clock, line, target, told, watching
+from .test_never_back import SECOND, Clock, line, make_watch, relay_answer, request_target
 
-LAG = LIVE + SECOND // 4  # of a relay that says it is in touch: its word's age, and a turn of its loop
+LAG = (
+    LIVE_TIMEOUT_US + SECOND // 4
+)  # of a relay that says it is in touch: its word's age, and a turn of its loop
 STATE = frozenset[tuple[str, str, str, int]]
 
 
@@ -99,9 +101,9 @@
         since = int(question.partition("since=")[2].partition("&")[0] or -1)
         if not self.first <= since <= self.seq:
             lines = [one for held in self.held.values() for one in held.values()]
-            return told(self.seq, self.told, *lines, whole=True)
+            return relay_answer(self.seq, self.told, *lines, whole=True)
         news = {one["host"]: one for seq, one in self.log if seq > since}
-        return told(self.seq, self.told, *news.values())
+        return relay_answer(self.seq, self.told, *news.values())
 
 
 class History:
@@ -116,30 +118,32 @@
             for _ in range(5):
                 origin.change(0)
         self.relays = [Relay(self.origins, chance) for _ in range(3)]
-        self.watch = watching(clock=self.clock)
+        self.watch = make_watch(clock=self.clock)
         self.at = 0
         self.seen: dict[str, tuple[int, int]] = {}
         self.counts = Counter[str]()
 
     def call(self) -> None:
         relay = self.relays[self.at]
-        held = dict(self.watch.roster.lines)
+        held = dict(self.watch.server_list.lines)
         try:
-            update = self.watch.update(relay.answer(target(self.watch)))
+            update = self.watch.handle_response(relay.answer(request_target(self.watch)))
         except BadList:
             self.counts["refused"] += 1
             self.move()
             return
         # The balancer, which is told only this, has to hold the same.
         names = {name for name in held if not update.whole} | {entry.name for entry in update.entries}
-        gone = {entry.name for entry in update.entries if entry.phase == 0}
-        assert names - gone == set(self.watch.roster.lines)
+        gone = {entry.name for entry in update.entries if entry.state == 0}
+        assert names - gone == set(self.watch.server_list.lines)
         self.counts["whole" if update.whole else "changes"] += 1
         self.check()
 
     def check(self) -> None:
         for origin in self.origins:
-            lines = state(one for one in self.watch.roster.lines.values() if one["region"] == origin.region)
+            lines = state(
+                one for one in self.watch.server_list.lines.values() if one["region"] == origin.region
+            )
             if not lines and origin.region not in self.seen:
                 continue
             versions = origin.states.get(lines)
@@ -160,7 +164,7 @@
 
     def move(self) -> None:
         self.at = (self.at + 1) % len(self.relays)
-        self.watch.move(f"r{self.at}:1")
+        self.watch.switch_to(f"r{self.at}:1")
         self.counts["moves"] += 1
 
     def trouble(self, restarts: bool) -> None:
@@ -210,7 +214,9 @@
             self.call()
             self.clock.now += 1_500_000
         for origin in self.origins:
-            mine = state(one for one in self.watch.roster.lines.values() if one["region"] == origin.region)
+            mine = state(
+                one for one in self.watch.server_list.lines.values() if one["region"] == origin.region
+            )
             assert mine == state(origin.lines.values()), origin.region
 
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -13,38 +13,48 @@
 import pytest
 from click.testing import CliRunner
 
+from pumicepath.balancer import Balancer
 from pumicepath.command import main
-from pumicepath.discovery.roster import stable
-from pumicepath.interface import Entry, Listing, Phase
-from pumicepath.lab.experiments.folders import LOCK, Taken, owned
-from pumicepath.lab.hollow import needs
-from pumicepath.lab.hollow.plan import STEP, Ask, BadAsk, Plan, checked
-from pumicepath.lab.hollow.run import Run
-from pumicepath.lab.hollow.sidecar import MUTE, told
-from pumicepath.lab.hollow.truth import ACTIVE, LEAVING, LEFT, Change, Ledger, Tail
-from pumicepath.lab.hollow.verdict import Verdict, Window, counted
-from pumicepath.lab.hollow.witness import Witness
-from pumicepath.logic import Balancer
-from pumicepath.settings import decode
-
-from .helpers import interruptible
-from .rig import until
+from pumicepath.discovery.server_list import stable_id
+from pumicepath.interface import ListKind, ServerEntry, ServerState
+from pumicepath.lab.experiments.folder_lock import LOCK_FILE, FolderLockedError, locked_folder
+from pumicepath.lab.hollow import resource_estimate
+from pumicepath.lab.hollow.evaluation import Evaluation, OutageWindow, reachable_delay
+from pumicepath.lab.hollow.ground_truth import ACTIVE, LEAVING, LEFT, Change, LedgerReader, LedgerWriter
+from pumicepath.lab.hollow.plan import STATES_PER_SHARE_UNIT, Plan, RunOptions, RunOptionsError, check_options
+from pumicepath.lab.hollow.run import HollowRun
+from pumicepath.lab.hollow.sidecar import MUTE, sidecar_settings
+from pumicepath.lab.hollow.view_checker import ViewChecker
+from pumicepath.settings import decode_settings
+
+from .helpers import restore_sigint
+from .rig import wait_until
 
 SMALL = ["lab", "scale", "--sidecars", "12", "--services", "3", "--regions", "2", "--zones", "2", "--json"]
 S = 1_000_000
-PHASES = {ACTIVE: Phase.READY, LEAVING: Phase.DRAINING, LEFT: Phase.GONE}
+PHASES = {ACTIVE: ServerState.READY, LEAVING: ServerState.DRAINING, LEFT: ServerState.GONE}
 
 
 # -- the plan
 
 
 def test_sizes_are_a_long_tail_and_one_seed_makes_one_plan() -> None:
-    ask = Ask(20_000, 1_900, regions=10, zones=34)
+    ask = RunOptions(20_000, 1_900, regions=10, zones=34)
     plan, again = Plan(ask), Plan(ask)
-    assert sum(plan.sizes) == 20_000 and min(plan.sizes) >= 1 and 1_000 <= max(plan.sizes) <= 2_500
-    assert plan.calls == again.calls and plan.zone_of == again.zone_of and plan.service_of == again.service_of
-    assert Plan(Ask(20_000, 1_900, regions=10, zones=34, seed=2)).calls != plan.calls
-    assert all(len(set(calls)) == 5 for calls in plan.calls)
+    assert (
+        sum(plan.service_sizes) == 20_000
+        and min(plan.service_sizes) >= 1
+        and 1_000 <= max(plan.service_sizes) <= 2_500
+    )
+    assert (
+        plan.called_services == again.called_services
+        and plan.zone_of == again.zone_of
+        and plan.service_of == again.service_of
+    )
+    assert (
+        Plan(RunOptions(20_000, 1_900, regions=10, zones=34, seed=2)).called_services != plan.called_services
+    )
+    assert all(len(set(calls)) == 5 for calls in plan.called_services)
     assert {plan.region_of(server) for server in range(100)} <= set(range(10))
 
 
@@ -93,158 +103,172 @@
 
 
 def test_memory_is_reckoned_from_what_is_held_and_too_much_is_refused() -> None:
-    small, large = (needs.needs(Plan(Ask(count, 95)), 4) for count in (500, 1_000))
-    assert large.held == 4 * small.held == 1_000_000
-    needs.refuse(large)
-    with pytest.raises(BadAsk, match="--sidecars: takes about"):
-        needs.refuse(needs.needs(Plan(Ask(4_000, 380)), 4))
-    needs.refuse(needs.needs(Plan(Ask(4_000, 380, regions=2, zones=6, form="relayed")), 4))
+    small, large = (
+        resource_estimate.estimate_resources(Plan(RunOptions(count, 95)), 4) for count in (500, 1_000)
+    )
+    assert large.held_servers == 4 * small.held_servers == 1_000_000
+    resource_estimate.check_limits(large)
+    with pytest.raises(RunOptionsError, match="--sidecars: takes about"):
+        resource_estimate.check_limits(resource_estimate.estimate_resources(Plan(RunOptions(4_000, 380)), 4))
+    resource_estimate.check_limits(
+        resource_estimate.estimate_resources(
+            Plan(RunOptions(4_000, 380, regions=2, zones=6, form="relayed")), 4
+        )
+    )
 
 
 def test_of_some_regions_all_sidecars_are_played_and_of_the_others_none() -> None:
-    ask = Ask(1_000, 95, regions=4, zones=8, form="relayed")
+    ask = RunOptions(1_000, 95, regions=4, zones=8, form="relayed")
     whole, some = Plan(ask), Plan(replace(ask, played=1))
-    assert whole.played() == list(range(1_000)) and some.calls == whole.calls
-    assert some.played() == [number for number in range(1_000) if whole.region_of(number) == 0]
-    assert 200 < len(some.played()) < 300
-    needed, less = needs.needs(whole, 4), needs.needs(some, 4)
-    assert less.held == sum(map(whole.held, some.played())) and less.processes == needed.processes - 6
+    assert whole.played_sidecars() == list(range(1_000)) and some.called_services == whole.called_services
+    assert some.played_sidecars() == [number for number in range(1_000) if whole.region_of(number) == 0]
+    assert 200 < len(some.played_sidecars()) < 300
+    needed, less = (
+        resource_estimate.estimate_resources(whole, 4),
+        resource_estimate.estimate_resources(some, 4),
+    )
+    assert (
+        less.held_servers == sum(map(whole.held_servers, some.played_sidecars()))
+        and less.processes == needed.processes - 6
+    )
 
 
 def test_bad_faults_do_not_fit_in_a_short_run() -> None:
-    with pytest.raises(BadAsk, match="--for"):
-        checked(Ask(12, 3, seconds=5.0, fault_s=3.0, faults=("release", "zone-lost")))
+    with pytest.raises(RunOptionsError, match="--for"):
+        check_options(RunOptions(12, 3, seconds=5.0, fault_s=3.0, faults=("release", "zone-lost")))
 
 
 # -- the judge
 
 
-class Held:
+class StubSidecar:
     """A balancer as a hollow sidecar has one, told of lists by the test."""
 
     def __init__(self, plan: Plan, number: int = 0) -> None:
         self.plan, self.number, self.updated_at = plan, number, 0
-        self.balancer = Balancer(decode(told(plan, number)), 1, MUTE)
+        self.balancer = Balancer(decode_settings(sidecar_settings(plan, number)), 1, MUTE)
 
-    def take(self, at: int, whole: bool, *changes: Change) -> None:
+    def apply_list(self, at: int, whole: bool, *changes: Change) -> None:
         entries = [
-            Entry(
-                stable(self.plan.server_name(one.server)),
+            ServerEntry(
+                stable_id(self.plan.server_name(one.server)),
                 0,
                 0,
                 PHASES[one.health],
-                1.0 + one.state / STEP,
-                one.born,
+                1.0 + one.state / STATES_PER_SHARE_UNIT,
+                one.started_at_ms,
                 self.plan.server_name(one.server),
             )
             for one in changes
         ]
-        self.balancer.listed(at, Listing.FULL if whole else Listing.CHANGES, entries)
+        self.balancer.update_servers(at, ListKind.FULL if whole else ListKind.CHANGES, entries)
         self.updated_at = at
 
 
-class Scene:
+class CheckerScenario:
     """One sidecar that calls the one service of three servers, and its witness."""
 
     def __init__(self) -> None:
-        self.plan = Plan(Ask(3, 1))
-        self.sidecar = Held(self.plan)
-        self.unread: list[Change] = []
-        self.all: list[Change] = []
-        self.witness = Witness(self.plan, [self.sidecar], self.read)
-        self.sidecar.take(0, True, *(Change(0, server, 0, ACTIVE, 0) for server in range(3)))
-
-    def read(self) -> list[Change]:
-        found, self.unread = self.unread, []
+        self.plan = Plan(RunOptions(3, 1))
+        self.sidecar = StubSidecar(self.plan)
+        self.unread_changes: list[Change] = []
+        self.all_changes: list[Change] = []
+        self.checker = ViewChecker(self.plan, [self.sidecar], self.read_changes)
+        self.sidecar.apply_list(0, True, *(Change(0, server, 0, ACTIVE, 0) for server in range(3)))
+
+    def read_changes(self) -> list[Change]:
+        found, self.unread_changes = self.unread_changes, []
         return found
 
     def change(self, at: int, server: int, state: int, health: str, born: int = 0) -> Change:
         one = Change(at, server, state, health, born)
-        self.unread.append(one)
-        self.all.append(one)
+        self.unread_changes.append(one)
+        self.all_changes.append(one)
         return one
 
-    def tell(self, at: int, *changes: Change) -> None:
-        self.sidecar.take(at, False, *changes)
-        self.witness.updated(self.sidecar, False)
+    def deliver(self, at: int, *changes: Change) -> None:
+        self.sidecar.apply_list(at, False, *changes)
+        self.checker.list_updated(self.sidecar, False)
 
-    def verdict(self, at: int, *windows: Window) -> Verdict:
-        self.witness.tick(at)
-        self.witness.compare()
-        verdict = Verdict(self.plan, self.all, windows, 0)
-        verdict.add({**self.witness.found(), "at": at})
+    def evaluate(self, at: int, *windows: OutageWindow) -> Evaluation:
+        self.checker.tick(at)
+        self.checker.check_final_views()
+        verdict = Evaluation(self.plan, self.all_changes, windows, 0)
+        verdict.add_findings({**self.checker.findings(), "at": at})
         return verdict
 
 
 def test_time_in_force_is_from_when_the_origin_had_it_until_the_balancer_goes_by_it() -> None:
-    scene = Scene()
+    scene = CheckerScenario()
     drain, share = scene.change(1 * S, 0, 1, LEAVING), scene.change(2 * S, 1, 1, ACTIVE)
-    scene.witness.tick(2 * S)
-    scene.tell(3 * S, drain)
-    scene.tell(4 * S, share)
+    scene.checker.tick(2 * S)
+    scene.deliver(3 * S, drain)
+    scene.deliver(4 * S, share)
     gone = scene.change(5 * S, 0, 2, LEFT)
-    scene.tell(5 * S + 1, gone)  # before the witness has read of it
+    scene.deliver(5 * S + 1, gone)  # before the witness has read of it
     back = scene.change(6 * S, 0, 3, ACTIVE, 7)
-    scene.witness.tick(6 * S)
-    assert scene.witness.waiting() == 1
-    scene.tell(7 * S, back)
-    found = scene.verdict(8 * S)
-    assert sorted(found.took) == [1, S, 2 * S, 2 * S] and not found.bad and not found.late
+    scene.checker.tick(6 * S)
+    assert scene.checker.pending_count() == 1
+    scene.deliver(7 * S, back)
+    found = scene.evaluate(8 * S)
+    assert sorted(found.delays_us) == [1, S, 2 * S, 2 * S] and not found.violations and not found.late
 
 
 def test_sidecar_that_ignores_a_drain_is_caught_and_not_before_6_s() -> None:
-    scene = Scene()
+    scene = CheckerScenario()
     scene.change(0, 0, 1, LEAVING)
-    assert not scene.verdict(6 * S).late
-    found = scene.verdict(7 * S)
-    assert found.late == {(0, 1)} and found.bad["used_too_late"] == 1 and found.recovered_s(S, S) is None
+    assert not scene.evaluate(6 * S).late
+    found = scene.evaluate(7 * S)
+    assert (
+        found.late == {(0, 1)} and found.violations["used_too_late"] == 1 and found.recovery_s(S, S) is None
+    )
 
 
 def test_late_word_of_a_drain_is_caught_though_it_comes_in_the_end() -> None:
-    scene = Scene()
+    scene = CheckerScenario()
     drain = scene.change(0, 0, 1, LEAVING)
-    scene.witness.tick(S)
-    scene.tell(8 * S, drain)
-    found = scene.verdict(9 * S)
-    assert found.late and found.bad == {"used_too_late": 1} and found.recovered_s(3 * S, 3 * S) == 5.0
+    scene.checker.tick(S)
+    scene.deliver(8 * S, drain)
+    found = scene.evaluate(9 * S)
+    assert found.late and found.violations == {"used_too_late": 1} and found.recovery_s(3 * S, 3 * S) == 5.0
 
 
 def test_server_that_goes_back_to_an_older_state_is_caught() -> None:
-    scene = Scene()
+    scene = CheckerScenario()
     drain = scene.change(0, 0, 1, LEAVING)
-    scene.witness.tick(0)
-    scene.tell(1, drain)
-    scene.tell(2, Change(0, 0, 0, ACTIVE, 0))
-    found = scene.verdict(3)
-    assert found.bad == {"back": 1, "old_at_end": 1}
+    scene.checker.tick(0)
+    scene.deliver(1, drain)
+    scene.deliver(2, Change(0, 0, 0, ACTIVE, 0))
+    found = scene.evaluate(3)
+    assert found.violations == {"back": 1, "old_at_end": 1}
 
 
 def test_entry_that_goes_missing_is_caught_and_one_that_has_left_is_not() -> None:
-    scene = Scene()
+    scene = CheckerScenario()
     share = scene.change(0, 0, 1, ACTIVE)
-    scene.witness.tick(0)
-    scene.tell(1, share)
+    scene.checker.tick(0)
+    scene.deliver(1, share)
     left = scene.change(2, 1, 1, LEFT)
-    scene.tell(3, left, Change(0, 0, 2, LEFT, 0))
-    assert scene.verdict(4).bad == {"lost": 1, "missing_at_end": 1}
+    scene.deliver(3, left, Change(0, 0, 2, LEFT, 0))
+    assert scene.evaluate(4).violations == {"lost": 1, "missing_at_end": 1}
 
 
 def test_what_no_origin_told_in_a_window_counts_from_its_end() -> None:
-    cut = Window(1 * S, 9 * S, region=0, there=0, but=True)
-    assert cut.concerns(0, 1) and not cut.concerns(0, 0) and not cut.concerns(1, 0)
-    assert counted(0, 12 * S, [cut]) == (9 * S, 3 * S)  # out of reach within its 6 s
-    assert counted(2 * S, 9 * S + 5, [cut]) == (9 * S, 5)
-    assert counted(0, S // 2, [cut]) == (0, S // 2)  # in force before
-    assert counted(-6 * S, 12 * S, [cut]) == (-6 * S, 18 * S)  # its 6 s were over before
-    assert counted(10 * S, 12 * S, [cut]) == (10 * S, 2 * S)
-    assert counted(0, 30 * S, [Window(10 * S, 20 * S), cut]) == (20 * S, 10 * S)
+    cut = OutageWindow(1 * S, 9 * S, origin_region=0, sidecar_region=0, other_regions=True)
+    assert cut.affects(0, 1) and not cut.affects(0, 0) and not cut.affects(1, 0)
+    assert reachable_delay(0, 12 * S, [cut]) == (9 * S, 3 * S)  # out of reach within its 6 s
+    assert reachable_delay(2 * S, 9 * S + 5, [cut]) == (9 * S, 5)
+    assert reachable_delay(0, S // 2, [cut]) == (0, S // 2)  # in force before
+    assert reachable_delay(-6 * S, 12 * S, [cut]) == (-6 * S, 18 * S)  # its 6 s were over before
+    assert reachable_delay(10 * S, 12 * S, [cut]) == (10 * S, 2 * S)
+    assert reachable_delay(0, 30 * S, [OutageWindow(10 * S, 20 * S), cut]) == (20 * S, 10 * S)
 
 
 def test_ledger_is_read_on_in_whole_lines(tmp_path: Path) -> None:
     path, changes = tmp_path / "truth", [Change(at, at, 1, ACTIVE, 0) for at in range(3)]
-    tail = Tail(path)
+    tail = LedgerReader(path)
     assert tail.read() == []
-    Ledger(path).write(changes[:2])
+    LedgerWriter(path).write(changes[:2])
     assert tail.read() == changes[:2] and tail.read() == []
     whole = json.dumps(list(changes[2])) + "\n"
     with path.open("a") as file:
@@ -349,8 +373,8 @@
     [("ignores-drain", "old_at_end"), ("goes-back", "back"), ("origin-loses", "missing_at_end")],
 )
 def test_faults_planted_in_processes_are_found(planted: str, kind: str, tmp_path: Path) -> None:
-    ask = Ask(20, 2, changes_per_s=30, seconds=1, planted=(planted,))
-    found = Run(Plan(checked(ask)), tmp_path, 2, lambda line: None, settle_s=0.5).play()
+    ask = RunOptions(20, 2, changes_per_s=30, seconds=1, planted=(planted,))
+    found = HollowRun(Plan(check_options(ask)), tmp_path, 2, lambda line: None, settle_timeout_s=0.5).play()
     assert found["violations"].get(kind), found
 
 
@@ -360,15 +384,15 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
-        preexec_fn=interruptible,
+        preexec_fn=restore_sigint,
     )
     children = Path(f"/proc/{run.pid}/task/{run.pid}/children")
-    until(lambda: list(tmp_path.glob("host-*.err")) and len(children.read_text().split()) >= 2)
+    wait_until(lambda: list(tmp_path.glob("host-*.err")) and len(children.read_text().split()) >= 2)
     started = [int(pid) for pid in children.read_text().split()]
     run.send_signal(signal.SIGINT)
     out, err = run.communicate(timeout=60)
     assert run.returncode == 130 and out == "" and "interrupted" in err
-    until(lambda: not any(alive(pid) for pid in started))
+    wait_until(lambda: not any(alive(pid) for pid in started))
 
 
 def alive(pid: int) -> bool:
@@ -382,10 +406,14 @@
 
 
 def test_folder_that_another_run_uses_is_refused_by_name(tmp_path: Path) -> None:
-    with owned(tmp_path), pytest.raises(Taken, match=f"{tmp_path}.*process {os.getpid()}"), owned(tmp_path):
+    with (
+        locked_folder(tmp_path),
+        pytest.raises(FolderLockedError, match=f"{tmp_path}.*process {os.getpid()}"),
+        locked_folder(tmp_path),
+    ):
         pass
-    with owned(tmp_path):  # free again
-        assert (tmp_path / LOCK).read_text() == f"{os.getpid()}\n"
+    with locked_folder(tmp_path):  # free again
+        assert (tmp_path / LOCK_FILE).read_text() == f"{os.getpid()}\n"
 
 
 @pytest.mark.parametrize(
@@ -402,7 +430,7 @@
             sys.executable,
             "-c",
             "import sys; from pathlib import Path\n"
-            "from pumicepath.lab.experiments.folders import owned\n"
+            "from pumicepath.lab.experiments.folder_lock import owned\n"
             "with owned(Path(sys.argv[1])): print('has it', flush=True); sys.stdin.read()",
             str(tmp_path),
         ],
@@ -414,8 +442,8 @@
     assert holder.stdout.readline() == "has it\n"
     ended = CliRunner().invoke(main, [*command, "--report", str(tmp_path)])
     assert ended.exit_code == 2 and f"{tmp_path}: another run (process {holder.pid})" in ended.output
-    assert [file.name for file in tmp_path.iterdir()] == [LOCK]
+    assert [file.name for file in tmp_path.iterdir()] == [LOCK_FILE]
     holder.kill()  # however it ends, the folder is free
     holder.wait()
-    with owned(tmp_path):
+    with locked_folder(tmp_path):
         pass
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -12,32 +12,32 @@
 
 import pytest
 
-from pumicepath.discovery.roster import Address
+from pumicepath.discovery.server_list import Address
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 from pumicepath.sidecar.hot_restart import SOCKET_NAME, Channel, HotRestart, ShortPath, request_handover
 
-from .helpers import compare
-from .rig import Rig, held, until
+from .helpers import check_trace
+from .rig import Rig, paused, wait_until
 
 
-class EchoServer(Peer):
+class EchoServer(ScriptedServer):
     """Records the trace id of each hop, and answers with it."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
         with sock:
-            while (request := next_of(sock, parser)) is not None:
-                self.lines.append(request.header("X-Trace-Id"))
-                sock.sendall(answer(200, request.header("X-Trace-Id")))
+            while (request := read_message(sock, parser)) is not None:
+                self.transcript.append(request.header("X-Trace-Id"))
+                sock.sendall(http_response(200, request.header("X-Trace-Id")))
 
 
 def restartable_deployment(folder: Path, servers: int) -> Deployment:
     deployment = Deployment(folder, servers, admin_addr="127.0.0.1:0")
     with socket.create_server(("127.0.0.1", 0)) as free:
-        deployment.told["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
-    deployment.config.write_text(json.dumps(deployment.told))
+        deployment.configuration["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
     deployment.environment = {"TMPDIR": str(folder)}
     return deployment
 
@@ -47,25 +47,25 @@
 
     From then on the deployment's own attributes stand for the new process.
     """
-    old = deployment.process, deployment.operators
-    deployment.process = deployment.begun()
-    started = deployment.event("started")
+    old = deployment.process, deployment.admin_address
+    deployment.process = deployment.start_process()
+    started = deployment.next_event("started")
     host, port = started["operators"].rsplit(":", 1)
-    deployment.operators = (host, int(port))
-    deployment.event("succeeding")
+    deployment.admin_address = (host, int(port))
+    deployment.next_event("succeeding")
     return old
 
 
 def test_ten_replacements_under_load_lose_no_request(tmp_path: Path) -> None:
     deployment, hops, correct, again = restartable_deployment(tmp_path, 0), [], [], []  # type: ignore[var-annotated]
     deployment.servers = [EchoServer(f"c-{at}", queue.SimpleQueue(), hops) for at in range(3)]
-    deployment.told["known"] = deployment.listing(1, True, "active")
-    deployment.config.write_text(json.dumps(deployment.told))
+    deployment.configuration["known"] = deployment.list_document(1, True, "active")
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
     done = threading.Event()
 
     def client(first: int, keep_alive: bool) -> None:
         """Send requests on one connection until the sidecar closes it, or on a new one each time."""
-        sock, parser, number = socket.create_connection(deployment.where), ResponseParser(), first
+        sock, parser, number = socket.create_connection(deployment.address), ResponseParser(), first
         while not done.is_set():
             number += 1
             sending = writing.request(
@@ -83,16 +83,16 @@
                 sock.sendall(sending)
             except OSError:
                 again.append(number)
-            response = next_of(sock, parser)
+            response = read_message(sock, parser)
             if response is None:  # it crossed the sidecar's end of the connection: sent again on a new one
                 again.append(number)
-                sock, parser = socket.create_connection(deployment.where), ResponseParser()
+                sock, parser = socket.create_connection(deployment.address), ResponseParser()
                 sock.sendall(sending)
-                response = next_of(sock, parser)
+                response = read_message(sock, parser)
             correct.append(response is not None and response.status == 200 and int(response.body) == number)
             if response is None or not response.keeps() or not keep_alive:
                 sock.close()
-                sock, parser = socket.create_connection(deployment.where), ResponseParser()
+                sock, parser = socket.create_connection(deployment.address), ResponseParser()
         sock.close()
 
     with deployment.running():
@@ -119,36 +119,39 @@
     with deployment.running():
 
         def put(path: str, where: tuple[str, int] | None = None) -> None:
-            deployment.lines.append(f"{path}: {deployment.call('PUT', path, where).status}")
+            deployment.transcript.append(f"{path}: {deployment.call_admin('PUT', path, where).status}")
 
         def note_avoided(what: str, *where: tuple[str, int]) -> None:
             for one, at in zip(("old", "new"), where):
-                response = deployment.call("GET", "/stats", at)
+                response = deployment.call_admin("GET", "/stats", at)
                 avoided = [line for line in response.body.decode().split() if "unhealthy" in line]
-                deployment.lines.append(f"{what}, {one}: {avoided[0]}")
+                deployment.transcript.append(f"{what}, {one}: {avoided[0]}")
 
         put("/servers/s-0/maint")
         old, first = start_replacement(deployment)
-        note_avoided("out before", first, deployment.operators)
+        note_avoided("out before", first, deployment.admin_address)
         put("/servers/s-1/maint", first)
-        note_avoided("out at the old", first, deployment.operators)
+        note_avoided("out at the old", first, deployment.admin_address)
         put("/servers/s-0/ready")
-        note_avoided("back at the new", first, deployment.operators)
+        note_avoided("back at the new", first, deployment.admin_address)
         put("/healthcheck/fail")
-        deployment.event("emptied", process=old)
+        deployment.next_event("emptied", process=old)
         old.send_signal(signal.SIGTERM)
         assert old.wait(timeout=6) == 0
         last, _ = start_replacement(deployment)
         last.kill()
         last.wait()
-        deployment.event("alone")
+        deployment.next_event("alone")
         for path in ("/servers/s-1/ready", "/healthcheck/ok"):
             put(path)
-        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
-        deployment.ask("read", answer(200, "served by the third"))
-    compare(
+        deployment.client_socket, deployment.client_parser = (
+            socket.create_connection(deployment.address),
+            ResponseParser(),
+        )
+        deployment.submit("read", http_response(200, "served by the third"))
+    check_trace(
         "succession",
-        [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in deployment.lines],
+        [line.replace("s-0: GET", "s: GET").replace("s-1: GET", "s: GET") for line in deployment.transcript],
     )
 
 
@@ -158,14 +161,17 @@
         old, where = start_replacement(deployment)
         deployment.process.kill()
         deployment.process.wait()
-        deployment.process, deployment.operators = old, where
-        deployment.event("alone")
-        deployment.config.write_text("{")
-        invalid = deployment.begun()
+        deployment.process, deployment.admin_address = old, where
+        deployment.next_event("alone")
+        deployment.config_path.write_text("{")
+        invalid = deployment.start_process()
         assert invalid.wait(timeout=20) == 2
-        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
-        deployment.ask("read", answer(200, "by the old one"))
-    assert deployment.lines[-1] == "client: 200 by the old one"
+        deployment.client_socket, deployment.client_parser = (
+            socket.create_connection(deployment.address),
+            ResponseParser(),
+        )
+        deployment.submit("read", http_response(200, "by the old one"))
+    assert deployment.transcript[-1] == "client: 200 by the old one"
 
 
 def test_the_old_process_is_notified_before_the_takeover_is_logged(tmp_path: Path) -> None:
@@ -189,19 +195,25 @@
     deployment = restartable_deployment(tmp_path, 1)
     with deployment.running():
         old = deployment.process
-        first, second = deployment.begun(), deployment.begun()
+        first, second = deployment.start_process(), deployment.start_process()
         for process in (first, second):
-            deployment.event("succeeding", process=process)  # both got a handover
-        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
-        deployment.ask("read", answer(200, "by one of them"))
+            deployment.next_event("succeeding", process=process)  # both got a handover
+        deployment.client_socket, deployment.client_parser = (
+            socket.create_connection(deployment.address),
+            ResponseParser(),
+        )
+        deployment.submit("read", http_response(200, "by one of them"))
         first.kill()
         first.wait()
         old.send_signal(signal.SIGTERM)
         assert old.wait(timeout=20) == 0
         deployment.process = second
-        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
-        deployment.ask("read", answer(200, "by the one that is left"))
-    assert [line for line in deployment.lines if line.startswith("client")] == [
+        deployment.client_socket, deployment.client_parser = (
+            socket.create_connection(deployment.address),
+            ResponseParser(),
+        )
+        deployment.submit("read", http_response(200, "by the one that is left"))
+    assert [line for line in deployment.transcript if line.startswith("client")] == [
         "client: 200 by one of them",
         "client: 200 by the one that is left",
     ]
@@ -213,13 +225,16 @@
     deployment = restartable_deployment(tmp_path, 1)
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     with deployment.running():
-        handover = request_handover(Address(*deployment.where))
+        handover = request_handover(Address(*deployment.address))
         assert handover is not None and handover.listener is not None
         handover.listener.close()
         handover.channel.close()
-        deployment.client, deployment.parser = socket.create_connection(deployment.where), ResponseParser()
-        deployment.ask("read", answer(200, "by the old one"))
-    assert deployment.lines[-1] == "client: 200 by the old one"
+        deployment.client_socket, deployment.client_parser = (
+            socket.create_connection(deployment.address),
+            ResponseParser(),
+        )
+        deployment.submit("read", http_response(200, "by the old one"))
+    assert deployment.transcript[-1] == "client: 200 by the old one"
 
 
 def test_a_new_process_always_finds_a_socket_to_connect_to(
@@ -231,13 +246,13 @@
             before.bind(short)
         before.listen()
         after = HotRestart(None, None, dict, Address("127.0.0.1", 1))
-        with held(monkeypatch, os, "replace") as (reached, proceed):
+        with paused(monkeypatch, os, "replace") as (reached, proceed):
             threading.Thread(target=after.open_socket, daemon=True).start()
             assert reached.acquire(timeout=20)
             with socket.socket(socket.AF_UNIX) as connected, ShortPath(tmp_path / SOCKET_NAME) as short:
                 connected.connect(short)
             proceed.release()
-            until(lambda: not (tmp_path / f"{SOCKET_NAME}.{os.getpid()}").exists())
+            wait_until(lambda: not (tmp_path / f"{SOCKET_NAME}.{os.getpid()}").exists())
         with socket.socket(socket.AF_UNIX) as connected, ShortPath(tmp_path / SOCKET_NAME) as short:
             connected.connect(short)
             before.setblocking(False)
@@ -282,8 +297,8 @@
     deployment.environment = {"TMPDIR": str(tmp_path)}
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     with deployment.running():
-        handover = request_handover(Address(*deployment.where))
+        handover = request_handover(Address(*deployment.address))
         assert handover is not None and handover.listener is not None
-        assert handover.listener.getsockname() == deployment.where
+        assert handover.listener.getsockname() == deployment.address
         handover.listener.close()
         handover.channel.close()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 from pumicepath.lab.virtual.run import POLICIES, VirtualWorld
 from pumicepath.lab.virtual.sidecar import OpenSubmission, Sidecar
 from tests import bad_balancers as bad
-from tests.helpers import compare
+from tests.helpers import check_trace
 
 SMALL_PLAN = Plan(
     lasts_s=8, warm_s=1, fleet=Fleet(halls=2, servers=6, cold_s=4, fall_s=1), load=Load(part=0.3)
@@ -120,7 +120,7 @@
     harness.run_until(9)
     server.silence()
     harness.send("lost")
-    compare("lab-server", harness.run_until(20).lines)
+    check_trace("lab-server", harness.run_until(20).lines)
 
 
 def test_cold_server_collapses_under_overload_in_any_window_and_stays_down() -> None:
@@ -128,7 +128,7 @@
     harness.run_until(1).servers[0].start()
     for step in range(12):  # the limit in a window of 1 s is twice what it can do: 1.0 s of work or more
         harness.run_until(1.01 + step * 0.09).send(f"{step}", work=110_000)
-    compare("lab-fall", harness.run_until(9).lines + harness.observer.overloads)
+    check_trace("lab-fall", harness.run_until(9).lines + harness.observer.overloads)
 
 
 def test_killed_server_releases_its_capacity_of_a_shared_limit_to_others() -> None:
@@ -136,7 +136,7 @@
     for at in range(3):
         harness.send(f"server {at}", at)
     harness.run_until(0.05).servers[0].kill()
-    compare("lab-limit", harness.run_until(1).lines)
+    check_trace("lab-limit", harness.run_until(1).lines)
 
 
 def test_congestion_lasts_until_the_server_is_nearly_idle() -> None:
@@ -148,14 +148,14 @@
             Job(0, 0, 1, 100_000, lambda outcome, name=name: lines.append(f"{time.now / 1e6:.3f}  {name}"))
         )
     time.run(2_000_000)
-    compare("lab-jam", lines)
+    check_trace("lab-jam", lines)
 
 
 def test_run_is_reproducible_for_a_seed_and_differs_for_another() -> None:
     plan = with_fault("vanish", for_s=4)
     runs = [VirtualWorld(plan, seed, "pumicepath", 1000).run() for seed in (3, 3, 4)]
     assert runs[0] == runs[1] and runs[0].columns != runs[2].columns
-    compare("lab-run", runs[0].log[:40] + [summary_line(plan, "pumicepath", 3)])
+    check_trace("lab-run", runs[0].log[:40] + [summary_line(plan, "pumicepath", 3)])
 
 
 def test_all_policies_get_the_same_submissions() -> None:
@@ -184,7 +184,7 @@
         for server, since in sorted(world.registry.subscriptions[0].notified_at.items())
     ]
     assert baseline.events != faulty.events
-    compare(f"lab-trouble-{kind}", shown + notices)
+    check_trace(f"lab-trouble-{kind}", shown + notices)
 
 
 ALL_EFFECTS_LOAD = Load(
@@ -201,13 +201,13 @@
 @pytest.mark.parametrize(
     "maker, kind, cause",
     [
-        (bad.Silent, "fail-quickly", None),
-        (bad.Twice, "pause", "answered_twice"),
-        (bad.After, "pause", "sent_after_answer"),
-        (bad.Repeats, "fail-quickly", "ran_twice"),
-        (bad.Promises, "fail-quickly", "deferred_may_run"),
-        (bad.Deaf, "drain", "late_sends"),
-        (bad.Rush, "die", "pushed_over"),
+        (bad.NeverAnswers, "fail-quickly", None),
+        (bad.RejectsTwice, "pause", "answered_twice"),
+        (bad.SendsAfterAnswer, "pause", "sent_after_answer"),
+        (bad.RetriesNonIdempotent, "fail-quickly", "ran_twice"),
+        (bad.RejectsPossiblyRun, "fail-quickly", "deferred_may_run"),
+        (bad.IgnoresListUpdates, "drain", "late_sends"),
+        (bad.FloodsNewestServer, "die", "pushed_over"),
     ],
 )
 def test_rule_checker_finds_a_balancer_that_violates_a_rule(
@@ -238,7 +238,7 @@
     if delay is not None:  # the client must wait on to receive the late answer
         monkeypatch.setattr(Clients, "give_up", lambda *_: None)
     plan = with_fault("fail-quickly", SMALL_PLAN.model_copy(update={"load": ALL_EFFECTS_LOAD}))
-    result = VirtualWorld(plan, 1, bad.Silent).run()
+    result = VirtualWorld(plan, 1, bad.NeverAnswers).run()
     assert result.violations[cause] > 0, result.violations
 
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -14,13 +14,13 @@
 import pytest
 
 from pumicepath.http1 import writing
-from pumicepath.interface import Listing, Phase
-from pumicepath.lab.loopback.discovery import Desk
-from pumicepath.lab.loopback.world import LiveWorld, Void
+from pumicepath.interface import ListKind, ServerState
+from pumicepath.lab.loopback.discovery import DiscoveryServer
+from pumicepath.lab.loopback.world import InvalidRunError, LoopbackWorld
 from pumicepath.lab.model.clients import ClientSubmission
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
-from .helpers import compare, interruptible
+from .helpers import check_trace, restore_sigint
 
 ALONE = Plan(
     lasts_s=2,
@@ -32,13 +32,13 @@
 UNANSWERED_S = 0.4  # how long a stand-in that says nothing is waited for
 
 
-def within(plan: Plan, tmp_path: Path, work: Callable[[LiveWorld], Coroutine[Any, Any, None]]) -> None:
+def within(plan: Plan, tmp_path: Path, work: Callable[[LoopbackWorld], Coroutine[Any, Any, None]]) -> None:
     async def playing() -> None:
-        world = LiveWorld(plan, 1, tmp_path)
+        world = LoopbackWorld(plan, 1, tmp_path)
         try:
             await work(world)
         finally:
-            await world.end()
+            await world.close()
 
     asyncio.run(playing())
 
@@ -53,7 +53,7 @@
         return "refused"
 
 
-async def ask(world: LiveWorld, number: int, address: str, act: Callable[[], None] | None = None) -> str:
+async def ask(world: LoopbackWorld, number: int, address: str, act: Callable[[], None] | None = None) -> str:
     """One request to a server, and how it ended; `act` happens once it is there."""
     made = await dial(address)
     if isinstance(made, str):
@@ -83,9 +83,9 @@
 def test_servers_answer_fail_stall_reset_refuse_and_go_silent(tmp_path: Path) -> None:
     lines = []
 
-    async def work(world: LiveWorld) -> None:
+    async def work(world: LoopbackWorld) -> None:
         server = world.server_at(0)
-        where = world.address_of(server.number)
+        where = world.server_address(server.number)
 
         async def note(what: str, act: Callable[[], None] | None = None) -> None:
             lines.append(f"{what}: {await ask(world, len(lines) + 1, where, act)}")
@@ -115,21 +115,21 @@
         await note("hall cut off")
         world.network.cut_zones.clear()
         await note("hall back")
-        world.registry.set_state(server.number, Phase.GONE)
+        world.registry.set_state(server.number, ServerState.GONE)
         server.kill()
         world.add_server(0, cold=True)
-        lines.append(f"same address under a new id: {world.address_of(world.server_ids[0]) == where}")
+        lines.append(f"same address under a new id: {world.server_address(world.server_ids[0]) == where}")
         await note("a new server there")
 
     within(ALONE, tmp_path, work)
-    compare("loopback-server", lines)
+    check_trace("loopback-server", lines)
 
 
 def test_watch_tells_whole_lists_changes_and_failures(tmp_path: Path) -> None:
     lines = []
 
-    async def work(world: LiveWorld) -> None:
-        desk = Desk(world, 0)
+    async def work(world: LoopbackWorld) -> None:
+        desk = DiscoveryServer(world, 0)
         await desk.open()
         world.registry.register(0, desk)
         made = await dial(desk.address)
@@ -162,34 +162,34 @@
         desk.close()
 
     within(ALONE, tmp_path, work)
-    compare("loopback-watch", lines)
+    check_trace("loopback-watch", lines)
 
 
 def test_port_taken_and_a_fault_of_the_stand_ins_make_a_run_void(tmp_path: Path) -> None:
-    async def work(world: LiveWorld) -> None:
-        door = world.doors[0]
+    async def work(world: LoopbackWorld) -> None:
+        door = world.listeners[0]
         door.close()
         with socket.create_server(("127.0.0.1", door.port)), pytest.raises(OSError, match="was taken"):
             door.bind()
         door.bind()
         world.loop.call_soon(divmod, 1, 0)
-        with pytest.raises(Void, match="ZeroDivisionError"):
+        with pytest.raises(InvalidRunError, match="ZeroDivisionError"):
             await world.play(None)
 
     within(ALONE, tmp_path, work)
 
 
 def test_stand_ins_slower_than_their_load_say_so(tmp_path: Path) -> None:
-    async def work(world: LiveWorld) -> None:
-        world.timeline.late.extend([1000] * 90 + [30_000] * 10)
-        with pytest.raises(Void, match="30 ms behind"):
-            world.check()
+    async def work(world: LoopbackWorld) -> None:
+        world.timeline.tick_delays_us.extend([1000] * 90 + [30_000] * 10)
+        with pytest.raises(InvalidRunError, match="30 ms behind"):
+            world.check_tick_delay()
 
     within(ALONE, tmp_path, work)
 
 
 def test_answer_after_the_client_has_gone_and_ids_of_another_life_change_nothing(tmp_path: Path) -> None:
-    async def work(world: LiveWorld) -> None:
+    async def work(world: LoopbackWorld) -> None:
         sidecar = world.sidecars[0]
         clients = world.make_clients(sidecar, sidecar)
         clients.start()
@@ -199,9 +199,9 @@
         clients.leave(one)
         clients.succeeded(one, one.current_try)  # counts as a second answer: the client had gone
         assert world.rule_checker.violations["answered_twice"] == 1 and world.tally.left[0] == 1
-        world.registry.register(0, sidecar.desk)
-        sidecar.desk.receive_list(Listing.FAILED, [])
-        assert sidecar.desk.failed
+        world.registry.register(0, sidecar.discovery)
+        sidecar.discovery.receive_list(ListKind.FAILED, [])
+        assert sidecar.discovery.fails_next
 
     within(ALONE, tmp_path, work)
 
@@ -241,7 +241,7 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         start_new_session=True,
-        preexec_fn=interruptible,
+        preexec_fn=restore_sigint,
     ) as process:
         assert process.stdout is not None
         process.stdout.readline()  # the first second has been played
@@ -259,19 +259,19 @@
 
     from pumicepath.lab.loopback import demo as shown
 
-    async def work(world: LiveWorld) -> None:
-        world.timeline.began -= 3.5  # in the fourth second
+    async def work(world: LoopbackWorld) -> None:
+        world.timeline.started_at -= 3.5  # in the fourth second
         world.tally.offered[1], world.tally.good[1] = 200, 180
         world.mark("die: server 1", 2_000_000)
         world.server_at(1).kill()
-        world.sidecars[0].refused.add("s-1")
+        world.sidecars[0].open_breakers.add("s-1")
         world.note("sidecar 0: server s-1 open for 5.0 s")
         world.log[0] = world.log[0].strip()[5:]  # without the time
         out = StringIO()
-        Console(file=out, width=90).print(shown.view(world))
+        Console(file=out, width=90).print(shown.render_view(world))
         lines.extend(line.rstrip() for line in out.getvalue().splitlines())
-        lines.append(shown.line(world))
+        lines.append(shown.render_line(world))
 
     lines: list[str] = []
     within(ALONE, tmp_path, work)
-    compare("loopback-view", lines)
+    check_trace("loopback-view", lines)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from itertools import takewhile
 
-from pumicepath.interface import Effect, Entry, Group, Listing, Phase, Tariff
+from pumicepath.interface import DedupGroup, Effect, ListKind, RequestClass, ServerEntry, ServerState
 from pumicepath.lab.model.clients import ClientBehavior, Clients, KeyDistribution, LoadOverrides, Tally
 from pumicepath.lab.model.network import Network
 from pumicepath.lab.model.registry import ListTiming, Registry
@@ -13,11 +13,11 @@
 from pumicepath.lab.model.servers import Job, Server, ServerParameters
 from pumicepath.lab.model.timeline import SECOND, VirtualTimeline, random_source
 
-from .helpers import compare
+from .helpers import check_trace
 
-READ = Tariff(150_000, 600_000, 1.0, 0.0, Effect.IDEMPOTENT, Group.ALL, 0)
-ONCE = Tariff(150_000, 600_000, 3.0, 0.0, Effect.UNREPEATABLE, Group.ALL, 0)
-CELL = Tariff(150_000, 600_000, 2.0, 0.0, Effect.DEDUPLICATED, Group.CELL, SECOND)
+READ = RequestClass(150_000, 600_000, 1.0, 0.0, Effect.IDEMPOTENT, DedupGroup.ALL, 0)
+ONCE = RequestClass(150_000, 600_000, 3.0, 0.0, Effect.NON_IDEMPOTENT, DedupGroup.ALL, 0)
+CELL = RequestClass(150_000, 600_000, 2.0, 0.0, Effect.DEDUPLICATED, DedupGroup.CELL, SECOND)
 PARAMETERS = ServerParameters(1, 10, 10, 1.0, 0.5, SECOND, 2.0, SECOND, 9.0, 1.0, False)
 
 
@@ -27,8 +27,8 @@
     def __init__(self, timeline: VirtualTimeline, lines: list[str]) -> None:
         self.timeline, self.lines = timeline, lines
 
-    def receive_list(self, kind: Listing, entries: list[Entry]) -> None:
-        shown = " ".join(f"{entry.server}:{entry.phase.name.lower()}" for entry in entries)
+    def receive_list(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+        shown = " ".join(f"{entry.server}:{entry.state.name.lower()}" for entry in entries)
         self.lines.append(f"{self.timeline.now / 1e6:.3f}  {kind.name.lower()} {shown}".rstrip())
 
 
@@ -112,7 +112,7 @@
     for now in (0, 5 * SECOND):
         drawn = Counter(KeyDistribution(1000, 1.0, 10 * SECOND).draw(now, rng) for _ in range(5000))
         lines.append(f"keys at {now // SECOND} s: {drawn.most_common(4)}, {len(drawn)} different")
-    compare("model-clients", lines)
+    check_trace("model-clients", lines)
 
 
 def test_refused_client_retries_and_gives_up_once() -> None:
@@ -125,30 +125,30 @@
 def test_list_delays_fails_overrides_states_and_drops_changes_out_of_order() -> None:
     timeline, registry, _ = make_registry_and_checker(lag_to=900_000)
     lines: list[str] = []
-    registry.update(*(Entry(server, 0, 0, Phase.READY, 1.0, 0) for server in range(3)))
+    registry.update(*(ServerEntry(server, 0, 0, ServerState.READY, 1.0, 0) for server in range(3)))
     registry.register(0, RecordingReader(timeline, lines))
     registry.subscribe(0)
     timeline.run(SECOND)
     for step in range(4):  # faster than the delay, so that some overtake others
-        registry.set_state(step % 3, Phase.DRAINING if step < 3 else Phase.GONE)
+        registry.set_state(step % 3, ServerState.DRAINING if step < 3 else ServerState.GONE)
     timeline.run(4 * SECOND)
-    registry.override_state(1, Phase.READY)
+    registry.override_state(1, ServerState.READY)
     timeline.run(5 * SECOND)
     registry.disconnect()
-    registry.set_state(2, Phase.GONE)
+    registry.set_state(2, ServerState.GONE)
     timeline.run(7 * SECOND)
     registry.subscribe(0)
     timeline.run(8 * SECOND)
     registry.reconnect()
     registry.subscribe(0)
     timeline.run(9 * SECOND)
-    compare("model-list", lines)
+    check_trace("model-list", lines)
 
 
 def test_notices_and_the_drain_grace_are_exact_to_the_microsecond() -> None:
     timeline, registry, checker = make_registry_and_checker()
     for server in range(2):
-        registry.update(Entry(server, 0, 0, Phase.READY, 1.0, 0))
+        registry.update(ServerEntry(server, 0, 0, ServerState.READY, 1.0, 0))
     registry.register(0, RecordingReader(timeline, []))  # subscribes, and is notified
     registry.subscribe(0)
     registry.register(1, RecordingReader(timeline, []))  # never subscribes
@@ -175,10 +175,10 @@
     send(1, 10 * SECOND)  # counts as knowing 10 s after it was listed
     send(1, 11 * SECOND + 500_000)
     send(1, 11 * SECOND + 500_001)
-    registry.update(Entry(1, 0, 0, Phase.READY, 1.0, 0))
+    registry.update(ServerEntry(1, 0, 0, ServerState.READY, 1.0, 0))
     timeline.run(12 * SECOND)
     send(0, 12 * SECOND)
-    compare("model-told", lines)
+    check_trace("model-told", lines)
 
 
 def test_effects_are_counted_over_tries_groups_and_windows() -> None:
@@ -210,7 +210,7 @@
     run(4, 0, "another one")
     timeline.run(SECOND + 1)
     run(4, 1, "again in its cell, after the window")
-    compare("model-effects", lines)
+    check_trace("model-effects", lines)
 
 
 def test_cut_zone_drops_silently_and_zones_have_shorter_delays_inside() -> None:
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -5,138 +5,170 @@
 
 import pytest
 
-from pumicepath.interface import Entry, Group, Listing, Outcome, Phase
-from pumicepath.logic import Rests
+from pumicepath.balancer import IdleLossTracker
+from pumicepath.interface import DedupGroup, ListKind, Outcome, ServerEntry, ServerState
 
-from .helpers import ONCE, READ, SECOND, Bench, entry, marked, settings
+from .helpers import (
+    ONCE_CLASS,
+    READ_CLASS,
+    SECOND,
+    ScriptedHost,
+    deduplicated_class,
+    make_entry,
+    make_settings,
+)
 
 
-def live(*scales: float, kind: int = 0) -> list[Entry]:
-    return [Entry(at + 1, 0, 0, Phase.READY, scale, 0, "", kind) for at, scale in enumerate(scales)]
+def live_entries(*scales: float, kind: int = 0) -> list[ServerEntry]:
+    return [
+        ServerEntry(at + 1, 0, 0, ServerState.READY, scale, 0, "", kind) for at, scale in enumerate(scales)
+    ]
 
 
-def sent(bench: Bench, count: int, rate: float) -> list[int]:
+def targets_of(bench: ScriptedHost, count: int, rate: float) -> list[int]:
     """Where that many submissions go, as many a second, each answered at once."""
-    first, start = len(bench.sent), bench.now / SECOND
+    first, start = len(bench.sent_to), bench.now / SECOND
     for step in range(count):
-        bench.end(bench.at(start + step / rate).take(step, step % 40 + 1), Outcome.OK)
-    return bench.sent[first:]
+        bench.finish_hop(bench.advance_to(start + step / rate).submit(step, step % 40 + 1), Outcome.OK)
+    return bench.sent_to[first:]
 
 
 @pytest.mark.parametrize("kind", [0, -1])
 def test_no_key_moves_while_live_weights_fall_and_rise_or_are_no_numbers(kind: int) -> None:
-    bench = Bench(settings(live=True), live(2.0, 2.0, 2.0, 2.0, kind=kind))
-    before = sent(bench, 40, 2)
+    bench = ScriptedHost(make_settings(live=True), live_entries(2.0, 2.0, 2.0, 2.0, kind=kind))
+    before = targets_of(bench, 40, 2)
     for scales in ((1.0, 2.0, 1.3, 2.0), (2.0, 0.4, 2.0, 1.0), (math.nan, -1.0, math.inf, 0.0)):
-        bench.balancer.listed(bench.now, Listing.CHANGES, live(*scales, kind=kind))
-    assert sent(bench, 40, 2) == before
+        bench.balancer.update_servers(bench.now, ListKind.CHANGES, live_entries(*scales, kind=kind))
+    assert targets_of(bench, 40, 2) == before
 
 
 def test_cold_server_gets_no_more_than_its_part() -> None:
     got = []
     for scale in (2.0, 0.5):  # beside idle and beside loaded ones
-        bench = Bench(settings(live=True, cold_for=1000 * SECOND), live(2.0, 2.0, 2.0, 2.0))
-        bench.balancer.listed(0, Listing.CHANGES, live(scale, scale, scale))
-        bench.balancer.listed(0, Listing.CHANGES, [Entry(4, 0, 0, Phase.READY, 2.0, 1, "", 0)])
-        got.append(sent(bench, 40, 2).count(4))
+        bench = ScriptedHost(
+            make_settings(live=True, cold_for=1000 * SECOND), live_entries(2.0, 2.0, 2.0, 2.0)
+        )
+        bench.balancer.update_servers(0, ListKind.CHANGES, live_entries(scale, scale, scale))
+        bench.balancer.update_servers(
+            0, ListKind.CHANGES, [ServerEntry(4, 0, 0, ServerState.READY, 2.0, 1, "", 0)]
+        )
+        got.append(targets_of(bench, 40, 2).count(4))
     assert got[0] == got[1] > 0
-    servers = [entry(at) for at in range(1, 10)] + [entry(10, came_up=1)]
+    servers = [make_entry(at) for at in range(1, 10)] + [make_entry(10, started_at=1)]
     for fleet in (20, 200):  # all restarted together, at four times what tenants may ask for
-        pool = (Bench(settings(me=me, fleet=fleet, quotas=(100.0,)), servers) for me in range(fleet))
-        assert 0 < sum(sent(bench, 1200 // fleet, 400 / fleet).count(10) for bench in pool) < 27
-    plain = settings(fleet=1, cold_for=1000 * SECOND, cold_from=0.5)
+        pool = (
+            ScriptedHost(make_settings(me=me, fleet=fleet, quotas=(100.0,)), servers) for me in range(fleet)
+        )
+        assert 0 < sum(targets_of(bench, 1200 // fleet, 400 / fleet).count(10) for bench in pool) < 27
+    plain = make_settings(fleet=1, cold_for=1000 * SECOND, cold_from=0.5)
     quotas, across = dataclasses.replace(plain, quotas=(40.0,)), []
     for first, then in ((plain, plain), (plain, quotas), (quotas, plain), (quotas, quotas)):
-        bench = Bench(first, servers[:3] + [entry(10, came_up=1)])
-        before = sent(bench, 300, 200)
-        bench.balancer.adopt(bench.now, then)
-        across.append((before + sent(bench, 300, 200)).count(10))
+        bench = ScriptedHost(first, servers[:3] + [make_entry(10, started_at=1)])
+        before = targets_of(bench, 300, 200)
+        bench.balancer.apply_settings(bench.now, then)
+        across.append((before + targets_of(bench, 300, 200)).count(10))
     assert across[1] <= across[0] and across[2] <= across[3] + 1 and min(across) > 10
 
 
 def test_each_sidecar_uses_few_servers_where_connections_cost() -> None:
-    servers, used = [entry(at) for at in range(1, 61)], [0] * 62
+    servers, used = [make_entry(at) for at in range(1, 61)], [0] * 62
     for me in range(300):
-        balancer = Bench(settings(me=me, fleet=300, connection_price=0.03), servers).balancer
-        reach = balancer.reach_of((None, None))
-        near, at = list(reach.near), reach.near[0]
+        balancer = ScriptedHost(make_settings(me=me, fleet=300, connection_price=0.03), servers).balancer
+        reach = balancer.candidates_for((None, None))
+        near, at = list(reach.subset), reach.subset[0]
         for each in near:
             used[balancer.ids[each]] += 1
-        balancer.trip(0, at, "test")  # stood in for by another, and back after a trial
-        assert len(near) == 5 and set(near) < set(reach.near) and len(reach.near) == 6
-        balancer.answered(SECOND, balancer.terms[0], balancer.admit(20 * SECOND, balancer.terms[0], at), 1000)
-        assert reach.near == near
+        balancer.open_breaker(0, at, "test")  # stood in for by another, and back after a trial
+        assert len(near) == 5 and set(near) < set(reach.subset) and len(reach.subset) == 6
+        balancer.record_answer(
+            SECOND,
+            balancer.class_states[0],
+            balancer.start_hop(20 * SECOND, balancer.class_states[0], at),
+            1000,
+        )
+        assert reach.subset == near
     assert max(used) < 45 and min(used[1:61]) > 8
 
 
 def test_full_servers_turn_submissions_away_and_are_not_judged() -> None:
-    bench = Bench(settings(live=True), live(1.0, 1.0, 1.0))
+    bench = ScriptedHost(make_settings(live=True), live_entries(1.0, 1.0, 1.0))
     for step in range(40):
-        one = bench.at(step / 4).take(step, step + 1)
-        while one.out:
-            bench.end(one, Outcome.FULL)
-    assert len(bench.sent) < 30 and not any("open for" in line for line in bench.lines)
+        one = bench.advance_to(step / 4).submit(step, step + 1)
+        while one.hops_in_flight:
+            bench.finish_hop(one, Outcome.FULL)
+    assert len(bench.sent_to) < 30 and not any("open for" in line for line in bench.lines)
 
 
 def test_rests_that_kill_are_learnt_within_few_losses_and_tried_anew() -> None:
-    bench, dropped, freed = Bench(settings(), [entry(1), entry(2), entry(3)]), [], []
+    bench, dropped, freed = (
+        ScriptedHost(make_settings(), [make_entry(1), make_entry(2), make_entry(3)]),
+        [],
+        [],
+    )
     for step in range(70):
         before = len(bench.lines)
-        one = bench.at(step * 0.6).take(step, step % 3 + 1, tariff=1, patience=1.5)
+        one = bench.advance_to(step * 0.6).submit(step, step % 3 + 1, request_class=1, deadline=1.5)
         freed += [step] if any("freed" in line for line in bench.lines[before:]) else []
-        if one.hops[0].rest > SECOND and step not in freed and step < 33:
+        if one.hops[0].idle_time > SECOND and step not in freed and step < 33:
             dropped.append(step)
-            bench.at(step * 0.6 + 0.599)
-            bench.balancer.overdue(bench.now, one.terms, one.hops[0])
-        bench.end(one, Outcome.TIMEOUT if step in dropped else Outcome.OK)
+            bench.advance_to(step * 0.6 + 0.599)
+            bench.balancer.record_overdue(bench.now, one.class_state, one.hops[0])
+        bench.finish_hop(one, Outcome.TIMEOUT if step in dropped else Outcome.OK)
     assert len(dropped) == 6 < len(freed) and freed[0] > dropped[-1] and freed[-1] < 45
-    rests = Rests()  # what is lost alike after any rest is no dropped connection
+    rests = IdleLossTracker()  # what is lost alike after any rest is no dropped connection
     for step in range(100):
-        rests.note(step * 100_000, 0 if step % 2 else 3 * SECOND, step % 4 < 2)
-    assert rests.limit > 60 * SECOND
+        rests.record(step * 100_000, 0 if step % 2 else 3 * SECOND, step % 4 < 2)
+    assert rests.idle_limit > 60 * SECOND
 
 
 def test_hints_are_weighed_and_never_passed_on_and_what_cannot_be_read_is_counted() -> None:
     good = bytes([1]) + 2 * bytes([0, 0, 0, 0, 0, 9, 0, 0])
-    bench = Bench(settings(may_tell=True), [entry(1), entry(2)])
+    bench = ScriptedHost(make_settings(may_tell=True), [make_entry(1), make_entry(2)])
     for bad in (b"", b"\1", good[:-1], good + b"\0", b"\2" + good[1:], bytes(17), b"\xff" * 17):
-        bench.balancer.told(0, bad)
-    bench.balancer.told(0, bytes([1]) + bytes(8) + b"\xff" * 8)  # more in vain than used
-    assert bench.balancer.ignored == 7 and bench.balancer.rests.limit > 60 * SECOND
-    bench.balancer.told(SECOND, good)
-    bench.balancer.tell(2 * SECOND)
-    assert bench.balancer.rests.limit == 1 << 21 and not bench.lines and not any(bench.balancer.state)
+        bench.balancer.receive_peer_message(0, bad)
+    bench.balancer.receive_peer_message(0, bytes([1]) + bytes(8) + b"\xff" * 8)  # more in vain than used
+    assert bench.balancer.ignored_messages == 7 and bench.balancer.idle_losses.idle_limit > 60 * SECOND
+    bench.balancer.receive_peer_message(SECOND, good)
+    bench.balancer.send_hints(2 * SECOND)
+    assert (
+        bench.balancer.idle_losses.idle_limit == 1 << 21
+        and not bench.lines
+        and not any(bench.balancer.breaker_states)
+    )
     for leave in (True, False):
-        bench = Bench(settings(may_tell=leave), [entry(1)])
-        sent(bench, 6, 0.8)
+        bench = ScriptedHost(make_settings(may_tell=leave), [make_entry(1)])
+        targets_of(bench, 6, 0.8)
         assert any("tells" in line for line in bench.lines) == leave
 
 
-@pytest.mark.parametrize("tariff", [READ, ONCE, marked(Group.ALL), marked(Group.ZONE)])
+@pytest.mark.parametrize(
+    "tariff",
+    [READ_CLASS, ONCE_CLASS, deduplicated_class(DedupGroup.ALL), deduplicated_class(DedupGroup.ZONE)],
+)
 def test_given_up_means_answered_in_the_same_call(tariff) -> None:  # type: ignore[no-untyped-def]
-    bench = Bench(settings(tariff), [entry(1, zone=0), entry(2, zone=1)])
+    bench = ScriptedHost(make_settings(tariff), [make_entry(1, zone=0), make_entry(2, zone=1)])
     for outcome in (Outcome.ERROR, Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.TIMEOUT):
-        one = bench.at(bench.now / SECOND + 30).take(int(outcome))
-        while one.out:
-            bench.end(one, outcome)
+        one = bench.advance_to(bench.now / SECOND + 30).submit(int(outcome))
+        while one.hops_in_flight:
+            bench.finish_hop(one, outcome)
         assert one.done and bench.lines[-1].endswith(("deferred", "forfeited"))
 
 
 def test_settings_are_adopted_and_the_stricter_figures_hold_for_a_while() -> None:
-    named = dataclasses.replace(READ, name="read"), dataclasses.replace(ONCE, name="once")
-    bench = Bench(settings(*named), [entry(1), entry(2), entry(3)])
-    sent(bench, 30, 10)
-    one, usual = bench.take(100, tariff=1), bench.balancer.terms[0].usual
-    new = settings(
+    named = dataclasses.replace(READ_CLASS, name="read"), dataclasses.replace(ONCE_CLASS, name="once")
+    bench = ScriptedHost(make_settings(*named), [make_entry(1), make_entry(2), make_entry(3)])
+    targets_of(bench, 30, 10)
+    one, usual = bench.submit(100, request_class=1), bench.balancer.class_states[0].typical_latency
+    new = make_settings(
         dataclasses.replace(named[0], agreed=SECOND // 5),
         cold_from=0.1,
         cold_for=9 * SECOND,
         fall_multiple=4.0,
         fall_window=5 * SECOND,
     )
-    bench.balancer.adopt(bench.now, new)
+    bench.balancer.apply_settings(bench.now, new)
     held = bench.balancer.settings
-    assert (held.cold_from, held.cold_for, held.fall_multiple) == (0.1, 20 * SECOND, 2.5)
-    assert bench.balancer.terms[0].usual == usual and len(bench.balancer.terms) == 1
-    bench.end(one, Outcome.RESET)  # unrepeatable, under a tariff that is no longer known
-    assert bench.lines[-1].endswith("forfeited") and bench.at(23.5).balancer.settings == new
+    assert (held.cold_fraction, held.cold_duration, held.overload_multiple) == (0.1, 20 * SECOND, 2.5)
+    assert bench.balancer.class_states[0].typical_latency == usual and len(bench.balancer.class_states) == 1
+    bench.finish_hop(one, Outcome.RESET)  # unrepeatable, under a tariff that is no longer known
+    assert bench.lines[-1].endswith("forfeited") and bench.advance_to(23.5).balancer.settings == new
--- a/tests/test_relay_keys.py
+++ b/tests/test_relay_keys.py
@@ -48,23 +48,23 @@
 ) -> None:
     deployment = Deployment(tmp_path, 1, **changed)
     with pytest.raises(config.ConfigError) as error:
-        config.read(str(deployment.config))
+        config.read(str(deployment.config_path))
     text = str(error.value)
-    assert text.startswith(f"{deployment.config}: {expected}") and "\n" not in text
+    assert text.startswith(f"{deployment.config_path}: {expected}") and "\n" not in text
 
 
 @pytest.mark.parametrize("command", ["check", "serve"])
 def test_an_invalid_key_exits_with_two_and_a_valid_one_is_printed(command: str, tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 1, relays=["127.0.0.1:8601", "[::1]:8601"], services=["stock", "cart"])
-    command_line = [sys.executable, "-m", "pumicepath", command, "--config", str(deployment.config)]
+    command_line = [sys.executable, "-m", "pumicepath", command, "--config", str(deployment.config_path)]
     if command == "check":
         completed = subprocess.run(command_line, capture_output=True, text=True)
         assert completed.returncode == 0
         assert "follows relays: 127.0.0.1:8601, [::1]:8601; services: cart, stock\n" in completed.stdout
-    deployment.config.write_text(json.dumps({**deployment.told, "services": ["a b"]}))
+    deployment.config_path.write_text(json.dumps({**deployment.configuration, "services": ["a b"]}))
     completed = subprocess.run(command_line, capture_output=True, text=True, timeout=20)
     assert completed.returncode == 2 and not completed.stdout
     assert (
         completed.stderr.count("\n") == 1
-        and f"{deployment.config}: services[0]: 'a b' is no name" in completed.stderr
+        and f"{deployment.config_path}: services[0]: 'a b' is no name" in completed.stderr
     )
--- a/tests/test_relayed_sidecars.py
+++ b/tests/test_relayed_sidecars.py
@@ -24,14 +24,14 @@
 
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.lab.loopback.scripted import next_of
+from pumicepath.lab.loopback.scripted import read_message
 
-from .relay_rig import Origin, Relay, line, until
+from .relay_rig import Origin, RelayProcess, list_line, wait_until
 
-COUNT = 3
-TOLD_S = 6.0  # after which a change counts as told, once discovery had it and could be reached
+SIDECAR_COUNT = 3
+NOTIFY_LIMIT_S = 6.0  # after which a change counts as told, once discovery had it and could be reached
 SLACK_S = 1.5  # of a busy machine, between a sidecar's choice and the stand-in's stamp
-FORCE_S = 30.0  # nobody is left on an old list for longer, on the slowest machine
+IN_FORCE_LIMIT_S = 30.0  # nobody is left on an old list for longer, on the slowest machine
 
 
 class Server:
@@ -41,7 +41,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.settimeout(None)
         self.port = self.listener.getsockname()[1]
-        self.met: list[tuple[float, str]] = []
+        self.received: list[tuple[float, str]] = []
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
@@ -52,20 +52,20 @@
         sock.settimeout(None)
         parser = RequestParser()
         with suppress(OSError):
-            while (request := next_of(sock, parser)) is not None:
-                self.met.append((time.monotonic(), request.header("X-Trace-Id").partition("-")[0]))
+            while (request := read_message(sock, parser)) is not None:
+                self.received.append((time.monotonic(), request.header("X-Trace-Id").partition("-")[0]))
                 sock.sendall(writing.response(200, [], b"served", True))
 
-    def by(self, since: float) -> set[str]:
-        return {name for at, name in list(self.met) if at >= since}
+    def senders_since(self, since: float) -> set[str]:
+        return {name for at, name in list(self.received) if at >= since}
 
 
-class Cut:
+class Proxy:
     """Forwards both ways; while `cut`, what the origin says is swallowed and what it is asked goes on."""
 
     def __init__(self, to: tuple[str, int]) -> None:
         self.to = to
-        self.cut = False
+        self.drops_answers = False
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.settimeout(None)
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
@@ -80,13 +80,13 @@
                 near.close()
                 continue
             for one, other, back in ((near, far, False), (far, near, True)):
-                threading.Thread(target=self.pass_on, args=(one, other, back), daemon=True).start()
+                threading.Thread(target=self.forward, args=(one, other, back), daemon=True).start()
 
-    def pass_on(self, one: socket.socket, other: socket.socket, back: bool) -> None:
+    def forward(self, one: socket.socket, other: socket.socket, back: bool) -> None:
         one.settimeout(None)
         with suppress(OSError):
             while data := one.recv(65536):
-                if not (back and self.cut):
+                if not (back and self.drops_answers):
                     other.sendall(data)
         with suppress(OSError):
             other.shutdown(socket.SHUT_RDWR)
@@ -95,12 +95,12 @@
 class Sidecars:
     """`serve` processes that follow these relays, each with a client that asks on end."""
 
-    def __init__(self, folder: Path, relays: list[Relay]) -> None:
-        self.over = False
-        self.bad: list[str] = []
-        self.counts = dict.fromkeys((f"n{number}" for number in range(COUNT)), 0)
+    def __init__(self, folder: Path, relays: list[RelayProcess]) -> None:
+        self.stopped = False
+        self.failures: list[str] = []
+        self.served = dict.fromkeys((f"n{number}" for number in range(SIDECAR_COUNT)), 0)
         self.processes = []
-        for number, name in enumerate(self.counts):
+        for number, name in enumerate(self.served):
             told = {
                 "name": name,
                 "listen": "127.0.0.1:0",
@@ -108,12 +108,12 @@
                 "seed": f"{number + 1:x}",
                 "limits": {"memory_mb": 192, "sockets": 256},
                 "services": ["cart"],
-                "relays": [f"{host}:{port}" for host, port in (relay.where for relay in relays)],
+                "relays": [f"{host}:{port}" for host, port in (relay.socket_address for relay in relays)],
                 "settings": {
                     "membershipMode": "on_request",
                     "dcs": ["a"],
                     "me": number,
-                    "fleetSize": COUNT,
+                    "fleetSize": SIDECAR_COUNT,
                     "zone": 0,
                     "rules": {"askEveryS": 10.0, "coldFrom": 1.0, "coldS": 0.0},
                     "policyLimits": {"mostHops": 4, "connIdleS": 30.0, "dialTimeoutS": 0.25},
@@ -141,13 +141,13 @@
             # The log must be read on: nobody may wait for its pipe.
             threading.Thread(target=lambda pipe=process.stdout: [None for _ in pipe], daemon=True).start()
             host, _, port = started["listen"].rpartition(":")
-            threading.Thread(target=self.ask, args=(name, (host, int(port))), daemon=True).start()
+            threading.Thread(target=self.send_requests, args=(name, (host, int(port))), daemon=True).start()
 
-    def ask(self, name: str, where: tuple[str, int]) -> None:
+    def send_requests(self, name: str, where: tuple[str, int]) -> None:
         sock, parser = socket.create_connection(where, 30), ResponseParser()
         sock.settimeout(30)
         number = 0
-        while not self.over:
+        while not self.stopped:
             number += 1
             headers = [
                 ("Host", "api"),
@@ -158,21 +158,21 @@
             ]
             try:
                 sock.sendall(writing.request("GET", "/", headers))
-                response = next_of(sock, parser)
+                response = read_message(sock, parser)
             except OSError as trouble:
                 response = None
-                self.bad.append(f"{name}-{number}: {trouble}")
+                self.failures.append(f"{name}-{number}: {trouble}")
             if response is None:
-                self.bad.append(f"{name}-{number}: no answer")
+                self.failures.append(f"{name}-{number}: no answer")
                 return
             # Before the first list there are no servers: turned away, and asked again.
-            if response.status != 200 and self.counts[name]:
-                self.bad.append(f"{name}-{number}: {response.status} {response.body!r}")
-            self.counts[name] += response.status == 200
+            if response.status != 200 and self.served[name]:
+                self.failures.append(f"{name}-{number}: {response.status} {response.body!r}")
+            self.served[name] += response.status == 200
             time.sleep(0.01)
 
     def end(self) -> None:
-        self.over = True
+        self.stopped = True
         for process in self.processes:
             process.kill()
             process.wait()
@@ -185,41 +185,45 @@
             "eu": Origin([self.line("s0"), self.line("s1")], seq=500),
             "us": Origin([self.line("s2")]),
         }
-        self.cuts = {region: Cut(origin.where) for region, origin in self.origins.items()}
+        self.proxies = {region: Proxy(origin.socket_address) for region, origin in self.origins.items()}
         self.relays = []
         for number in range(relays):
             sources: dict[str, Any] = dict(self.origins)
             if number == 0:
-                sources = self.cuts  # only the first one's ways to the origins can be cut
-            self.relays.append(Relay(folder, sources, f"r{number}", files=files if number == 0 else 0))
+                sources = self.proxies  # only the first one's ways to the origins can be cut
+            self.relays.append(RelayProcess(folder, sources, f"r{number}", files=files if number == 0 else 0))
         self.sidecars = Sidecars(folder, self.relays)
 
     def line(self, name: str, health: str = "active") -> dict[str, Any]:
         return {
-            **line(name, "cart", health, self.servers[name].port),
+            **list_line(name, "cart", health, self.servers[name].port),
             "dial": f"127.0.0.1:{self.servers[name].port}",
         }
 
-    def all_send_to(self, name: str, since: float) -> None:
-        until(lambda: self.servers[name].by(since) == set(self.sidecars.counts), FORCE_S)
+    def wait_until_all_send_to(self, name: str, since: float) -> None:
+        wait_until(
+            lambda: self.servers[name].senders_since(since) == set(self.sidecars.served), IN_FORCE_LIMIT_S
+        )
 
     def change(self) -> float:
         """One server drains, and another begins; tells when discovery had it."""
         self.origins["eu"].put(self.line("s0", "leaving"), self.line("late"))
         return time.monotonic()
 
-    def judged(self, told: float) -> None:
+    def check(self, told: float) -> None:
         """All go by the change, nobody sent on old word for too long, and nothing was lost."""
-        self.all_send_to("late", 0.0)
-        until(lambda: time.monotonic() > told + TOLD_S + SLACK_S + 1.0)
+        self.wait_until_all_send_to("late", 0.0)
+        wait_until(lambda: time.monotonic() > told + NOTIFY_LIMIT_S + SLACK_S + 1.0)
         late = [
-            (round(at - told, 2), name) for at, name in self.servers["s0"].met if at > told + TOLD_S + SLACK_S
+            (round(at - told, 2), name)
+            for at, name in self.servers["s0"].received
+            if at > told + NOTIFY_LIMIT_S + SLACK_S
         ]
         assert not late, f"sent to a draining server, s after discovery had it: {late[:5]}"
         now = time.monotonic()
-        self.all_send_to("s1", now)
-        self.all_send_to("s2", now)
-        assert not self.sidecars.bad, self.sidecars.bad[:3]
+        self.wait_until_all_send_to("s1", now)
+        self.wait_until_all_send_to("s2", now)
+        assert not self.sidecars.failures, self.sidecars.failures[:3]
 
     def end(self) -> None:
         self.sidecars.end()
@@ -231,42 +235,42 @@
 def fleet(folder: Path, **kinds: int) -> Iterator[Fleet]:
     made = Fleet(folder, **kinds)
     try:
-        made.all_send_to("s0", 0.0)
-        made.all_send_to("s2", 0.0)
+        made.wait_until_all_send_to("s0", 0.0)
+        made.wait_until_all_send_to("s2", 0.0)
         yield made
     finally:
         made.end()
 
 
-def killed(made: Fleet) -> float:
+def relay_killed(made: Fleet) -> float:
     made.relays[0].kill()
     return made.change()
 
 
-def stopped(made: Fleet) -> float:
+def relay_stopped(made: Fleet) -> float:
     made.relays[0].signal(signal.SIGSTOP)
     told = made.change()
     threading.Timer(7.0, made.relays[0].signal, (signal.SIGCONT,)).start()
     return told
 
 
-def deaf(made: Fleet) -> float:
+def relay_cut_off(made: Fleet) -> float:
     """The first relay hears nothing of either origin, which the other one does: discovery can be reached."""
-    for cut in made.cuts.values():
-        cut.cut = True
+    for cut in made.proxies.values():
+        cut.drops_answers = True
     return made.change()
 
 
 def discovery_down(made: Fleet) -> float:
-    made.origins["eu"].refuse()
+    made.origins["eu"].stop_listening()
     made.change()
     for relay in made.relays:
         relay.event("region_lost")
-    made.origins["eu"].back()
+    made.origins["eu"].listen_again()
     return time.monotonic()
 
 
-def all_restarted(made: Fleet) -> float:
+def all_relays_restarted(made: Fleet) -> float:
     for relay in made.relays:
         relay.kill()
     made.change()
@@ -276,16 +280,19 @@
     return time.monotonic()
 
 
-def begun_anew(made: Fleet) -> float:
+def origin_restarted(made: Fleet) -> float:
     """The origin has lost its versions, as after a restore; what it has from then on counts all the same."""
     made.origins["eu"].restart(3, [made.line("s0", "leaving"), made.line("s1"), made.line("late")])
     return time.monotonic()
 
 
-@pytest.mark.parametrize("fault", [killed, stopped, deaf, discovery_down, all_restarted, begun_anew])
+@pytest.mark.parametrize(
+    "fault",
+    [relay_killed, relay_stopped, relay_cut_off, discovery_down, all_relays_restarted, origin_restarted],
+)
 def test_a_drain_is_in_force_everywhere_in_time(tmp_path: Path, fault: Callable[[Fleet], float]) -> None:
     with fleet(tmp_path) as made:
-        made.judged(fault(made))
+        made.check(fault(made))
 
 
 def test_a_relay_whose_descriptors_are_taken_serves_those_there_are_and_sends_the_rest_elsewhere(
@@ -301,6 +308,6 @@
         made.relays[0].event("followers_full")
         # One relay has no room and the other one dies and comes back: whoever was there goes somewhere.
         made.relays[1].again()
-        made.judged(made.change())
+        made.check(made.change())
         for sock in taken:
             sock.close()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,14 +13,14 @@
 
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.lab.loopback.scripted import Deployment, answer, next_of
+from pumicepath.lab.loopback.scripted import Deployment, http_response, read_message
 from pumicepath.sidecar import arrival, clients, clock, running
-from pumicepath.sidecar.client import IDLE, LAST, PARTIAL
+from pumicepath.sidecar.admission_gate import AdmissionGate
+from pumicepath.sidecar.client import DRAINING, IDLE, PARTIAL
 from pumicepath.sidecar.clients import Clients
-from pumicepath.sidecar.entrance import Entrance
-from pumicepath.sidecar.servers import start
+from pumicepath.sidecar.servers import start_thread
 
-from .rig import Rig, full_queue, held, status, until
+from .rig import Rig, paused, read_status, server_with_full_backlog, wait_until
 
 
 def test_a_request_half_read_when_its_idle_connection_expires_is_answered(
@@ -28,46 +28,46 @@
 ) -> None:
     rig = Rig(tmp_path)
     client_sock, client = rig.connect()
-    request = rig.asked("halves")
-    rig.around.script.put(answer(200, "served"))
+    request = rig.request("halves")
+    rig.deployment.script.put(http_response(200, "served"))
     client.state = IDLE
-    with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
+    with paused(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
         client_sock.sendall(request[:20])
-        start(client.run)
+        start_thread(client.run)
         assert reached.acquire(timeout=20)  # the half is read, and not processed yet
-        assert client.expire(IDLE) and client.state == LAST
+        assert client.expire(IDLE) and client.state == DRAINING
         for _ in range(3):  # the thread finds several times that nothing more has arrived
             proceed.release()
             assert reached.acquire(timeout=20)
         client_sock.sendall(request[20:])
         proceed.release(100)
-        response = next_of(client_sock, ResponseParser())
+        response = read_message(client_sock, ResponseParser())
     assert response is not None and response.body == b"served" and not response.keeps()
     client_sock.close()
-    until(lambda: client not in rig.clients.open)
-    assert rig.around.lines == ["s-0: GET /halves halves"]
+    wait_until(lambda: client not in rig.clients.open)
+    assert rig.deployment.transcript == ["s-0: GET /halves halves"]
 
 
 def test_late_requests_are_answered_before_the_process_ends(tmp_path: Path) -> None:
     """Found by the test bench: the rest of a half-read request had a deadline past the end of the process."""
     rig = Rig(tmp_path)
     (client_sock, client), (halves, half) = rig.connect(), rig.connect()
-    start(client.run)
-    start(half.run)
-    halves.sendall(rig.asked("half")[:20])
-    until(lambda: half.state == PARTIAL)
-    rig.dispatcher.ends = clock.now() + 500_000
-    client_sock.sendall(rig.asked("late", "read", expires=60_000))
-    assert status(client_sock) in (502, 503)
-    until(lambda: clock.now() >= rig.dispatcher.ends)
+    start_thread(client.run)
+    start_thread(half.run)
+    halves.sendall(rig.request("half")[:20])
+    wait_until(lambda: half.state == PARTIAL)
+    rig.dispatcher.shutdown_at = clock.now() + 500_000
+    client_sock.sendall(rig.request("late", "read", expires=60_000))
+    assert read_status(client_sock) in (502, 503)
+    wait_until(lambda: clock.now() >= rig.dispatcher.shutdown_at)
     rig.clients.close_idle()
-    assert status(halves) == 408
+    assert read_status(halves) == 408
     # A request that arrives even later is rejected at once, as no hop has been sent for it.
     client_sock, client = rig.connect()
-    client_sock.sendall(rig.asked("later", expires=60_000))
-    start(client.run)
-    assert status(client_sock) == 503
-    assert len(rig.around.lines) <= 1
+    client_sock.sendall(rig.request("later", expires=60_000))
+    start_thread(client.run)
+    assert read_status(client_sock) == 503
+    assert len(rig.deployment.transcript) <= 1
 
 
 def test_a_request_that_waits_for_admission_at_sigterm_is_answered(
@@ -75,21 +75,21 @@
 ) -> None:
     rig = Rig(tmp_path)
     client_sock, client = rig.connect()
-    rig.around.script.put(answer(200, "served"))
-    with held(monkeypatch, Entrance, "enter") as (reached, proceed):
-        client_sock.sendall(rig.asked("waits"))
-        start(client.run)
+    rig.deployment.script.put(http_response(200, "served"))
+    with paused(monkeypatch, AdmissionGate, "enter") as (reached, proceed):
+        client_sock.sendall(rig.request("waits"))
+        start_thread(client.run)
         assert reached.acquire(timeout=20)
         rig.dispatcher.draining = True
-        rig.clients.stop()
-        assert rig.clients.empty_queue()
+        rig.clients.stop_accepting()
+        assert rig.clients.drain_backlog()
         rig.clients.close_idle()
         assert client in rig.clients.open, "shutdown waits for it"
         proceed.release()
-        response = next_of(client_sock, ResponseParser())
+        response = read_message(client_sock, ResponseParser())
     assert response is not None and response.body == b"served" and not response.keeps()
     client_sock.close()
-    until(lambda: not rig.clients.open)
+    wait_until(lambda: not rig.clients.open)
 
 
 def test_bytes_after_the_last_request_do_not_destroy_its_answer(
@@ -97,22 +97,22 @@
 ) -> None:
     rig = Rig(tmp_path)
     client_sock, client = rig.connect()
-    rig.around.script.put(answer(200, "served"))
+    rig.deployment.script.put(http_response(200, "served"))
     client.state = IDLE
-    with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
-        client_sock.sendall(rig.asked("last"))
-        start(client.run)
+    with paused(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
+        client_sock.sendall(rig.request("last"))
+        start_thread(client.run)
         assert reached.acquire(timeout=20)
         assert client.expire(IDLE)
         proceed.release(100)
-        until(lambda: client.answered.is_set() and not rig.dispatcher.exchanges)
+        wait_until(lambda: client.answered.is_set() and not rig.dispatcher.exchanges)
         # The kernel may reset the connection; the answer has arrived by then.
         with contextlib.suppress(OSError):
             for _ in range(50):
                 client_sock.sendall(b"bytes behind it")
-        assert status(client_sock) == 200
+        assert read_status(client_sock) == 200
     client_sock.close()
-    until(lambda: not rig.clients.open)
+    wait_until(lambda: not rig.clients.open)
 
 
 @pytest.mark.parametrize("crosses", [True, False])
@@ -122,45 +122,45 @@
     rig = Rig(tmp_path)
     client_sock, client = rig.connect()
     client.state = IDLE
-    with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
-        client_sock.sendall(rig.asked("crossed"))
-        start(client.run)
+    with paused(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
+        client_sock.sendall(rig.request("crossed"))
+        start_thread(client.run)
         assert reached.acquire(timeout=20)
-        assert not crosses or client.expire(IDLE) and client.state == LAST
+        assert not crosses or client.expire(IDLE) and client.state == DRAINING
         proceed.release(100)
-        assert rig.around.servers[0].met.acquire(timeout=20)
+        assert rig.deployment.servers[0].received_requests.acquire(timeout=20)
         client_sock.shutdown(socket.SHUT_WR)  # the client may still read
-        until(client.gone)
-        rig.around.script.put("reset")
+        wait_until(client.has_left)
+        rig.deployment.script.put("reset")
         # A half-closed connection counts as left, with no answer, unless its request crossed our end of it.
-        assert status(client_sock) == (502 if crosses else 0)
+        assert read_status(client_sock) == (502 if crosses else 0)
     client_sock.close()
-    until(lambda: not rig.clients.open)
+    wait_until(lambda: not rig.clients.open)
 
 
 def test_a_request_is_retried_although_our_own_shutdown_of_reading_looks_like_the_clients_end(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Found by the test bench: the kernel reports CLOSE_WAIT from our own shutdown of reading on."""
-    real = arrival.gone
+    real = arrival.is_closed
     rig = Rig(tmp_path, servers=2)
     client_sock, client = rig.connect()
     client.state = IDLE
-    with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
-        client_sock.sendall(rig.asked("crossed", "read"))
-        start(client.run)
+    with paused(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
+        client_sock.sendall(rig.request("crossed", "read"))
+        start_thread(client.run)
         assert reached.acquire(timeout=20)
         looks = iter([False])
         monkeypatch.setattr(
             arrival, "gone", lambda sock: next(looks, True) if sock is client.sock else real(sock)
         )
-        assert client.expire(IDLE) and client.state == LAST
-        rig.around.script.put("reset")
-        rig.around.script.put(answer(200, "served"))
+        assert client.expire(IDLE) and client.state == DRAINING
+        rig.deployment.script.put("reset")
+        rig.deployment.script.put(http_response(200, "served"))
         proceed.release(100)
-        assert status(client_sock) == 200
+        assert read_status(client_sock) == 200
     client_sock.close()
-    until(lambda: not rig.clients.open)
+    wait_until(lambda: not rig.clients.open)
 
 
 def test_a_long_body_half_read_when_its_idle_connection_expires_is_sent_on(
@@ -171,20 +171,20 @@
     client_sock, client = rig.connect()
     headers = [("Host", "api"), ("X-Qos", "once"), ("X-Trace-Id", "long")]
     request = writing.request("POST", "/long", headers, b"x" * 200_000)
-    rig.around.script.put(answer(200, "served"))
+    rig.deployment.script.put(http_response(200, "served"))
     client.state = IDLE
-    with held(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
+    with paused(monkeypatch, arrival, "receive", before=False) as (reached, proceed):
         client_sock.sendall(request[:300])
-        start(client.run)
+        start_thread(client.run)
         assert reached.acquire(timeout=20)
-        assert client.expire(IDLE) and client.state == LAST
+        assert client.expire(IDLE) and client.state == DRAINING
         proceed.release(100_000)
         client_sock.sendall(request[300:100_000])
         # More of the body has arrived than is buffered: it is sent on while the rest is still missing.
-        until(lambda: client.upload is not None and client.upload.begun)
+        wait_until(lambda: client.upload is not None and client.upload.started)
         client_sock.sendall(request[100_000:])
-        response = next_of(client_sock, ResponseParser())
-    assert response is not None and response.body == b"served" and len(rig.around.lines) == 1
+        response = read_message(client_sock, ResponseParser())
+    assert response is not None and response.body == b"served" and len(rig.deployment.transcript) == 1
     client_sock.close()
 
 
@@ -192,13 +192,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path)
-    with held(monkeypatch, Clients, "admit") as (reached, proceed):
+    with paused(monkeypatch, Clients, "admit") as (reached, proceed):
         accepting = threading.Thread(target=rig.clients.accept)
         accepting.start()
         client_sock = socket.create_connection(rig.clients.listener.getsockname())
         assert reached.acquire(timeout=20)
         assert not rig.clients.open
-        stopping = threading.Thread(target=rig.clients.stop)
+        stopping = threading.Thread(target=rig.clients.stop_accepting)
         stopping.start()
         stopping.join(0.2)
         assert stopping.is_alive(), "the accepting thread still has the connection"
@@ -212,16 +212,16 @@
 
 def test_while_draining_the_accepting_thread_checks_often_for_the_end(tmp_path: Path) -> None:
     """Found by the test bench: it took 0.4 s to stop accepting, which left 0.3 s for short deadlines."""
-    assert clients.LISTENING_S <= clients.LISTENING_ALONE_S < running.ACCEPT_AFTER_SIGTERM_S
+    assert clients.ACCEPT_POLL_S <= clients.ACCEPT_POLL_ALONE_S < running.ACCEPT_AFTER_SIGTERM_S
     rig = Rig(tmp_path)
-    rig.clients.listener.settimeout(clients.LISTENING_ALONE_S)
+    rig.clients.listener.settimeout(clients.ACCEPT_POLL_ALONE_S)
     accepting = threading.Thread(target=rig.clients.accept)
     accepting.start()
     rig.dispatcher.draining = True
-    until(lambda: rig.clients.listener.gettimeout() <= 0.05)
-    rig.clients.stop()
+    wait_until(lambda: rig.clients.listener.gettimeout() <= 0.05)
+    rig.clients.stop_accepting()
     accepting.join(20)
-    assert not accepting.is_alive() and rig.clients.empty_queue()
+    assert not accepting.is_alive() and rig.clients.drain_backlog()
 
 
 def test_connections_in_the_listeners_queue_at_shutdown_are_answered(
@@ -231,27 +231,27 @@
     rig = Rig(tmp_path)
     waiting = [socket.create_connection(rig.clients.listener.getsockname()) for _ in range(5)]
     for number, sock in enumerate(waiting):
-        rig.around.script.put(answer(200, "served"))
-        sock.sendall(rig.asked(f"t{number}"))
-    rig.clients.stop()
-    rig.clients.most = 3  # capacity for three: the others are accepted as these end
+        rig.deployment.script.put(http_response(200, "served"))
+        sock.sendall(rig.request(f"t{number}"))
+    rig.clients.stop_accepting()
+    rig.clients.connection_limit = 3  # capacity for three: the others are accepted as these end
     rig.dispatcher.draining = True
-    rig.dispatcher.decide(rig.clients.woke)
-    assert not rig.clients.empty_queue() and len(rig.clients.open) <= 3
-    until(rig.clients.empty_queue)
-    assert [status(sock) for sock in waiting] == [200] * 5
+    rig.dispatcher.run_locked(rig.clients.on_timer)
+    assert not rig.clients.drain_backlog() and len(rig.clients.open) <= 3
+    wait_until(rig.clients.drain_backlog)
+    assert [read_status(sock) for sock in waiting] == [200] * 5
     assert rig.clients.listener.fileno() < 0
     for sock in waiting:
         sock.close()
-    until(lambda: not rig.clients.open)
+    wait_until(lambda: not rig.clients.open)
 
 
 def test_shutdown_leaves_a_listener_alone_that_another_process_accepts_from(tmp_path: Path) -> None:
     rig = Rig(tmp_path)
     client_sock = socket.create_connection(rig.clients.listener.getsockname())
-    rig.clients.pause(True)
-    rig.clients.stop()
-    assert rig.clients.empty_queue() and not rig.clients.open and rig.clients.listener.fileno() >= 0
+    rig.clients.pause_accepting(True)
+    rig.clients.stop_accepting()
+    assert rig.clients.drain_backlog() and not rig.clients.open and rig.clients.listener.fileno() >= 0
     client_sock.close()
 
 
@@ -259,42 +259,42 @@
     tmp_path: Path,
 ) -> None:
     with Deployment(tmp_path, 1).running() as deployment:
-        halves, taken = socket.create_connection(deployment.where), deployment.client
+        halves, taken = socket.create_connection(deployment.address), deployment.client_socket
         request = writing.request("GET", "/half", [("Host", "a"), ("X-Qos", "once"), ("X-Trace-Id", "half")])
         halves.sendall(request[:30])
         deployment.send("once")
-        assert deployment.servers[0].met.acquire(timeout=20)
+        assert deployment.servers[0].received_requests.acquire(timeout=20)
         deployment.process.send_signal(signal.SIGTERM)
-        deployment.event("draining")
+        deployment.next_event("draining")
         deployment.process.send_signal(signal.SIGHUP)
         deployment.process.send_signal(signal.SIGTERM)
         halves.sendall(request[30:])
-        assert deployment.servers[0].met.acquire(timeout=20)
-        data = answer(200, "in two pieces")
+        assert deployment.servers[0].received_requests.acquire(timeout=20)
+        data = http_response(200, "in two pieces")
         deployment.script.put((data, "end"))
         deployment.script.put((data, "end"))
-        assert [status(sock) for sock in (taken, halves)] == [200, 200]
+        assert [read_status(sock) for sock in (taken, halves)] == [200, 200]
         for sock in (taken, halves):
             assert sock.recv(1) == b""
             sock.close()
-        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
+        assert deployment.next_event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
 
 
 def test_at_sigterm_a_request_that_waits_for_a_connection_is_answered_by_its_deadline(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 0)
-    late, full = full_queue(deployment)
-    deployment.told["settings"]["policyLimits"]["dialTimeoutS"] = 60.0
-    deployment.told["admin_addr"] = "127.0.0.1:0"
-    deployment.config.write_text(json.dumps(deployment.told))
+    late, full = server_with_full_backlog(deployment)
+    deployment.configuration["settings"]["policyLimits"]["dialTimeoutS"] = 60.0
+    deployment.configuration["admin_addr"] = "127.0.0.1:0"
+    deployment.config_path.write_text(json.dumps(deployment.configuration))
     with deployment.running():
         deployment.send("once", 2500)
-        until(lambda: any(value for name, value in deployment.figures().items() if "current" in name))
+        wait_until(lambda: any(value for name, value in deployment.metrics().items() if "current" in name))
         deployment.process.send_signal(signal.SIGTERM)
-        deployment.event("draining")
-        assert status(deployment.client) in (502, 503)
-        assert deployment.client.recv(1) == b""
-        deployment.client.close()
-        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
+        deployment.next_event("draining")
+        assert read_status(deployment.client_socket) in (502, 503)
+        assert deployment.client_socket.recv(1) == b""
+        deployment.client_socket.close()
+        assert deployment.next_event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
     late.close()
     assert len(full) == 2
 
@@ -303,9 +303,9 @@
     with Deployment(tmp_path, 1).running() as deployment:
         deployment.script.put((b"HTTP/1.1 20", "wait"))
         deployment.send("once", 1500)
-        assert deployment.servers[0].met.acquire(timeout=20)
+        assert deployment.servers[0].received_requests.acquire(timeout=20)
         deployment.process.send_signal(signal.SIGTERM)
-        deployment.event("draining")
-        assert status(deployment.client) == 502
-        deployment.client.close()
-        assert deployment.event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
+        deployment.next_event("draining")
+        assert read_status(deployment.client_socket) == 502
+        deployment.client_socket.close()
+        assert deployment.next_event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
--- a/tests/test_standing_fleet.py
+++ b/tests/test_standing_fleet.py
@@ -21,14 +21,14 @@
 
 import pytest
 
+from pumicepath.balancer import Balancer
 from pumicepath.http1.parsing import ResponseParser
-from pumicepath.interface import Entry, Listing, Outcome
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.logic import Balancer
+from pumicepath.interface import ListKind, Outcome, ServerEntry
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 
-from .helpers import SECOND, entry, settings
-from .rig import status, until
-from .test_standing_terms import MODES, Always
+from .helpers import SECOND, make_entry, make_settings
+from .rig import read_status, wait_until
+from .test_standing_terms import MODES, AlwaysServing
 
 # -- 3: a cold server falls under the sum of what all sidecars send it
 
@@ -69,20 +69,20 @@
         parts = [10.0 if uneven and one % 10 == 0 else 1.0 for one in range(fleet)]
         self.rates = [load * RATE * SERVERS * part / sum(parts) / SECOND for part in parts]
         self.hits: dict[int, list[int]] = {server: [] for server in self.servers[:cold]}
-        self.given = settings(fleet=fleet, cold_for=8 * SECOND, **changed)
+        self.given = make_settings(fleet=fleet, cold_for=8 * SECOND, **changed)
         self.sidecars = [self.begun(0, me) for me in range(fleet)]
 
-    def entries(self, now: int, known: bool = True) -> list[Entry]:
+    def entries(self, now: int, known: bool = True) -> list[ServerEntry]:
         started = STARTED * SECOND if now >= STARTED * SECOND else 0
         return [
-            entry(server, came_up=started if at < self.cold else 0)
+            make_entry(server, started_at=started if at < self.cold else 0)
             for at, server in enumerate(self.servers)
             if at >= self.cold or started
         ]
 
     def begun(self, now: int, me: int) -> Balancer:
         sidecar = Balancer(replace(self.given, me=me), self.chance.getrandbits(32), Sent())
-        sidecar.listed(now, Listing.CACHED, self.entries(now))
+        sidecar.update_servers(now, ListKind.CACHED, self.entries(now))
         return sidecar
 
     def run(self) -> None:
@@ -105,18 +105,18 @@
             if not told and now >= STARTED * SECOND:
                 told = True
                 for sidecar in self.sidecars:
-                    sidecar.listed(now, Listing.CHANGES, self.entries(now)[: self.cold])
+                    sidecar.update_servers(now, ListKind.CHANGES, self.entries(now)[: self.cold])
             if isinstance(what, range):  # a part of the fleet at once
                 for me in what:
                     self.sidecars[me] = self.begun(now, me)
             elif isinstance(what, int):
                 put(now + self.chance.expovariate(self.rates[what]) + 1, what)
-                one = self.sidecars[what].take(
+                one = self.sidecars[what].submit(
                     now, number, 0, 1 + self.chance.randrange(500), False, now + 2 * SECOND
                 )
                 if one.hops:
                     put(now + self.chance.expovariate(1 / 50_000) + 5000, one)
-                    if (server := one.balancer.outlet.last) in self.hits:  # type: ignore[attr-defined]
+                    if (server := one.balancer.callbacks.last) in self.hits:  # type: ignore[attr-defined]
                         self.hits[server].append(now)
             else:
                 what.ended(now, 0, Outcome.OK, now - what.hops[0].at, True)
@@ -127,9 +127,9 @@
         given = self.given
         for hits in self.hits.values():
             for last, now in enumerate(hits):
-                warmth = given.cold_from + (1 - given.cold_from) * (now / SECOND - STARTED) / 8
-                budget = given.fall_multiple * warmth * RATE * given.fall_window / SECOND
-                sent = sum(then > now - given.fall_window for then in hits[: last + 1])
+                warmth = given.cold_fraction + (1 - given.cold_fraction) * (now / SECOND - STARTED) / 8
+                budget = given.overload_multiple * warmth * RATE * given.overload_window / SECOND
+                sent = sum(then > now - given.overload_window for then in hits[: last + 1])
                 worst = max(worst, (sent / (budget + 2 * math.sqrt(budget) + 2), sent, budget))
         return worst
 
@@ -192,9 +192,9 @@
 def ask(around: Deployment) -> int:
     """The status of an answer on a connection of its own; 0 for a clean close, or no connection at all."""
     try:
-        with socket.create_connection(around.where) as sock:
+        with socket.create_connection(around.address) as sock:
             around.send("read", sock=sock)
-            return status(sock)
+            return read_status(sock)
     except TimeoutError:
         raise
     except OSError:
@@ -214,62 +214,62 @@
     mode: str, told: int, real: int, tmp_path: Path
 ) -> None:
     around = Deployment(tmp_path, 1)
-    around.servers[0].script = Always()  # type: ignore[assignment]
-    around.told["settings"]["membershipMode"] = mode
-    around.told["limits"]["sockets"] = told
-    around.config.write_text(json.dumps(around.told))
-    around.lists.put(answer(200, json.dumps(around.listing(2, True, "active"))))
-    begun = around.begun
+    around.servers[0].script = AlwaysServing()  # type: ignore[assignment]
+    around.configuration["settings"]["membershipMode"] = mode
+    around.configuration["limits"]["sockets"] = told
+    around.config_path.write_text(json.dumps(around.configuration))
+    around.discovery_script.put(http_response(200, json.dumps(around.list_document(2, True, "active"))))
+    begun = around.start_process
 
     def limited() -> subprocess.Popen:
         process = begun()
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (real, real))
         return process
 
-    around.begun = limited  # type: ignore[method-assign]
+    around.start_process = limited  # type: ignore[method-assign]
     with around.running():
         process = around.process
         log = around.logs[process]
         for _ in range(2):
-            assert around.discovery.met.acquire(timeout=20)  # the second is the watch
+            assert around.discovery.received_requests.acquire(timeout=20)  # the second is the watch
         around.discovery.listener.shutdown(socket.SHUT_RDWR)
         around.discovery.listener.close()
-        around.lists.put("reset")
-        idle = Held(around.where, 100)
+        around.discovery_script.put("reset")
+        idle = Held(around.address, 100)
         descriptors = Path(f"/proc/{process.pid}/fd")
         # All that there are, or as many clients as the limits let it have.
         clients = (min(told, real) - 48) * 13 // 20
-        until(lambda: len(list(descriptors.iterdir())) >= min(real - 2, clients + 20))
+        wait_until(lambda: len(list(descriptors.iterdir())) >= min(real - 2, clients + 20))
         began, used = time.monotonic(), core_time(process)
         answers = []
         while time.monotonic() < began + 1.0:
             answers.append(ask(around))
         spent = (core_time(process) - used) / (time.monotonic() - began)
-        assert "accept_failed" not in {event["event"] for event in log.seen}, "no descriptor is left"
+        assert "accept_failed" not in {event["event"] for event in log.all_events}, "no descriptor is left"
         # Discovery comes back, at the same place, and has a change.
         host, _, port = around.discovery.address.partition(":")
         around.discovery.listener = socket.create_server((host, int(port)))
         returned = time.monotonic()
-        around.lists.put(answer(200, json.dumps(around.listing(3, False, "active"))))
+        around.discovery_script.put(http_response(200, json.dumps(around.list_document(3, False, "active"))))
         threading.Thread(target=around.discovery.accept, daemon=True).start()
         for _ in range(2):
-            assert around.discovery.met.acquire(timeout=20), "the watch is not opened again"
+            assert around.discovery.received_requests.acquire(timeout=20), "the watch is not opened again"
         back = time.monotonic() - returned
         answers.append(ask(around))
         idle.over = True
-        until(lambda: ask(around) == 200)
-        around.lists.put(answer(200, json.dumps(around.listing(4, False, "leaving"))))
-        until(lambda: ask(around) == 503)  # what the watch tells is in force
+        wait_until(lambda: ask(around) == 200)
+        around.discovery_script.put(http_response(200, json.dumps(around.list_document(4, False, "leaving"))))
+        wait_until(lambda: ask(around) == 503)  # what the watch tells is in force
         assert process.poll() is None
         process.terminate()
         assert process.wait(20) == 0
-        log.reader.join(20)
-    seen = Counter(event["event"] for event in log.seen)
+        log.reader_thread.join(20)
+    seen = Counter(event["event"] for event in log.all_events)
     print(f"{Counter(answers)}, watch back after {back:.2f} s, {spent:.2f} of a core, {seen}")
     assert set(answers) <= {0, 200, 503}
     assert spent < 0.8, "a busy loop"
     assert not {"fault", "accept_failed"} & seen.keys(), "what is kept back for the watch is there"
-    assert next(event for event in log.seen if event["event"] == "stopped")["broken"] == {}
+    assert next(event for event in log.all_events if event["event"] == "stopped")["broken"] == {}
 
 
 # -- 5: nine in ten restarted processes are ready within 10 s
@@ -278,12 +278,12 @@
 CALL_S = 0.1  # that discovery takes for each call, one after the other
 
 
-class InTurn(Peer):
+class InTurn(ScriptedServer):
     """A discovery that works through calls in turn, and tells nothing while a watch waits."""
 
     def __init__(self, listing: dict) -> None:
         self.turn = threading.Lock()
-        self.whole = answer(200, json.dumps(listing))
+        self.whole = http_response(200, json.dumps(listing))
         self.connection = threading.local()  # each is served by a thread of its own
         super().__init__("discovery", self, [])  # type: ignore[arg-type]
 
@@ -300,7 +300,7 @@
     try:
         with socket.create_connection(where, 1) as sock:
             sock.sendall(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-            return status(sock) == 200
+            return read_status(sock) == 200
     except OSError:
         return False
 
@@ -317,7 +317,7 @@
                     b"GET /a HTTP/1.1\r\nHost: a\r\nX-Qos: read\r\nX-Expires-In-Ms: 2000\r\n"
                     b"X-Trace-Id: %d-%d\r\n\r\n" % (threading.get_ident(), number)
                 )
-                response = next_of(sock, parser)
+                response = read_message(sock, parser)
                 if response is None:
                     break
                 answers[response.status] += 1
@@ -329,7 +329,7 @@
     """Start all of them at once; after how many seconds each is ready, in order."""
     began = time.monotonic()
     for one in sidecars:
-        one.process = one.begun()
+        one.process = one.start_process()
     times: list[float] = []
 
     def wait(where: tuple[str, int]) -> None:
@@ -349,7 +349,7 @@
 
 def test_nine_of_ten_processes_that_are_restarted_at_once_are_ready_in_time(tmp_path: Path) -> None:
     ground = Deployment(tmp_path, 3)
-    discovery = InTurn(ground.listing(2, True, "active"))
+    discovery = InTurn(ground.list_document(2, True, "active"))
     sidecars, wheres, over, answers = [], [], threading.Event(), Counter()  # type: ignore[var-annotated]
     for number in range(10):
         folder = tmp_path / str(number)
@@ -358,20 +358,22 @@
         # A port of this address's own, for the process and the one after it.
         with socket.create_server((f"127.0.44.{number + 1}", 0)) as sock:
             where = sock.getsockname()
-        one.told.update(listen=f"{where[0]}:{where[1]}", discovery=discovery.address, name=f"n{number}")
-        one.told["settings"].update(me=number, fleetSize=10, membershipMode=MODES[number % 2])
-        one.config.write_text(json.dumps(one.told))
+        one.configuration.update(
+            listen=f"{where[0]}:{where[1]}", discovery=discovery.address, name=f"n{number}"
+        )
+        one.configuration["settings"].update(me=number, fleetSize=10, membershipMode=MODES[number % 2])
+        one.config_path.write_text(json.dumps(one.configuration))
         sidecars.append(one)
         wheres.append(where)
     for server in ground.servers:
-        server.script = Always()  # type: ignore[assignment]
+        server.script = AlwaysServing()  # type: ignore[assignment]
     try:
         alone = ready(sidecars[:1], wheres[:1], 60.0)[0]
         ready(sidecars[1:], wheres[1:], 60.0)
         clients = [threading.Thread(target=load, args=(where, over, answers)) for where in wheres * 2]
         for client in clients:
             client.start()
-        until(lambda: answers[200] > 100)
+        wait_until(lambda: answers[200] > 100)
         for one in sidecars:
             one.process.kill()
         for one in sidecars:
@@ -382,7 +384,7 @@
         times = ready(sidecars, wheres, 4 * allowed)
         print(f"alone {alone:.2f} s; {[round(one, 2) for one in times]} of {allowed:.1f}; {answers}")
         assert len(times) >= 9 and times[8] <= allowed, times
-        until(lambda: answers[200] > served + 100)  # and they serve
+        wait_until(lambda: answers[200] > served + 100)  # and they serve
     finally:
         over.set()
         for one in sidecars:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -13,11 +13,11 @@
 
 from pumicepath.http1 import writing
 from pumicepath.http1.parsing import RequestParser, ResponseParser
-from pumicepath.lab.loopback.scripted import Deployment, Peer, answer, next_of
-from pumicepath.settings import check
+from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
+from pumicepath.settings import check_settings
 from pumicepath.sidecar import config
 
-from .helpers import compare
+from .helpers import check_trace
 
 
 def other(told: dict) -> dict:
@@ -53,10 +53,10 @@
 
 
 def load(around: Deployment, told: dict) -> str:
-    around.lists.put(answer(200, json.dumps(around.listing(2, True, "active"))))
-    around.config.write_text(json.dumps(told))
+    around.discovery_script.put(http_response(200, json.dumps(around.list_document(2, True, "active"))))
+    around.config_path.write_text(json.dumps(told))
     around.process.send_signal(signal.SIGHUP)
-    event = around.event("reloaded", "reload_failed")
+    event = around.next_event("reloaded", "reload_failed")
     return " ".join(
         str(event.get(key)) for key in ("event", "settings", "tariffs", "without_effect", "needs_restart")
     )
@@ -64,16 +64,16 @@
 
 def test_what_was_taken_ends_under_its_own_terms_and_the_way_back_is_the_same(tmp_path: Path) -> None:
     around = Deployment(tmp_path, 2)
-    old, new, lines = around.told, other(around.told), around.lines
-    met = around.servers[0].met = around.servers[1].met
+    old, new, lines = around.configuration, other(around.configuration), around.transcript
+    met = around.servers[0].received_requests = around.servers[1].received_requests
     with around.running():
         around.send("read")
         assert met.acquire(timeout=5)
         lines.append(f"-- a hop out that the new file has no tariff for: {load(around, new)}")
-        around.script.put(answer(200, "as taken before"))
-        around.hear()
-        around.ask("read")
-        around.ask("sign", answer(200, "signed"))
+        around.script.put(http_response(200, "as taken before"))
+        around.receive()
+        around.submit("read")
+        around.submit("sign", http_response(200, "signed"))
         assert met.acquire(timeout=5)
         around.send("once")
         assert met.acquire(timeout=5)
@@ -81,34 +81,34 @@
         lines.append(f"-- back, an unrepeatable hop out: {load(around, old)}")
         lines.append(f"-- once more: {load(around, old)}")
         around.script.put("reset")
-        around.hear()
-        around.ask("read", answer(500), answer(200, "read again elsewhere"))
+        around.receive()
+        around.submit("read", http_response(500), http_response(200, "read again elsewhere"))
         lines.append(f"-- there, with another address: {load(around, {**new, 'listen': '127.0.0.1:1'})}")
-        around.ask("view", answer(200, "viewed"))
+        around.submit("view", http_response(200, "viewed"))
         assert around.process.poll() is None
-    compare("switch", [line.replace("s-0", "s").replace("s-1", "s") for line in lines])
+    check_trace("switch", [line.replace("s-0", "s").replace("s-1", "s") for line in lines])
 
 
-class Counting(Peer):
+class Counting(ScriptedServer):
     """Counts hops, and ends the connection without an answer at the first hop of each seventh submission."""
 
     def serve(self, sock: socket.socket) -> None:
         parser = RequestParser()
         with sock:
-            while (request := next_of(sock, parser)) is not None:
+            while (request := read_message(sock, parser)) is not None:
                 trace = request.header("X-Trace-Id")
-                self.lines.append(trace)
-                if int(trace) % 7 == 0 and self.lines.count(trace) == 1:
+                self.transcript.append(trace)
+                if int(trace) % 7 == 0 and self.transcript.count(trace) == 1:
                     return
-                sock.sendall(answer(200, trace))
+                sock.sendall(http_response(200, trace))
 
 
 def test_under_traffic_nothing_is_lost_or_sent_twice_whatever_is_loaded_meanwhile(tmp_path: Path) -> None:
     around, hops, heard = Deployment(tmp_path, 0), [], []  # type: ignore[var-annotated]
     around.servers = [Counting(f"c-{at}", queue.SimpleQueue(), hops) for at in range(2)]
-    around.told["known"] = around.listing(1, True, "active")
-    around.told["settings"]["tariffs"][0]["name"] = "view"
-    around.config.write_text(json.dumps(around.told))
+    around.configuration["known"] = around.list_document(1, True, "active")
+    around.configuration["settings"]["tariffs"][0]["name"] = "view"
+    around.config_path.write_text(json.dumps(around.configuration))
 
     def client(first: int) -> None:
         for number in range(first, first + 150):
@@ -118,16 +118,16 @@
                 ("X-Object", f"lot {number % 40}"),
                 ("X-Qos", "once" if number % 2 else "view"),
             ]
-            with socket.create_connection(around.where) as sock:
+            with socket.create_connection(around.address) as sock:
                 sock.sendall(writing.request("POST", "/api", headers, b""))
-                response = next_of(sock, ResponseParser())
+                response = read_message(sock, ResponseParser())
             heard.append(response is not None and (response.status != 200 or int(response.body) == number))
 
     with around.running():
         threads = [threading.Thread(target=client, args=(1000 * at,), daemon=True) for at in range(1, 5)]
         for thread in threads:
             thread.start()
-        files, loaded = (other(around.told), {}, around.told, around.told), []
+        files, loaded = (other(around.configuration), {}, around.configuration, around.configuration), []
         while any(thread.is_alive() for thread in threads) or len(loaded) < 4:
             loaded.append(load(around, files[len(loaded) % 4]).split()[0])
         assert around.process.poll() is None
@@ -176,38 +176,42 @@
 )
 def test_settings_that_cannot_be_meant_are_named_by_their_key(settings: dict, says: str) -> None:
     with pytest.raises(ValueError, match="^settings") as trouble:
-        check(settings)
+        check_settings(settings)
     assert str(trouble.value).startswith(says)
 
 
 def test_a_file_that_takes_the_place_of_another_lacks_nothing_that_is_read(tmp_path: Path) -> None:
     around, lines = Deployment(tmp_path, 1), []
-    before, text = config.read(str(around.config)), json.dumps(around.told)
+    before, text = config.read(str(around.config_path)), json.dumps(around.configuration)
 
     def said(what: str, data: str) -> None:
-        around.config.write_text(data)
+        around.config_path.write_text(data)
         try:
-            config.read_replacement(str(around.config), before)
+            config.read_replacement(str(around.config_path), before)
             lines.append(f"{what}: taken")
         except config.ConfigError as trouble:
-            lines.append(f"{what}: {str(trouble).replace(str(around.config), 'FILE')[:70]}")
+            lines.append(f"{what}: {str(trouble).replace(str(around.config_path), 'FILE')[:70]}")
 
     said("the same", text)
     said("empty", "")
     said("cut short", text[:-40])
     said("nested without end", "[" * 100_000)
     said("no object", "[1]")
-    for key in around.told:
-        rest = {name: value for name, value in around.told.items() if name != key}
+    for key in around.configuration:
+        rest = {name: value for name, value in around.configuration.items() if name != key}
         said(f"without {key}", json.dumps(rest))
-    for key in around.told["settings"]:
-        rest = {**around.told, "settings": {**around.told["settings"]}}
+    for key in around.configuration["settings"]:
+        rest = {**around.configuration, "settings": {**around.configuration["settings"]}}
         del rest["settings"][key]
         said(f"without settings.{key}", json.dumps(rest))
     for part, at in (("policyLimits", None), ("rules", None), ("tariffs", 1)):
-        whole = around.told["settings"][part] if at is None else around.told["settings"][part][at]
+        whole = (
+            around.configuration["settings"][part]
+            if at is None
+            else around.configuration["settings"][part][at]
+        )
         for key in list(whole):
             value = whole.pop(key)
-            said(f"without {part}.{key}", json.dumps(around.told))
+            said(f"without {part}.{key}", json.dumps(around.configuration))
             whole[key] = value
-    compare("lacking", lines)
+    check_trace("lacking", lines)
