--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -20,8 +20,8 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from pumicepath.lab.loopback.world import InvalidRunError, play  # noqa: E402
-from pumicepath.lab.model.result import Result, summary  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Trouble  # noqa: E402
+from pumicepath.lab.model.result import Result, summarize  # noqa: E402
+from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
 SCENARIOS: dict[str, tuple[dict[str, Any], ...]] = {
@@ -43,14 +43,14 @@
         lasts_s=12,
         fleet=Fleet(halls=2, servers=8, work_ms=20, cold_s=5),
         load=Load(rate=300),
-        troubles=tuple(Trouble(**{"at_s": 3, "for_s": 3, **each}) for each in faults),
+        troubles=tuple(FaultSpec(**{"at_s": 3, "for_s": 3, **each}) for each in faults),
     )
 
 
 def summary_line(result: Result) -> str:
     """Service and latency of a run, and the rules that it violated."""
-    values = summary(result)
-    violated = [rule for rule, count in result.rules.items() if count]
+    values = summarize(result)
+    violated = [rule for rule, count in result.violations.items() if count]
     return f"service {values['service']:.3f}  p50 {values['p50_ms']:5.1f}  p99 {values['p99_ms']:6.1f} ms" + (
         f"  VIOLATED {violated}" if violated else ""
     )
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -29,7 +29,7 @@
 from pumicepath.lab.loopback.client_connections import encode_request  # noqa: E402
 from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
 from pumicepath.lab.loopback.separate_processes import run_servers  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Tariff  # noqa: E402
+from pumicepath.lab.spec import Fleet, Load, Plan, RequestClassSpec, Sidecars  # noqa: E402
 
 
 def plan(servers: int) -> Plan:
@@ -41,8 +41,8 @@
         sidecars=Sidecars(count=1),
         load=Load(
             tariffs=(
-                Tariff(name="read", **durations),
-                Tariff(name="once", effect="at_most_once", gain=3.0, **durations),
+                RequestClassSpec(name="read", **durations),
+                RequestClassSpec(name="once", effect="at_most_once", gain=3.0, **durations),
             )
         ),
     )
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -28,9 +28,9 @@
 from pumicepath.lab.experiments.fleet_report import check_history  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.links import Links  # noqa: E402
-from pumicepath.lab.model.timeline import SECOND, Virtual  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble  # noqa: E402
-from pumicepath.lab.virtual.peers import Peering, address  # noqa: E402
+from pumicepath.lab.model.timeline import SECOND, VirtualTimeline  # noqa: E402
+from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, Sidecars  # noqa: E402
+from pumicepath.lab.virtual.peers import VirtualFleet, address  # noqa: E402
 
 QUIET_S = 20.0  # without new faults, at the end of the soak
 
@@ -38,7 +38,7 @@
 def soak_plan(count: int, seconds: float, seed: int) -> Plan:
     """A plan of random faults for that many sidecars."""
     rng = Random(seed)
-    faults = [Trouble(kind="fail-quickly", at_s=3, for_s=seconds - 3, servers=(0, 1, 2), value=1.0)]
+    faults = [FaultSpec(kind="fail-quickly", at_s=3, for_s=seconds - 3, servers=(0, 1, 2), value=1.0)]
     at = 8.0
     while at < seconds - QUIET_S:
         sidecars = tuple(rng.sample(range(count), rng.choice((1, 1, 2, 3, count // 2))))
@@ -58,10 +58,10 @@
         )
         match kind:
             case "one-way":
-                faults.append(Trouble(kind="peers-cut", at_s=at, for_s=duration_s, from_=sidecars))
+                faults.append(FaultSpec(kind="peers-cut", at_s=at, for_s=duration_s, from_=sidecars))
             case "peers-noisy":
                 faults.append(
-                    Trouble(
+                    FaultSpec(
                         kind=kind,
                         at_s=at,
                         for_s=duration_s,
@@ -73,7 +73,7 @@
                 )
             case "voters":
                 faults.append(
-                    Trouble(
+                    FaultSpec(
                         kind=rng.choice(("sidecars-killed", "sidecars-stopped")),
                         at_s=at,
                         for_s=duration_s,
@@ -82,7 +82,7 @@
                 )
             case "clock-step":
                 faults.append(
-                    Trouble(
+                    FaultSpec(
                         kind=kind,
                         at_s=at,
                         for_s=duration_s,
@@ -91,7 +91,7 @@
                     )
                 )
             case _:
-                faults.append(Trouble(kind=kind, at_s=at, for_s=duration_s, sidecars=sidecars[:5]))
+                faults.append(FaultSpec(kind=kind, at_s=at, for_s=duration_s, sidecars=sidecars[:5]))
         at += rng.uniform(1.0, 6.0)
     return Plan(
         lasts_s=seconds,
@@ -110,21 +110,21 @@
         report = check_history(path)
     print(
         f"{count} real sidecars for {seconds:g} s, seed {seed}: {report.handovers} hand-overs, "
-        f"service {result.service:.4f}, {sum(result.rules.values())} rules violated"
+        f"service {result.service:.4f}, {sum(result.violations.values())} rules violated"
     )
     print("\n".join(report.summary_lines()))
-    return 1 if report.violations or any(result.rules.values()) else 0
+    return 1 if report.violations or any(result.violations.values()) else 0
 
 
 class DutyFleet:
     """A simulated fleet without submissions in which every sidecar wants the given duties."""
 
     def __init__(self, count: int, lease_s: float, duties: list[str], seed: int) -> None:
-        self.time = Virtual()
+        self.time = VirtualTimeline()
         self.links = Links(self.time, seed, 300)
         lease = round(lease_s * SECOND)
         voting = Voting((tuple(address(each) for each in range(3)),), lease, lease)
-        self.peering = Peering(self.time, self.links, seed, count, voting=voting)
+        self.peering = VirtualFleet(self.time, self.links, seed, count, voting=voting)
         self.duties = duties
         for number in range(count):
             self.peering.start(number)
@@ -133,15 +133,15 @@
     def want_duties(self) -> None:
         """Have every sidecar ask for the duties; repeated each second."""
         for node in self.peering.nodes:
-            if node.fellow is not None and node.fellow.duties is not None:
-                node.fellow.duties.set_wanted(node.clock(), self.duties)
-                node.wake()
+            if node.fleet_node is not None and node.fleet_node.duties is not None:
+                node.fleet_node.duties.set_wanted(node.clock(), self.duties)
+                node.schedule_timer()
         self.time.at(self.time.now + SECOND, self.want_duties)
 
     def holder(self, duty: str) -> int:
         """Number of the running sidecar that holds the duty, or -1."""
         for node in self.peering.nodes:
-            fellow = node.fellow
+            fellow = node.fleet_node
             if (
                 not node.stopped
                 and fellow is not None
@@ -177,8 +177,8 @@
         case "cut":
             fleet.links.cut({number}, all_sidecars - {number})
         case "resign":
-            assert node.fellow is not None
-            node.fellow.stop(node.clock())
+            assert node.fleet_node is not None
+            node.fleet_node.stop(node.clock())
     return (
         fleet.seconds_until_held("d", number if how != "cut" else -1)
         if how != "cut"
@@ -237,24 +237,24 @@
             def request_duties() -> None:
                 if fellow.duties is not None:
                     fellow.duties.set_wanted(fleet.peering.nodes[number].clock(), wanted.get(number, []))
-                    fleet.peering.nodes[number].wake()
+                    fleet.peering.nodes[number].schedule_timer()
 
             return request_duties
 
         fleet.time.run(40 * SECOND)
         fleet.want_duties = lambda: None  # type: ignore[method-assign]
         for node in fleet.peering.nodes:
-            if node.fellow is not None:
-                fleet.time.at(fleet.time.now, make_request(node.fellow, node.number))
+            if node.fleet_node is not None:
+                fleet.time.at(fleet.time.now, make_request(node.fleet_node, node.number))
         fleet.time.run(fleet.time.now + 20 * SECOND)
         fleet.links.sent.clear()
         fleet.links.bytes.clear()
         cpu = time.process_time()
         fleet.time.run(fleet.time.now + 20 * SECOND)
         held = [
-            len(node.fellow.duties.held(node.clock()))
+            len(node.fleet_node.duties.held(node.clock()))
             for node in fleet.peering.nodes
-            if node.fellow is not None and node.fellow.duties is not None
+            if node.fleet_node is not None and node.fleet_node.duties is not None
         ]
         assert sum(held) == duties, sum(held)
         rows["messages a second for each sidecar"].append(f"{fleet.links.sent.total() / count / 20:.2f}")
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -14,14 +14,14 @@
 from duties import DutyFleet
 
 from pumicepath.lab.model.links import Links
-from pumicepath.lab.model.timeline import SECOND, Virtual
-from pumicepath.lab.virtual.peers import Node, Peering
+from pumicepath.lab.model.timeline import SECOND, VirtualTimeline
+from pumicepath.lab.virtual.peers import VirtualFleet, VirtualNode
 
 VOTERS = 3
 LEASE_S = 10.0
 
 
-def count_cpu(node: Node, cpu_s: dict[int, float]) -> None:
+def count_cpu(node: VirtualNode, cpu_s: dict[int, float]) -> None:
     """Count the CPU seconds of one sidecar's membership and duties in `cpu_s`, by its number."""
 
     def wrapped(call: Callable[..., None]) -> Callable[..., None]:
@@ -32,7 +32,7 @@
 
         return timing
 
-    node.came, node.woke = wrapped(node.came), wrapped(node.woke)  # type: ignore[method-assign]
+    node.receive, node.timer_fired = wrapped(node.receive), wrapped(node.timer_fired)  # type: ignore[method-assign]
 
 
 def fleet_with_duties(count: int, duties: int, seed: int) -> DutyFleet:
@@ -46,9 +46,9 @@
 
     def want_duties() -> None:
         for node in fleet.peering.nodes:
-            if node.fellow is not None and node.fellow.duties is not None:
-                node.fellow.duties.set_wanted(node.clock(), wanted_duties.get(node.number, []))
-                node.wake()
+            if node.fleet_node is not None and node.fleet_node.duties is not None:
+                node.fleet_node.duties.set_wanted(node.clock(), wanted_duties.get(node.number, []))
+                node.schedule_timer()
 
     fleet.want_duties = want_duties  # type: ignore[method-assign]
     want_duties()
@@ -69,9 +69,9 @@
         count_cpu(fleet.peering.nodes[each], cpu_s)
     fleet.time.run(fleet.time.now + 20 * SECOND)
     held_duties = sum(
-        len(node.fellow.duties.held(node.clock()))
+        len(node.fleet_node.duties.held(node.clock()))
         for node in fleet.peering.nodes
-        if node.fellow is not None and node.fellow.duties is not None
+        if node.fleet_node is not None and node.fleet_node.duties is not None
     )
     if held_duties != duties:
         raise RuntimeError(f"{held_duties} of {duties} duties have a holder")
@@ -89,8 +89,8 @@
 
 def send_member_kb(pipe: Connection, count: int) -> None:
     """Send the growth of resident memory for each member of a simulated fleet."""
-    time_ = Virtual()
-    peering = Peering(time_, Links(time_, 1, 300), 1, count)
+    time_ = VirtualTimeline()
+    peering = VirtualFleet(time_, Links(time_, 1, 300), 1, count)
     before = resident_kb()
     for number in range(count):
         peering.start(number)
--- a/benchmarks/list_updates.py
+++ b/benchmarks/list_updates.py
@@ -22,7 +22,7 @@
 from pumicepath.discovery.watch import Watch
 from pumicepath.interface import ListKind, Outcome
 from pumicepath.lab.loopback.process import SidecarProcess
-from pumicepath.lab.spec import told as settings_of
+from pumicepath.lab.spec import sidecar_settings as settings_of
 from pumicepath.settings import decode_settings
 
 OWN_ZONE = "zone-00"
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -33,7 +33,7 @@
 
 from pumicepath.lab.loopback.process import SidecarProcess  # noqa: E402
 from pumicepath.lab.loopback.separate_processes import ClientResults, run_clients, run_servers  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Tariff  # noqa: E402
+from pumicepath.lab.spec import Fleet, Load, Plan, RequestClassSpec, Sidecars  # noqa: E402
 
 CONTEXT = multiprocessing.get_context("spawn")
 LOADS = (0.2, 0.5, 0.8, 1.0, 1.5, 2.0, 4.0, 10.0)
@@ -61,8 +61,8 @@
         """The plan of one of `parts` client processes, which share the rate."""
         first = self.steps[0][1]
 
-        def request_class(name: str, effect: str, fraction: float, value: float) -> Tariff:
-            return Tariff(
+        def request_class(name: str, effect: str, fraction: float, value: float) -> RequestClassSpec:
+            return RequestClassSpec(
                 name=name, effect=effect, share=fraction, gain=value, patience_ms=self.deadline_s * 1000
             )
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -25,8 +25,8 @@
 from pumicepath.interface import ListKind, Outcome, ServerEntry, ServerState  # noqa: E402
 from pumicepath.lab.loopback.client_connections import encode_request as request_of  # noqa: E402
 from pumicepath.lab.loopback.servers import RESPONSES  # noqa: E402
-from pumicepath.lab.spec import Load, Plan, Sidecars, Tariff  # noqa: E402
-from pumicepath.lab.spec import told as settings_of
+from pumicepath.lab.spec import Load, Plan, RequestClassSpec, Sidecars  # noqa: E402
+from pumicepath.lab.spec import sidecar_settings as settings_of
 from pumicepath.sidecar import answers, config  # noqa: E402
 from pumicepath.sidecar.admission_gate import AdmissionGate  # noqa: E402
 from pumicepath.sidecar.submissions import parse_submission  # noqa: E402
@@ -35,7 +35,12 @@
 ANSWER = RESPONSES[Outcome.OK]
 PLAN = Plan(
     sidecars=Sidecars(count=1),
-    load=Load(tariffs=(Tariff(name="read"), Tariff(name="once", effect="at_most_once", gain=3.0))),
+    load=Load(
+        tariffs=(
+            RequestClassSpec(name="read"),
+            RequestClassSpec(name="once", effect="at_most_once", gain=3.0),
+        )
+    ),
 )
 
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -24,9 +24,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from pumicepath.lab.model.links import Links, Noise  # noqa: E402
-from pumicepath.lab.model.timeline import SECOND, Virtual  # noqa: E402
-from pumicepath.lab.virtual.peers import Peering  # noqa: E402
+from pumicepath.lab.model.links import Impairment, Links  # noqa: E402
+from pumicepath.lab.model.timeline import SECOND, VirtualTimeline  # noqa: E402
+from pumicepath.lab.virtual.peers import VirtualFleet  # noqa: E402
 
 CHECK_INTERVAL_US = 250_000
 MAX_WAIT_US = 300 * SECOND
@@ -34,19 +34,19 @@
 FAULT_DURATION_S = {10: 3600, 100: 600, 1000: 20}
 
 
-def seconds_until_correct(peering: Peering, time_: Virtual) -> float:
+def seconds_until_correct(peering: VirtualFleet, time_: VirtualTimeline) -> float:
     """Run until all members' views are correct, at most MAX_WAIT_US; return the seconds that it took."""
     began = time_.now
-    while peering.wrong(50) and time_.now - began < MAX_WAIT_US:
+    while peering.sidecars_with_wrong_view(50) and time_.now - began < MAX_WAIT_US:
         time_.run(time_.now + CHECK_INTERVAL_US)
     return (time_.now - began) / SECOND
 
 
 def measure_virtual(count: int, seed: int) -> dict[str, float]:
     """Measure one fleet of that size: durations in seconds, costs for each sidecar and second."""
-    time_ = Virtual()
+    time_ = VirtualTimeline()
     links = Links(time_, seed, 300)
-    peering = Peering(time_, links, seed, count)
+    peering = VirtualFleet(time_, links, seed, count)
     for number in range(count):
         peering.start(number)
     results = {"join": seconds_until_correct(peering, time_), "join_kb": links.bytes.total() / count / 1000}
@@ -74,7 +74,7 @@
     time_.run(time_.now + 30 * SECOND)
     peering.counts.clear()
     duration_s = FAULT_DURATION_S.get(count, 300)
-    undo = links.disturb(range(0, count, 10), Noise(loss=0.2))
+    undo = links.impair(range(0, count, 10), Impairment(loss=0.2))
     time_.run(time_.now + duration_s * SECOND)
     undo()
     hours = duration_s / 3600
@@ -87,7 +87,7 @@
     for number in range(0, count, max(1, count // 10)):
         peering.stop(number)
         time_.run(time_.now + SECOND)
-        peering.go_on(number)
+        peering.resume(number)
         time_.run(time_.now + 5 * SECOND)
         stops += 1
     results["false_stop"] = peering.counts["false deaths"] / count / stops
@@ -168,7 +168,7 @@
 async def measure_real(count: int, folder: Path) -> dict[str, float]:
     """Measure real processes without load: durations in seconds, costs for each sidecar and second."""
     from pumicepath.lab.loopback.world import LoopbackWorld
-    from pumicepath.lab.model.views import wrong
+    from pumicepath.lab.model.views import sidecars_with_wrong_view
     from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
     plan = Plan(
@@ -188,7 +188,7 @@
                 for view in answers
                 if view is not None
             }
-            if not wrong(views, names) or time.monotonic() - began > 300:
+            if not sidecars_with_wrong_view(views, names) or time.monotonic() - began > 300:
                 return time.monotonic() - began
             await asyncio.sleep(0.1)
 
--- a/benchmarks/ranking.py
+++ b/benchmarks/ranking.py
@@ -21,7 +21,7 @@
 sys.path.insert(0, str(ROOT))
 
 from pumicepath.lab.experiments import files, statistics  # noqa: E402
-from pumicepath.lab.virtual.baselines import TEXTBOOK  # noqa: E402
+from pumicepath.lab.virtual.baselines import TEXTBOOK_BALANCERS  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
 SCENARIOS = (
@@ -60,7 +60,7 @@
     """Service of one policy in one scenario with one seed."""
     arm, scenario, seed = job
     plan = files.load_experiment(ROOT / "experiments" / f"{scenario}.toml", 1).plan
-    policy = arm if arm in TEXTBOOK or arm in ("pumicepath", "oracle") else load_balancer(arm)
+    policy = arm if arm in TEXTBOOK_BALANCERS or arm in ("pumicepath", "oracle") else load_balancer(arm)
     return VirtualWorld(plan, seed, policy).run().service
 
 
@@ -72,7 +72,7 @@
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--workers", type=int, default=os.cpu_count())
     options = parser.parse_args()
-    arms = ["pumicepath", *options.revisions, *TEXTBOOK, "oracle"]
+    arms = ["pumicepath", *options.revisions, *TEXTBOOK_BALANCERS, "oracle"]
     jobs = [(arm, day, seed) for arm in arms for day in options.days for seed in range(1, options.seeds + 1)]
     with ProcessPoolExecutor(options.workers) as pool:
         service = dict(zip(jobs, pool.map(run_job, jobs)))
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -24,7 +24,7 @@
 from pumicepath.lab.experiments.statistics import paired_difference  # noqa: E402
 from pumicepath.lab.loopback.world import play  # noqa: E402
 from pumicepath.lab.model.result import Result  # noqa: E402
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble  # noqa: E402
+from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, Sidecars  # noqa: E402
 from pumicepath.lab.verification.history import read  # noqa: E402
 from pumicepath.lab.virtual.run import VirtualWorld  # noqa: E402
 
@@ -36,13 +36,13 @@
 def plan(count: int, shared_trials: bool, restart: bool, servers: int, load: Load) -> Plan:
     """A run with failing servers, and a mass restart of sidecars if `restart` is set."""
     faults = [
-        Trouble(
+        FaultSpec(
             kind="fail-quickly", at_s=FAULT_START_S, for_s=FAULT_DURATION_S, count=FAILING_SERVERS, value=1.0
         )
     ]
     if restart:
         faults.append(
-            Trouble(kind="sidecars-killed", at_s=FAULT_START_S + FAULT_DURATION_S / 2, for_s=1, value=0.7)
+            FaultSpec(kind="sidecars-killed", at_s=FAULT_START_S + FAULT_DURATION_S / 2, for_s=1, value=0.7)
         )
     return Plan(
         lasts_s=RUN_DURATION_S,
@@ -55,7 +55,7 @@
 
 def recovery_s(result: Result) -> float:
     """Seconds from the end of the fault until few breakers are open; all the rest of the run if never."""
-    rows = [sum(row) / FAILING_SERVERS for row in result.breakers]
+    rows = [sum(row) / FAILING_SERVERS for row in result.open_breakers]
     return float(
         next(
             (
@@ -71,17 +71,19 @@
 def measure_virtual(count: int, seed: int, shared_trials: bool, restart: bool) -> dict[str, float]:
     """One run in virtual time, by the keys of ROWS."""
     servers = 100 if count >= 1000 else 20
-    world = VirtualWorld(plan(count, shared_trials, restart, servers, Load(part=0.4)), seed, trace=10_000_000)
+    world = VirtualWorld(
+        plan(count, shared_trials, restart, servers, Load(part=0.4)), seed, trace_lines=10_000_000
+    )
     result = world.run()
     assert world.links is not None
     return {
         "service": result.service,
-        "wasted": result.wasted,
+        "wasted": result.failed_hops,
         "back": recovery_s(result),
         "failed": sum("trial failed" in line for line in world.log),
         "messages": world.links.sent.total() / count / RUN_DURATION_S,
         "busiest": max(world.links.sent.values()) / RUN_DURATION_S,
-        "broken": sum(result.rules.values()),
+        "broken": sum(result.violations.values()),
     }
 
 
@@ -95,12 +97,12 @@
     carried = [line for line in lines if line["what"] == "carried"][-1]
     return {
         "service": result.service,
-        "wasted": result.wasted,
+        "wasted": result.failed_hops,
         "back": recovery_s(result),
         "failed": sum("trial failed" in line.get("text", "") for line in lines if line["what"] == "log"),
         "messages": carried["messages"] / count / RUN_DURATION_S,
         "busiest": max(by[0] for by in carried["by"].values()) / RUN_DURATION_S,
-        "broken": sum(result.rules.values()),
+        "broken": sum(result.violations.values()),
     }
 
 
--- a/pumicepath/commands/lab.py
+++ b/pumicepath/commands/lab.py
@@ -98,7 +98,7 @@
     from rich.progress import Progress
 
     from ..lab.experiments import comparison, report, runner
-    from ..lab.virtual.run import OURS
+    from ..lab.virtual.run import PUMICEPATH
 
     console = Console(stderr=True)
     with Progress(console=console, disable=not console.is_terminal) as progress:
@@ -117,7 +117,7 @@
     click.echo(f"report: {report.write_report(where, head, runs)}")
     if not complete:
         fail(f"interrupted after {len(runs)} of {head['runs']} runs; the report holds these", 130)
-    if any(run["policy"] == OURS and any(run["rules"].values()) for run in runs):
+    if any(run["policy"] == PUMICEPATH and any(run["rules"].values()) for run in runs):
         fail("a rule was broken", 1)
 
 
--- a/pumicepath/lab/experiments/files.py
+++ b/pumicepath/lab/experiments/files.py
@@ -12,9 +12,9 @@
 
 from pydantic import Field, ValidationError, field_validator
 
-from ..spec import Count, Part, Plan
-from ..troubles import KINDS
-from ..virtual.run import OURS, POLICIES
+from ..fault_kinds import KINDS
+from ..spec import Count, Plan, StrictModel
+from ..virtual.run import POLICIES, PUMICEPATH
 
 TABLE_LINE = re.compile(r"^\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(#.*)?$")
 KEY_LINE = re.compile(r"""^\s*("[^"]*"|'[^']*'|[\w-]+(?:\s*\.\s*[\w-]+)*)\s*=""")
@@ -25,14 +25,14 @@
     """The file is invalid; the message names file, line and key, and what would be valid."""
 
 
-class Experiment(Part):
+class Experiment(StrictModel):
     """Keys of a file besides its plan: what is compared, with how many seeds, and over which swept values."""
 
     title: str
     why: str = ""
     seeds: Count = 5
     first_seed: Annotated[int, Field(ge=0)] = 1
-    policies: tuple[str, ...] = (OURS,)
+    policies: tuple[str, ...] = (PUMICEPATH,)
     variants: dict[str, dict[str, Scalar]] = {}
     sweep: dict[str, tuple[Scalar, ...]] = {}
 
@@ -122,7 +122,9 @@
             yield index, "kind", f"no trouble {fault.kind!r}; there are {', '.join(sorted(KINDS))}"
             continue
         kind = KINDS[fault.kind]
-        if host == "virtual" and (kind.real or kind.bends and fault.sidecars or fault.state != "old"):
+        if host == "virtual" and (
+            kind.needs_processes or kind.needs_call_hooks and fault.sidecars or fault.state != "old"
+        ):
             yield (
                 index,
                 "kind",
--- a/pumicepath/lab/experiments/runner.py
+++ b/pumicepath/lab/experiments/runner.py
@@ -14,7 +14,7 @@
 import orjson
 
 from ...compiled import FORM
-from ..model.result import summary
+from ..model.result import summarize
 from ..virtual.run import VirtualWorld
 from .files import ExperimentRun, LoadedExperiment
 from .statistics import latency_histogram
@@ -26,19 +26,19 @@
     """Play one run in this process and return what a report needs of it."""
     cpu_before = time.process_time()
     result = VirtualWorld(run.plan, run.seed, run.policy).run()
-    metrics = summary(result)
-    histogram = latency_histogram([latency for latencies in result.times for latency in latencies])
+    metrics = summarize(result)
+    histogram = latency_histogram([latency for latencies in result.latencies for latency in latencies])
     return {
         "arm": run.arm,
         "point": run.point,
         **metrics,
         "cpu_s": round(time.process_time() - cpu_before, 3),
-        "first": result.first,
+        "first": result.first_violations,
         "columns": result.columns,
         "marks": result.marks,
-        "at_servers": result.at_servers,
-        "breakers": [[round(fraction, 2) for fraction in row] for row in result.breakers],
-        "views_wrong": result.views_wrong,
+        "at_servers": result.hops_at_servers,
+        "breakers": [[round(fraction, 2) for fraction in row] for row in result.open_breakers],
+        "views_wrong": result.wrong_views,
         "latency": histogram.encode().decode(),
     }
 
--- /dev/null
+++ b/pumicepath/lab/fault_kinds/list_down.py
@@ -0,0 +1,16 @@
+"""An outage of the server list."""
+
+from .base import Fault, sidecar_names
+
+
+class ListDown(Fault):
+    """Requests for the list fail; for the named sidecars, or all."""
+
+    def inject(self) -> str:
+        self.world.registry.disconnect(self.spec.sidecars)
+        if self.spec.sidecars:
+            return f"{sidecar_names(list(self.spec.sidecars))} without it"
+        return f"{len(self.world.registry.subscriptions)} sidecars without it"
+
+    def revert(self) -> None:
+        self.world.registry.reconnect(self.spec.sidecars)
--- a/pumicepath/lab/loopback/client_connections.py
+++ b/pumicepath/lab/loopback/client_connections.py
@@ -13,8 +13,8 @@
 from ...http1 import writing
 from ...http1.messages import MalformedMessageError, Response
 from ...interface import RequestClass
-from ..model.clients import Ask
-from ..model.judge import Judge
+from ..model.clients import ClientSubmission
+from ..model.rule_checker import RuleChecker
 from ..spec import Plan
 from .clock import EventLoopTimeline
 from .protocols import HttpClientProtocol
@@ -26,10 +26,10 @@
     """The part of a world that the connections use."""
 
     plan: Plan
-    judge: Judge
+    rule_checker: RuleChecker
     loop: asyncio.AbstractEventLoop
     timeline: EventLoopTimeline
-    tariffs: tuple[RequestClass, ...]
+    request_classes: tuple[RequestClass, ...]
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
         """Runs a coroutine as a task that ends with the world at the latest."""
@@ -54,7 +54,7 @@
         # From sending a submission to its rejection.
         self.rejection_times_us: deque[int] = deque(maxlen=MAX_REJECTION_TIMES)
 
-    def take(self, ask: Ask) -> bool:
+    def submit(self, ask: ClientSubmission) -> bool:
         """Sends a submission; returns False if the sidecar is down or the connection limit is reached."""
         if not self.up:
             return False
@@ -69,24 +69,24 @@
         self.host.start_task(self.connect(ask))
         return True
 
-    async def connect(self, submission: Ask) -> None:
+    async def connect(self, submission: ClientSubmission) -> None:
         """Opens a connection and sends the submission on it, if its client still waits for this try."""
-        turn = submission.turn
+        turn = submission.current_try
         try:
             connection = (
                 await self.host.loop.create_connection(lambda: ClientConnection(self), *self.address)
             )[1]
         except OSError:
             self.open_count -= 1
-            if turn == submission.turn:
-                submission.clients.unreached(submission)
+            if turn == submission.current_try:
+                submission.clients.target_unreachable(submission)
             return
-        if submission.over or turn != submission.turn:
+        if submission.finished or turn != submission.current_try:
             self.idle.append(connection)
         else:
             connection.send(submission)
 
-    def left(self, ask: Ask) -> None:
+    def client_left(self, ask: ClientSubmission) -> None:
         """Aborts the connection of a submission whose client has left."""
         connection = self.connection_by_submission.pop(ask.number, None)
         if connection is not None:
@@ -125,18 +125,18 @@
         super().__init__()
         self.pool = pool
         self.start_count = pool.start_count
-        self.submission: Ask | None = None
+        self.submission: ClientSubmission | None = None
         self.turn = self.sent_at = 0
         self.used = False
 
-    def send(self, submission: Ask) -> None:
+    def send(self, submission: ClientSubmission) -> None:
         """Sends the request of a submission."""
         host = self.pool.host
-        self.submission, self.turn, self.sent_at = submission, submission.turn, host.timeline.now
+        self.submission, self.turn, self.sent_at = submission, submission.current_try, host.timeline.now
         self.pool.connection_by_submission[submission.number] = self
-        request_class = host.plan.load.tariffs[submission.tariff]
-        left_ms = max(1, (submission.until - self.sent_at) // 1000)
-        host.judge.tried(submission.number, submission.tariff, submission.until)
+        request_class = host.plan.load.tariffs[submission.class_index]
+        left_ms = max(1, (submission.deadline_at - self.sent_at) // 1000)
+        host.rule_checker.try_admitted(submission.number, submission.class_index, submission.deadline_at)
         self.transport.write(
             encode_request(
                 request_class.name,
@@ -169,9 +169,9 @@
         elif response.status == 503:
             self.pool.rejection_times_us.append(self.pool.host.timeline.now - self.sent_at)
             retry_after_s = float(response.header("retry-after") or 0.0)
-            submission.clients.deferred(submission, self.turn, round(retry_after_s * 1e6))
+            submission.clients.rejected(submission, self.turn, round(retry_after_s * 1e6))
         else:
-            submission.clients.forfeited(submission, self.turn)
+            submission.clients.failed(submission, self.turn)
 
     def connection_lost(self, error: Exception | None) -> None:
         pool = self.pool
@@ -184,10 +184,12 @@
         pool.connection_by_submission.pop(submission.number, None)
         if not pool.up or pool.start_count != self.start_count or pool.ending and not self.used:
             # The sidecar process has ended, or ended before it accepted the connection.
-            submission.clients.cut(submission, pool.host.tariffs[submission.tariff].effect != 0)
-        elif self.used and not submission.over:
+            submission.clients.target_died(
+                submission, pool.host.request_classes[submission.class_index].effect != 0
+            )
+        elif self.used and not submission.finished:
             # The request crossed the sidecar's close of an idle connection.  It is sent again on a new
             # connection under the same id, so that a sidecar that had admitted it would refuse it.
-            pool.host.judge.gone(submission.number)
+            pool.host.rule_checker.abandoned(submission.number)
             pool.open_count += 1
             pool.host.start_task(pool.connect(submission))
--- a/pumicepath/lab/loopback/demo.py
+++ b/pumicepath/lab/loopback/demo.py
@@ -12,7 +12,7 @@
 from ..model.clients import percentile
 from ..model.result import Result
 from ..model.timeline import SECOND
-from ..spec import Fleet, Load, Plan, Sidecars, Tariff, Trouble
+from ..spec import FaultSpec, Fleet, Load, Plan, RequestClassSpec, Sidecars
 from .world import LoopbackWorld
 
 ZONE_COUNT, SERVER_COUNT, SIDECAR_COUNT, SUBMISSIONS_PER_S = 2, 8, 3, 240.0
@@ -40,12 +40,14 @@
     faults, at, number = [], interval / 2, 0
     while at + interval <= seconds:
         kind, fraction, more = FAULT_SCHEDULE[number % len(FAULT_SCHEDULE)]
-        faults.append(Trouble(kind=kind, at_s=round(at, 3), for_s=round(fraction * interval, 3), **more))
+        faults.append(FaultSpec(kind=kind, at_s=round(at, 3), for_s=round(fraction * interval, 3), **more))
         at, number = at + interval, number + 1
     request_classes = (
-        Tariff(name="read", share=0.7, agreed_ms=250, patience_ms=1000),
-        Tariff(name="once", effect="at_most_once", share=0.2, gain=3.0, agreed_ms=250, patience_ms=1000),
-        Tariff(
+        RequestClassSpec(name="read", share=0.7, agreed_ms=250, patience_ms=1000),
+        RequestClassSpec(
+            name="once", effect="at_most_once", share=0.2, gain=3.0, agreed_ms=250, patience_ms=1000
+        ),
+        RequestClassSpec(
             name="marked",
             effect="deduplicated",
             group="all",
@@ -69,7 +71,7 @@
 
 def last_settled_second(world: LoopbackWorld) -> int:
     """Returns the last second whose submissions have nearly all ended."""
-    return min(max(0, world.timeline.now // SECOND - 2), world.lasts // SECOND - 1)
+    return min(max(0, world.timeline.now // SECOND - 2), world.duration // SECOND - 1)
 
 
 def render_view(world: LoopbackWorld) -> Group:
@@ -84,20 +86,22 @@
     )
     head.append(f" {fraction:.0%}")
     active_faults = [
-        mark.text for mark in world.marks if mark.at <= now <= max(mark.until, mark.at + 1_500_000)
+        mark.text
+        for mark in world.marks
+        if mark.started_at <= now <= max(mark.ends_at, mark.started_at + 1_500_000)
     ]
     fault_line = Text(
         "going wrong: " + ("; ".join(active_faults) or "nothing"), "bold red" if active_faults else "green"
     )
     table = Table("server", "hall", "hops", "refused by", box=None, pad_edge=False)
-    for number in world.places:
+    for number in world.server_ids:
         server = world.servers[number]
         refusing = [sidecar.number for sidecar in world.sidecars if f"s-{number}" in sidecar.open_breakers]
         state = "silent" if server.silent else "" if server.up else "down"
         table.add_row(
             f"s-{number}",
-            str(server.hall),
-            f"{server.at_it} {state}",
+            str(server.zone),
+            f"{server.hop_count} {state}",
             ", ".join(f"sidecar {sidecar}" for sidecar in refusing) or "-",
         )
     log = Text("\n".join(list(world.log)[-MAX_SHOWN_LOG_LINES:]), "dim")
@@ -109,7 +113,9 @@
     at = last_settled_second(world)
     start, end = at * SECOND, (at + 1) * SECOND
     active_faults = [
-        mark.text for mark in world.marks if mark.at < end and max(mark.until, mark.at + 1) > start
+        mark.text
+        for mark in world.marks
+        if mark.started_at < end and max(mark.ends_at, mark.started_at + 1) > start
     ]
     return f"{at:3d} s  offered {world.tally.offered[at]:4d}  in time {world.tally.good[at]:4d}  " + (
         "; ".join(active_faults) or "calm"
@@ -118,8 +124,8 @@
 
 def totals(result: Result) -> dict[str, Any]:
     """Returns the result as one object; `lost` counts admitted submissions that had no answer."""
-    finals, rules = result.finals, result.rules
-    times = [latency for latencies in result.times for latency in latencies]
+    finals, rules = result.final_answers, result.violations
+    times = [latency for latencies in result.latencies for latency in latencies]
     return {
         "taken": sum(finals.values()) + rules["unanswered"],
         "succeeded": finals["succeeded"],
@@ -156,8 +162,8 @@
     return [
         *lines,
         *(
-            f"BROKEN {rule}: {count}, first {result.first.get(rule, '')}"
-            for rule, count in result.rules.items()
+            f"BROKEN {rule}: {count}, first {result.first_violations.get(rule, '')}"
+            for rule, count in result.violations.items()
             if count
         ),
     ]
--- a/pumicepath/lab/loopback/discovery.py
+++ b/pumicepath/lab/loopback/discovery.py
@@ -38,7 +38,7 @@
         host, port = self.listener.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
-    def listed(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+    def receive_list(self, kind: ListKind, entries: list[ServerEntry]) -> None:
         if kind == ListKind.CACHED:
             return  # the configuration has this list
         if kind == ListKind.FAILED:
@@ -55,14 +55,14 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 query = WATCH_QUERY.search(head)
                 wait_s = int(query[2]) / 1000 if query else 0.0
-                following = self.world.registry.followers.get(self.number)
+                following = self.world.registry.subscriptions.get(self.number)
                 if following is None:
                     break
                 self.fails_next = False
-                if not query or not following.follows:
+                if not query or not following.following:
                     self.pending_updates.clear()
                     self.update_ready.clear()
-                    self.world.registry.follow(self.number)
+                    self.world.registry.subscribe(self.number)
                     wait_s = max(wait_s, 5.0)
                 writer.write(await self.next_response(wait_s))
                 await writer.drain()
--- a/pumicepath/lab/loopback/host.py
+++ b/pumicepath/lab/loopback/host.py
@@ -7,10 +7,10 @@
 from typing import Any, Protocol
 
 from ...interface import RequestClass
-from ..model.judge import Judge
 from ..model.links import Links
-from ..model.listing import Registry
 from ..model.network import Network
+from ..model.registry import Registry
+from ..model.rule_checker import RuleChecker
 from ..spec import Plan
 from ..verification.history import History
 from .clock import EventLoopTimeline
@@ -22,14 +22,14 @@
     plan: Plan
     seed: int
     is_closed: bool
-    judge: Judge
+    rule_checker: RuleChecker
     registry: Registry
     network: Network
     loop: asyncio.AbstractEventLoop
     timeline: EventLoopTimeline
     history: History
     links: Links | None
-    tariffs: tuple[RequestClass, ...]
+    request_classes: tuple[RequestClass, ...]
     processes: list[asyncio.subprocess.Process]
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
--- a/pumicepath/lab/loopback/separate_processes.py
+++ b/pumicepath/lab/loopback/separate_processes.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..model.judge import Judge
+from ..model.rule_checker import RuleChecker
 from ..model.servers import Job, Server
 from ..model.world import World
 from ..spec import Plan
@@ -25,19 +25,19 @@
 TALLY_COLUMNS = ("offered", "good", "late", "deferred", "forfeited", "left", "lost", "refused")
 
 
-class ExecutionCounter(Judge):
+class ExecutionCounter(RuleChecker):
     """Counts how often each submission ran on the servers; the clients' process checks everything else."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.run_counts = Counter[int]()
 
-    def sent(self, sidecar: int, server: int, ask: int, answered: bool = False) -> None: ...
+    def hop_sent(self, sidecar: int, server: int, ask: int, answered: bool = False) -> None: ...
 
-    def returned(self, ask: int) -> None: ...
+    def hop_returned(self, ask: int) -> None: ...
 
-    def ran(self, now: int, job: Job, server: Server) -> bool:
-        self.run_counts[job.ask] += 1
+    def work_started(self, now: int, job: Job, server: Server) -> bool:
+        self.run_counts[job.submission_id] += 1
         return True
 
 
@@ -54,7 +54,7 @@
     def set_speed(self, factor: float) -> None:
         """Makes all servers work at this fraction of their normal speed."""
         for server in self.world.servers.values():
-            server.slowed(factor)
+            server.set_speed_factor(factor)
 
     def run_counts(self) -> Counter[int]:
         """Returns how often each submission ran, by the numbers that clients give them."""
@@ -75,7 +75,7 @@
         sidecar = world.sidecars[0]
         await sidecar.discovery.open()
         configuration = sidecar.configuration()
-        world.registry.join(sidecar.number, sidecar.discovery)
+        world.registry.register(sidecar.number, sidecar.discovery)
         yield ServerSide(world, counters[0], configuration)
     finally:
         await world.close()
@@ -103,17 +103,17 @@
         self.violations = {cause: count + other.violations[cause] for cause, count in self.violations.items()}
 
 
-class ClientRuleChecker(Judge):
+class ClientRuleChecker(RuleChecker):
     """Checks what clients see and collects non-idempotent submissions; hops at servers are unknown here."""
 
     def __init__(self, non_idempotent: set[int], *args: Any) -> None:
         super().__init__(*args)
         self.non_idempotent = non_idempotent
 
-    def tried(self, ask: int, tariff: int, until: int) -> None:
-        if self.tariffs[tariff].effect != 0:
+    def try_admitted(self, ask: int, tariff: int, until: int) -> None:
+        if self.request_classes[tariff].effect != 0:
             self.non_idempotent.add(ask)
-        super().tried(ask, tariff, until)
+        super().try_admitted(ask, tariff, until)
 
 
 class ClientWorld(World):
@@ -129,8 +129,8 @@
             plan,
             seed,
             EventLoopTimeline(self.loop),
-            slack=SLACK_US,
-            judging=lambda *args: ClientRuleChecker(self.non_idempotent, *args),
+            answer_slack=SLACK_US,
+            make_rule_checker=lambda *args: ClientRuleChecker(self.non_idempotent, *args),
         )
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -163,8 +163,8 @@
     sidecar = RemoteSidecar(world, number, address, max_connections)
     world.timeline.started_at = world.loop.time()
     world.start_task(world.timeline.measure_ticks())
-    world.clients(sidecar, sidecar).begin()  # type: ignore[arg-type]
-    deadline_s = max(request_class.deadline for request_class in world.tariffs) / 1e6
+    world.make_clients(sidecar, sidecar).start()  # type: ignore[arg-type]
+    deadline_s = max(request_class.deadline for request_class in world.request_classes) / 1e6
     await asyncio.sleep(plan.lasts_s + deadline_s + 0.3)
     for task in list(world.tasks):
         task.cancel()
@@ -172,11 +172,11 @@
     tally = world.tally
     return ClientResults(
         {name: list(getattr(tally, name)) for name in TALLY_COLUMNS},
-        [latency for latencies in tally.times for latency in latencies],
+        [latency for latencies in tally.latencies for latency in latencies],
         list(sidecar.rejection_times_us),
         world.timeline.p99_tick_delay_ms(),
         world.non_idempotent,
-        dict(world.judge.broken),
+        dict(world.rule_checker.violations),
     )
 
 
--- a/pumicepath/lab/loopback/servers.py
+++ b/pumicepath/lab/loopback/servers.py
@@ -147,9 +147,9 @@
         if submission < 0:
             return
         if self.job is None:  # still on the way, or lost at a silent server
-            self.world.judge.returned(submission)
-        elif not self.job.gone:
-            self.server.cancelled(self.job)
+            self.world.rule_checker.hop_returned(submission)
+        elif not self.job.finished:
+            self.server.cancel(self.job)
 
     def malformed_message(self, error: MalformedMessageError) -> None:
         self.world.note(f"server received {error}")
@@ -162,9 +162,9 @@
         self.submission = int(request.header("x-trace-id").partition("-")[0], 16)
         sidecar = self.submission >> 32
         zone = world.zone_of(sidecar)
-        world.judge.sent(sidecar, server.number, self.submission)
+        world.rule_checker.hop_sent(sidecar, server.number, self.submission)
         world.network.carry(
-            zone, server.hall, self.hop_arrived, self.submission, sidecar, request.header("x-object")
+            zone, server.zone, self.hop_arrived, self.submission, sidecar, request.header("x-object")
         )
 
     def hop_arrived(self, submission: int, sidecar: int, key: str) -> None:
@@ -173,12 +173,12 @@
             return  # the sidecar gave it up on the way
 
         def reply(outcome: Outcome) -> None:
-            world.judge.returned(submission)
+            world.rule_checker.hop_returned(submission)
             self.job = None
             if self.submission == submission:
                 self.submission = -1
                 if not server.silent:
-                    world.network.carry(server.hall, world.zone_of(sidecar), self.send_response, outcome)
+                    world.network.carry(server.zone, world.zone_of(sidecar), self.send_response, outcome)
 
         job = Job(
             submission,
@@ -186,9 +186,9 @@
             sidecar,
             world.work(submission),
             reply,
-            world.registry.knows_start(sidecar, server.number, server.came_up),
+            world.registry.start_is_known(sidecar, server.number, server.started_at),
         )
-        if server.came(job) and not job.gone:
+        if server.receive(job) and not job.finished:
             self.job = job
 
     def send_response(self, outcome: Outcome) -> None:
@@ -196,7 +196,7 @@
             return
         if outcome not in RESPONSES:
             self.reset()
-        elif outcome == Outcome.OK and self.server is not None and self.server.stalls():
+        elif outcome == Outcome.OK and self.server is not None and self.server.draw_stall():
             self.transport.write(RESPONSES[outcome][: -len(BODY) // 2])  # the rest never follows
         else:
             self.transport.write(RESPONSES[outcome])
--- a/pumicepath/lab/loopback/sidecars.py
+++ b/pumicepath/lab/loopback/sidecars.py
@@ -16,10 +16,10 @@
 import orjson
 
 from ...http1 import writing
-from ..model.listing import TWIN
-from ..model.world import Instance
-from ..spec import told
-from ..troubles import KINDS
+from ..fault_kinds import KINDS
+from ..model.registry import REPLACEMENT_OFFSET
+from ..model.world import SidecarInstance
+from ..spec import sidecar_settings
 from ..verification.clocks import PAGE_PATH_VARIABLE, ControlPage
 from ..verification.disks import StateFolder
 from .client_connections import ClientConnections
@@ -39,14 +39,14 @@
     return host, int(port or 0)
 
 
-class LoopbackSidecar(ClientConnections, Instance):
+class LoopbackSidecar(ClientConnections, SidecarInstance):
     """A `pumicepath serve` process, restarted at the same address, and the connections of its clients."""
 
     def __init__(self, world: LoopbackHost, number: int, zone: int, folder: Path) -> None:
         super().__init__(world)
         self.world = world
         self.number = number
-        self.hall = zone
+        self.zone = zone
         self.folder = folder
         self.listen = "127.0.0.1:0"
         self.process: asyncio.subprocess.Process | None = None
@@ -59,7 +59,9 @@
         self.admin_address = ("", 0)
         self.peer_socket = ("", 0)  # the UDP socket that its process listens on
         self.state_folder = StateFolder(folder / f"state-{number}", folder / f"copy-{number}")
-        has_page = any(KINDS[fault.kind].bends for fault in world.plan.troubles if fault.kind in KINDS)
+        has_page = any(
+            KINDS[fault.kind].needs_call_hooks for fault in world.plan.troubles if fault.kind in KINDS
+        )
         self.control_page = ControlPage(folder / f"clock-{number}") if has_page else None
         self.busy_process: asyncio.subprocess.Process | None = None
 
@@ -81,7 +83,7 @@
         old, old_discovery = self.process, self.discovery
         if old is None or old.returncode is not None:
             return
-        self.discovery = DiscoveryServer(self.world, self.number + TWIN)
+        self.discovery = DiscoveryServer(self.world, self.number + REPLACEMENT_OFFSET)
         self.ready.clear()
         await self.start_process()
         try:
@@ -96,7 +98,7 @@
             old.send_signal(signal.SIGTERM)
         await old.wait()
         if not self.world.is_closed:
-            self.world.registry.succeed(self.number)
+            self.world.registry.finish_replacement(self.number)
             self.discovery.number = self.number
             old_discovery.close()
 
@@ -137,7 +139,7 @@
             command = ["-m", "pumicepath.lab.verification.starter"]
             environment[PAGE_PATH_VARIABLE] = str(self.folder / f"clock-{self.number}")
         path.write_bytes(orjson.dumps(config))
-        world.registry.join(self.discovery.number, self.discovery)
+        world.registry.register(self.discovery.number, self.discovery)
         world.history.write("rig", "started", sidecar=self.number, starts=self.start_count)
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -160,8 +162,8 @@
             "discovery": self.discovery.address,
             "seed": f"{world.seed * 1_000_003 + self.number * 97 + self.start_count:x}",
             "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024},
-            "known": self.discovery.list_document(True, world.registry.whole()),
-            "settings": told(world.plan, self.number, self.hall),
+            "known": self.discovery.list_document(True, world.registry.full_list()),
+            "settings": sidecar_settings(world.plan, self.number, self.zone),
         }
 
     async def read_log(self, process: asyncio.subprocess.Process) -> None:
@@ -193,11 +195,11 @@
         if self.process is process and not self.world.is_closed:
             self.world.note(f"sidecar {self.number} ended with exit code {exit_code}")
             self.up = False
-            self.world.registry.leave(self.number)
+            self.world.registry.unregister(self.number)
 
     def kill(self) -> None:
         self.up = self.stopped = False
-        self.world.registry.leave(self.number)
+        self.world.registry.unregister(self.number)
         self.world.history.write("rig", "killed", sidecar=self.number)
         self.send_signal(signal.SIGKILL)
         while self.stopped_processes:
@@ -213,24 +215,24 @@
 
     def stop(self) -> None:
         self.stopped = True
-        self.world.judge.stop(self.number, True)
+        self.world.rule_checker.set_sidecar_stopped(self.number, True)
         self.stopped_processes.append(self.process)
         self.send_signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Continues every process that was stopped, even one that has been replaced since."""
         if self.stopped:
             self.stopped = False
             while self.stopped_processes:
                 self.signal_process(self.stopped_processes.pop(), signal.SIGCONT)
-            self.world.judge.stop(self.number, False)
+            self.world.rule_checker.set_sidecar_stopped(self.number, False)
 
-    def end(self) -> None:
+    def terminate(self) -> None:
         self.ending = True
         self.world.history.write("rig", "asked_to_end", sidecar=self.number)
         self.send_signal(signal.SIGTERM)
 
-    def crowd(self, on: bool) -> None:
+    def set_core_contention(self, on: bool) -> None:
         self.world.start_task(self.set_core_busy(on))
 
     async def set_core_busy(self, on: bool) -> None:
@@ -251,15 +253,15 @@
             )
             self.world.processes.append(self.busy_process)
 
-    def bend(self, rate: float | None, step: int) -> None:
+    def adjust_clock(self, rate: float | None, step: int) -> None:
         assert self.control_page is not None
         self.control_page.set_clock(rate, step * 1000)
 
-    def burden(self, read_only: bool, slow_ms: float) -> None:
+    def impair_disk(self, read_only: bool, slow_ms: float) -> None:
         assert self.control_page is not None
         self.control_page.set_disk(read_only, slow_ms)
 
-    def disk(self, what: str, chance: Random) -> int:
+    def damage_disk(self, what: str, chance: Random) -> int:
         disk = self.state_folder
         if what in ("full", "free"):
             if self.process is not None and self.process.returncode is None:
--- a/pumicepath/lab/loopback/world.py
+++ b/pumicepath/lab/loopback/world.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 from typing import Any
 
-from ..model.judge import Judge
+from ..fault_kinds import KINDS
 from ..model.links import Links
-from ..model.result import Result, result
+from ..model.result import Result, collect_result
+from ..model.rule_checker import RuleChecker
 from ..model.timeline import SECOND
 from ..model.world import World
 from ..spec import Plan
-from ..troubles import KINDS
 from ..verification.history import VERSION, History
 from ..verification.recording import RecordingRuleChecker
 from .clock import EventLoopTimeline
@@ -49,7 +49,7 @@
         seed: int,
         folder: Path,
         history: Path | None = None,
-        make_rule_checker: Callable[..., Judge] | None = None,
+        make_rule_checker: Callable[..., RuleChecker] | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         timeline = EventLoopTimeline(self.loop)
@@ -75,7 +75,7 @@
         )
         if plan.sidecars.peers:
             self.links = Links(timeline, seed)
-            self.links.witness = self.record_datagram
+            self.links.observer = self.record_datagram
             self.datagram_proxies = DatagramProxies(self.links)
         self.sidecars = [
             LoopbackSidecar(self, number, self.zone_of(number), folder)
@@ -83,8 +83,8 @@
         ]
         self.instances.extend(self.sidecars)
 
-    def begin(self, place: int, cold: bool = False) -> LoopbackServer:
-        server = super().begin(place, cold)
+    def add_server(self, place: int, cold: bool = False) -> LoopbackServer:
+        server = super().add_server(place, cold)
         assert isinstance(server, LoopbackServer)
         if place not in self.listeners:
             self.listeners[place] = ServerListener(self)
@@ -180,16 +180,16 @@
                     self.start_task(self.poll_duties(sidecar))
         self.start_task(self.timeline.measure_ticks())
         for sidecar in self.sidecars:
-            self.clients(sidecar, sidecar).begin()
+            self.make_clients(sidecar, sidecar).start()
         for number, fault in enumerate(self.plan.troubles):
-            KINDS[fault.kind](self, fault, number).plan()
-        deadline = max(request_class.deadline for request_class in self.tariffs)
+            KINDS[fault.kind](self, fault, number).schedule()
+        deadline = max(request_class.deadline for request_class in self.request_classes)
         second = SECOND
-        while second <= self.lasts + deadline + SECOND:
+        while second <= self.duration + deadline + SECOND:
             await asyncio.sleep(max(0.0, (second - self.timeline.now) / 1e6))
             if self.internal_errors:
                 raise InvalidRunError(self.internal_errors[0])
-            if second <= self.lasts:
+            if second <= self.duration:
                 self.sample_servers()
             if on_second is not None:
                 on_second(self)
@@ -245,18 +245,20 @@
             await asyncio.sleep(max(MIN_DUTY_POLL_INTERVAL_S, len(self.sidecars) / MAX_DUTY_POLLS_PER_S))
 
     def sample_servers(self) -> None:
-        self.at_servers.append([self.servers[number].at_it for number in self.places])
+        self.at_servers.append([self.servers[number].hop_count for number in self.server_ids])
         self.breakers.append(
             [
                 sum(f"s-{number}" in sidecar.open_breakers for sidecar in self.sidecars) / len(self.sidecars)
-                for number in self.places
+                for number in self.server_ids
             ]
         )
 
     def result(self) -> Result:
-        for second, (wanted, earned) in enumerate(zip(self.tally.wanted, self.tally.earned)):
+        for second, (wanted, earned) in enumerate(
+            zip(self.tally.offered_value_per_second, self.tally.earned_value_per_second)
+        ):
             self.history.write("clients", "second", second=second, wanted=wanted, earned=earned)
-        return result(
+        return collect_result(
             self, "pumicepath", self.timeline.events, self.at_servers, self.breakers, list(self.log)
         )
 
--- a/pumicepath/lab/model/world.py
+++ b/pumicepath/lab/model/world.py
@@ -1,4 +1,4 @@
-"""One fleet with its halls, list, network and judge, put together from a plan and a seed."""
+"""The world of a run: servers, list, network, clients and rule checker, from a plan and a seed."""
 
 from __future__ import annotations
 
@@ -9,206 +9,231 @@
 
 from ...interface import ServerEntry, ServerState, Settings
 from ...settings import decode_settings
-from ..spec import Plan, micros, told
-from .clients import Clients, Habits, Keys, Moods, Tally
-from .judge import SLACK, Judge
+from ..spec import Plan, sidecar_settings, to_microseconds
+from .clients import ClientBehavior, Clients, KeyDistribution, LoadOverrides, Tally
 from .links import Links
-from .listing import Manner, Registry
 from .network import Network
-from .servers import Build, Limit, Server
-from .timeline import SECOND, Timeline, chance
+from .registry import ListTiming, Registry
+from .rule_checker import ANSWER_SLACK_US, RuleChecker
+from .servers import Server, ServerParameters, SharedLimit
+from .timeline import SECOND, Timeline, random_source
 
 
-class Instance:
-    """A sidecar as troubles meet it; what only a real process can do, only a real one does."""
+class SidecarInstance:
+    """A sidecar as injected faults see it; only real processes implement the methods that raise here."""
 
     number: int
-    hall: int
+    zone: int
     up: bool
 
     def start(self, state: str = "old") -> None:
-        """Begin anew, with its own state, none, or another's."""
+        """Start a process whose disk holds its own `old` state, `none`, or that of an `other` sidecar."""
 
-    def kill(self) -> None: ...
+    def kill(self) -> None:
+        """End the process at once."""
 
     def stop(self) -> None:
-        """In the middle of whatever it does, until told to go on."""
+        """Suspend the process wherever it is, until `resume`."""
         raise NotImplementedError
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
+        """Let a suspended process go on."""
         raise NotImplementedError
 
-    def end(self) -> None:
-        """Ask it to end, as a release does."""
+    def terminate(self) -> None:
+        """Ask the process to end, as a release does."""
         raise NotImplementedError
 
     def replace(self) -> None:
-        """Start another process in its place, then ask it to end."""
+        """Start a new process beside it, then ask the old one to end."""
         raise NotImplementedError
 
-    def crowd(self, on: bool) -> None:
-        """Something else keeps its core busy."""
+    def set_core_contention(self, contended: bool) -> None:
+        """Whether another process keeps its core busy."""
         raise NotImplementedError
 
-    def bend(self, rate: float | None, step: int) -> None:
-        """Its clock runs at another rate; its wall clock is set by microseconds."""
+    def adjust_clock(self, rate: float | None, step: int) -> None:
+        """Run its clock at another rate, and step its wall clock by microseconds."""
         raise NotImplementedError
 
-    def disk(self, what: str, chance: Random) -> int:
-        """Befall its folder: `full`, `free`, `torn`, `lost`, `kept`, `old`; how many files were met."""
+    def damage_disk(self, damage: str, rng: Random) -> int:
+        """Act on its folder: `full`, `free`, `torn`, `lost`, `kept` or `old`; returns the number of files."""
         raise NotImplementedError
 
-    def burden(self, read_only: bool, slow_ms: float) -> None:
-        """Its disk takes no changes, or each step on it takes so long."""
+    def impair_disk(self, read_only: bool, slow_ms: float) -> None:
+        """Make its disk read-only, or each operation on it take so long."""
         raise NotImplementedError
 
 
-class Fellows(Protocol):
-    """The fleet that sidecars are of, where the host has a model of it."""
+class SidecarFleet(Protocol):
+    """The membership of sidecars in a fleet, where the host models it."""
 
-    def start(self, number: int) -> None: ...
+    def start(self, number: int) -> None:
+        """A sidecar has started."""
 
-    def accompany(self, number: int, decisions: Any) -> None: ...
+    def attach_balancer(self, number: int, balancer: Any) -> None:
+        """Connect the balancer of a sidecar that has started."""
 
-    def kill(self, number: int) -> None: ...
+    def kill(self, number: int) -> None:
+        """A sidecar was killed."""
 
 
 @dataclass
-class Mark:
-    """Something to be seen in a report: when, until when, and what."""
+class TimelineMark:
+    """An event to show in reports; times in microseconds."""
 
-    at: int
-    until: int
+    started_at: int
+    ends_at: int
     text: str
 
 
 class World:
-    """What hosts add: the sidecars.  `make` may give servers of another host's."""
+    """All of a run but the sidecars, which hosts add; times in microseconds.
+
+    `make_server` lets a host use servers of its own, and `make_rule_checker` a rule checker of its own.
+    """
 
     def __init__(
         self,
         plan: Plan,
         seed: int,
         timeline: Timeline,
-        make: Callable[..., Server] = Server,
-        slack: int = SLACK,
-        judging: Callable[..., Judge] = Judge,
+        make_server: Callable[..., Server] = Server,
+        answer_slack: int = ANSWER_SLACK_US,
+        make_rule_checker: Callable[..., RuleChecker] = RuleChecker,
     ) -> None:
         fleet = plan.fleet
         self.plan = plan
         self.seed = seed
         self.timeline = timeline
-        self.make = make
-        self.lasts = micros(plan.lasts_s)
-        self.chance = chance(seed, "world")
-        self.build = Build(
+        self.make_server = make_server
+        self.duration = to_microseconds(plan.lasts_s)
+        self.rng = random_source(seed, "world")
+        self.server_parameters = ServerParameters(
             cores=fleet.cores,
-            queue=fleet.queue,
-            cache=fleet.cache,
-            miss=fleet.miss,
-            cold_from=fleet.cold_from,
-            cold_for=micros(fleet.cold_s),
-            fall_multiple=fleet.fall_multiple,
-            fall_window=micros(fleet.fall_s),
-            jam_at=fleet.jam_at,
-            jam_speed=fleet.jam_speed,
-            stops=fleet.stops,
+            queue_limit=fleet.queue,
+            cache_size=fleet.cache,
+            miss_factor=fleet.miss,
+            cold_fraction=fleet.cold_from,
+            cold_duration=to_microseconds(fleet.cold_s),
+            overload_multiple=fleet.fall_multiple,
+            overload_window=to_microseconds(fleet.fall_s),
+            congestion_threshold=fleet.jam_at,
+            congestion_speed=fleet.jam_speed,
+            stops_cancelled=fleet.stops,
         )
         self.registry = Registry(
             timeline,
-            Manner(
-                micros(plan.list.lag_from_ms / 1e3),
-                micros(plan.list.lag_to_ms / 1e3),
-                micros(plan.list.ask_every_s),
-                micros(plan.list.grace_s),
+            ListTiming(
+                to_microseconds(plan.list.lag_from_ms / 1e3),
+                to_microseconds(plan.list.lag_to_ms / 1e3),
+                to_microseconds(plan.list.ask_every_s),
+                to_microseconds(plan.list.grace_s),
             ),
             seed,
         )
         self.network = Network(
-            timeline, fleet.halls, micros(fleet.near_ms / 1e3), micros(fleet.far_ms / 1e3), seed
+            timeline,
+            fleet.halls,
+            to_microseconds(fleet.near_ms / 1e3),
+            to_microseconds(fleet.far_ms / 1e3),
+            seed,
+        )
+        self.settings: list[Settings] = [
+            decode_settings(sidecar_settings(plan, 0, zone)) for zone in range(fleet.halls)
+        ]
+        self.request_classes = self.settings[0].request_classes
+        self.rule_checker = make_rule_checker(
+            timeline, self.request_classes, self.registry, to_microseconds(plan.list.grace_s), answer_slack
         )
-        self.settings: list[Settings] = [decode_settings(told(plan, 0, hall)) for hall in range(fleet.halls)]
-        self.tariffs = self.settings[0].request_classes
-        self.judge = judging(timeline, self.tariffs, self.registry, micros(plan.list.grace_s), slack)
-        self.moods = Moods()
-        self.tally = Tally(self.lasts // SECOND + 1, len(self.tariffs), micros(plan.warm_s))
-        self.limits = [Limit(fleet.limit) if fleet.limit else None for _ in range(fleet.halls)]
+        self.load_overrides = LoadOverrides()
+        self.tally = Tally(
+            self.duration // SECOND + 1, len(self.request_classes), to_microseconds(plan.warm_s)
+        )
+        self.limits = [SharedLimit(fleet.limit) if fleet.limit else None for _ in range(fleet.halls)]
         self.servers: dict[int, Server] = {}
-        self.places: list[int] = []  # the id of the server at each place; a new one takes one over
-        self.marks: list[Mark] = []
-        self.links: Links | None = None  # between sidecars, where they speak with each other
-        self.peering: Fellows | None = None
-        self.instances: list[Instance] = []
-        for place in range(fleet.servers):
-            self.places.append(-1)
-            self.begin(place)
-
-    def begin(self, place: int, cold: bool = False) -> Server:
-        """A new server with an id of its own at a place, listed as ready."""
+        self.server_ids: list[int] = []  # by slot, the id of its server; a replacement takes the slot over
+        self.marks: list[TimelineMark] = []
+        self.links: Links | None = None  # between sidecars, if they form a fleet
+        self.sidecar_fleet: SidecarFleet | None = None
+        self.instances: list[SidecarInstance] = []
+        for slot in range(fleet.servers):
+            self.server_ids.append(-1)
+            self.add_server(slot)
+
+    def add_server(self, slot: int, cold: bool = False) -> Server:
+        """Start a server with a new id in a slot and list it as ready."""
         fleet, number = self.plan.fleet, len(self.servers)
-        hall = place * fleet.halls // fleet.servers
-        server = self.make(
+        zone = slot * fleet.halls // fleet.servers
+        server = self.make_server(
             self.timeline,
-            self.judge,
-            self.build,
+            self.rule_checker,
+            self.server_parameters,
             number,
-            hall,
-            hall * fleet.cells + place % fleet.cells,
+            zone,
+            zone * fleet.cells + slot % fleet.cells,
             1.0,
-            self.limits[hall],
-            chance(self.seed, "server", number).random,
+            self.limits[zone],
+            random_source(self.seed, "server", number).random,
         )
         if cold:
             server.start()
         self.servers[number] = server
-        self.places[place] = number
-        self.list(server)
+        self.server_ids[slot] = number
+        self.publish_server(server)
         return server
 
-    def list(self, server: Server, phase: ServerState = ServerState.READY) -> None:
-        self.registry.put(ServerEntry(server.number, server.hall, server.cell, phase, 1.0, server.came_up))
+    def publish_server(self, server: Server, state: ServerState = ServerState.READY) -> None:
+        """Put a server on the list in a state."""
+        self.registry.update(
+            ServerEntry(server.number, server.zone, server.cell, state, 1.0, server.started_at)
+        )
 
-    def at_place(self, place: int) -> Server:
-        return self.servers[self.places[place]]
+    def server_at(self, slot: int) -> Server:
+        """The present server of a slot."""
+        return self.servers[self.server_ids[slot]]
 
-    def mark(self, text: str, lasts: int = 0) -> None:
-        self.marks.append(Mark(self.timeline.now, self.timeline.now + lasts, text))
+    def mark(self, text: str, duration: int = 0) -> None:
+        """Note an event that begins now, for reports."""
+        self.marks.append(TimelineMark(self.timeline.now, self.timeline.now + duration, text))
 
-    def work(self, ask: int) -> int:
-        """Core-microseconds of a submission, by its number: the same at any server and time."""
+    def work(self, submission_id: int) -> int:
+        """Core-microseconds of a submission, a function of its id, so the same at any server and time."""
         fleet = self.plan.fleet
-        scattered = (ask * 0x9E3779B97F4A7C15 + self.seed * 0xD1B54A32D192ED03) & 0xFFFFFFFF
+        scattered = (submission_id * 0x9E3779B97F4A7C15 + self.seed * 0xD1B54A32D192ED03) & 0xFFFFFFFF
         return max(1, int(fleet.work_ms * 1000 * (1.0 + fleet.spread * (scattered / 0x80000000 - 1.0))))
 
-    def clients(self, instance: Instance, taker: object) -> Clients:
-        """The clients of one sidecar; they begin when told."""
+    def make_clients(self, instance: SidecarInstance, target: object) -> Clients:
+        """The clients of one sidecar, not started yet."""
         load, plan = self.plan.load, self.plan
-        habits = Habits(
+        behavior = ClientBehavior(
             rate=plan.rate() / plan.sidecars.count,
             pattern=load.pattern,
-            steps=tuple((micros(at), times) for at, times in load.steps),
-            trace=tuple(micros(at) for at in load.trace_s[instance.number :: plan.sidecars.count]),
-            shares=tuple(tariff.share for tariff in load.tariffs),
-            keys=load.keys,
-            zipf=load.zipf,
-            drift=micros(load.drift_s),
-            leaves=load.leaves,
-            retries=load.retries,
-            back_off=micros(load.back_off_ms / 1e3),
-            heeds=load.heeds,
+            rate_steps=tuple((to_microseconds(at), factor) for at, factor in load.steps),
+            arrival_trace=tuple(
+                to_microseconds(at) for at in load.trace_s[instance.number :: plan.sidecars.count]
+            ),
+            class_weights=tuple(spec.share for spec in load.tariffs),
+            key_count=load.keys,
+            zipf_exponent=load.zipf,
+            drift_period=to_microseconds(load.drift_s),
+            leave_probability=load.leaves,
+            max_retries=load.retries,
+            backoff=to_microseconds(load.back_off_ms / 1e3),
+            honors_retry_after=load.heeds,
         )
         if not hasattr(self, "keys"):
-            self.keys = Keys(load.keys, load.zipf, habits.drift)
+            self.keys = KeyDistribution(load.keys, load.zipf, behavior.drift_period)
         return Clients(
             self.timeline,
-            habits,
-            self.tariffs,
+            behavior,
+            self.request_classes,
             self.keys,
-            self.moods,
-            self.judge,
+            self.load_overrides,
+            self.rule_checker,
             self.tally,
-            taker,  # type: ignore[arg-type]
+            target,  # type: ignore[arg-type]
             instance.number,
             self.seed,
-            self.lasts,
+            self.duration,
         )
--- a/pumicepath/lab/verification/checks/four_rules.py
+++ b/pumicepath/lab/verification/checks/four_rules.py
@@ -18,5 +18,7 @@
     """Returns, per violated rule, the number of violations and the first of them."""
     checker = replay(lines)
     return [
-        f"{rule}: {count}, first {checker.first[rule]}" for rule, count in checker.broken.items() if count
+        f"{rule}: {count}, first {checker.first_violations[rule]}"
+        for rule, count in checker.violations.items()
+        if count
     ]
--- a/pumicepath/lab/verification/recording.py
+++ b/pumicepath/lab/verification/recording.py
@@ -12,15 +12,15 @@
 
 from ...interface import RequestClass
 from ...settings import decode_settings
-from ..model.judge import Judge
-from ..model.listing import Registry
+from ..model.registry import Registry
+from ..model.rule_checker import RuleChecker
 from ..model.servers import Job, Server
-from ..model.timeline import Timeline, Virtual
-from ..spec import Plan, micros, told
+from ..model.timeline import Timeline, VirtualTimeline
+from ..spec import Plan, sidecar_settings, to_microseconds
 from .history import History, Line
 
 
-class RecordingRuleChecker(Judge):
+class RecordingRuleChecker(RuleChecker):
     """A rule checker that records each event of clients, servers and processes in a history."""
 
     def __init__(
@@ -35,53 +35,53 @@
         super().__init__(timeline, tariffs, registry, grace, slack)
         self.history = history
 
-    def tried(self, ask: int, tariff: int, until: int) -> None:
+    def try_admitted(self, ask: int, tariff: int, until: int) -> None:
         self.history.write("clients", "tried", ask=ask, tariff=tariff, until=until)
-        super().tried(ask, tariff, until)
+        super().try_admitted(ask, tariff, until)
 
-    def answered(self, ask: int, what: str) -> None:
+    def answer_received(self, ask: int, what: str) -> None:
         self.history.write("clients", "answered", ask=ask, end=what)
-        super().answered(ask, what)
+        super().answer_received(ask, what)
 
-    def gone(self, ask: int, why: str = "left") -> None:
+    def abandoned(self, ask: int, why: str = "left") -> None:
         self.history.write("clients", "gone", ask=ask, why=why)
-        super().gone(ask, why)
+        super().abandoned(ask, why)
 
-    def patience_over(self, ask: int) -> None:
+    def deadline_passed(self, ask: int) -> None:
         self.history.write("clients", "patience_over", ask=ask)
-        super().patience_over(ask)
+        super().deadline_passed(ask)
 
-    def closed(self, ask: int) -> None:
+    def client_finished(self, ask: int) -> None:
         self.history.write("clients", "closed", ask=ask)
-        super().closed(ask)
+        super().client_finished(ask)
 
-    def sent(self, sidecar: int, server: int, ask: int, answered: bool = False) -> None:
+    def hop_sent(self, sidecar: int, server: int, ask: int, answered: bool = False) -> None:
         self.history.write(
             f"server-{server}",
             "sent",
             ask=ask,
             sidecar=sidecar,
             server=server,
-            told=self.registry.knows_since(sidecar, server),
+            told=self.registry.off_known_since(sidecar, server),
         )
-        super().sent(sidecar, server, ask, answered)
+        super().hop_sent(sidecar, server, ask, answered)
 
-    def returned(self, ask: int) -> None:
+    def hop_returned(self, ask: int) -> None:
         self.history.write("servers", "returned", ask=ask)
-        super().returned(ask)
+        super().hop_returned(ask)
 
-    def ran(self, now: int, job: Job, server: Server) -> bool:
+    def work_started(self, now: int, job: Job, server: Server) -> bool:
         self.history.write(
             f"server-{server.number}",
             "ran",
-            ask=job.ask,
+            ask=job.submission_id,
             server=server.number,
-            hall=server.hall,
+            hall=server.zone,
             cell=server.cell,
         )
-        return super().ran(now, job, server)
+        return super().work_started(now, job, server)
 
-    def pushed_over(self, now: int, server: Server, senders: dict[int, int]) -> None:
+    def cold_server_overloaded(self, now: int, server: Server, senders: dict[int, int]) -> None:
         self.history.write(
             f"server-{server.number}",
             "pushed_over",
@@ -90,11 +90,11 @@
             sidecars=len(senders),
             work=sum(job[1] for job in server.arrivals),
         )
-        super().pushed_over(now, server, senders)
+        super().cold_server_overloaded(now, server, senders)
 
-    def stop(self, sidecar: int, stopped: bool) -> None:
+    def set_sidecar_stopped(self, sidecar: int, stopped: bool) -> None:
         self.history.write("rig", "stopped" if stopped else "going_on", sidecar=sidecar)
-        super().stop(sidecar, stopped)
+        super().set_sidecar_stopped(sidecar, stopped)
 
 
 class ReplayedRegistry:
@@ -103,51 +103,57 @@
     def __init__(self) -> None:
         self.known_since: int | None = None
 
-    def knows_since(self, sidecar: int, server: int) -> int | None:
+    def off_known_since(self, sidecar: int, server: int) -> int | None:
         return self.known_since
 
 
-def replay(lines: Sequence[Line]) -> Judge:
+def replay(lines: Sequence[Line]) -> RuleChecker:
     """Returns the rule checker in its state after all events of a history."""
     head = lines[0]
     plan = Plan(**head["plan"])
-    request_classes = decode_settings(told(plan, 0, 0)).request_classes
-    timeline, registry = Virtual(), ReplayedRegistry()
-    checker = Judge(timeline, request_classes, registry, micros(plan.list.grace_s), head["slack"])  # type: ignore[arg-type]
+    request_classes = decode_settings(sidecar_settings(plan, 0, 0)).request_classes
+    timeline, registry = VirtualTimeline(), ReplayedRegistry()
+    checker = RuleChecker(
+        timeline,
+        request_classes,
+        registry,  # type: ignore[arg-type]
+        to_microseconds(plan.list.grace_s),
+        head["slack"],
+    )
     for line in lines:
         timeline.run(line["at"])
         replay_line(checker, registry, line)
     return checker
 
 
-def replay_line(checker: Judge, registry: ReplayedRegistry, line: Line) -> None:
+def replay_line(checker: RuleChecker, registry: ReplayedRegistry, line: Line) -> None:
     """Feeds one line of a history to a rule checker; lines of other kinds are ignored."""
     what: Any = line["what"]
     if what == "tried":
-        checker.tried(line["ask"], line["tariff"], line["until"])
+        checker.try_admitted(line["ask"], line["tariff"], line["until"])
     elif what == "answered":
-        checker.answered(line["ask"], line["end"])
+        checker.answer_received(line["ask"], line["end"])
     elif what == "gone":
-        checker.gone(line["ask"], line["why"])
+        checker.abandoned(line["ask"], line["why"])
     elif what == "patience_over":
-        checker.patience_over(line["ask"])
+        checker.deadline_passed(line["ask"])
     elif what == "closed":
-        checker.closed(line["ask"])
+        checker.client_finished(line["ask"])
     elif what == "sent":
         registry.known_since = line["told"]
-        checker.sent(line["sidecar"], line["server"], line["ask"])
+        checker.hop_sent(line["sidecar"], line["server"], line["ask"])
     elif what == "returned":
-        checker.returned(line["ask"])
+        checker.hop_returned(line["ask"])
     elif what == "ran":
-        server: Any = SimpleNamespace(number=line["server"], hall=line["hall"], cell=line["cell"])
-        job: Any = SimpleNamespace(ask=line["ask"])
-        checker.ran(line["at"], job, server)
+        server: Any = SimpleNamespace(number=line["server"], zone=line["hall"], cell=line["cell"])
+        job: Any = SimpleNamespace(submission_id=line["ask"])
+        checker.work_started(line["at"], job, server)
     elif what == "pushed_over":
         cold_server: Any = SimpleNamespace(number=line["server"], arrivals=[(0, line["work"])])
-        checker.pushed_over(
+        checker.cold_server_overloaded(
             line["at"],
             cold_server,
             {sender: 0 for sender in range(1, line["sidecars"])} | {0: line["knowing"]},
         )
     elif what in ("stopped", "going_on"):
-        checker.stop(line["sidecar"], what == "stopped")
+        checker.set_sidecar_stopped(line["sidecar"], what == "stopped")
--- a/pumicepath/lab/verification/recovery.py
+++ b/pumicepath/lab/verification/recovery.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from ..model.views import wrong
+from ..model.views import sidecars_with_wrong_view
 from .history import Line
 
 FULL_SERVICE_FRACTION = 0.99  # of the fraction that was served in time in the second before the first fault
@@ -43,7 +43,7 @@
 def view_errors(line: Line) -> list[str]:
     """Returns the running sidecars whose view in a line `views` is wrong."""
     views = {name: [(peer, state) for peer, state in view] for name, view in line["sees"].items()}
-    return wrong(views, line["running"])
+    return sidecars_with_wrong_view(views, line["running"])
 
 
 def service_recovery_s(lines: Sequence[Line]) -> float | None:
--- a/pumicepath/lab/virtual/sidecar.py
+++ b/pumicepath/lab/virtual/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar in virtual time: a host of the real decisions with connections, but no threads and no bytes."""
+"""A sidecar in virtual time: hosts the real balancer and models connections, without threads or bytes."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from typing import Any, Protocol
 
 from ...interface import Callbacks, ListKind, Outcome, ServerEntry, Settings, TimerHandler
-from ..model.clients import Ask
-from ..model.judge import Judge
-from ..model.listing import Registry
+from ..model.clients import ClientSubmission
 from ..model.network import Network
+from ..model.registry import Registry
+from ..model.rule_checker import RuleChecker
 from ..model.servers import Job, Server
 from ..model.timeline import Timeline
-from ..model.world import Fellows
+from ..model.world import SidecarFleet
 
-MARGIN = 5_000  # microseconds before patience ends in which the last word is said
-LONGEST_IDLE = 8  # idle connections kept to a server
+ANSWER_MARGIN_US = 5_000  # before the deadline, in which the final answer is sent
+MAX_IDLE_CONNECTIONS = 8  # kept per server
 
 
-class Handle(Protocol):
-    """What decisions give back for a submission; `logic.Submission` is one."""
+class SubmissionHandle(Protocol):
+    """A balancer's object for a submission, such as `Submission` of the real balancer."""
 
     def hop_finished(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None: ...
 
@@ -30,338 +30,411 @@
     def is_finished(self) -> bool: ...
 
 
-class Decisions(Protocol):
-    """What decides in a sidecar; `logic.Balancer` is one, baselines are others."""
+class BalancerLike(Protocol):
+    """A balancer that a sidecar can host, the real one or a textbook one."""
 
-    def update_servers(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None: ...
+    def listed(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None: ...
 
-    def submit(self, now: int, name: int, tariff: int, key: int, retry: bool, until: int) -> Handle: ...
+    def take(
+        self, now: int, name: int, tariff: int, key: int, retry: bool, until: int
+    ) -> SubmissionHandle: ...
 
 
-Maker = Callable[[Settings, int, Callbacks], Any]
+BalancerFactory = Callable[[Settings, int, Callbacks], Any]
 
 
 class Hop:
-    __slots__ = ("open", "number", "server", "process", "at", "job", "ended", "fresh")
-
-    def __init__(self, open_: Open, number: int, server: Server, at: int) -> None:
-        self.open = open_
+    """One attempt at a server, and its connection."""
+
+    __slots__ = (
+        "submission",
+        "number",
+        "server",
+        "process",
+        "started_at",
+        "job",
+        "finished",
+        "new_connection",
+    )
+
+    def __init__(self, submission: OpenSubmission, number: int, server: Server, started_at: int) -> None:
+        self.submission = submission
         self.number = number
         self.server = server
         self.process = server.process
-        self.at = at
+        self.started_at = started_at
         self.job: Job | None = None
-        self.ended = False
-        self.fresh = False
+        self.finished = False
+        self.new_connection = False
 
 
-class Open:
-    """A submission while a sidecar has to do with it."""
+class OpenSubmission:
+    """A submission that a sidecar has admitted and not finished; times in microseconds."""
 
-    __slots__ = ("ask", "turn", "until", "hops", "handle", "answered")
+    __slots__ = ("client_submission", "try_number", "deadline_at", "hops", "handle", "answered")
 
-    def __init__(self, ask: Ask, until: int) -> None:
-        self.ask = ask
-        self.turn = ask.turn
-        self.until = until
+    def __init__(self, client_submission: ClientSubmission, deadline_at: int) -> None:
+        self.client_submission = client_submission
+        self.try_number = client_submission.current_try
+        self.deadline_at = deadline_at
         self.hops: list[Hop] = []
-        self.handle: Handle | None = None
+        self.handle: SubmissionHandle | None = None
         self.answered = False
 
 
-class World(Protocol):
-    """What a sidecar can reach."""
+class SidecarEnvironment(Protocol):
+    """What a sidecar needs of the world around it."""
 
     network: Network
     registry: Registry
-    judge: Judge
+    rule_checker: RuleChecker
     servers: dict[int, Server]
-    peering: Fellows | None
+    sidecar_fleet: SidecarFleet | None
 
     @property
-    def timeline(self) -> Timeline: ...
+    def timeline(self) -> Timeline:
+        """The clock and scheduler."""
 
-    def work(self, ask: int) -> int:
-        """Core-microseconds that the submission of this number takes on a warm server that knows its key."""
+    def work(self, submission_id: int) -> int:
+        """Core-microseconds of a submission on a warm server with its key in the cache."""
 
 
 class Sidecar:
-    """Work for a submission grows with its hops; what is kept ends with the submission or its server."""
+    """Hosts a balancer: admits submissions, sends hops and answers clients; times in microseconds.
+
+    The work per submission is linear in its hops; no state outlives the submission or its server.
+    """
 
     def __init__(
         self,
-        world: World,
+        world: SidecarEnvironment,
         number: int,
-        hall: int,
+        zone: int,
         settings: Settings,
         seed: int,
-        maker: Maker,
-        dial: int,
-        note: Callable[[int, str], None],
+        make_balancer: BalancerFactory,
+        dial_timeout: int,
+        trace: Callable[[int, str], None],
     ) -> None:
         self.world = world
         self.number = number
-        self.hall = hall
+        self.zone = zone
         self.settings = settings
         self.seed = seed
-        self.maker = maker
-        self.dial = dial
-        self.note = note
+        self.make_balancer = make_balancer
+        self.dial_timeout = dial_timeout
+        self.trace = trace
         self.up = False
         self.starts = 0
         self.start()
 
-    # -- its process
+    # -- the process
 
     def start(self, state: str = "old") -> None:
-        """A new process that knows nothing but a copy of the list."""
+        """Start a new process, with a cached copy of the list and no other state."""
         self.up = True
         self.starts += 1
-        self.opens: dict[int, Open] = {}
-        self.names: dict[int, int] = {}  # of the latest try of each ask that is open
-        self.idle: dict[int, tuple[int, int]] = {}  # by server: its process, and connections to it
-        self.taken = 0
-        life = self.starts
-        self.decisions: Decisions = self.maker(self.settings, self.seed + life - 1, Alive(self, life))
-        self.world.registry.join(self.number, self)
-        if self.world.peering is not None:
-            self.world.peering.start(self.number)
-            self.world.peering.accompany(self.number, self.decisions)
+        self.open_submissions: dict[int, OpenSubmission] = {}
+        self.latest_names: dict[int, int] = {}  # by submission of a client, the name of its latest try
+        self.idle: dict[int, tuple[int, int]] = {}  # by server: its process, and the idle connections to it
+        self.admitted = 0
+        process_number = self.starts
+        self.balancer: BalancerLike = self.make_balancer(
+            self.settings, self.seed + process_number - 1, ProcessCallbacks(self, process_number)
+        )
+        self.world.registry.register(self.number, self)
+        if self.world.sidecar_fleet is not None:
+            self.world.sidecar_fleet.start(self.number)
+            self.world.sidecar_fleet.attach_balancer(self.number, self.balancer)
 
     def kill(self) -> None:
-        """Killed at once: its clients and servers see connections end."""
+        """Kill the process: its clients and servers see their connections end."""
         self.up = False
-        self.world.registry.leave(self.number)
-        if self.world.peering is not None:
-            self.world.peering.kill(self.number)
-        opens, self.opens, self.names = self.opens, {}, {}
-        for one in opens.values():
-            for hop in one.hops:
+        self.world.registry.unregister(self.number)
+        if self.world.sidecar_fleet is not None:
+            self.world.sidecar_fleet.kill(self.number)
+        open_submissions, self.open_submissions, self.latest_names = self.open_submissions, {}, {}
+        for submission in open_submissions.values():
+            for hop in submission.hops:
                 self.give_up(hop)
-            if not one.answered:
-                one.answered = True
-                one.ask.clients.cut(one.ask, self.settings.request_classes[one.ask.tariff].effect != 0)
+            if not submission.answered:
+                submission.answered = True
+                submission.client_submission.clients.target_died(
+                    submission.client_submission,
+                    self.settings.request_classes[submission.client_submission.class_index].effect != 0,
+                )
 
-    def listed(self, kind: ListKind, entries: list[ServerEntry]) -> None:
-        self.decisions.update_servers(self.world.timeline.now, kind, entries)
+    def receive_list(self, kind: ListKind, entries: list[ServerEntry]) -> None:
+        """Pass entries of the server list on to the balancer."""
+        self.balancer.listed(self.world.timeline.now, kind, entries)
 
     # -- clients
 
-    def take(self, ask: Ask) -> bool:
+    def submit(self, client_submission: ClientSubmission) -> bool:
+        """Admit a try of a client's submission; False while the process is down."""
         if not self.up:
             return False
         timeline = self.world.timeline
         now = timeline.now
-        self.world.judge.tried(ask.number, ask.tariff, ask.until)
-        self.taken += 1
-        name = self.names[ask.number] = self.taken
-        one = self.opens[name] = Open(ask, ask.until)
-        until = ask.until - MARGIN
-        timeline.at(until, self.patience_over, name, one)
-        handle = self.decisions.submit(now, name, ask.tariff, ask.key, ask.tries > 1, until)
-        one.handle = handle
-        self.forget(name, one)
+        self.world.rule_checker.try_admitted(
+            client_submission.number, client_submission.class_index, client_submission.deadline_at
+        )
+        self.admitted += 1
+        name = self.latest_names[client_submission.number] = self.admitted
+        submission = self.open_submissions[name] = OpenSubmission(
+            client_submission, client_submission.deadline_at
+        )
+        answer_by = client_submission.deadline_at - ANSWER_MARGIN_US
+        timeline.at(answer_by, self.deadline_passed, name, submission)
+        handle = self.balancer.take(
+            now,
+            name,
+            client_submission.class_index,
+            client_submission.key,
+            client_submission.tries > 1,
+            answer_by,
+        )
+        submission.handle = handle
+        self.discard_if_done(name, submission)
         return True
 
-    def left(self, ask: Ask) -> None:
-        """The client has gone; hops still out bring their outcomes."""
-        name = self.names.get(ask.number, 0)
-        one = self.opens.get(name)
-        if one is not None and not one.answered:
-            one.answered = True
-            if one.handle is not None:
-                one.handle.client_left(self.world.timeline.now)
-            self.forget(name, one)
-
-    def patience_over(self, name: int, one: Open) -> None:
-        """As `sidecar.exchange.Exchange.woke`: hops time out, which answers what has no answer yet."""
-        if self.opens.get(name) is not one:
+    def client_left(self, client_submission: ClientSubmission) -> None:
+        """The client does not wait any more; outcomes of running hops are still reported."""
+        name = self.latest_names.get(client_submission.number, 0)
+        submission = self.open_submissions.get(name)
+        if submission is not None and not submission.answered:
+            submission.answered = True
+            if submission.handle is not None:
+                submission.handle.client_left(self.world.timeline.now)
+            self.discard_if_done(name, submission)
+
+    def deadline_passed(self, name: int, submission: OpenSubmission) -> None:
+        """Time remaining hops out, as `sidecar.exchange` does, and answer what has no answer yet."""
+        if self.open_submissions.get(name) is not submission:
             return
-        for hop in list(one.hops):
-            self.end(name, hop, Outcome.TIMEOUT)
-        if not one.answered:
-            self.answer(one, "forfeited", 0)
-
-    def say(self, name: int, what: str, advice: int = 0) -> None:
-        """What the decisions answer; one that is over already can only be a second answer."""
-        one = self.opens.get(name)
-        if one is None:
-            self.world.judge.breach("answered_twice", f"sidecar {self.number} {what} {name}, which was over")
+        for hop in list(submission.hops):
+            self.finish_hop(name, hop, Outcome.TIMEOUT)
+        if not submission.answered:
+            self.answer(submission, "forfeited", 0)
+
+    def report_answer(self, name: int, answer: str, retry_after: int = 0) -> None:
+        """Answer as the balancer says; a finished submission was answered before, which is a violation."""
+        submission = self.open_submissions.get(name)
+        if submission is None:
+            self.world.rule_checker.report_violation(
+                "answered_twice", f"sidecar {self.number} {answer} {name}, which was finished"
+            )
         else:
-            self.answer(one, what, advice)
-
-    def answer(self, one: Open, what: str, advice: int) -> None:
-        ask = one.ask
-        again = one.answered
-        one.answered = True
-        # Said once this call on the decisions is over; a second answer goes out too, for the judge to see.
+            self.answer(submission, answer, retry_after)
+
+    def answer(self, submission: OpenSubmission, answer: str, retry_after: int) -> None:
+        """Send a final answer to the client."""
+        client_submission = submission.client_submission
+        answered_before = submission.answered
+        submission.answered = True
+        # Sent once the balancer has returned; a second answer is sent too, for the rule checker to see.
         at, now = self.world.timeline.at, self.world.timeline.now
-        if what == "succeeded":
-            at(now, ask.clients.succeeded, ask, one.turn)
-        elif what == "deferred":
-            at(now, ask.clients.deferred, ask, one.turn, advice)
+        if answer == "succeeded":
+            at(now, client_submission.clients.succeeded, client_submission, submission.try_number)
+        elif answer == "deferred":
+            at(now, client_submission.clients.rejected, client_submission, submission.try_number, retry_after)
         else:
-            at(now, ask.clients.forfeited, ask, one.turn)
-        if again:
-            self.note(self.number, f"submission {ask.number} answered again")
+            at(now, client_submission.clients.failed, client_submission, submission.try_number)
+        if answered_before:
+            self.trace(self.number, f"submission {client_submission.number} answered again")
 
-    def forget(self, name: int, one: Open) -> None:
-        if one.handle is not None and one.handle.is_finished() and one.answered:
-            self.opens.pop(name, None)
-            if self.names.get(one.ask.number) == name:
-                del self.names[one.ask.number]
+    def discard_if_done(self, name: int, submission: OpenSubmission) -> None:
+        """Forget a submission that is answered and has no more hops."""
+        if submission.handle is not None and submission.handle.is_finished() and submission.answered:
+            self.open_submissions.pop(name, None)
+            if self.latest_names.get(submission.client_submission.number) == name:
+                del self.latest_names[submission.client_submission.number]
 
     # -- servers
 
     def send(self, name: int, number: int) -> None:
-        one, world = self.opens.get(name), self.world
+        """Send a hop of a submission to a server, on an idle connection or a new one."""
+        submission, world = self.open_submissions.get(name), self.world
         now = world.timeline.now
-        if one is None:
-            world.judge.breach("sent_after_answer", f"sidecar {self.number} sent {name}, which was over")
+        if submission is None:
+            world.rule_checker.report_violation(
+                "sent_after_answer", f"sidecar {self.number} sent {name}, which was finished"
+            )
             return
         server = world.servers[number]
-        hop = Hop(one, len(one.hops), server, now)
-        one.hops.append(hop)
-        world.judge.sent(self.number, number, one.ask.number, one.answered)
-        process, kept = self.idle.get(number, (0, 0))
-        if kept and process == server.process:
-            self.idle[number] = process, kept - 1
-            world.network.carry(self.hall, server.hall, self.arrive, name, hop)
+        hop = Hop(submission, len(submission.hops), server, now)
+        submission.hops.append(hop)
+        world.rule_checker.hop_sent(
+            self.number, number, submission.client_submission.number, submission.answered
+        )
+        process, idle_count = self.idle.get(number, (0, 0))
+        if idle_count and process == server.process:
+            self.idle[number] = process, idle_count - 1
+            world.network.carry(self.zone, server.zone, self.arrive, name, hop)
             return
-        # A new connection first: one trip there and back, or nothing until the time for dialling is over.
-        hop.fresh = True
-        there = world.network.passes(self.hall, server.hall) and not server.silent
-        trip = world.network.delay(self.hall, server.hall) + world.network.delay(server.hall, self.hall)
-        if there and server.up and trip < self.dial:
-            world.timeline.at(now + trip, self.dialled, name, hop)
-        elif there and trip < self.dial:
-            world.timeline.at(now + trip, self.no_way, name, hop)
+        # A new connection takes one round trip, or fails when the dial timeout is over.
+        hop.new_connection = True
+        reachable = world.network.is_connected(self.zone, server.zone) and not server.silent
+        round_trip = world.network.delay(self.zone, server.zone) + world.network.delay(server.zone, self.zone)
+        if reachable and server.up and round_trip < self.dial_timeout:
+            world.timeline.at(now + round_trip, self.connected, name, hop)
+        elif reachable and round_trip < self.dial_timeout:
+            world.timeline.at(now + round_trip, self.connect_failed, name, hop)
         else:
-            world.timeline.at(now + self.dial, self.no_way, name, hop)
+            world.timeline.at(now + self.dial_timeout, self.connect_failed, name, hop)
 
-    def dialled(self, name: int, hop: Hop) -> None:
-        if not hop.ended:
-            self.world.network.carry(self.hall, hop.server.hall, self.arrive, name, hop)
+    def connected(self, name: int, hop: Hop) -> None:
+        """The new connection is established."""
+        if not hop.finished:
+            self.world.network.carry(self.zone, hop.server.zone, self.arrive, name, hop)
 
-    def no_way(self, name: int, hop: Hop) -> None:
-        if not hop.ended:
-            self.world.judge.returned(hop.open.ask.number)
+    def connect_failed(self, name: int, hop: Hop) -> None:
+        """The new connection was refused or timed out."""
+        if not hop.finished:
+            self.world.rule_checker.hop_returned(hop.submission.client_submission.number)
             hop.job = None
-            self.finish(name, hop, Outcome.CONNECT_FAILED)
+            self.response_arrived(name, hop, Outcome.CONNECT_FAILED)
 
     def arrive(self, name: int, hop: Hop) -> None:
-        if hop.ended:
+        """A hop reaches its server, which resets it if the process of the connection is gone."""
+        if hop.finished:
             return
         server, world = hop.server, self.world
         if not server.up or hop.process != server.process:
-            world.judge.returned(hop.open.ask.number)
-            world.network.carry(server.hall, self.hall, self.finish, name, hop, Outcome.RESET)
+            world.rule_checker.hop_returned(hop.submission.client_submission.number)
+            world.network.carry(server.zone, self.zone, self.response_arrived, name, hop, Outcome.RESET)
             return
-        ask = hop.open.ask
-        told = world.registry.knows_start(self.number, server.number, server.came_up)
+        client_submission = hop.submission.client_submission
+        knew_start = world.registry.start_is_known(self.number, server.number, server.started_at)
 
         def reply(outcome: Outcome) -> None:
-            world.judge.returned(ask.number)
+            world.rule_checker.hop_returned(client_submission.number)
             if not server.silent:
-                stalls = outcome == Outcome.OK and server.stalls()
+                stalls = outcome == Outcome.OK and server.draw_stall()
                 world.network.carry(
-                    server.hall, self.hall, self.begun if stalls else self.finish, name, hop, outcome
+                    server.zone,
+                    self.zone,
+                    self.response_stalled if stalls else self.response_arrived,
+                    name,
+                    hop,
+                    outcome,
                 )
 
-        job = Job(ask.number, ask.key, self.number, world.work(ask.number), reply, told)
-        if server.came(job):
+        job = Job(
+            client_submission.number,
+            client_submission.key,
+            self.number,
+            world.work(client_submission.number),
+            reply,
+            knew_start,
+        )
+        if server.receive(job):
             hop.job = job
 
-    def begun(self, name: int, hop: Hop, outcome: Outcome) -> None:
-        """Part of its answer has come, and no more will."""
-        if not hop.ended and hop.open.handle is not None:
-            hop.open.handle.response_started(self.world.timeline.now, hop.number)
+    def response_stalled(self, name: int, hop: Hop, outcome: Outcome) -> None:
+        """The beginning of a response has arrived; the rest never will."""
+        if not hop.finished and hop.submission.handle is not None:
+            hop.submission.handle.response_started(self.world.timeline.now, hop.number)
 
-    def finish(self, name: int, hop: Hop, outcome: Outcome) -> None:
-        """What its server said of a hop has come here."""
-        if hop.ended:
+    def response_arrived(self, name: int, hop: Hop, outcome: Outcome) -> None:
+        """The outcome of a hop has arrived from its server."""
+        if hop.finished:
             return
-        one = hop.open
+        submission = hop.submission
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL) and hop.process == hop.server.process:
-            process, kept = self.idle.get(hop.server.number, (0, 0))
-            kept = kept if process == hop.process else 0
-            self.idle[hop.server.number] = hop.process, min(LONGEST_IDLE, kept + 1)
-        if outcome == Outcome.OK and not one.answered:
-            self.answer(one, "succeeded", 0)
-        self.end(name, hop, outcome)
-
-    def end(self, name: int, hop: Hop, outcome: Outcome) -> None:
-        if hop.ended:
+            process, idle_count = self.idle.get(hop.server.number, (0, 0))
+            idle_count = idle_count if process == hop.process else 0
+            self.idle[hop.server.number] = hop.process, min(MAX_IDLE_CONNECTIONS, idle_count + 1)
+        if outcome == Outcome.OK and not submission.answered:
+            self.answer(submission, "succeeded", 0)
+        self.finish_hop(name, hop, outcome)
+
+    def finish_hop(self, name: int, hop: Hop, outcome: Outcome) -> None:
+        """Report the outcome of a hop to the balancer, once."""
+        if hop.finished:
             return
         if outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             self.give_up(hop)
-        hop.ended = True
-        one, now = hop.open, self.world.timeline.now
-        if one.handle is not None:
-            one.handle.hop_finished(now, hop.number, outcome, now - hop.at, one.answered)
-        self.forget(name, one)
+        hop.finished = True
+        submission, now = hop.submission, self.world.timeline.now
+        if submission.handle is not None:
+            submission.handle.hop_finished(
+                now, hop.number, outcome, now - hop.started_at, submission.answered
+            )
+        self.discard_if_done(name, submission)
 
     def give_up(self, hop: Hop) -> None:
-        """Its connection is closed, which the server learns after a while, if it learns anything."""
-        if hop.ended:
+        """Close the connection of a hop; the server notices after the network delay, if it is reachable."""
+        if hop.finished:
             return
-        hop.ended = True
+        hop.finished = True
         job, world = hop.job, self.world
         if job is None:
-            world.judge.returned(hop.open.ask.number)
-        elif not job.gone:
-            world.network.carry(self.hall, hop.server.hall, hop.server.cancelled, job)
+            world.rule_checker.hop_returned(hop.submission.client_submission.number)
+        elif not job.finished:
+            world.network.carry(self.zone, hop.server.zone, hop.server.cancel, job)
 
     def cancel(self, name: int, number: int) -> None:
-        one = self.opens[name]
-        hop = one.hops[number]
-        self.world.timeline.at(self.world.timeline.now, self.end_cancelled, name, hop)
+        """Cancel a hop once the balancer has returned."""
+        submission = self.open_submissions[name]
+        hop = submission.hops[number]
+        self.world.timeline.at(self.world.timeline.now, self.finish_cancelled, name, hop)
 
-    def end_cancelled(self, name: int, hop: Hop) -> None:
-        self.end(name, hop, Outcome.CANCELLED)
+    def finish_cancelled(self, name: int, hop: Hop) -> None:
+        """Report a cancelled hop."""
+        self.finish_hop(name, hop, Outcome.CANCELLED)
 
 
-class Alive:
-    """The outlet of one process of a sidecar; what a dead one asks for does not happen."""
+class ProcessCallbacks:
+    """Callbacks of the balancer of one process; a dead process sets no timer and asks for no list."""
 
-    def __init__(self, sidecar: Sidecar, life: int) -> None:
+    def __init__(self, sidecar: Sidecar, process_number: int) -> None:
         self.sidecar = sidecar
-        self.life = life
+        self.process_number = process_number
 
-    def alive(self) -> bool:
-        return self.sidecar.up and self.sidecar.starts == self.life
+    def is_alive(self) -> bool:
+        """Whether this process still runs."""
+        return self.sidecar.up and self.sidecar.starts == self.process_number
 
     def send(self, submission: int, server: int, timeout: int) -> None:
+        """Send a hop."""
         self.sidecar.send(submission, server)
 
     def reject(self, submission: int, retry_in: int) -> None:
-        self.sidecar.say(submission, "deferred", retry_in)
+        """Reject a submission, with the time after which to retry."""
+        self.sidecar.report_answer(submission, "deferred", retry_in)
 
     def fail(self, submission: int) -> None:
-        self.sidecar.say(submission, "forfeited")
+        """Answer that a submission has failed and may have run."""
+        self.sidecar.report_answer(submission, "forfeited")
 
     def cancel(self, submission: int, hop: int) -> None:
+        """Cancel a hop."""
         self.sidecar.cancel(submission, hop)
 
     def probe(self, server: int) -> None:
-        """No decision asks for probes."""
+        """Unused: no balancer asks for probes."""
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Sidecars of this model don't hear each other."""
+        """Ignored: sidecars exchange no messages of their balancers here."""
 
     def close_idle_connections(self, server: int) -> None:
-        """Connections of this model rest unharmed, so that nothing is to be gained here."""
+        """Ignored: idle connections are never lost in this model, so closing them has no use."""
 
     def request_server_list(self) -> None:
-        if self.alive():
-            self.sidecar.world.registry.follow(self.sidecar.number)
+        """Subscribe to the server list."""
+        if self.is_alive():
+            self.sidecar.world.registry.subscribe(self.sidecar.number)
 
     def set_timer(self, at: int, whom: TimerHandler) -> None:
-        self.sidecar.world.timeline.at(at, self.ring, whom)
+        """Set a timer."""
+        self.sidecar.world.timeline.at(at, self.fire_timer, whom)
 
-    def ring(self, whom: TimerHandler) -> None:
-        if self.alive():
+    def fire_timer(self, whom: TimerHandler) -> None:
+        """A timer is due."""
+        if self.is_alive():
             whom.on_timer(self.sidecar.world.timeline.now)
 
     def log(self, text: str) -> None:
-        self.sidecar.note(self.sidecar.number, text)
+        """Trace a line of the balancer's log."""
+        self.sidecar.trace(self.sidecar.number, text)
--- a/tests/bad_balancers.py
+++ b/tests/bad_balancers.py
@@ -3,25 +3,25 @@
 from __future__ import annotations
 
 from pumicepath.interface import Effect, Outcome
-from pumicepath.lab.virtual.baselines import Handle, Plain, Random, RoundRobin
+from pumicepath.lab.virtual.baselines import RandomChoice, RoundRobin, TextbookBalancer, TextbookSubmission
 
 
-class NeverAnswersHandle(Handle):
+class NeverAnswersHandle(TextbookSubmission):
     def hop_finished(self, now, hop_number, outcome, elapsed, is_final):
-        self.out = False
-        self.done = self.done or is_final
+        self.waiting = False
+        self.finished = self.finished or is_final
 
     def is_finished(self):
-        return self.done and not self.out
+        return self.finished and not self.waiting
 
 
-class NeverAnswers(Random):
+class NeverAnswers(RandomChoice):
     """Never answers a submission whose first hop failed."""
 
-    kind = NeverAnswersHandle
+    submission_type = NeverAnswersHandle
 
 
-class RejectsTwice(Random):
+class RejectsTwice(RandomChoice):
     """Rejects submissions that it has sent, and each of them twice."""
 
     def submit(self, now, name, request_class, key, retry, deadline_at):
@@ -32,44 +32,44 @@
         return submission
 
 
-class SendsAfterAnswerHandle(Handle):
+class SendsAfterAnswerHandle(TextbookSubmission):
     def hop_finished(self, now, hop_number, outcome, elapsed, is_final):
         super().hop_finished(now, hop_number, outcome, elapsed, is_final)
-        if is_final and len(self.tried) < 2:
-            self.done = False
-            self.go_on(now)
+        if is_final and len(self.tried_servers) < 2:
+            self.finished = False
+            self.send_next(now)
 
 
-class SendsAfterAnswer(Random):
+class SendsAfterAnswer(RandomChoice):
     """Sends another hop after the final answer."""
 
-    kind = SendsAfterAnswerHandle
+    submission_type = SendsAfterAnswerHandle
 
 
-class RetriesNonIdempotentHandle(Handle):
-    def may_repeat(self, outcome):
+class RetriesNonIdempotentHandle(TextbookSubmission):
+    def may_retry(self, outcome):
         return True
 
 
-class RetriesNonIdempotent(Random):
+class RetriesNonIdempotent(RandomChoice):
     """Retries non-idempotent submissions after an error, although they may have run."""
 
-    kind = RetriesNonIdempotentHandle
+    submission_type = RetriesNonIdempotentHandle
 
 
-class RejectsPossiblyRunHandle(Handle):
+class RejectsPossiblyRunHandle(TextbookSubmission):
     def hop_finished(self, now, hop_number, outcome, elapsed, is_final):
-        self.out = False
-        if not is_final and not self.done and outcome != Outcome.OK:
-            self.done = True
+        self.waiting = False
+        if not is_final and not self.finished and outcome != Outcome.OK:
+            self.finished = True
             self.balancer.callbacks.reject(self.name, 0)
-        self.done = True
+        self.finished = True
 
 
-class RejectsPossiblyRun(Random):
+class RejectsPossiblyRun(RandomChoice):
     """Rejects submissions that may have run, although trying again may do harm."""
 
-    kind = RejectsPossiblyRunHandle
+    submission_type = RejectsPossiblyRunHandle
 
 
 class IgnoresListUpdates(RoundRobin):
@@ -80,7 +80,7 @@
             super().update_servers(now, kind, entries)
 
 
-class FloodsNewestServer(Plain):
+class FloodsNewestServer(TextbookBalancer):
     """Sends everything to the server that started last."""
 
     def update_servers(self, now, kind, entries):
@@ -91,4 +91,4 @@
 
     def choose(self, submission, among):
         newest = getattr(self, "newest", -1)
-        return newest if newest in among else self.chance.choice(among)
+        return newest if newest in among else self.rng.choice(among)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -20,17 +20,17 @@
 from pumicepath.fleet.messages import MAX_BATCH_ITEMS
 from pumicepath.fleet.settings import Voting
 from pumicepath.lab.model.links import Links
-from pumicepath.lab.model.timeline import Virtual
+from pumicepath.lab.model.timeline import VirtualTimeline
 from pumicepath.lab.verification.checks import fencing, one_holder
-from pumicepath.lab.virtual.holders import DRIFT, Found, Planted, schedule
-from pumicepath.lab.virtual.peers import Peering, address
+from pumicepath.lab.virtual.duty_fleet import DRIFT, DutyRun, InjectedBugs, run_schedule
+from pumicepath.lab.virtual.peers import VirtualFleet, address
 
 from .helpers import SECOND
 
 LEASE = 2 * SECOND
 
 
-def violations(found: Found) -> list[str]:
+def violations(found: DutyRun) -> list[str]:
     """Violations in a history.
 
     Immediate actions verify the leases without a fence; delayed actions verify the fence.
@@ -43,7 +43,7 @@
     """Half of the schedules in each form, compiled and interpreted, that the suite is run in."""
     gaps = []
     for seed in range(250) if compiled.FORM == "compiled" else range(250, 500):
-        found = schedule(seed)
+        found = run_schedule(seed)
         assert not violations(found), (seed, violations(found)[:3])
         assert found.held_at_end == 2, seed
         gaps += found.gaps
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("seed", (3052, 19418, 37468))
 def test_a_duty_granted_by_the_old_voters_alone_is_released_as_the_voters_change(seed: int) -> None:
     """Found in 26,000 schedules: a lease by the old voters, renewed or not, overlapped one by the new."""
-    assert not violations(schedule(seed))
+    assert not violations(run_schedule(seed))
 
 
 def test_duties_are_released_only_if_the_set_of_voters_changes() -> None:
@@ -72,12 +72,12 @@
 @pytest.mark.parametrize(
     "planted",
     (
-        Planted(held_for=lambda lease: lease),
-        Planted(silent=False),
-        Planted(remembers=False),
-        Planted(fenced=False),
-        Planted(checked_late=False),
-        Planted(both=False),
+        InjectedBugs(holder_lease=lambda lease: lease),
+        InjectedBugs(waits_after_restart=False),
+        InjectedBugs(remembers_grants=False),
+        InjectedBugs(checks_fence=False),
+        InjectedBugs(checks_when_acting=False),
+        InjectedBugs(joint_voter_sets=False),
     ),
     ids=(
         "no drift margin",
@@ -88,15 +88,15 @@
         "voters changed in one step",
     ),
 )
-def test_checks_find_injected_bugs(planted: Planted) -> None:
-    worst = 0.05 if planted.held_for is not None else DRIFT
-    assert any(violations(schedule(seed, planted, worst=worst)) for seed in range(100))
+def test_checks_find_injected_bugs(planted: InjectedBugs) -> None:
+    worst = 0.05 if planted.holder_lease is not None else DRIFT
+    assert any(violations(run_schedule(seed, planted, max_drift=worst)) for seed in range(100))
 
 
 def test_clock_drift_beyond_the_bound_gives_two_holders_and_drift_within_it_none() -> None:
     """Only the margin for drift prevents two holders: never at the bound, but far beyond it there are two."""
-    assert not any(violations(schedule(seed, worst=DRIFT)) for seed in range(60))
-    assert any(violations(schedule(seed, worst=0.2)) for seed in range(200))
+    assert not any(violations(run_schedule(seed, max_drift=DRIFT)) for seed in range(60))
+    assert any(violations(run_schedule(seed, max_drift=0.2)) for seed in range(200))
 
 
 def test_a_holder_stops_before_the_voter_ends_its_lease_at_any_drift() -> None:
@@ -250,9 +250,9 @@
 
 def test_a_released_duty_is_held_again_at_once_however_long_its_lease() -> None:
     """Others used to wait until the lease would have ended: up to 21 s of 30 were measured."""
-    time = Virtual()
+    time = VirtualTimeline()
     lease = 30 * SECOND
-    peering = Peering(
+    peering = VirtualFleet(
         time,
         Links(time, 1, 300),
         1,
@@ -263,7 +263,7 @@
         peering.start(number)
 
     def holders() -> list[int]:
-        duties = [node.fellow.duties for node in peering.nodes if node.fellow is not None]
+        duties = [node.fleet_node.duties for node in peering.nodes if node.fleet_node is not None]
         return [
             number
             for number, each in enumerate(duties)
@@ -272,14 +272,14 @@
 
     for _ in range(100):
         for node in peering.nodes:
-            assert node.fellow is not None and node.fellow.duties is not None
-            node.fellow.duties.set_wanted(node.clock(), ["d"])
-            node.wake()
+            assert node.fleet_node is not None and node.fleet_node.duties is not None
+            node.fleet_node.duties.set_wanted(node.clock(), ["d"])
+            node.schedule_timer()
         time.run(time.now + SECOND)
     for _ in range(4):
         before = holders()
         assert len(before) == 1
-        holder = peering.nodes[before[0]].fellow
+        holder = peering.nodes[before[0]].fleet_node
         assert holder is not None
         holder.stop(peering.nodes[before[0]].clock())
         time.run(time.now + 20_000)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -71,7 +71,7 @@
 
 
 def test_shipped_experiments_load_and_cover_every_fault_kind() -> None:
-    from pumicepath.lab.troubles import KINDS
+    from pumicepath.lab.fault_kinds import KINDS
 
     experiments = [files.load_experiment(path) for path in sorted(SHIPPED_FOLDER.glob("*.toml"))]
     kinds = {fault.kind for experiment in experiments for fault in experiment.plan.troubles}
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,9 +13,9 @@
 
 from pumicepath.command import main
 from pumicepath.lab.experiments import files, fleet_report
-from pumicepath.lab.model.links import Links, Noise
-from pumicepath.lab.model.timeline import SECOND, Virtual
-from pumicepath.lab.spec import Plan, Sidecars, Trouble
+from pumicepath.lab.model.links import Impairment, Links
+from pumicepath.lab.model.timeline import SECOND, VirtualTimeline
+from pumicepath.lab.spec import FaultSpec, Plan, Sidecars
 from pumicepath.lab.verification import checks, history, recovery
 from pumicepath.lab.verification.clocks import PAGE_PATH_VARIABLE, ControlPage
 from pumicepath.lab.verification.disks import StateFolder
@@ -199,22 +199,22 @@
 def test_links_lose_delay_duplicate_corrupt_and_limit_datagrams() -> None:
     lines = []
     for name, noise in (
-        ("nothing", Noise()),
-        ("loss", Noise(loss=0.3)),
-        ("doubled", Noise(doubled=0.2)),
-        ("spoilt", Noise(spoilt=0.5)),
-        ("delay", Noise(delay=20_000, spread=50_000)),
-        ("rate", Noise(rate=2000)),
+        ("nothing", Impairment()),
+        ("loss", Impairment(loss=0.3)),
+        ("doubled", Impairment(duplicated=0.2)),
+        ("spoilt", Impairment(corrupted=0.5)),
+        ("delay", Impairment(delay=20_000, jitter=50_000)),
+        ("rate", Impairment(rate=2000)),
     ):
-        timeline, arrived = Virtual(), list[tuple[int, bytes]]()
+        timeline, arrived = VirtualTimeline(), list[tuple[int, bytes]]()
         links = Links(timeline, 1, 300)
 
         def take(
-            data: bytes, timeline: Virtual = timeline, arrived: list[tuple[int, bytes]] = arrived
+            data: bytes, timeline: VirtualTimeline = timeline, arrived: list[tuple[int, bytes]] = arrived
         ) -> None:
             arrived.append((timeline.now, data))
 
-        undo = links.disturb([1], noise)
+        undo = links.impair([1], noise)
         for step in range(100):
             timeline.run(step * 10_000)
             links.carry(step % 2, 2, b"%03d" % step + bytes(37), take)
@@ -227,8 +227,8 @@
             f"{sum(any(data[3:]) for _, data in arrived)} spoilt, "
             f"the last at {arrived[-1][0] / 1e6:.3f} s"
         )
-    links, delivered = Links(Virtual(), 1), []
-    undo = links.cut([0], [1, 2], both=False)
+    links, delivered = Links(VirtualTimeline(), 1), []
+    undo = links.cut([0], [1, 2], both_ways=False)
     for sender, recipient in ((0, 1), (1, 0), (2, 1)):
         links.carry(sender, recipient, b"x", delivered.append)
     links.timeline.run(1)  # type: ignore[attr-defined]
@@ -310,24 +310,24 @@
         lasts_s=8,
         sidecars=Sidecars(count=3),
         troubles=(
-            Trouble(kind="list-down", at_s=2, for_s=5, sidecars=(1,)),
-            Trouble(kind="drain", at_s=3, servers=(0,)),
+            FaultSpec(kind="list-down", at_s=2, for_s=5, sidecars=(1,)),
+            FaultSpec(kind="drain", at_s=3, servers=(0,)),
         ),
     )
     world = VirtualWorld(plan, 1, "random")
     world.timeline.run(4 * SECOND)
-    notified = [world.registry.followers[number].told.get(0) for number in range(3)]
+    notified = [world.registry.subscriptions[number].notified_at.get(0) for number in range(3)]
     assert (
         notified[0]
         and notified[2]
         and notified[1] is None
-        and world.registry.off(1)
-        and not world.registry.off(0)
+        and world.registry.is_unreachable(1)
+        and not world.registry.is_unreachable(0)
     )
-    known_since = world.registry.knows_since(1, 0)
+    known_since = world.registry.off_known_since(1, 0)
     assert known_since is not None and known_since > 4 * SECOND, "it counts as notified after its next poll"
     world.timeline.run(20 * SECOND)
-    assert not world.registry.off(1)
+    assert not world.registry.is_unreachable(1)
 
 
 def test_state_folders_are_corrupted_deleted_restored_and_full(tmp_path: Path) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,8 +18,8 @@
 from pumicepath.fleet.messages import ALIVE, LEFT, SUSPECTED, Ping, Record, Updates, encode_message
 from pumicepath.lab.loopback.scripted import Deployment
 from pumicepath.lab.loopback.world import LoopbackWorld
-from pumicepath.lab.model.links import Noise
-from pumicepath.lab.model.views import wrong
+from pumicepath.lab.model.links import Impairment
+from pumicepath.lab.model.views import sidecars_with_wrong_view
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
 TIMEOUT_S = 90.0  # until an expected state is reached; on an idle machine this takes a few seconds
@@ -64,7 +64,7 @@
         """Wait until every sidecar is up and sees all others as alive."""
         await self.wait_until_started()
         running = [sidecar.name for sidecar in self.sidecars]
-        await self.wait_until(lambda views: not wrong(views, running), what)
+        await self.wait_until(lambda views: not sidecars_with_wrong_view(views, running), what)
 
     async def wait_until_gone(self, targets: set[int], observers: set[int]) -> None:
         """Wait until no observer sees any of the targets as alive."""
@@ -100,7 +100,7 @@
                 sidecar.start()
             await fleet.wait_until_started()
             for sidecar in world.sidecars:
-                world.clients(sidecar, sidecar).begin()
+                world.make_clients(sidecar, sidecar).start()
             await work(fleet)
         finally:
             await world.close()
@@ -122,18 +122,18 @@
         await fleet.wait_until_correct("one is back, as a new instance")
         sidecars[4].stop()
         await asyncio.sleep(3)
-        sidecars[4].go_on()
+        sidecars[4].resume()
         await fleet.wait_until_correct("one was stopped for 3 s")
         heal = links.cut({0, 1, 2}, {3, 4, 5})
         await fleet.wait_until_gone({3, 4, 5}, {0, 1, 2})
         await fleet.wait_until_gone({0, 1, 2}, {3, 4, 5})
         heal()
         await fleet.wait_until_correct("the partition has healed")
-        heal = links.cut({1}, every - {1}, both=False)
+        heal = links.cut({1}, every - {1}, both_ways=False)
         await fleet.wait_until_gone({1}, every - {1})
         heal()
         await fleet.wait_until_correct("nobody received from one")
-        heal = links.disturb(every, Noise(0.2, 0.1, 0.05, 0, 40_000, 50_000))
+        heal = links.impair(every, Impairment(0.2, 0.1, 0.05, 0, 40_000, 50_000))
         await asyncio.sleep(3)
         heal()
         await fleet.wait_until_correct("lossy links")
@@ -142,12 +142,12 @@
         for number in (0, 1, 3, 5):
             sidecars[number].start()
         await fleet.wait_until_correct("four of six restarted at once")
-        sidecars[2].end()
+        sidecars[2].terminate()
         await fleet.wait_until_gone({2}, every - {2})
 
     world = run_fleet(tmp_path, work)
-    assert [world.judge.broken[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
-        world.judge.first
+    assert [world.rule_checker.violations[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
+        world.rule_checker.first_violations
     )
 
 
@@ -199,10 +199,10 @@
         assert response["figures"]["peers_noise"] > 0 and response["figures"]["peers_foreign"] > 0
 
     world = run_fleet(tmp_path, work)
-    assert [world.judge.broken[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
-        world.judge.first
+    assert [world.rule_checker.violations[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
+        world.rule_checker.first_violations
     )
-    assert world.judge.finals["succeeded"] > 0 and not world.judge.finals["cut"]
+    assert world.rule_checker.final_answers["succeeded"] > 0 and not world.rule_checker.final_answers["cut"]
 
 
 def run_peers_command(around: Deployment) -> subprocess.CompletedProcess[str]:
@@ -269,11 +269,11 @@
         while one.process is old:
             assert time.monotonic() < deadline
             await asyncio.sleep(0.02)
-        one.go_on()
+        one.resume()
         await asyncio.wait_for(old.wait(), TIMEOUT_S)
         await fleet.wait_until_correct("the new process alone")
 
     world = run_fleet(tmp_path, work)
-    assert [world.judge.broken[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
-        world.judge.first
+    assert [world.rule_checker.violations[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
+        world.rule_checker.first_violations
     )
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -17,7 +17,7 @@
 from pumicepath.interface import ListKind, ServerState
 from pumicepath.lab.loopback.discovery import DiscoveryServer
 from pumicepath.lab.loopback.world import InvalidRunError, LoopbackWorld
-from pumicepath.lab.model.clients import Ask
+from pumicepath.lab.model.clients import ClientSubmission
 from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars
 
 from .helpers import check_trace, restore_sigint
@@ -68,7 +68,7 @@
     data = b""
     try:
         if act is not None:
-            while not world.servers[world.places[0]].at_it:
+            while not world.servers[world.server_ids[0]].hop_count:
                 await asyncio.sleep(0)
             act()
         while chunk := await asyncio.wait_for(reader.read(65536), SILENCE_TIMEOUT_S):
@@ -88,25 +88,25 @@
     lines = []
 
     async def work(world: LoopbackWorld) -> None:
-        server = world.at_place(0)
+        server = world.server_at(0)
         address = world.server_address(server.number)
 
         async def note(what: str, act: Callable[[], None] | None = None) -> None:
             lines.append(f"{what}: {await request_outcome(world, len(lines) + 1, address, act)}")
 
         await note("well")
-        server.failing = 1.0
+        server.failure_fraction = 1.0
         await note("failing")
-        server.failing, server.stalling = 0.0, 1.0
+        server.failure_fraction, server.stall_fraction = 0.0, 1.0
         await note("stalling")
-        server.stalling = 0.0
-        server.slowed(0.0)
+        server.stall_fraction = 0.0
+        server.set_speed_factor(0.0)
         requests = [asyncio.ensure_future(request_outcome(world, number, address)) for number in (100, 101)]
-        while server.at_it < 2:
+        while server.hop_count < 2:
             await asyncio.sleep(0)
         await note("core and queue taken")
         lines.extend([await request for request in requests])
-        server.slowed(1.0)
+        server.set_speed_factor(1.0)
         await note("killed at work", server.kill)
         await note("dead")
         server.start()
@@ -114,15 +114,15 @@
         server.silence()
         await note("silent")
         server.start()
-        world.network.cut.add(1)
-        server.hall = 1
+        world.network.cut_zones.add(1)
+        server.zone = 1
         await note("hall cut off")
-        world.network.cut.clear()
+        world.network.cut_zones.clear()
         await note("hall back")
-        world.registry.drained(server.number, ServerState.GONE)
+        world.registry.set_state(server.number, ServerState.GONE)
         server.kill()
-        world.begin(0, cold=True)
-        lines.append(f"same address under a new id: {world.server_address(world.places[0]) == address}")
+        world.add_server(0, cold=True)
+        lines.append(f"same address under a new id: {world.server_address(world.server_ids[0]) == address}")
         await note("a new server there")
 
     run_in_world(ONE_SIDECAR, tmp_path, work)
@@ -135,7 +135,7 @@
     async def work(world: LoopbackWorld) -> None:
         discovery = DiscoveryServer(world, 0)
         await discovery.open()
-        world.registry.join(0, discovery)
+        world.registry.register(0, discovery)
         connection = await dial(discovery.address)
         assert not isinstance(connection, str)
         reader, writer = connection
@@ -153,14 +153,14 @@
             lines.append(f"{what}: {head.split()[1]} {body}")
 
         await watch("first", 0)
-        world.registry.drained(1)
+        world.registry.set_state(1)
         await watch("drain", 1)
-        since = world.registry.knows_since(0, 1)
+        since = world.registry.off_known_since(0, 1)
         lines.append(f"the judge holds it for told: {since is not None and since <= world.timeline.now}")
-        world.registry.break_off()
+        world.registry.disconnect()
         await watch("down", 2)
         await watch("still down", 2)
-        world.registry.come_back()
+        world.registry.reconnect()
         await watch("back", 2)
         writer.close()
         discovery.close()
@@ -195,16 +195,18 @@
 def test_an_answer_after_the_client_has_left_is_counted_and_discovery_can_fail(tmp_path: Path) -> None:
     async def work(world: LoopbackWorld) -> None:
         sidecar = world.sidecars[0]
-        clients = world.clients(sidecar, sidecar)
-        clients.begin()
-        submission = Ask(clients, 7, 0, 1, 0, 10**9)
-        clients.open[7] = submission
-        world.judge.tried(7, 0, 10**9)
+        clients = world.make_clients(sidecar, sidecar)
+        clients.start()
+        submission = ClientSubmission(clients, 7, 0, 1, 0, 10**9)
+        clients.open_submissions[7] = submission
+        world.rule_checker.try_admitted(7, 0, 10**9)
         clients.leave(submission)
-        clients.succeeded(submission, submission.turn)  # counts as a second answer: the client has left
-        assert world.judge.broken["answered_twice"] == 1 and world.tally.left[0] == 1
-        world.registry.join(0, sidecar.discovery)
-        sidecar.discovery.listed(ListKind.FAILED, [])
+        clients.succeeded(
+            submission, submission.current_try
+        )  # counts as a second answer: the client has left
+        assert world.rule_checker.violations["answered_twice"] == 1 and world.tally.left[0] == 1
+        world.registry.register(0, sidecar.discovery)
+        sidecar.discovery.receive_list(ListKind.FAILED, [])
         assert sidecar.discovery.fails_next
 
     run_in_world(ONE_SIDECAR, tmp_path, work)
@@ -267,7 +269,7 @@
         world.timeline.started_at -= 3.5  # in the fourth second
         world.tally.offered[1], world.tally.good[1] = 200, 180
         world.mark("die: server 1", 2_000_000)
-        world.at_place(1).kill()
+        world.server_at(1).kill()
         world.sidecars[0].open_breakers.add("s-1")
         world.note("sidecar 0: server s-1 open for 5.0 s")
         world.log[0] = world.log[0].strip()[5:]  # without the time
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,45 +22,45 @@
     decode_message,
     encode_message,
 )
-from pumicepath.lab.model.links import Links, Noise
-from pumicepath.lab.model.timeline import SECOND, Virtual
-from pumicepath.lab.virtual.peers import Peering, address
+from pumicepath.lab.model.links import Impairment, Links
+from pumicepath.lab.model.timeline import SECOND, VirtualTimeline
+from pumicepath.lab.virtual.peers import VirtualFleet, address
 
 from .helpers import check_trace
 
 
-def make_fleet(count: int, seed: int = 1, **more: int) -> Peering:
+def make_fleet(count: int, seed: int = 1, **more: int) -> VirtualFleet:
     """A fleet whose sidecars have all been started."""
-    timeline = Virtual()
-    peering = Peering(timeline, Links(timeline, seed, 300), seed, count, **more)
+    timeline = VirtualTimeline()
+    peering = VirtualFleet(timeline, Links(timeline, seed, 300), seed, count, **more)
     for number in range(count):
         peering.start(number)
     return peering
 
 
-def run_until_correct(peering: Peering, limit_s: float = 60.0) -> float:
+def run_until_correct(peering: VirtualFleet, limit_s: float = 60.0) -> float:
     """Run until all views are correct; return the seconds, fail past the limit."""
     began, step = peering.timeline.now, 100_000
-    while peering.wrong():
-        assert peering.timeline.now - began < limit_s * SECOND, peering.wrong()
+    while peering.sidecars_with_wrong_view():
+        assert peering.timeline.now - began < limit_s * SECOND, peering.sidecars_with_wrong_view()
         peering.timeline.run(peering.timeline.now + step)  # type: ignore[attr-defined]
     return (peering.timeline.now - began) / SECOND
 
 
-def run(peering: Peering, seconds: float) -> None:
+def run(peering: VirtualFleet, seconds: float) -> None:
     peering.timeline.run(peering.timeline.now + round(seconds * SECOND))  # type: ignore[attr-defined]
 
 
-def pause_nodes(peering: Peering, numbers: Iterable[int], seconds: float) -> None:
+def pause_nodes(peering: VirtualFleet, numbers: Iterable[int], seconds: float) -> None:
     paused = list(numbers)
     for number in paused:
         peering.stop(number)
     run(peering, seconds)
     for number in paused:
-        peering.go_on(number)
+        peering.resume(number)
 
 
-def settle(peering: Peering, what: str) -> str:
+def settle(peering: VirtualFleet, what: str) -> str:
     """Run until all views are correct; return a line with the time and the counts of state changes."""
     elapsed = run_until_correct(peering)
     counts = " ".join(f"{name.replace(' ', '_')} {count}" for name, count in sorted(peering.counts.items()))
@@ -86,18 +86,18 @@
     lines.append(settle(peering, "all were stopped for 30 s"))
     heal = links.cut(range(10), range(10, 20))
     run(peering, 60)
-    assert len(peering.wrong()) == 20
+    assert len(peering.sidecars_with_wrong_view()) == 20
     heal()
     lines.append(settle(peering, "halves were apart for a minute"))
-    heal = links.cut([3], [each for each in range(20) if each != 3], both=False)
+    heal = links.cut([3], [each for each in range(20) if each != 3], both_ways=False)
     run(peering, 20)
     heal()
     lines.append(settle(peering, "nobody heard one of them for 20 s"))
-    heal = links.cut([each for each in range(20) if each != 3], [3], both=False)
+    heal = links.cut([each for each in range(20) if each != 3], [3], both_ways=False)
     run(peering, 20)
     heal()
     lines.append(settle(peering, "one heard nobody for 20 s"))
-    heal = links.disturb(range(20), Noise(0.2, 0.1, 0.1, 1000, 200_000, 20_000))
+    heal = links.impair(range(20), Impairment(0.2, 0.1, 0.1, 1000, 200_000, 20_000))
     run(peering, 20)
     heal()
     lines.append(settle(peering, "bad links for 20 s"))
@@ -115,12 +115,12 @@
 
 
 def test_joining_while_seeds_are_down() -> None:
-    timeline = Virtual()
-    peering = Peering(timeline, Links(timeline, 1, 300), 1, 6)
+    timeline = VirtualTimeline()
+    peering = VirtualFleet(timeline, Links(timeline, 1, 300), 1, 6)
     for number in (5, 4, 3):  # the seeds are 0, 1 and 2
         peering.start(number)
     run(peering, 20)
-    assert len(peering.wrong()) == 3
+    assert len(peering.sidecars_with_wrong_view()) == 3
     peering.start(2)
     assert run_until_correct(peering) < 15
 
@@ -129,7 +129,7 @@
 def test_a_sidecar_that_loses_a_fifth_of_its_messages_is_not_declared_dead(seed: int) -> None:
     peering = make_fleet(30, seed)
     run_until_correct(peering)
-    peering.links.disturb([4], Noise(loss=0.2))
+    peering.links.impair([4], Impairment(loss=0.2))
     run(peering, 300)
     assert peering.counts["false deaths"] == 0 and peering.counts["suspected"] > 0
     assert run_until_correct(peering) < 30
@@ -237,7 +237,7 @@
     peering.stop(4)
     run(peering, 30)
     peering.counts.clear()
-    peering.go_on(4)
+    peering.resume(4)
     membership = peering.nodes[4].membership
     assert membership is not None and membership.local_health_score > 0
     assert not [peer for peer in membership.members(0) if peer.state in (SUSPECTED, DEAD)]
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -31,7 +31,7 @@
 from pumicepath.interface import Outcome
 from pumicepath.lab.loopback.scripted import Deployment
 from pumicepath.lab.model.servers import Job, Server
-from pumicepath.lab.spec import Fleet, Load, Plan, Sidecars, Trouble
+from pumicepath.lab.spec import FaultSpec, Fleet, Load, Plan, Sidecars
 from pumicepath.lab.verification.checks import one_holder
 from pumicepath.lab.virtual.run import VirtualWorld
 from pumicepath.lab.virtual.sidecar import Sidecar
@@ -302,13 +302,13 @@
             fleet=Fleet(servers=12, halls=2, work_ms=20),
             load=Load(part=0.3),
             sidecars=Sidecars(count=30, peers=True, trials=trials),
-            troubles=(Trouble(kind="fail-quickly", at_s=10, for_s=30, count=2, value=1.0),),
+            troubles=(FaultSpec(kind="fail-quickly", at_s=10, for_s=30, count=2, value=1.0),),
         )
-        world = VirtualWorld(plan, seed, trace=100_000)
+        world = VirtualWorld(plan, seed, trace_lines=100_000)
         result = world.run()
         failed = sum("trial failed" in line for line in world.log)
-        assert not any(result.rules[rule] for rule in FORBIDDEN_RULES)
-        assert result.breakers[-1] == [0.0] * 12, "all breakers closed again"
+        assert not any(result.violations[rule] for rule in FORBIDDEN_RULES)
+        assert result.open_breakers[-1] == [0.0] * 12, "all breakers closed again"
         found.append((failed, result.service))
     (alone, before), (together, after) = found
     assert 0 < together < alone / 3, found
@@ -391,7 +391,7 @@
     async def faults(world: Any, links: Any, fleet: RunningFleet, monitor: HolderMonitor) -> None:
         every = {each.number for each in fleet.sidecars}
         for server in (0, 1, 2):
-            world.servers[server].failing = 1.0
+            world.servers[server].failure_fraction = 1.0
         duties = [f"trial hall-0 s-{server}" for server in (0, 1, 2)]
         for duty in duties:
             await monitor.wait_for_holder(duty, 0)
@@ -403,7 +403,7 @@
         fence, one = current(duties[0])
         one.stop()
         await monitor.wait_for_holder(duties[0], fence, one.name)
-        one.go_on()
+        one.resume()
         fence, one = current(duties[1])
         heal = links.cut({one.number}, every - {one.number})
         await monitor.wait_for_holder(duties[1], fence, one.name)
@@ -420,17 +420,17 @@
             fence, one = current(duties[0])
         await monitor.wait_for_holder(duties[0], fence)
         fence, one = current(duties[1])
-        one.end()
+        one.terminate()
         await monitor.wait_for_holder(duties[1], fence, one.name)
         fence, one = current(duties[2])
         one.replace()  # two processes with one name; the new one inherits no duty
         await monitor.wait_for_holder(duties[2], fence)
         for server in (0, 1, 2):
-            world.servers[server].failing = 0.0
+            world.servers[server].failure_fraction = 0.0
 
     world = run_fleet(tmp_path, work, PLAN)
-    assert [world.judge.broken[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
-        world.judge.first
+    assert [world.rule_checker.violations[rule] for rule in FORBIDDEN_RULES] == [0] * len(FORBIDDEN_RULES), (
+        world.rule_checker.first_violations
     )
 
 
@@ -438,13 +438,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It still renews its leases, and its trials fail by its own fault; for the others the servers work."""
-    came, cut_off = Server.came, set[int]()
+    came, cut_off = Server.receive, set[int]()
 
     def failing(self: Server, job: Job) -> bool:
-        self.failing = 1.0 if self.number < 3 and (not cut_off or job.sender in cut_off) else 0.0
+        self.failure_fraction = 1.0 if self.number < 3 and (not cut_off or job.sender in cut_off) else 0.0
         return came(self, job)
 
-    monkeypatch.setattr(Server, "came", failing)
+    monkeypatch.setattr(Server, "receive", failing)
     unhealthy = {"s-0", "s-1", "s-2"}
 
     async def work(fleet: RunningFleet) -> None:
@@ -483,7 +483,7 @@
     async def work(fleet: RunningFleet) -> None:
         await fleet.wait_until_correct("all have started")
         for server in (0, 1, 2):
-            fleet.world.servers[server].failing = 1.0
+            fleet.world.servers[server].failure_fraction = 1.0
         duties = [f"trial hall-0 s-{server}" for server in (0, 1, 2)]
         async with HolderMonitor(fleet) as monitor:
             for duty in duties:
@@ -538,26 +538,28 @@
 
 def test_an_unhealthy_sidecar_keeps_no_server_from_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
     """All hops of one sidecar fail, those of the others until 25 s: its reports keep no breaker open."""
-    came = Server.came
+    came = Server.receive
 
     def failing(self: Server, job: Job) -> bool:
-        self.failing = 1.0 if job.sender == 0 or self.number < 6 and self.timeline.now < 25 * SECOND else 0.0
+        self.failure_fraction = (
+            1.0 if job.sender == 0 or self.number < 6 and self.timeline.now < 25 * SECOND else 0.0
+        )
         return came(self, job)
 
-    monkeypatch.setattr(Server, "came", failing)
+    monkeypatch.setattr(Server, "receive", failing)
     plan = Plan(
         lasts_s=55,
         fleet=Fleet(servers=12, halls=1, work_ms=20),
         load=Load(part=0.3),
         sidecars=Sidecars(count=8, peers=True, trials=True),
     )
-    world = VirtualWorld(plan, 1, trace=100_000)
+    world = VirtualWorld(plan, 1, trace_lines=100_000)
     world.run()
     opened = [
         (one.number, at)
         for one in world.instances[1:]
         if isinstance(one, Sidecar)
-        for at, state in enumerate(one.decisions.breaker_states)
+        for at, state in enumerate(one.balancer.breaker_states)
         if state
     ]
     assert not opened
