--- a/pumicepath/compiled.py
+++ b/pumicepath/compiled.py
@@ -54,10 +54,13 @@
         return f"interpreted: {BUILD_RECORD} can't be read", {
             ".".join(file.relative_to(root).with_suffix("").parts): file for file in all_files
         }
-    files = {name[:-3].replace("/", "."): root / name for name in hashes}
+    present = [name for name in hashes if (root / name).exists()]
+    files = {name[:-3].replace("/", "."): root / name for name in present}
     if interpreted_requested:
         return "interpreted: asked for", files
     for name, compiled_hash in hashes.items():
+        if name not in present:
+            return f"interpreted: {name}, which was compiled, is missing", files
         if hashlib.sha256((root / name).read_bytes()).hexdigest() != compiled_hash:
             return f"interpreted: {name} has changed since it was compiled", files
     for name in built:
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -40,6 +40,20 @@
     check_trace("compiled", lines)
 
 
+def test_build_of_a_module_that_was_renamed_since_runs_from_source(tmp_path: Path) -> None:
+    """A checkout that is updated keeps its old build: its record names files that are no longer there."""
+    (tmp_path / "pumicepath").mkdir()
+    kept, library = tmp_path / "pumicepath" / "a.py", tmp_path / "pumicepath" / "a.so"
+    kept.write_text("A = 1\n")
+    library.write_text("")
+    hashes = {"pumicepath/a.py": sha256(kept.read_bytes()).hexdigest(), "pumicepath/old.py": "0"}
+    (tmp_path / compiled.BUILD_RECORD).write_text(json.dumps({"files": hashes, "built": ["pumicepath/a.so"]}))
+    from_source = {"pumicepath.a": kept}
+    missing = "interpreted: pumicepath/old.py, which was compiled, is missing"
+    assert compiled.detect_form(tmp_path, False) == (missing, from_source)
+    assert compiled.detect_form(tmp_path, True) == ("interpreted: asked for", from_source)
+
+
 def test_reported_form_is_the_one_that_runs() -> None:
     suffixes = {Path(module.__file__).suffix for module in (balancer, parsing)}
     assert suffixes == ({".so"} if compiled.FORM == "compiled" else {".py"})
