--- a/pumicepath/lab/virtual/baselines.py
+++ b/pumicepath/lab/virtual/baselines.py
@@ -50,10 +50,10 @@
         self.callbacks.request_server_list()
 
     def submit(
-        self, now: int, name: int, tariff: int, key: int, retry: bool, until: int
+        self, now: int, name: int, class_index: int, key: int, is_retry: bool, deadline_at: int
     ) -> TextbookSubmission:
         """Start with a submission that the sidecar has admitted."""
-        submission = self.submission_type(self, name, tariff, key, until)
+        submission = self.submission_type(self, name, class_index, key, deadline_at)
         submission.send_next(now)
         return submission
 
@@ -87,12 +87,12 @@
         """The client does not wait any more."""
         self.finished = True
 
-    def hop_finished(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None:
+    def hop_finished(self, now: int, number: int, outcome: Outcome, elapsed: int, is_final: bool) -> None:
         """A hop has ended: done, retry or fail."""
         balancer = self.balancer
         self.waiting = False
         balancer.in_flight[self.tried_servers[number]] -= 1
-        if finished or self.finished:
+        if is_final or self.finished:
             self.finished = True
         elif self.may_retry(outcome):
             self.send_next(now)
--- a/pumicepath/lab/virtual/sidecar.py
+++ b/pumicepath/lab/virtual/sidecar.py
@@ -21,7 +21,7 @@
 class SubmissionHandle(Protocol):
     """A balancer's object for a submission, such as `Submission` of the real balancer."""
 
-    def hop_finished(self, now: int, number: int, outcome: Outcome, spent: int, finished: bool) -> None: ...
+    def hop_finished(self, now: int, number: int, outcome: Outcome, elapsed: int, is_final: bool) -> None: ...
 
     def response_started(self, now: int, number: int) -> None: ...
 
@@ -33,10 +33,10 @@
 class BalancerLike(Protocol):
     """A balancer that a sidecar can host, the real one or a textbook one."""
 
-    def listed(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None: ...
+    def update_servers(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None: ...
 
-    def take(
-        self, now: int, name: int, tariff: int, key: int, retry: bool, until: int
+    def submit(
+        self, now: int, name: int, class_index: int, key: int, is_retry: bool, deadline_at: int
     ) -> SubmissionHandle: ...
 
 
@@ -166,7 +166,7 @@
 
     def receive_list(self, kind: ListKind, entries: list[ServerEntry]) -> None:
         """Pass entries of the server list on to the balancer."""
-        self.balancer.listed(self.world.timeline.now, kind, entries)
+        self.balancer.update_servers(self.world.timeline.now, kind, entries)
 
     # -- clients
 
@@ -186,7 +186,7 @@
         )
         answer_by = client_submission.deadline_at - ANSWER_MARGIN_US
         timeline.at(answer_by, self.deadline_passed, name, submission)
-        handle = self.balancer.take(
+        handle = self.balancer.submit(
             now,
             name,
             client_submission.class_index,
--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -177,7 +177,7 @@
         """End all hops at the deadline: this answers for servers that have not responded."""
         for hop in list(self.hops):
             self.owner.end_hop(now, hop, Outcome.TIMEOUT)
-        if not check_invariant(self.answered, "no final answer at the deadline"):
+        if not check_invariant(self.answered, "no final answer when patience ended"):
             self.owner.answer(self, answers.FAILED)
 
 
