--- a/pumicepath/lab/capacity/ranking.py
+++ b/pumicepath/lab/capacity/ranking.py
@@ -15,9 +15,9 @@
 )
 SOURCE_MECHANISM = "the one discovery, calls in turn (given); nothing between it and sidecars: " + MISSING
 LIST_MECHANISM = (
-    "`discovery/watch.py`, `discovery/roster.py`: all servers of all services; a choice: " + MISSING
+    "`discovery/watch.py`, `discovery/server_list.py`: all servers of all services; a choice: " + MISSING
 )
-DECISION_MECHANISM = "`logic.py`, `Balancer.pick`"
+DECISION_MECHANISM = "`balancer.py`, `Balancer.choose_server`"
 MEMBERSHIP_MECHANISM = "`fleet/membership.py`, whole fleet, off by default; bounded by `most`"
 
 
@@ -122,11 +122,11 @@
         ),
         Row(
             LIST_ROLE,
-            "a zone lost: 590 changes to all, each told for itself, the source's CPU",
+            "a zone lost: 590 changes to all, each sent on its own, the source's CPU",
             change_us.times(assumed_value(target.zone_servers * n / 1e6)),
             "s",
             target.max_propagation_s,
-            "590 x sidecars x CPU of telling one",
+            "590 x sidecars x CPU of sending one",
             ("told_us",),
             SOURCE_MECHANISM,
         ),
@@ -136,7 +136,7 @@
             change_us.times(assumed_value(n * peak_changes_per_s / 1e6)),
             "cores",
             1.0,
-            "10 x changes a second x sidecars x CPU of telling one; one thread",
+            "10 x changes a second x sidecars x CPU of sending one; one thread",
             ("told_us",),
             SOURCE_MECHANISM,
         ),
--- a/pumicepath/lab/capacity/roles.py
+++ b/pumicepath/lab/capacity/roles.py
@@ -11,10 +11,12 @@
 from .rows import MISSING, Row
 from .target import Assumptions, Target
 
-WATCH_MECHANISM = "`discovery/watch.py`, `discovery/roster.py` by `services`; `distribution/homes.py`"
+WATCH_MECHANISM = (
+    "`discovery/watch.py`, `discovery/server_list.py` by `services`; `distribution/relay_selector.py`"
+)
 MEMBERSHIP_MECHANISM = "`fleet/membership.py`, a fleet for each zone; off by default"
-RELAY_MECHANISM = "`relay/loop.py`, `distribution/subscriptions.py`, `distribution/held.py`"
-RATE_LIMIT_MECHANISM = "`distribution/pace.py`"
+RELAY_MECHANISM = "`relay/loop.py`, `distribution/subscriptions.py`, `distribution/relay_store.py`"
+RATE_LIMIT_MECHANISM = "`distribution/rate_limiter.py`"
 MEASURED_LIST_SERVERS = 8 * 20_000 / 1_900  # mean servers in a list of `relay_whole_bytes`
 DISCOVERY_MECHANISM = "the regions' discoveries, given; `relay/upstreams.py` is all that calls them"
 
@@ -32,7 +34,7 @@
 def data_path_rows(capacity: Capacity, target: Target, assumed: Assumptions) -> list[Row]:
     """Rows of a sidecar's data path: decisions, calls and their CPU, latency and memory."""
     typical, largest = assumed.typical_listed_servers, assumed.max_listed_servers
-    calls_per_s, mechanism = assumed.calls_per_sidecar_s, "`logic.py`, `sidecar/dispatch.py`"
+    calls_per_s, mechanism = assumed.calls_per_sidecar_s, "`balancer.py`, `sidecar/dispatch.py`"
     call_cpu_ms = capacity.at("call_cpu_ms", typical), capacity.at("call_cpu_ms", largest)
     added_ms = (
         capacity.at_if_measured("added_p99_ms", typical),
@@ -739,7 +741,7 @@
             target.max_propagation_s,
             "3.4 s of silence, a pause of up to 0.5 s, two batches of 0.05 s",
             (),
-            "`distribution/homes.py`",
+            "`distribution/relay_selector.py`",
         ),
         Row(
             "",
--- a/pumicepath/lab/capacity/scenarios.py
+++ b/pumicepath/lab/capacity/scenarios.py
@@ -155,7 +155,7 @@
             ],
             in_force,
             "as on an ordinary day: its changes share batches",
-            "the rack's servers until told, " + CLOCK_START_RULE,
+            "the rack's servers until the change arrives, " + CLOCK_START_RULE,
         ),
         Scenario(
             "a zone, 590 at once",
@@ -165,7 +165,7 @@
             ],
             zone_s,
             zone_source or "as on an ordinary day, if batches hold them",
-            "the zone's servers until told; breakers open before that",
+            "the zone's servers until the change arrives; breakers open before that",
         ),
         Scenario(
             "the zone back",
@@ -191,7 +191,7 @@
             ],
             cut_s,
             cut_source or "a relay's next call to the region's discovery, and a batch",
-            "the region's servers as last told; " + CLOCK_START_RULE + "; " + LAST_LIST_STAYS,
+            "the region's servers as last received; " + CLOCK_START_RULE + "; " + LAST_LIST_STAYS,
         ),
         Scenario(
             "a release of everything in an hour",
@@ -228,7 +228,7 @@
             restart_s if restart_s is not None else all_lists_s.plus(assumed_value(4.0)),
             restart_source
             or "until the last whole list, after a drawn pause of up to 4 s; runs of that: " + NOT_MEASURED,
-            "all entries as last told while no relay runs; "
+            "all entries as last received while no relay runs; "
             + CLOCK_START_RULE
             + "; "
             + LAST_LIST_STAYS
