--- a/tests/rig.py
+++ b/tests/rig.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import socket
+import struct
 import threading
 import time
 from collections.abc import Callable, Iterator
@@ -18,6 +19,7 @@
 from pumicepath.interface import ListKind
 from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, read_message
 from pumicepath.sidecar import config
+from pumicepath.sidecar.arrival import TCP_ESTABLISHED
 from pumicepath.sidecar.client import Client
 from pumicepath.sidecar.clients import Clients
 from pumicepath.sidecar.dispatch import Dispatcher
@@ -75,6 +77,28 @@
         time.sleep(0.001)
 
 
+def tcp_states() -> dict[tuple[tuple[str, int], tuple[str, int]], int]:
+    """Return the state of each TCP socket (tcp_states.h) by its own and its remote address (proc(5))."""
+
+    def address(field: str) -> tuple[str, int]:
+        host, _, port = field.partition(":")
+        return socket.inet_ntoa(struct.pack("=I", int(host, 16))), int(port, 16)
+
+    rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
+    return {(address(row[1]), address(row[2])): int(row[3], 16) for row in rows}
+
+
+def closes_have_arrived(servers: list[ScriptedServer]) -> bool:
+    """Whether no connection that these servers have closed or reset is still established at its client."""
+    states = tcp_states()
+    addresses = [server.listener.getsockname() for server in servers]
+    return all(
+        states.get((remote, local)) == TCP_ESTABLISHED
+        for (local, remote), state in states.items()
+        if remote in addresses and state == TCP_ESTABLISHED
+    )
+
+
 @contextmanager
 def paused(
     monkeypatch: pytest.MonkeyPatch, owner: Any, name: str, before: bool = True
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,7 +27,7 @@
 from pumicepath.sidecar.watching import Watcher
 
 from .helpers import check_trace
-from .rig import Rig, paused, read_status, server_with_full_backlog, wait_until
+from .rig import Rig, closes_have_arrived, paused, read_status, server_with_full_backlog, wait_until
 
 NEVER = ("X-Never-Ran", "1")
 ENDS = ("Connection", "close")
@@ -281,6 +281,14 @@
         for name, script in steps.items():
             deployment.transcript.append(f"-- {name}")
             deployment.submit("once", *script)
+            # The response may arrive well before the end or reset, which the next request must not meet.
+            for _ in [step for step in script if isinstance(step, tuple)]:
+                wait_until(
+                    lambda: any(
+                        peer.closed_connections.acquire(blocking=False) for peer in deployment.servers
+                    )
+                )
+            wait_until(lambda: closes_have_arrived(deployment.servers))
             if name.startswith("two"):
                 deployment.submit("once")
     # Which of the two servers is used does not matter.
