--- a/tests/rig.py
+++ b/tests/rig.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import ctypes
 import socket
 import struct
 import threading
@@ -25,6 +26,9 @@
 from pumicepath.sidecar.dispatch import Dispatcher
 from pumicepath.sidecar.servers import start_thread
 
+SO_ATTACH_FILTER, SO_DETACH_FILTER = 26, 27  # asm-generic/socket.h; the socket module lacks them
+BPF_RETURN = 0x06  # BPF_RET | BPF_K (linux/bpf_common.h): accept as many bytes of the packet as its constant
+
 socket.setdefaulttimeout(20)  # a test must fail, not hang, if something does not arrive
 
 
@@ -127,18 +131,23 @@
     return response.status if response is not None else 0
 
 
-def server_with_full_backlog(deployment: Deployment) -> tuple[socket.socket, list[socket.socket]]:
-    """Make a server with a full backlog the only one; returns its listener and the connections that fill it.
+def server_that_ignores_connects(deployment: Deployment) -> socket.socket:
+    """Make a server that ignores all attempts to connect the only one; returns its listener.
 
-    Connecting to it hangs until one of those is accepted, when the kernel tries again.
+    A socket filter drops what arrives at the listener.  Connecting to it hangs until `accept_connects`, when
+    the kernel tries again, a second or more after the first attempt.
     """
-    listener = socket.create_server(("127.0.0.1", 0), backlog=0)
-    filling = [socket.socket() for _ in range(2)]
-    for sock in filling:
-        sock.setblocking(False)
-        sock.connect_ex(listener.getsockname())
+    listener = socket.create_server(("127.0.0.1", 0))
+    drop_all = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, 0))
+    program = struct.pack("HL", 1, ctypes.addressof(drop_all))  # struct sock_fprog
+    listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
     peer = ScriptedServer.__new__(ScriptedServer)
     peer.name, peer.address = "late", f"127.0.0.1:{listener.getsockname()[1]}"
     deployment.servers = [peer]
     deployment.configuration["known"] = deployment.list_document(1, True, "active")
-    return listener, filling
+    return listener
+
+
+def accept_connects(listener: socket.socket) -> None:
+    """Let the connects through that `server_that_ignores_connects` made hang."""
+    listener.setsockopt(socket.SOL_SOCKET, SO_DETACH_FILTER, 0)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,16 +22,27 @@
 from pumicepath.interface import ListKind, Outcome
 from pumicepath.lab.loopback.scripted import Deployment, ScriptedServer, http_response, read_message
 from pumicepath.sidecar import arrival, clock
+from pumicepath.sidecar.arrival import TCP_ESTABLISHED
 from pumicepath.sidecar.exchange import Exchange
 from pumicepath.sidecar.servers import ServerConnection, start_thread
 from pumicepath.sidecar.watching import Watcher
 
 from .helpers import check_trace
-from .rig import Rig, closes_have_arrived, paused, read_status, server_with_full_backlog, wait_until
+from .rig import (
+    Rig,
+    accept_connects,
+    closes_have_arrived,
+    paused,
+    read_status,
+    server_that_ignores_connects,
+    tcp_states,
+    wait_until,
+)
 
 NEVER = ("X-Never-Ran", "1")
 ENDS = ("Connection", "close")
 RESET = struct.pack("ii", 1, 0)
+TCP_SYN_SENT = 2  # a TCP state (tcp_states.h)
 
 
 # -- retries: conditions that held when a hop was chosen, and no longer hold when it could be written
@@ -74,7 +85,7 @@
 
 def test_a_request_whose_client_left_during_a_slow_connect_is_not_sent_by_the_process(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 0)
-    listener, full = server_with_full_backlog(deployment)
+    listener = server_that_ignores_connects(deployment)
     deployment.configuration["settings"]["policyLimits"]["dialTimeoutS"] = 15.0
     deployment.configuration["settings"]["tariffs"][1]["patienceS"] = 20.0
     deployment.configuration["admin_addr"] = "127.0.0.1:0"
@@ -82,11 +93,19 @@
     with deployment.running():
         deployment.send("once", 20_000)
         wait_until(lambda: any(value for name, value in deployment.metrics().items() if "current" in name))
+        # Only a connect that the kernel has tried already takes the second or more until it tries again.
+        connects_to = listener.getsockname()
+        wait_until(
+            lambda: any(
+                remote == connects_to and state == TCP_SYN_SENT for (_, remote), state in tcp_states().items()
+            )
+        )
+        ends = deployment.address, deployment.client_socket.getsockname()
         deployment.client_socket.close()
-        filling = [sock.getsockname() for sock in full]
+        wait_until(lambda: tcp_states().get(ends) != TCP_ESTABLISHED)  # the sidecar's kernel knows
+        accept_connects(listener)
         listener.settimeout(20)
-        while (accepted := listener.accept())[1] in filling:
-            pass
+        accepted = listener.accept()
         # The next request must be the first that is written, on that connection or on one of its own.
         deployment.client_socket = socket.create_connection(deployment.address)
         deployment.send("once", 20_000)
@@ -200,7 +219,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, ends: str
 ) -> None:
     rig = Rig(tmp_path, policyLimits={"mostHops": 1, "connIdleS": 30.0, "dialTimeoutS": 15.0})
-    listener, filling = server_with_full_backlog(rig.deployment)
+    listener = server_that_ignores_connects(rig.deployment)
     update = ServerList(["a"], lambda born: 0).apply(rig.deployment.list_document(2, True, "active"))
     rig.dispatcher.update_servers(ListKind.FULL, update)
     # As on a platform where a connect goes on although another thread shuts the socket down.
@@ -221,7 +240,6 @@
     assert clock.now() - began < 8_000_000
     client_socket.close()
     listener.close()
-    assert len(filling) == 2
 
 
 def test_a_deadline_and_a_response_that_cross_give_one_final_answer_in_either_order(tmp_path: Path) -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -20,7 +20,7 @@
 from pumicepath.sidecar.clients import Clients
 from pumicepath.sidecar.servers import start_thread
 
-from .rig import Rig, paused, read_status, server_with_full_backlog, wait_until
+from .rig import Rig, paused, read_status, server_that_ignores_connects, wait_until
 
 
 def test_a_request_half_read_when_its_idle_connection_expires_is_answered(
@@ -282,7 +282,7 @@
 
 def test_at_sigterm_a_request_that_waits_for_a_connection_is_answered_by_its_deadline(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, 0)
-    late, full = server_with_full_backlog(deployment)
+    late = server_that_ignores_connects(deployment)
     deployment.configuration["settings"]["policyLimits"]["dialTimeoutS"] = 60.0
     deployment.configuration["admin_addr"] = "127.0.0.1:0"
     deployment.config_path.write_text(json.dumps(deployment.configuration))
@@ -296,7 +296,6 @@
         deployment.client_socket.close()
         assert deployment.next_event("stopped")["broken"] == {} and deployment.process.wait(20) == 0
     late.close()
-    assert len(full) == 2
 
 
 def test_half_a_status_line_of_a_server_at_shutdown_is_answered_502(tmp_path: Path) -> None:
