--- a/pumicepath/lab/loopback/scripted.py
+++ b/pumicepath/lab/loopback/scripted.py
@@ -51,7 +51,11 @@
 
     def __init__(self, name: str, script: queue.SimpleQueue, transcript: list[str]) -> None:
         self.name, self.script, self.transcript = name, script, transcript
-        self.listener = socket.create_server(("127.0.0.1", 0))
+        # Bound but not listening, so that nobody else gets the port while the listener is closed.
+        self.reserved_port = socket.socket()
+        self.reserved_port.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.reserved_port.bind(("127.0.0.1", 0))
+        self.listener = socket.create_server(self.reserved_port.getsockname())
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         self.closed_connections, self.received_requests = threading.Semaphore(0), threading.Semaphore(0)
         threading.Thread(target=self.accept, daemon=True).start()
