--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -28,6 +28,7 @@
 from pumicepath.sidecar.watching import Watcher
 
 from .helpers import check_trace, make_entry
+from .rig import wait_until
 
 BAD_KNOWN_LIST = json.dumps(
     {
@@ -230,6 +231,7 @@
         assert deployment.servers[0].received_requests.acquire(timeout=5)
         other.close()
         deployment.script.put(http_response(200, "for nobody"))
+        wait_until(deployment.script.empty)  # else the thread that serves the next request could take it
         deployment.client_socket.sendall(b"BAD\r\n\r\n")
         deployment.receive()
         assert deployment.client_socket.recv(1) == b""
