--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -141,12 +141,12 @@
     def holder(self, duty: str) -> int:
         """Number of the running sidecar that holds the duty, or -1."""
         for node in self.peering.nodes:
-            fellow = node.fleet_node
+            fleet_node = node.fleet_node
             if (
                 not node.stopped
-                and fellow is not None
-                and fellow.duties is not None
-                and fellow.duties.fencing_number(node.clock(), duty)
+                and fleet_node is not None
+                and fleet_node.duties is not None
+                and fleet_node.duties.fencing_number(node.clock(), duty)
             ):
                 return node.number
         return -1
@@ -229,14 +229,14 @@
             wanted_duties.setdefault(rng.randrange(count), []).append(name)
 
         def make_request(
-            fellow: FleetNode,
+            fleet_node: FleetNode,
             number: int,
             fleet: DutyFleet = fleet,
             wanted: dict[int, list[str]] = wanted_duties,
         ) -> Callable[[], None]:
             def request_duties() -> None:
-                if fellow.duties is not None:
-                    fellow.duties.set_wanted(fleet.peering.nodes[number].clock(), wanted.get(number, []))
+                if fleet_node.duties is not None:
+                    fleet_node.duties.set_wanted(fleet.peering.nodes[number].clock(), wanted.get(number, []))
                     fleet.peering.nodes[number].schedule_timer()
 
             return request_duties
--- a/pumicepath/lab/loopback/separate_processes.py
+++ b/pumicepath/lab/loopback/separate_processes.py
@@ -110,10 +110,10 @@
         super().__init__(*args)
         self.non_idempotent = non_idempotent
 
-    def try_admitted(self, ask: int, tariff: int, until: int) -> None:
-        if self.request_classes[tariff].effect != 0:
-            self.non_idempotent.add(ask)
-        super().try_admitted(ask, tariff, until)
+    def try_admitted(self, submission_id: int, class_index: int, deadline_at: int) -> None:
+        if self.request_classes[class_index].effect != 0:
+            self.non_idempotent.add(submission_id)
+        super().try_admitted(submission_id, class_index, deadline_at)
 
 
 class ClientWorld(World):
--- a/pumicepath/lab/verification/recording.py
+++ b/pumicepath/lab/verification/recording.py
@@ -26,18 +26,18 @@
     def __init__(
         self,
         timeline: Timeline,
-        tariffs: tuple[RequestClass, ...],
+        request_classes: tuple[RequestClass, ...],
         registry: Registry,
         grace: int,
         slack: int,
         history: History,
     ) -> None:
-        super().__init__(timeline, tariffs, registry, grace, slack)
+        super().__init__(timeline, request_classes, registry, grace, slack)
         self.history = history
 
-    def try_admitted(self, ask: int, tariff: int, until: int) -> None:
-        self.history.write("clients", "tried", ask=ask, tariff=tariff, until=until)
-        super().try_admitted(ask, tariff, until)
+    def try_admitted(self, submission_id: int, class_index: int, deadline_at: int) -> None:
+        self.history.write("clients", "tried", ask=submission_id, tariff=class_index, until=deadline_at)
+        super().try_admitted(submission_id, class_index, deadline_at)
 
     def answer_received(self, ask: int, what: str) -> None:
         self.history.write("clients", "answered", ask=ask, end=what)
--- a/pumicepath/lab/virtual/sidecar.py
+++ b/pumicepath/lab/virtual/sidecar.py
@@ -426,14 +426,14 @@
         if self.is_alive():
             self.sidecar.world.registry.subscribe(self.sidecar.number)
 
-    def set_timer(self, at: int, whom: TimerHandler) -> None:
+    def set_timer(self, at: int, handler: TimerHandler) -> None:
         """Set a timer."""
-        self.sidecar.world.timeline.at(at, self.fire_timer, whom)
+        self.sidecar.world.timeline.at(at, self.fire_timer, handler)
 
-    def fire_timer(self, whom: TimerHandler) -> None:
+    def fire_timer(self, handler: TimerHandler) -> None:
         """A timer is due."""
         if self.is_alive():
-            whom.on_timer(self.sidecar.world.timeline.now)
+            handler.on_timer(self.sidecar.world.timeline.now)
 
     def log(self, text: str) -> None:
         """Trace a line of the balancer's log."""
--- a/pumicepath/sidecar/client.py
+++ b/pumicepath/sidecar/client.py
@@ -198,14 +198,14 @@
         size, name, expires, retry = peeked
         self.head_only = False
         dispatcher = self.owner.dispatcher
-        config, terms = dispatcher.active_config
+        config, class_states = dispatcher.active_config
         request_class = config.request_classes.get(name)
         if request_class is None or not self.set_state(BUSY):
             return False
-        deadline = terms[request_class].request_class.deadline
+        deadline = class_states[request_class].request_class.deadline
         if expires:
             deadline = min(deadline, int(expires) * 1000)
-        typical_latency = terms[request_class].typical_latency
+        typical_latency = class_states[request_class].typical_latency
         self.holds_slot = dispatcher.admission_gate.enter(
             received_at, received_at + deadline, request_class, retry, typical_latency
         )
@@ -270,7 +270,7 @@
             else:
                 self.answer(answers.READY if dispatcher.balancer.ready else answers.NOT_READY, True)
             return None
-        config, terms = dispatcher.active_config
+        config, class_states = dispatcher.active_config
         name = request.header(CLASS_HEADER)
         self.class_name = name if name in config.request_classes else ""
         try:
@@ -283,12 +283,12 @@
             # safe.  The connection stays open: a new one would cost more than this answer.
             self.owner.bad_requests["no room"] += 1
             self.answer(
-                answers.rejected(dispatcher.balancer.fixed_retry_after(terms[params.request_class])),
+                answers.rejected(dispatcher.balancer.fixed_retry_after(class_states[params.request_class])),
                 not dispatcher.closes_connections(),
             )
             return None
         if not self.holds_slot:
-            typical_latency = terms[params.request_class].typical_latency
+            typical_latency = class_states[params.request_class].typical_latency
             self.holds_slot = dispatcher.admission_gate.enter(
                 received_at,
                 received_at + params.deadline,
@@ -321,7 +321,7 @@
         )
         self.answered.clear()
         try:
-            if dispatcher.submit(exchange, terms[params.request_class], params.key, params.retry):
+            if dispatcher.submit(exchange, class_states[params.request_class], params.key, params.retry):
                 self.consecutive_errors = 0
                 return exchange
         except Exception:
--- a/pumicepath/sidecar/dispatch.py
+++ b/pumicepath/sidecar/dispatch.py
@@ -94,7 +94,7 @@
         self.balancer = Balancer(config.settings, config.seed, self)
         # Replaced as a whole: a thread reads it once per request and uses that one until the answer.
         self.active_config: ActiveConfig = (config, self.balancer.class_states)
-        self.max_deadline = max(tariff.deadline for tariff in config.settings.request_classes)
+        self.max_deadline = max(each.deadline for each in config.settings.request_classes)
         self.admission_gate = AdmissionGate(config)
         self.delay_monitor = DelayMonitor(self, self.admission_gate)
 
@@ -200,13 +200,13 @@
             self.pool.apply_config(config)
             self.active_config = (config, self.balancer.class_states)
             self.max_deadline = max(
-                self.max_deadline, *(tariff.deadline for tariff in config.settings.request_classes)
+                self.max_deadline, *(each.deadline for each in config.settings.request_classes)
             )
 
         self.admission_gate.apply_config(config)
         self.run_locked(call)
 
-    def submit(self, exchange: Exchange, terms: ClassState, key: int, retry: bool) -> bool:
+    def submit(self, exchange: Exchange, class_state: ClassState, key: int, retry: bool) -> bool:
         """Submit an exchange to the balancer; False if its trace id is in use.
 
         A trace id stays in use until the submission's deadline, even when it has been answered: a hop of it
@@ -226,7 +226,13 @@
             exchange.number = self.admitted
             self.exchanges[exchange.number] = exchange
             exchange.submission = self.balancer.submit_with(
-                now, exchange.number, terms, key, retry, exchange.deadline_at, exchange.upload is not None
+                now,
+                exchange.number,
+                class_state,
+                key,
+                retry,
+                exchange.deadline_at,
+                exchange.upload is not None,
             )
             if not exchange.answered and exchange.upload is None:
                 self.set_timer(exchange.deadline_at, exchange)
@@ -456,11 +462,11 @@
         """Apply a server list, or note that fetching one failed (kind FAILED) after `elapsed` us."""
 
         def call(now: int) -> None:
-            drain_alone = self.balancer.settings.only_draining_removes
+            only_draining_removes = self.balancer.settings.only_draining_removes
             if kind != ListKind.FAILED:
-                self.pool.update_servers(update, drain_alone)
+                self.pool.update_servers(update, only_draining_removes)
             self.balancer.update_servers(now, kind, update.entries, elapsed)
-            if drain_alone:
+            if only_draining_removes:
                 self.pool.keep_only(self.balancer.index_by_id)
 
         self.run_locked(call)
--- a/pumicepath/sidecar/exchange.py
+++ b/pumicepath/sidecar/exchange.py
@@ -89,7 +89,7 @@
     def answer(self, exchange: Exchange, answer: answers.Answer) -> None:
         """Queue the final answer of an exchange; called with the lock held."""
 
-    def set_timer(self, at: int, whom: TimerHandler) -> None:
+    def set_timer(self, at: int, handler: TimerHandler) -> None:
         """Set a timer; called with the lock held."""
 
     def close_after_unlock(self, action: Callable[[], None]) -> None:
--- a/pumicepath/sidecar/servers.py
+++ b/pumicepath/sidecar/servers.py
@@ -335,14 +335,19 @@
         else:
             self.out_of_service.discard(server)
 
-    def update_servers(self, update: ServerListUpdate, drain_alone: bool = False) -> None:
+    def update_servers(self, update: ServerListUpdate, only_draining_removes: bool = False) -> None:
         """Forget servers that are draining or gone, and connections to instances that have ended.
 
-        With `drain_alone`, servers missing from the list are kept until `keep_only` tells which are in use.
+        With `only_draining_removes`, servers missing from the list are kept until `keep_only` tells which are
+        in use.
         """
-        instances = {} if update.whole and not drain_alone else dict(self.instances)
+        instances = {} if update.whole and not only_draining_removes else dict(self.instances)
         for entry, address in zip(update.entries, update.addresses):
-            if entry.state == ServerState.DRAINING or entry.state == ServerState.GONE and not drain_alone:
+            if (
+                entry.state == ServerState.DRAINING
+                or entry.state == ServerState.GONE
+                and not only_draining_removes
+            ):
                 instances.pop(entry.server, None)
             elif entry.state == ServerState.READY:
                 instances[entry.server] = ServerInstance(address, entry.started_at)
--- a/pumicepath/wirehost/host.py
+++ b/pumicepath/wirehost/host.py
@@ -76,10 +76,10 @@
         """Request the server list."""
         self.host.reply.add(FOLLOW, "HB", self.number, 1)
 
-    def set_timer(self, at: int, whom: TimerHandler) -> None:
+    def set_timer(self, at: int, handler: TimerHandler) -> None:
         """Set a timer."""
         self.last_timer_id += 1
-        self.timers[self.last_timer_id] = whom
+        self.timers[self.last_timer_id] = handler
         self.host.reply.add(WAKE, "HdQ", self.number, at / 1e6, self.last_timer_id)
 
     def log(self, text: str) -> None:
--- a/tests/test_dropped.py
+++ b/tests/test_dropped.py
@@ -1,4 +1,4 @@
-"""Unreliable server lists: with `drain_alone`, servers missing from the list stay in use for a while."""
+"""Unreliable lists: with `only_draining_removes`, servers missing from the list stay in use for a while."""
 
 import json
 from pathlib import Path
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -366,7 +366,7 @@
             metrics = events
             def apply_pending(self): pass
             def event(self, event, **figures): print(event, figures)
-            def set_timer(self, at, whom): print("again at", at)
+            def set_timer(self, at, handler): print("again at", at)
         reporter = ProblemReporter(Dispatcher(), Clients())
         for holds in (True, False, False):
             invariants.check_invariant(holds, "x")
@@ -393,7 +393,7 @@
         self.calls.append((kind.name, len(update.entries)))
         self.listed_event.release()
 
-    def set_timer(self, at, whom) -> None:
+    def set_timer(self, at, handler) -> None:
         self.calls.append(at)
 
     def event(self, event, **figures) -> None:
